--- a/Makefile
+++ b/Makefile
@@ -8,7 +8,8 @@
 	touch .venv/ready
 
 test: .venv/ready
-	$(PYTHON) -m ruff check petrellane benchmarks tests/agreement tests/lab tests/model tests/operation tests/spread tests/runner.py tests/choosing.py tests/known_red.py tests/known_cases.py
+	$(PYTHON) -m ruff format --check petrellane benchmarks tests
+	$(PYTHON) -m ruff check petrellane benchmarks tests
 	.venv/bin/lint-imports
 	$(PYTHON) -m tests.runner
 
--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -31,7 +31,9 @@
         pages = int(file.read().split()[1])
     with open(f"/proc/{process.process.pid}/stat") as file:
         words = file.read().rsplit(")", 1)[1].split()
-    return pages * os.sysconf("SC_PAGE_SIZE"), (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+    return pages * os.sysconf("SC_PAGE_SIZE"), (int(words[11]) + int(words[12])) / os.sysconf(
+        "SC_CLK_TCK"
+    )
 
 
 def idle(gateways, agreement, seconds=5.0):
@@ -43,14 +45,20 @@
         lab.play(seconds)
         told = [memory(one.process) for one in lab.gateways]
         spent = [(now[1] - then) / seconds * 1e3 for now, then in zip(told, before, strict=True)]
-        return at([size / 2 ** 20 for size, _ in told], 0.5), at(spent, 0.5)
+        return at([size / 2**20 for size, _ in told], 0.5), at(spent, 0.5)
 
 
 def measure(gateways, changes, rate, faults):
     """Figures of so many changes at a fleet of a size."""
     chance = random.Random(gateways)
-    shape = Shape(gateways=gateways, agreement=True, relays=("agents-of-control",) if faults else (), rate=rate,
-                  work=0.002, hosts=4)
+    shape = Shape(
+        gateways=gateways,
+        agreement=True,
+        relays=("agents-of-control",) if faults else (),
+        rate=rate,
+        work=0.002,
+        hosts=4,
+    )
     with Lab(shape) as lab:
         began = time.monotonic()
         lab.start()
@@ -70,8 +78,12 @@
             told = lab.change(wanted, patience=60)
             outcomes[told["outcome"]] = outcomes.get(told["outcome"], 0) + 1
             if told["outcome"] == "committed":
-                last = max(event["at"] for one in lab.gateways for event in one.events[-50:]
-                           if event["event"] == "generation" and event["number"] == told["number"])
+                last = max(
+                    event["at"]
+                    for one in lab.gateways
+                    for event in one.events[-50:]
+                    if event["event"] == "generation" and event["number"] == told["number"]
+                )
                 times.append(last - began)
             lab.play(0.1)
         calls = control.ask("status")["calls"]
@@ -80,20 +92,45 @@
         asked = sum(calls.values()) - before
         lab.quiet()
         verdict = lab.verdict()
-        pushed = sum(event.get("pushed generation", 0) for one in lab.gateways for event in one.events
-                     if event["event"] == "figures")
+        pushed = sum(
+            event.get("pushed generation", 0)
+            for one in lab.gateways
+            for event in one.events
+            if event["event"] == "figures"
+        )
         counts = {}
         for (_, answer), count in lab.records.counts.items():
             counts[answer] = counts.get(answer, 0) + count
-        return {"gateways": gateways, "faults": faults, "up_s": round(up, 2), "changes": outcomes,
-                "p50_s": round(at(times, 0.5), 3), "p99_s": round(at(times, 0.99), 3),
-                "calls": round(sum(calls.get(do, 0) for do in ("prepare", "commit", "deny")) / changes / gateways, 2),
-                "looks": round(looks / changes / gateways, 2), "all_calls": asked,
-                "third_restarted": restarted, "pushed_for_the_change": pushed, "answers": counts,
-                "broken": verdict.counts, "first_breaks": [one.text for one in verdict.broken[:4]],
-                "of_the_first": [line for one in verdict.broken[:2] for rpc in one.rpcs for line in lab.records.about(rpc)],
-                "rig_stood_still": [line for _, line in lab.records.told if "stood still" in line][-20:],
-                "crashes": len(lab.crashes), "void": lab.void}
+        return {
+            "gateways": gateways,
+            "faults": faults,
+            "up_s": round(up, 2),
+            "changes": outcomes,
+            "p50_s": round(at(times, 0.5), 3),
+            "p99_s": round(at(times, 0.99), 3),
+            "calls": round(
+                sum(calls.get(do, 0) for do in ("prepare", "commit", "deny")) / changes / gateways,
+                2,
+            ),
+            "looks": round(looks / changes / gateways, 2),
+            "all_calls": asked,
+            "third_restarted": restarted,
+            "pushed_for_the_change": pushed,
+            "answers": counts,
+            "broken": verdict.counts,
+            "first_breaks": [one.text for one in verdict.broken[:4]],
+            "of_the_first": [
+                line
+                for one in verdict.broken[:2]
+                for rpc in one.rpcs
+                for line in lab.records.about(rpc)
+            ],
+            "rig_stood_still": [line for _, line in lab.records.told if "stood still" in line][
+                -20:
+            ],
+            "crashes": len(lab.crashes),
+            "void": lab.void,
+        }
 
 
 def restart(lab, control, chance):
@@ -105,10 +142,14 @@
     for one in chance.sample(running, len(running) // 3):
         one.kill()
         one.start()
-        lab.turn()    # the rig must not stand still: it is the clients as well
+        lab.turn()  # the rig must not stand still: it is the clients as well
     told = lab.until(lambda: lab.ended(control, number), "an end", 60)
     names = [one.name for one in running]
-    lab.until(lambda: all(one.ready for one in running) and lab.agreed(names) is not None, "one generation", 60)
+    lab.until(
+        lambda: all(one.ready for one in running) and lab.agreed(names) is not None,
+        "one generation",
+        60,
+    )
     return {"outcome": told["outcome"], "why": told["why"], "s": round(time.monotonic() - began, 2)}
 
 
@@ -118,23 +159,35 @@
     words.add_argument("--changes", type=int, default=30)
     words.add_argument("--rate", type=float, default=100.0)
     words.add_argument("--faults", action="store_true")
-    words.add_argument("--idle", action="store_true", help="measure an idle agent in place of changes")
+    words.add_argument(
+        "--idle", action="store_true", help="measure an idle agent in place of changes"
+    )
     told = words.parse_args()
     if told.idle:
-        rows = [{"agreement": on, "mb": round(size, 1), "cpu_ms_per_s": round(spent, 2)}
-                for on in (False, True, False, True) for size, spent in [idle(10, on)]]
+        rows = [
+            {"agreement": on, "mb": round(size, 1), "cpu_ms_per_s": round(spent, 2)}
+            for on in (False, True, False, True)
+            for size, spent in [idle(10, on)]
+        ]
         for row in rows:
-            print(f"agreement {'on' if row['agreement'] else 'off':3}  {row['mb']:6.1f} MB  "
-                  f"{row['cpu_ms_per_s']:5.2f} ms CPU a second")
+            print(
+                f"agreement {'on' if row['agreement'] else 'off':3}  {row['mb']:6.1f} MB  "
+                f"{row['cpu_ms_per_s']:5.2f} ms CPU a second"
+            )
         print(json.dumps(rows))
         return
     rows = []
-    print(f"{'gateways':>8} {'p50 s':>7} {'p99 s':>7} {'calls':>6} {'pushed':>7}  outcomes, answers, broken")
+    print(
+        f"{'gateways':>8} {'p50 s':>7} {'p99 s':>7} {'calls':>6} {'pushed':>7}  outcomes, answers, broken"
+    )
     for number in map(int, told.gateways.split(",")):
         row = measure(number, told.changes, told.rate, told.faults)
         rows.append(row)
-        print(f"{row['gateways']:8} {row['p50_s']:7.3f} {row['p99_s']:7.3f} {row['calls']:6.2f} "
-              f"{row['pushed_for_the_change']:7}  {row['changes']} {row['answers']} {row['broken'] or 'none'}", flush=True)
+        print(
+            f"{row['gateways']:8} {row['p50_s']:7.3f} {row['p99_s']:7.3f} {row['calls']:6.2f} "
+            f"{row['pushed_for_the_change']:7}  {row['changes']} {row['answers']} {row['broken'] or 'none'}",
+            flush=True,
+        )
     print(json.dumps(rows))
 
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -28,7 +28,9 @@
     try:
         told = parse(path.read_bytes())
     except OSError as error:
-        raise capacity.BadCapacity(f"{path.name}: expected a file that can be read: {error.strerror}") from None
+        raise capacity.BadCapacity(
+            f"{path.name}: expected a file that can be read: {error.strerror}"
+        ) from None
     except ValueError as error:
         raise capacity.BadCapacity(f"{path.name}: {error}") from None
     if not isinstance(told, dict):
@@ -46,12 +48,17 @@
 
 def found(folder):
     """The tables, from the files of a folder. Raises BadCapacity."""
-    return capacity.tables(read(folder / "capacity.toml", lambda text: tomllib.loads(text.decode())),
-                           read(folder / "scale.json", orjson.loads), read(folder / "messages.json", orjson.loads),
-                           read(RUN, last))
+    return capacity.tables(
+        read(folder / "capacity.toml", lambda text: tomllib.loads(text.decode())),
+        read(folder / "scale.json", orjson.loads),
+        read(folder / "messages.json", orjson.loads),
+        read(RUN, last),
+    )
 
 
-def main(check: Annotated[bool, typer.Option("--check", help="write nothing, compare")] = False) -> None:
+def main(
+    check: Annotated[bool, typer.Option("--check", help="write nothing, compare")] = False,
+) -> None:
     """Write the tables, or check them."""
     try:
         tables, page = found(HERE), PAGE.read_text()
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -34,15 +34,17 @@
 
 HOSTS, ZONES, SLOTS = 60, 10, 1
 COLD, COLD_FROM = 6.0, 0.2
-GONE, BACK, LENGTH = 4.0, 5.0, 11.0    # when hosts go and come back, and a run's end
-STARTED = (0, 1, 2)    # zones, a tenth of the hosts each, that start again
+GONE, BACK, LENGTH = 4.0, 5.0, 11.0  # when hosts go and come back, and a run's end
+STARTED = (0, 1, 2)  # zones, a tenth of the hosts each, that start again
 SHAPES = ("even", "skewed", "restarted", "burst")
 
 
 def parts(gateways, shape):
     """The load's parts: (share, first gateway, number of gateways)."""
     few = max(1, round(gateways / 10))
-    return ((0.5, 0, few), (0.5, few, gateways - few)) if shape == "skewed" else ((1.0, 0, gateways),)
+    return (
+        ((0.5, 0, few), (0.5, few, gateways - few)) if shape == "skewed" else ((1.0, 0, gateways),)
+    )
 
 
 class Spans:
@@ -51,8 +53,8 @@
     def __init__(self, terms, hosts, capacity):
         self.terms, self.capacity, self.ups = terms, dict.fromkeys(hosts, capacity), {}
         self.told, self.loads, self.begun = {}, defaultdict(deque), {}
-        self.most, self.blamed = {}, {}    # (host, its start, span) -> the most over the bound
-        self.when, self.calls = {}, {}     # and when that was, in how many RPCs of what work
+        self.most, self.blamed = {}, {}  # (host, its start, span) -> the most over the bound
+        self.when, self.calls = {}, {}  # and when that was, in how many RPCs of what work
         self.warm, self.took, self.answers = 0.0, [], Counter()
 
     def take(self, record):
@@ -63,7 +65,9 @@
         elif kind is referee.Told:
             self.told[record.gateway, record.host] = record.up_since
         elif kind is referee.Life and record.event == "killed":
-            self.told = {pair: since for pair, since in self.told.items() if pair[0] != record.gateway}
+            self.told = {
+                pair: since for pair, since in self.told.items() if pair[0] != record.gateway
+            }
         elif kind is referee.Received:
             self.received(record)
         elif kind is referee.Ran and (record.rpc, record.host) in self.begun:
@@ -87,10 +91,18 @@
                 self.begun[record.rpc, record.host] = record.at
             return
         age = record.at - up
-        ratio = work / terms.mean_work / terms.cold_calls(age, self.capacity[record.host], terms.mean_work)
+        ratio = (
+            work
+            / terms.mean_work
+            / terms.cold_calls(age, self.capacity[record.host], terms.mean_work)
+        )
         span = record.host, up, int(age / terms.overload_for)
         if ratio > self.most.get(span, 0.0):
-            self.most[span], self.when[span], self.calls[span] = ratio, age, (len(loads), work / terms.mean_work)
+            self.most[span], self.when[span], self.calls[span] = (
+                ratio,
+                age,
+                (len(loads), work / terms.mean_work),
+            )
         self.blamed[span] = max(self.blamed.get(span, 0.0), ratio * (told * 3 >= work * 2))
 
     def figures(self):
@@ -98,23 +110,48 @@
         fullest = max(self.most, key=self.most.get, default=None)
         took, answers = sorted(self.took) or [0.0], max(1, sum(self.answers.values()))
         number, work = self.calls.get(fullest, (0, 0.0))
-        return {"most": self.most.get(fullest, 0.0), "age": self.when.get(fullest, 0.0), "spans": spans,
-                "rpcs": number, "works": work,
-                "beyond": sum(ratio > 1 for ratio in self.most.values()),
-                "blamed_most": max(self.blamed.values(), default=0.0),
-                "blamed_beyond": sum(ratio > 1 for ratio in self.blamed.values()),
-                "mean": sum(self.most.values()) / max(1, spans), "warm": self.warm,
-                "warm_p99": took[int(len(took) * 0.99)] / self.terms.mean_work, "ok": self.answers["ok"] / answers,
-                "pushed": self.answers["pushed back"] / answers}
+        return {
+            "most": self.most.get(fullest, 0.0),
+            "age": self.when.get(fullest, 0.0),
+            "spans": spans,
+            "rpcs": number,
+            "works": work,
+            "beyond": sum(ratio > 1 for ratio in self.most.values()),
+            "blamed_most": max(self.blamed.values(), default=0.0),
+            "blamed_beyond": sum(ratio > 1 for ratio in self.blamed.values()),
+            "mean": sum(self.most.values()) / max(1, spans),
+            "warm": self.warm,
+            "warm_p99": took[int(len(took) * 0.99)] / self.terms.mean_work,
+            "ok": self.answers["ok"] / answers,
+            "pushed": self.answers["pushed back"] / answers,
+        }
 
 
 def scenario(gateways, shape, seed, load, rate, exponential):
     work = load * HOSTS * SLOTS / rate
-    world = World(VERSION, seed, LENGTH, gateways, HOSTS, ZONES, cores=float(SLOTS), slots=SLOTS, queue=64, latency=0.0005,
-                  standing=1.0, retries=0, cold=COLD, cold_from=COLD_FROM, notice=0.3, exponential=exponential)
+    world = World(
+        VERSION,
+        seed,
+        LENGTH,
+        gateways,
+        HOSTS,
+        ZONES,
+        cores=float(SLOTS),
+        slots=SLOTS,
+        queue=64,
+        latency=0.0005,
+        standing=1.0,
+        retries=0,
+        cold=COLD,
+        cold_from=COLD_FROM,
+        notice=0.3,
+        exponential=exponential,
+    )
     methods = (Method("look", "idempotent", 1.0, work, 20 * work, 60 * work),)
-    customers = tuple(Customer(f"c{number}", "open", rate * share, first, spread)
-                      for number, (share, first, spread) in enumerate(parts(gateways, shape)))
+    customers = tuple(
+        Customer(f"c{number}", "open", rate * share, first, spread)
+        for number, (share, first, spread) in enumerate(parts(gateways, shape))
+    )
     faults = [Fault("zone restarts", GONE, BACK - GONE, zone) for zone in STARTED]
     if shape == "restarted":
         faults.append(Fault("gateways killed", BACK - 0.1, 0.2, 0, 1 / 3))
@@ -132,32 +169,46 @@
     def noted(record):
         note(record)
         spans.take(record)
+
     fleet.note = noted
     run = fleet.play()
-    return {"gateways": gateways, "shape": shape, "seed": seed, "broken": dict(run.verdict.counts), **spans.figures()}
+    return {
+        "gateways": gateways,
+        "shape": shape,
+        "seed": seed,
+        "broken": dict(run.verdict.counts),
+        **spans.figures(),
+    }
 
 
 def told_of(rows):
     """One row over several runs."""
     fullest = max(rows, key=lambda row: row["most"])
-    print(f"{rows[0]['gateways']:>4} {rows[0]['shape']:10} most {fullest['most']:.2f} (up {fullest['age']:.1f} s: "
-          f"{fullest['rpcs']} RPCs of {fullest['works']:.1f} mean works) "
-          f"beyond {sum(row['beyond'] for row in rows)} of {sum(row['spans'] for row in rows)}, "
-          f"blamed {max(row['blamed_most'] for row in rows):.2f}, {sum(row['blamed_beyond'] for row in rows)}; "
-          f"mean {sum(row['mean'] for row in rows) / len(rows):.2f}; warm: most {max(row['warm'] for row in rows):.2f}, "
-          f"p99 {max(row['warm_p99'] for row in rows):.1f}; ok {sum(row['ok'] for row in rows) / len(rows):.3f}, "
-          f"pushed back {sum(row['pushed'] for row in rows) / len(rows):.3f}", flush=True)
+    print(
+        f"{rows[0]['gateways']:>4} {rows[0]['shape']:10} most {fullest['most']:.2f} (up {fullest['age']:.1f} s: "
+        f"{fullest['rpcs']} RPCs of {fullest['works']:.1f} mean works) "
+        f"beyond {sum(row['beyond'] for row in rows)} of {sum(row['spans'] for row in rows)}, "
+        f"blamed {max(row['blamed_most'] for row in rows):.2f}, {sum(row['blamed_beyond'] for row in rows)}; "
+        f"mean {sum(row['mean'] for row in rows) / len(rows):.2f}; warm: most {max(row['warm'] for row in rows):.2f}, "
+        f"p99 {max(row['warm_p99'] for row in rows):.1f}; ok {sum(row['ok'] for row in rows) / len(rows):.3f}, "
+        f"pushed back {sum(row['pushed'] for row in rows) / len(rows):.3f}",
+        flush=True,
+    )
 
 
 def model(told):
-    jobs = [(int(gateways), shape, seed, told.load, told.rate, told.exponential) for gateways in told.gateways.split(",")
-            for shape in told.shapes.split(",") for seed in range(1, told.seeds + 1)]
+    jobs = [
+        (int(gateways), shape, seed, told.load, told.rate, told.exponential)
+        for gateways in told.gateways.split(",")
+        for shape in told.shapes.split(",")
+        for seed in range(1, told.seeds + 1)
+    ]
     with concurrent.futures.ProcessPoolExecutor(told.jobs or None) as pool:
         rows = []
         for row in pool.map(play, *zip(*jobs, strict=True)):
             rows.append(row)
             if len(rows) % told.seeds == 0:
-                told_of(rows[-told.seeds:])
+                told_of(rows[-told.seeds :])
     return rows
 
 
@@ -165,13 +216,26 @@
     """The same with real gateways: one run, of one fleet and shape, with the seed that `seeds` names."""
     gateways, rows = int(told.gateways.split(",")[0]), []
     work = told.load * HOSTS * SLOTS / told.rate
-    customers = [Client(number + 1, "free", share, first, spread)
-                 for number, (share, first, spread) in enumerate(parts(gateways, told.shapes))]
+    customers = [
+        Client(number + 1, "free", share, first, spread)
+        for number, (share, first, spread) in enumerate(parts(gateways, told.shapes))
+    ]
     obliged = settings(gateways, cold=COLD, cold_from=COLD_FROM)
     for row in obliged["classes"]:
         row |= {"goalTime": int(20e6 * work), "giveUp": int(60e6 * work)}
-    shape = Shape(gateways=gateways, hosts=HOSTS, relays=(), rate=told.rate, work=work, slots=SLOTS, queue=64,
-                  seed=told.seeds, settings=obliged, customers=customers, methods=[Asked("look", patience=60 * work)])
+    shape = Shape(
+        gateways=gateways,
+        hosts=HOSTS,
+        relays=(),
+        rate=told.rate,
+        work=work,
+        slots=SLOTS,
+        queue=64,
+        seed=told.seeds,
+        settings=obliged,
+        customers=customers,
+        methods=[Asked("look", patience=60 * work)],
+    )
     with Lab(shape) as lab:
         spans = Spans(lab.terms(), [one.name for one in lab.hosts], float(SLOTS))
         judge = lab.records.judge
@@ -179,6 +243,7 @@
         def judged(record):
             judge(record)
             spans.take(record)
+
         lab.records.judge = judged
         lab.start()
         lab.clients.start()
@@ -197,15 +262,25 @@
             lab.discovery.put(host.name, host.text, since=host.started)
         for one in again:
             one.start()
-            lab.turn()    # a start takes some ten milliseconds of the rig, which else stands still for all of them together
+            lab.turn()  # a start takes some ten milliseconds of the rig, which else stands still for all of them together
         lab.clients.rate = told.rate * (2 if told.shapes == "burst" else 1)
         lab.play(4.0)
         lab.clients.rate = told.rate
         lab.play(LENGTH - BACK - 4.0)
         lab.quiet(60 * work + 2.0)
         verdict = lab.verdict()
-        rows.append({"gateways": gateways, "shape": told.shapes, "seed": told.seeds, "broken": verdict.counts,
-                     "stood_still": lab.longest, "void": lab.void, "crashes": len(lab.crashes), **spans.figures()})
+        rows.append(
+            {
+                "gateways": gateways,
+                "shape": told.shapes,
+                "seed": told.seeds,
+                "broken": verdict.counts,
+                "stood_still": lab.longest,
+                "void": lab.void,
+                "crashes": len(lab.crashes),
+                **spans.figures(),
+            }
+        )
     told_of(rows)
     print({name: rows[0][name] for name in ("broken", "stood_still", "void", "crashes")})
     return rows
@@ -214,8 +289,14 @@
 def main():
     words = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     words.add_argument("what", choices=("model", "processes"))
-    for name, value, kind in (("gateways", "3,20,30,200", str), ("shapes", ",".join(SHAPES), str), ("seeds", 5, int),
-                              ("load", 0.7, float), ("rate", 200.0, float), ("jobs", 0, int)):
+    for name, value, kind in (
+        ("gateways", "3,20,30,200", str),
+        ("shapes", ",".join(SHAPES), str),
+        ("seeds", 5, int),
+        ("load", 0.7, float),
+        ("rate", 200.0, float),
+        ("jobs", 0, int),
+    ):
         words.add_argument("--" + name, type=kind, default=value)
     words.add_argument("--exponential", action="store_true")
     told = words.parse_args()
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -23,12 +23,15 @@
 from petrellane.config import Section, settings
 
 HOSTS = (8, 60, 200)
-RATE = 200.0    # RPCs a second of the clock that the module is told
+RATE = 200.0  # RPCs a second of the clock that the module is told
 SETTINGS = {
-    "classes": [{"name": "look", "effect": "pure", "goalTime": 1000000, "giveUp": 4000000, "worth": 1.0}],
+    "classes": [
+        {"name": "look", "effect": "pure", "goalTime": 1000000, "giveUp": 4000000, "worth": 1.0}
+    ],
     "contracts": [{"name": "plan", "quotaRate": 50, "storeSize": 200, "pays": 1.0}],
     "familyInfo": {"mayCount": True, "counterTimeout": 80000},
-    "limits": {"maxAttempts": 4, "mayCancel": True, "retryAfter": True, "maxRetryAfter": 500000}}
+    "limits": {"maxAttempts": 4, "mayCancel": True, "retryAfter": True, "maxRetryAfter": 500000},
+}
 
 
 def play(hosts: int, rpcs: int, seed: int) -> float:
@@ -47,9 +50,18 @@
                 heapq.heappush(due, (now + 0.001, next(order), "counted", step, 0.0))
             elif isinstance(step, api.Wake):
                 heapq.heappush(due, (now + step.after, next(order), "woken", step.about, 0.0))
+
     carry(gateway.started(now))
-    carry(gateway.listed(now, True, [api.Listing(api.Host(f"h{at}"), "", "", 0, api.READY, 1.0, 0.0)
-                                     for at in range(hosts)]))
+    carry(
+        gateway.listed(
+            now,
+            True,
+            [
+                api.Listing(api.Host(f"h{at}"), "", "", 0, api.READY, 1.0, 0.0)
+                for at in range(hosts)
+            ],
+        )
+    )
     began = time.process_time()
     for _ in range(rpcs):
         now += rng.expovariate(RATE)
@@ -66,15 +78,24 @@
     return (time.process_time() - began) / rpcs * 1e6
 
 
-def main(rpcs: Annotated[int, typer.Option(min=100, help="RPCs of a play.")] = 4000,
-         plays: Annotated[int, typer.Option(min=1, help="Plays for each number of hosts.")] = 5):
+def main(
+    rpcs: Annotated[int, typer.Option(min=100, help="RPCs of a play.")] = 4000,
+    plays: Annotated[int, typer.Option(min=1, help="Plays for each number of hosts.")] = 5,
+):
     """Measure the module's CPU time per RPC by number of hosts."""
     found = {hosts: sorted(play(hosts, rpcs, seed) for seed in range(plays)) for hosts in HOSTS}
     print(f"{'hosts':>6} {'median us':>10} {'least':>8} {'most':>8}")
     for hosts, costs in found.items():
         print(f"{hosts:>6} {statistics.median(costs):>10.0f} {costs[0]:>8.0f} {costs[-1]:>8.0f}")
-    print(json.dumps({"rpcs": rpcs, "plays": plays, "us": {hosts: [round(cost, 1) for cost in costs]
-                                                          for hosts, costs in found.items()}}))
+    print(
+        json.dumps(
+            {
+                "rpcs": rpcs,
+                "plays": plays,
+                "us": {hosts: [round(cost, 1) for cost in costs] for hosts, costs in found.items()},
+            }
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -10,11 +10,37 @@
 import sys
 from collections import Counter, defaultdict
 
-STANDING = ("connections", "busy", "clients", "pressure", "crowded", "turn")    # read at one time; all else is counted
+STANDING = (
+    "connections",
+    "busy",
+    "clients",
+    "pressure",
+    "crowded",
+    "turn",
+)  # read at one time; all else is counted
 LEFT_OUT = ("at", "gateway", "event", "cpu")
-COLUMNS = ("rpcs", "out ok", "pushed pressed", "pushed credit", "pushed ceiling", "pushed host", "pushed given up",
-           "aborted", "call_outs", "out full", "out unreachable", "out late", "dials", "dials failed", "adds", "adds failed",
-           "discovery_away", "discovery_back", "hosts", "started")
+COLUMNS = (
+    "rpcs",
+    "out ok",
+    "pushed pressed",
+    "pushed credit",
+    "pushed ceiling",
+    "pushed host",
+    "pushed given up",
+    "aborted",
+    "call_outs",
+    "out full",
+    "out unreachable",
+    "out late",
+    "dials",
+    "dials failed",
+    "adds",
+    "adds failed",
+    "discovery_away",
+    "discovery_back",
+    "hosts",
+    "started",
+)
 
 
 def events(folder):
@@ -33,7 +59,12 @@
 def count(told):
     """Counts by second, what stands by second, and each start's seconds to the first ok."""
     told = sorted(told, key=lambda event: event["at"])
-    counts, stands, waits, since = defaultdict(Counter), defaultdict(lambda: defaultdict(list)), [], {}
+    counts, stands, waits, since = (
+        defaultdict(Counter),
+        defaultdict(lambda: defaultdict(list)),
+        [],
+        {},
+    )
     for event in told:
         second, kind = int(event["at"] - told[0]["at"]), event["event"]
         if kind != "figures":
@@ -59,7 +90,12 @@
         print(f"{folder}: expected logs (*.log) with events, found none", file=sys.stderr)
         return 2
     shown = [name for name in COLUMNS if any(counts[second][name] for second in counts)]
-    print("second  " + "  ".join(shown) + "  " + "  ".join(f"{name} (mean, most)" for name in STANDING))
+    print(
+        "second  "
+        + "  ".join(shown)
+        + "  "
+        + "  ".join(f"{name} (mean, most)" for name in STANDING)
+    )
     for second in sorted(counts):
         row = [f"{counts[second][name]:>{len(name)}}" for name in shown]
         for name in STANDING:
@@ -68,7 +104,9 @@
         print(f"{second:>6}  " + "  ".join(row))
     total = sum(counts.values(), Counter())
     if waits:
-        print(f"start to the figures with the first ok: median {waits[len(waits) // 2]:.2f} s, most {waits[-1]:.2f} s")
+        print(
+            f"start to the figures with the first ok: median {waits[len(waits) // 2]:.2f} s, most {waits[-1]:.2f} s"
+        )
     print(json.dumps({"totals": dict(sorted(total.items())), "starts": len(waits)}))
     return 0
 
--- a/benchmarks/left.py
+++ b/benchmarks/left.py
@@ -31,24 +31,53 @@
 from petrellane.net import resp  # noqa: E402
 from petrellane.net.stream import Closed, Stream  # noqa: E402
 
-UP_LATE, UP_LATE_MOST = 1 / 3, 1.5    # the share of connections to hosts that come up late, and seconds
-BUSY = (0.12, 0.3, 0.48, 0.66, 0.84)    # when all hosts but one turn away what comes, as shares of the run
-BURSTS = (0.2, 0.36, 0.55, 0.72, 0.93)    # when hundreds come at once, and leave at once
-COMING, CROWD, PIPELINED = 200, 150, 200    # clients of a burst; connections with commands beside them, and how many each
-STEPS = (    # (at, as a share of the run; what; to whom; between whom; how long; size)
-    (0.02, "late", "h0", "hosts", 0.2, 0.05), (0.05, "hang", "h1", "hosts", 0.15, 1), (0.05, "fail", "h2", "", 0.9, 0.5),
-    (0.1, "fail", "h3", "", 0.3, 0.5), (0.25, "counter quiet", "", "", 0.1, 1), (0.3, "slow", "h0", "", 0.3, 8),
-    (0.4, "stop", "g1", "", 0.03, 1), (0.45, "lossy", "h3", "hosts", 0.2, 0.5), (0.5, "stop", "g2", "", 0.04, 1),
-    (0.6, "hang", "h2", "hosts", 0.1, 1), (0.65, "counter refuses", "", "", 0.1, 1), (0.7, "late", "h1", "hosts", 0.2, 0.08),
-    (0.75, "silent", "h3", "", 0.15, 1), (0.85, "stop", "g0", "", 0.03, 1), (0.9, "reset", "h0", "hosts", 0.0, 1))
+UP_LATE, UP_LATE_MOST = (
+    1 / 3,
+    1.5,
+)  # the share of connections to hosts that come up late, and seconds
+BUSY = (
+    0.12,
+    0.3,
+    0.48,
+    0.66,
+    0.84,
+)  # when all hosts but one turn away what comes, as shares of the run
+BURSTS = (0.2, 0.36, 0.55, 0.72, 0.93)  # when hundreds come at once, and leave at once
+COMING, CROWD, PIPELINED = (
+    200,
+    150,
+    200,
+)  # clients of a burst; connections with commands beside them, and how many each
+STEPS = (  # (at, as a share of the run; what; to whom; between whom; how long; size)
+    (0.02, "late", "h0", "hosts", 0.2, 0.05),
+    (0.05, "hang", "h1", "hosts", 0.15, 1),
+    (0.05, "fail", "h2", "", 0.9, 0.5),
+    (0.1, "fail", "h3", "", 0.3, 0.5),
+    (0.25, "counter quiet", "", "", 0.1, 1),
+    (0.3, "slow", "h0", "", 0.3, 8),
+    (0.4, "stop", "g1", "", 0.03, 1),
+    (0.45, "lossy", "h3", "hosts", 0.2, 0.5),
+    (0.5, "stop", "g2", "", 0.04, 1),
+    (0.6, "hang", "h2", "hosts", 0.1, 1),
+    (0.65, "counter refuses", "", "", 0.1, 1),
+    (0.7, "late", "h1", "hosts", 0.2, 0.08),
+    (0.75, "silent", "h3", "", 0.15, 1),
+    (0.85, "stop", "g0", "", 0.03, 1),
+    (0.9, "reset", "h0", "hosts", 0.0, 1),
+)
 
 
 def file(seed, seconds, rate):
-    rows = [f'[lab]\ngateways = 4\nhosts = 4\nseconds = {seconds}\nrate = {rate}\nseed = {seed}\nwork = 0.1\n'
-            'relays = ["counter", "hosts"]\n']
+    rows = [
+        f"[lab]\ngateways = 4\nhosts = 4\nseconds = {seconds}\nrate = {rate}\nseed = {seed}\nwork = 0.1\n"
+        'relays = ["counter", "hosts"]\n'
+    ]
     for at, what, who, between, length, size in STEPS:
-        rows.append(f'[[step]]\nat = {at * seconds:.3f}\ndo = "{what}"\nwho = {json.dumps([who] if who else [])}\n'
-                    f'for = {length * seconds:.3f}\nsize = {size:g}\n' + (f'between = ["{between}"]\n' if between else ""))
+        rows.append(
+            f'[[step]]\nat = {at * seconds:.3f}\ndo = "{what}"\nwho = {json.dumps([who] if who else [])}\n'
+            f"for = {length * seconds:.3f}\nsize = {size:g}\n"
+            + (f'between = ["{between}"]\n' if between else "")
+        )
     return read("\n".join(rows))
 
 
@@ -79,6 +108,7 @@
             host.scheduler.wait(chance.random() * UP_LATE_MOST)
             host.carried[host.streams.get(stream)] = now()
         held(stream)
+
     host.held = later
 
 
@@ -93,21 +123,31 @@
 def burst(lab, chance, quiet):
     """Hundreds ask one gateway at once, and all leave at the same time, while others give it many commands in one go."""
     front, clients, scheduler = chance.choice(lab.fronts), lab.clients, lab.scheduler
-    stays, customer = 0.02 + 0.4 * chance.random(), Customer(9, "free", first=lab.fronts.index(front), spread=1)
+    stays, customer = (
+        0.02 + 0.4 * chance.random(),
+        Customer(9, "free", first=lab.fronts.index(front), spread=1),
+    )
     leave_at = scheduler.monotonic() + stays
 
     def one(number):
         clients.out += 1
         try:
-            clients.send(chance.choice(clients.methods), customer, f"{clients.seed}-{number}", scheduler.monotonic(),
-                         leave_at)
+            clients.send(
+                chance.choice(clients.methods),
+                customer,
+                f"{clients.seed}-{number}",
+                scheduler.monotonic(),
+                leave_at,
+            )
         finally:
             clients.out -= 1
 
     def crowd():
         try:
             stream = Stream.dial(scheduler, LIMITS, front.address, 1.0)
-            stream.write(resp.words(b"SVC.QUERY", b"%016x" % 9, b"none", b"c=none,t=free,d=1000") * PIPELINED)
+            stream.write(
+                resp.words(b"SVC.QUERY", b"%016x" % 9, b"none", b"c=none,t=free,d=1000") * PIPELINED
+            )
             while scheduler.monotonic() < until:
                 stream.fill(until - scheduler.monotonic())
                 stream.buffer.clear()
@@ -115,6 +155,7 @@
             pass
         finally:
             stream.close()
+
     until = leave_at + 1.0
     for each in range(COMING):
         scheduler.spawn(one, f"burst-{clients.number}-{each}")
@@ -124,7 +165,9 @@
 
 def play(seed, told):
     run = file(seed, told.seconds, told.rate)
-    shape = Shape(gateways=4, hosts=4, seed=seed, relays=("counter", "hosts"), rate=told.rate, work=0.1)
+    shape = Shape(
+        gateways=4, hosts=4, seed=seed, relays=("counter", "hosts"), rate=told.rate, work=0.1
+    )
     with Lab(shape) as lab:
         lab.records.keep_all()
         for one in lab.gateways:
@@ -136,7 +179,9 @@
         for host in lab.hosts:
             come_up_late(host, chance)
         for share in BUSY:
-            lab.scheduler.after(share * told.seconds, lambda: turn_away(lab, chance, 0.04 * told.seconds))
+            lab.scheduler.after(
+                share * told.seconds, lambda: turn_away(lab, chance, 0.04 * told.seconds)
+            )
         for share in BURSTS:
             lab.scheduler.after(share * told.seconds, lambda: burst(lab, chance, told.quiet))
         Stage(lab, run).begin()
@@ -147,21 +192,46 @@
         verdict = lab.verdict()
         after = lab.records.sent_after
         late = [(rpc, number) for rpc, number, took in after if took > CROSSED]
-        for rpc in sorted({rpc for rpc, _ in late} | {rpc for one in verdict.broken for rpc in one.rpcs}):
-            print(rpc, f"left={lab.records.gone.get(rpc, math.nan):.3f}", *lab.records.about(rpc), sep="\n    ")
+        for rpc in sorted(
+            {rpc for rpc, _ in late} | {rpc for one in verdict.broken for rpc in one.rpcs}
+        ):
+            print(
+                rpc,
+                f"left={lab.records.gone.get(rpc, math.nan):.3f}",
+                *lab.records.about(rpc),
+                sep="\n    ",
+            )
         for one in verdict.broken:
             print(f"{one.at:8.3f} {one.rule}: {one.text}")
-        return {"seed": seed, "left": len(lab.records.gone), "waited": len(cases(lab.records.kept, lab.records.gone)),
-                "sent after": len(after), "late first": sum(not number for _, number in late),
-                "late further": sum(bool(number) for _, number in late),
-                "latest ms": 1e3 * max((took for *_, took in after), default=0.0), "broken": dict(verdict.counts),
-                "turn ms": 1e3 * max((event.get("turn", 0.0) for one in lab.gateways for event in one.events
-                                      if event["event"] == "figures"), default=0.0),
-                "rig ms": 1e3 * lab.longest, "crashes": len(lab.crashes), "faults": len(lab.faults)}
+        return {
+            "seed": seed,
+            "left": len(lab.records.gone),
+            "waited": len(cases(lab.records.kept, lab.records.gone)),
+            "sent after": len(after),
+            "late first": sum(not number for _, number in late),
+            "late further": sum(bool(number) for _, number in late),
+            "latest ms": 1e3 * max((took for *_, took in after), default=0.0),
+            "broken": dict(verdict.counts),
+            "turn ms": 1e3
+            * max(
+                (
+                    event.get("turn", 0.0)
+                    for one in lab.gateways
+                    for event in one.events
+                    if event["event"] == "figures"
+                ),
+                default=0.0,
+            ),
+            "rig ms": 1e3 * lab.longest,
+            "crashes": len(lab.crashes),
+            "faults": len(lab.faults),
+        }
 
 
 def main():
-    asked = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    asked = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     asked.add_argument("--seeds", type=int, default=10)
     asked.add_argument("--first", type=int, default=1)
     asked.add_argument("--seconds", type=float, default=15.0)
@@ -173,8 +243,13 @@
     runs = []
     for seed in range(told.first, told.first + told.seeds):
         runs.append(play(seed, told))
-        print(*(f"{name}={value:.1f}" if isinstance(value, float) else f"{name}={value}"
-                for name, value in runs[-1].items()), flush=True)
+        print(
+            *(
+                f"{name}={value:.1f}" if isinstance(value, float) else f"{name}={value}"
+                for name, value in runs[-1].items()
+            ),
+            flush=True,
+        )
     print(json.dumps(runs))
     return int(any(run["late first"] or run["late further"] or run["broken"] for run in runs))
 
--- a/benchmarks/messages.py
+++ b/benchmarks/messages.py
@@ -37,16 +37,45 @@
 def settings(methods, plans=PLANS, turn=0):
     """Made-up settings; `turn` changes one row."""
     effects = ("pure", "token", "side_effect")
-    rows = [{"name": f"service{at % 250}.resource{at}.{'get list put drop'.split()[at % 4]}", "effect": effects[at % 3],
-             "keyScope": ("none", "zone", "all")[at % 3], "window": 4 * MICRO, "goalTime": (50 + at % 200) * 1000,
-             "giveUp": (400 + at % 600) * 1000, "worth": 1 + at % 5, "lateWorth": 0.5} for at in range(methods)]
+    rows = [
+        {
+            "name": f"service{at % 250}.resource{at}.{'get list put drop'.split()[at % 4]}",
+            "effect": effects[at % 3],
+            "keyScope": ("none", "zone", "all")[at % 3],
+            "window": 4 * MICRO,
+            "goalTime": (50 + at % 200) * 1000,
+            "giveUp": (400 + at % 600) * 1000,
+            "worth": 1 + at % 5,
+            "lateWorth": 0.5,
+        }
+        for at in range(methods)
+    ]
     if turn:
         rows[0]["giveUp"] += turn
-    sold = [{"name": f"plan-{at}", "quotaRate": 2 + at, "storeSize": 10 + 5 * at, "pays": 1 + at % 3,
-             "ceilingRate": 20 + at, "ceilingBurst": 40 + at, "ceilingSlack": 8} for at in range(plans)]
-    return {"classes": rows, "contracts": sold, "familyInfo": {"mayCount": True, "counterTimeout": 80_000},
-            "limits": {"maxAttempts": 4, "mayCancel": True, "retryAfter": True, "maxRetryAfter": 500_000},
-            "replicasOfMe": MEMBERS}
+    sold = [
+        {
+            "name": f"plan-{at}",
+            "quotaRate": 2 + at,
+            "storeSize": 10 + 5 * at,
+            "pays": 1 + at % 3,
+            "ceilingRate": 20 + at,
+            "ceilingBurst": 40 + at,
+            "ceilingSlack": 8,
+        }
+        for at in range(plans)
+    ]
+    return {
+        "classes": rows,
+        "contracts": sold,
+        "familyInfo": {"mayCount": True, "counterTimeout": 80_000},
+        "limits": {
+            "maxAttempts": 4,
+            "mayCancel": True,
+            "retryAfter": True,
+            "maxRetryAfter": 500_000,
+        },
+        "replicasOfMe": MEMBERS,
+    }
 
 
 def members(number):
@@ -55,14 +84,23 @@
 
 def row(at, index=0):
     """A row of a host list."""
-    return {"name": f"host-{at % 250}-{at:05}", "address": f"10.{at >> 12 & 255}.{at >> 4 & 255}.{at % 16 + 10}:18800",
-            "zone": f"zone-{at % 12}", "type": "standard", "group": at % 52, "status": "ready", "weight": 1.0,
-            "since_ms": 1_780_000_000_000 + at}
+    return {
+        "name": f"host-{at % 250}-{at:05}",
+        "address": f"10.{at >> 12 & 255}.{at >> 4 & 255}.{at % 16 + 10}:18800",
+        "zone": f"zone-{at % 12}",
+        "type": "standard",
+        "group": at % 52,
+        "status": "ready",
+        "weight": 1.0,
+        "since_ms": 1_780_000_000_000 + at,
+    }
 
 
 def answered(body, sealing=True):
     """Bytes of an answer with this body, as the management listener and discovery write it."""
-    head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n" % len(body)
+    head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n" % len(
+        body
+    )
     return len(head) + (len(FIELD) + 2 + 64 + 2 if sealing else 0) + 2 + len(body)
 
 
@@ -97,9 +135,11 @@
     def __init__(self, number):
         self.now, self.content = 0.0, settings(1, 1)
         self.leader = leader.Leader("control", members(number), Notes(), 0.0)
-        first = ballots.Generation(member.FIRST, policy.digest(self.content), self.content, members(number))
+        first = ballots.Generation(
+            member.FIRST, policy.digest(self.content), self.content, members(number)
+        )
         self.states = dict.fromkeys(members(number), member.State(first))
-        self.sought = 0.0    # seconds of the rules until it leads
+        self.sought = 0.0  # seconds of the rules until it leads
         while self.leader.state != leader.LEADING:
             self.sought += self.around()[1]
 
@@ -113,7 +153,9 @@
             if message is None:
                 continue
             sent += 1
-            self.states[name], answer = member.heard(self.states[name], message, lambda content: None)
+            self.states[name], answer = member.heard(
+                self.states[name], message, lambda content: None
+            )
             began = time.process_time()
             self.leader.heard(name, message, answer, self.now)
             spent += time.process_time() - began
@@ -121,7 +163,7 @@
 
     def change(self, turn):
         """Milliseconds of the rules for one change until all have it, and the messages a member."""
-        self.now += 0.5    # looks are every second, and none is due again
+        self.now += 0.5  # looks are every second, and none is due again
         change = self.leader.propose(settings(1, 1, turn), (), "staff", self.now)
         sent = spent = 0
         while True:
@@ -130,7 +172,9 @@
             if not more:
                 break
         if change.outcome != leader.COMMITTED:
-            raise AssertionError(f"change: expected it committed, found {change.outcome}: {change.why}")
+            raise AssertionError(
+                f"change: expected it committed, found {change.outcome}: {change.why}"
+            )
         return spent * 1e3, sent / len(self.states)
 
     def looks(self):
@@ -141,9 +185,13 @@
 
 def commit():
     """The commit that the program's files are of, with `+` where they differ from it."""
+
     def git(*words):
         return subprocess.run(["git", *words], capture_output=True, text=True).stdout.strip()
-    return git("rev-parse", "--short", "HEAD") + "+" * bool(git("status", "--porcelain", "--", "petrellane"))
+
+    return git("rev-parse", "--short", "HEAD") + "+" * bool(
+        git("status", "--porcelain", "--", "petrellane")
+    )
 
 
 class Told:
@@ -161,48 +209,120 @@
     """Bytes of each message."""
     for methods in (40, 400, METHODS):
         content = policy.canonical(settings(methods))
-        told.add(f"settings_bytes_{methods}", len(content), "bytes",
-                 f"settings of {methods} methods and {PLANS} plans, canonical")
+        told.add(
+            f"settings_bytes_{methods}",
+            len(content),
+            "bytes",
+            f"settings of {methods} methods and {PLANS} plans, canonical",
+        )
     content, epoch = settings(METHODS), ballots.Epoch(7, "control")
     one = policy.canonical({"classes": content["classes"][:1]})
-    told.add("delta_bytes", asked({"do": "prepare", "to": "gateway-1-0100", "base": {"number": 7, "epoch": list(epoch)},
-                                   "rows": json.loads(one), "epoch_of": list(epoch), "order": 1234567,
-                                   "digest": policy.digest(content)}), "bytes",
-             "one changed row with the digests of before and after, as a question (not built: made up in this form)")
+    told.add(
+        "delta_bytes",
+        asked(
+            {
+                "do": "prepare",
+                "to": "gateway-1-0100",
+                "base": {"number": 7, "epoch": list(epoch)},
+                "rows": json.loads(one),
+                "epoch_of": list(epoch),
+                "order": 1234567,
+                "digest": policy.digest(content),
+            }
+        ),
+        "bytes",
+        "one changed row with the digests of before and after, as a question (not built: made up in this form)",
+    )
     for number in (12, 300, MEMBERS):
-        generation = ballots.Generation(ballots.Ballot(12345, epoch), policy.digest(content), content, members(number))
+        generation = ballots.Generation(
+            ballots.Ballot(12345, epoch), policy.digest(content), content, members(number)
+        )
         state = member.State(generation, epoch)
-        told.add(f"state_bytes_{number}", answered(orjson.dumps(state.told())), "bytes",
-                 f"what a gateway answers to a look, prepare or commit, {number} members")
-    told.add("state_bytes_digest", answered(orjson.dumps(state.told() | {"members": generation.digest})), "bytes",
-             "the same with a digest in place of the members' names (not built)")
+        told.add(
+            f"state_bytes_{number}",
+            answered(orjson.dumps(state.told())),
+            "bytes",
+            f"what a gateway answers to a look, prepare or commit, {number} members",
+        )
+    told.add(
+        "state_bytes_digest",
+        answered(orjson.dumps(state.told() | {"members": generation.digest})),
+        "bytes",
+        "the same with a digest in place of the members' names (not built)",
+    )
     order = {"to": "gateway-1-0100", "epoch_of": list(epoch), "order": 1234567}
-    told.add("look_bytes", asked({"do": "promise"} | order), "bytes", "a look (promise), as a question")
-    told.add("prepare_bytes", asked({"do": "prepare", "base": {"number": 12344, "epoch": list(epoch)}}
-                                    | generation.told() | order), "bytes",
-             f"prepare, with {METHODS} methods and {MEMBERS} members, as a question")
-    told.add("commit_bytes", asked({"do": "commit"} | generation.named() | order), "bytes",
-             "commit to one that prepared, as a question")
-    told.add("content_bytes", asked({"do": "commit"} | generation.told() | order), "bytes",
-             "commit to one that did not, whole, as a question")
+    told.add(
+        "look_bytes", asked({"do": "promise"} | order), "bytes", "a look (promise), as a question"
+    )
+    told.add(
+        "prepare_bytes",
+        asked(
+            {"do": "prepare", "base": {"number": 12344, "epoch": list(epoch)}}
+            | generation.told()
+            | order
+        ),
+        "bytes",
+        f"prepare, with {METHODS} methods and {MEMBERS} members, as a question",
+    )
+    told.add(
+        "commit_bytes",
+        asked({"do": "commit"} | generation.named() | order),
+        "bytes",
+        "commit to one that prepared, as a question",
+    )
+    told.add(
+        "content_bytes",
+        asked({"do": "commit"} | generation.told() | order),
+        "bytes",
+        "commit to one that did not, whole, as a question",
+    )
     record = {"kind": "proposed", "generation": generation.told(), "by": "staff"}
-    told.add("record_bytes", len(orjson.dumps(record)), "bytes",
-             "a proposal in the journal of a control process")
-    told.add("remember_bytes", len(orjson.dumps(told_of(state._replace(possible=(generation,))))), "bytes",
-             "what a gateway writes to its disk while in doubt")
-    told.add("settings_mb", held(orjson.dumps(content)), "MB", f"memory of settings of {METHODS} methods, read")
-    whole = orjson.dumps({"index": 123456, "snapshot": True, "endpoints": [row(at) for at in range(HOSTS)]})
+    told.add(
+        "record_bytes",
+        len(orjson.dumps(record)),
+        "bytes",
+        "a proposal in the journal of a control process",
+    )
+    told.add(
+        "remember_bytes",
+        len(orjson.dumps(told_of(state._replace(possible=(generation,))))),
+        "bytes",
+        "what a gateway writes to its disk while in doubt",
+    )
+    told.add(
+        "settings_mb",
+        held(orjson.dumps(content)),
+        "MB",
+        f"memory of settings of {METHODS} methods, read",
+    )
+    whole = orjson.dumps(
+        {"index": 123456, "snapshot": True, "endpoints": [row(at) for at in range(HOSTS)]}
+    )
     told.add("list_bytes", answered(whole, False), "bytes", f"a whole list of {HOSTS:,} hosts")
     changed = orjson.dumps({"index": 123456, "snapshot": False, "endpoints": [row(12_345)]})
     told.add("list_row_bytes", len(orjson.dumps(row(12_345))) + 1, "bytes", "one row of a list")
     told.add("news_bytes", answered(changed, False), "bytes", "a watch's answer with one change")
-    told.add("no_news_bytes", answered(orjson.dumps({"index": 123456, "snapshot": False, "endpoints": []}), False), "bytes",
-             "a watch's answer without any")
-    told.add("watch_bytes", len(http.get("/registry/instances?from=123456&hold_ms=3456", HOST)), "bytes",
-             "a watch, as a question")
-    told.add("add_bytes", len(resp.words(b"CNT.ADD", b"%d" % 1234567890123456789, b"12", b"20000")), "bytes",
-             "an add on the counter, as a question")
-    told.add("total_bytes", len(b"$5\r\n12345\r\n"), "bytes", "its answer, with a total of five digits")
+    told.add(
+        "no_news_bytes",
+        answered(orjson.dumps({"index": 123456, "snapshot": False, "endpoints": []}), False),
+        "bytes",
+        "a watch's answer without any",
+    )
+    told.add(
+        "watch_bytes",
+        len(http.get("/registry/instances?from=123456&hold_ms=3456", HOST)),
+        "bytes",
+        "a watch, as a question",
+    )
+    told.add(
+        "add_bytes",
+        len(resp.words(b"CNT.ADD", b"%d" % 1234567890123456789, b"12", b"20000")),
+        "bytes",
+        "an add on the counter, as a question",
+    )
+    told.add(
+        "total_bytes", len(b"$5\r\n12345\r\n"), "bytes", "its answer, with a total of five digits"
+    )
     return content, generation, whole
 
 
@@ -210,23 +330,53 @@
     """Processor time of single steps at a gateway and at a control process."""
     state = member.State(generation, ballots.Epoch(7, "control"))
     later = settings(METHODS, turn=1)
-    message = {"do": "prepare", "epoch_of": [7, "control"], "base": generation.named()} | ballots.Generation(
-        ballots.Ballot(12346, ballots.Epoch(7, "control")), policy.digest(later), later, generation.members).told()
+    message = {
+        "do": "prepare",
+        "epoch_of": [7, "control"],
+        "base": generation.named(),
+    } | ballots.Generation(
+        ballots.Ballot(12346, ballots.Epoch(7, "control")),
+        policy.digest(later),
+        later,
+        generation.members,
+    ).told()
     body = orjson.dumps(message)
     after = member.heard(state, message, lambda content: None)[0]
     for name, what, step in (
-            ("prepare_ms", "a prepare read and checked at a gateway, without the reading of settings",
-             lambda: member.heard(state, orjson.loads(body), lambda content: None)),
-            ("meet_ms", "the meet of two settings, while in doubt", lambda: member.admitted(after)),
-            ("prepare_write_ms", "a prepare written at a control process: JSON and seal, once a gateway",
-             lambda: seal.question(KEY, message)),
-            ("seal_prepare_ms", "a prepare's seal, written or checked", lambda: seal.sealed(KEY, b"question", body)),
-            ("remember_ms", "what is remembered while in doubt, as JSON and with its check, without the disk",
-             lambda: (store.check(told_of(after)), orjson.dumps(told_of(after)))),
-            ("look_ms", "an answer to a look made and sealed, and read and checked: the gateway's and control's halves",
-             lambda: member.learnt_of(seal.answered(KEY, b"s", *reversed(seal.answer(KEY, b"s", state.told()))))),
-            ("list_read_ms", f"a whole list of {HOSTS:,} hosts read and checked",
-             lambda: host_list(Section(orjson.loads(whole), "list")))):
+        (
+            "prepare_ms",
+            "a prepare read and checked at a gateway, without the reading of settings",
+            lambda: member.heard(state, orjson.loads(body), lambda content: None),
+        ),
+        ("meet_ms", "the meet of two settings, while in doubt", lambda: member.admitted(after)),
+        (
+            "prepare_write_ms",
+            "a prepare written at a control process: JSON and seal, once a gateway",
+            lambda: seal.question(KEY, message),
+        ),
+        (
+            "seal_prepare_ms",
+            "a prepare's seal, written or checked",
+            lambda: seal.sealed(KEY, b"question", body),
+        ),
+        (
+            "remember_ms",
+            "what is remembered while in doubt, as JSON and with its check, without the disk",
+            lambda: (store.check(told_of(after)), orjson.dumps(told_of(after))),
+        ),
+        (
+            "look_ms",
+            "an answer to a look made and sealed, and read and checked: the gateway's and control's halves",
+            lambda: member.learnt_of(
+                seal.answered(KEY, b"s", *reversed(seal.answer(KEY, b"s", state.told())))
+            ),
+        ),
+        (
+            "list_read_ms",
+            f"a whole list of {HOSTS:,} hosts read and checked",
+            lambda: host_list(Section(orjson.loads(whole), "list")),
+        ),
+    ):
         value, runs = timed(step)
         told.add(name, value, "ms", what, runs)
 
@@ -242,24 +392,47 @@
 
 def told_of(state):
     """What a gateway writes of its state."""
-    return {"in_force": state.in_force.told(), "promised": list(state.promised),
-            "possible": [one.told() for one in state.possible], "denied": []}
+    return {
+        "in_force": state.in_force.told(),
+        "promised": list(state.promised),
+        "possible": [one.told() for one in state.possible],
+        "denied": [],
+    }
 
 
 def rules(told, numbers):
     """The rules of a control process, by the number of members."""
     for number in numbers:
         roster, spent = Roster(number), []
-        told.add(f"leader_seek_ms_{number}", roster.sought * 1e3, "ms",
-                 f"the rules of a control process that takes over, until it leads, {number} members")
+        told.add(
+            f"leader_seek_ms_{number}",
+            roster.sought * 1e3,
+            "ms",
+            f"the rules of a control process that takes over, until it leads, {number} members",
+        )
         while len(spent) < REPEATS and (not spent or spent[-1][0] < LONG * 1e3):
             spent.append(roster.change(len(spent) + 1))
-        told.add(f"leader_change_ms_{number}", statistics.median(ms for ms, _ in spent), "ms",
-                 f"one change in the rules of a control process, {number} members", len(spent))
-        told.add(f"leader_calls_{number}", spent[-1][1], "calls", f"messages a gateway for one change, {number} members")
+        told.add(
+            f"leader_change_ms_{number}",
+            statistics.median(ms for ms, _ in spent),
+            "ms",
+            f"one change in the rules of a control process, {number} members",
+            len(spent),
+        )
+        told.add(
+            f"leader_calls_{number}",
+            spent[-1][1],
+            "calls",
+            f"messages a gateway for one change, {number} members",
+        )
         looks = [roster.looks() for _ in range(REPEATS)]
-        told.add(f"leader_look_ms_{number}", statistics.median(looks), "ms",
-                 f"a look at each of {number} members in the rules", REPEATS)
+        told.add(
+            f"leader_look_ms_{number}",
+            statistics.median(looks),
+            "ms",
+            f"a look at each of {number} members in the rules",
+            REPEATS,
+        )
 
 
 def control(told, numbers, changes=10, seconds=5.0):
@@ -273,26 +446,46 @@
             lab.play(seconds)
             idle = desk.ask("status")["calls"]
             looks = sum(idle.values()) - sum(calls.values())
-            told.add(f"control_looks_{number}", looks / seconds / number, "1/s",
-                     f"looks a second and gateway, {number} gateways")
+            told.add(
+                f"control_looks_{number}",
+                looks / seconds / number,
+                "1/s",
+                f"looks a second and gateway, {number} gateways",
+            )
             for turn in range(changes):
-                outcome = lab.change(fleet.settings(number, attempts=2 + turn % 2, quota=float(turn + 1)), patience=30)
+                outcome = lab.change(
+                    fleet.settings(number, attempts=2 + turn % 2, quota=float(turn + 1)),
+                    patience=30,
+                )
                 assert outcome["outcome"] == "committed", outcome
             after = desk.ask("status")["calls"]
             found = sum(after.get(do, 0) - idle.get(do, 0) for do in ("prepare", "commit", "deny"))
-            told.add(f"control_calls_{number}", found / changes / number, "calls",
-                     f"prepare, commit and deny a change and gateway, {number} gateways", changes)
-
-
-def main(out: Annotated[str, typer.Option(help="file for the JSON")] = "",
-         members: Annotated[str, typer.Option(help="rosters of the rules")] = "100,300,600,1200",
-         gateways: Annotated[str, typer.Option(help="fleets on sockets; none where empty")] = "3,6,12") -> None:
+            told.add(
+                f"control_calls_{number}",
+                found / changes / number,
+                "calls",
+                f"prepare, commit and deny a change and gateway, {number} gateways",
+                changes,
+            )
+
+
+def main(
+    out: Annotated[str, typer.Option(help="file for the JSON")] = "",
+    members: Annotated[str, typer.Option(help="rosters of the rules")] = "100,300,600,1200",
+    gateways: Annotated[str, typer.Option(help="fleets on sockets; none where empty")] = "3,6,12",
+) -> None:
     told, load = Told(), os.getloadavg()[0]
     steps(told, *sizes(told))
     rules(told, [int(word) for word in members.split(",") if word])
     control(told, [int(word) for word in gateways.split(",") if word])
-    found = {"version": VERSION, "command": "python -m benchmarks.messages", "python": platform.python_version(),
-             "commit": commit(), "load": round(load, 2), "figures": told.figures}
+    found = {
+        "version": VERSION,
+        "command": "python -m benchmarks.messages",
+        "python": platform.python_version(),
+        "commit": commit(),
+        "load": round(load, 2),
+        "figures": told.figures,
+    }
     if out:
         with open(out, "w") as file:
             json.dump(found, file, indent=1)
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -26,7 +26,7 @@
 
     def mark(name):
         if name not in marks:
-            marks[name] = ()    # what is opened here is seen as well
+            marks[name] = ()  # what is opened here is seen as well
             with open("/proc/self/schedstat") as file:
                 ran, waited = file.read().split()[:2]
             marks[name] = time.time(), int(ran) / 1e9, int(waited) / 1e9
@@ -39,10 +39,13 @@
         elif event == "socket.bind" and words[1][1] == listens:
             mark("listening")
             import orjson
+
             os.write(1, orjson.dumps({"event": "stages", "marks": marks}) + b"\n")
+
     mark("interpreter")
     sys.addaudithook(hear)
     import runpy
+
     runpy.run_module("petrellane", run_name="__main__", alter_sys=True)
 
 
@@ -66,8 +69,18 @@
 from petrellane.net.stream import Closed, Stream  # noqa: E402
 
 BOUND, PATIENCE = 10.0, 60.0
-MEMORY = 40 * 2 ** 20    # bytes of one gateway, about
-STAGES = ("interpreter", "imports", "configuration", "listening", "started", "PING", "/-/ready", "answer", "ok")
+MEMORY = 40 * 2**20  # bytes of one gateway, about
+STAGES = (
+    "interpreter",
+    "imports",
+    "configuration",
+    "listening",
+    "started",
+    "PING",
+    "/-/ready",
+    "answer",
+    "ok",
+)
 DISCOVERY = ("up", "refuses", "503", "silent")
 
 
@@ -84,9 +97,16 @@
     def watch(self, began):
         """Look at it from now on; it began then."""
         self.began = began
-        self.lab.scheduler.spawn(self.ask, "PING", self.gateway.listen, b"*1\r\n$4\r\nPING\r\n", b"+PONG")
-        self.lab.scheduler.spawn(self.ask, "/-/ready", self.gateway.management, b"GET /-/ready HTTP/1.1\r\n\r\n",
-                                 b"HTTP/1.1 200")
+        self.lab.scheduler.spawn(
+            self.ask, "PING", self.gateway.listen, b"*1\r\n$4\r\nPING\r\n", b"+PONG"
+        )
+        self.lab.scheduler.spawn(
+            self.ask,
+            "/-/ready",
+            self.gateway.management,
+            b"GET /-/ready HTTP/1.1\r\n\r\n",
+            b"HTTP/1.1 200",
+        )
         self.lab.scheduler.spawn(self.serve)
 
     def listens(self):
@@ -118,25 +138,35 @@
         number = 0
         while "ok" not in self.at and time.time() < self.began + PATIENCE:
             try:
-                stream = Stream.dial(self.lab.scheduler, LIMITS, (self.lab.ip, self.gateway.listen), 1.0)
+                stream = Stream.dial(
+                    self.lab.scheduler, LIMITS, (self.lab.ip, self.gateway.listen), 1.0
+                )
             except OSError:
                 self.lab.scheduler.wait(0.02)
                 continue
             try:
                 while "ok" not in self.at:
                     number += 1
-                    stream.write(resp.words(b"SVC.QUERY", b"%016x" % (9000 + self.gateway.number),
-                                            b"ready-%x-%x-%x" % (self.gateway.number, int(self.began * 1e3), number),
-                                            b"c=look,t=sold,d=2000,units=1,spread=1,first=0"))
+                    stream.write(
+                        resp.words(
+                            b"SVC.QUERY",
+                            b"%016x" % (9000 + self.gateway.number),
+                            b"ready-%x-%x-%x"
+                            % (self.gateway.number, int(self.began * 1e3), number),
+                            b"c=look,t=sold,d=2000,units=1,spread=1,first=0",
+                        )
+                    )
                     while not (found := resp.answer(stream.buffer, 0, LIMITS)):
                         stream.fill(2.5)
                     self.at.setdefault("answer", time.time() - self.began)
                     words = bytes(stream.buffer[slice(*found[1])]).split() if found[1] else []
                     if found[0] == 0x24:
                         self.at["ok"] = time.time() - self.began
-                    del stream.buffer[:found[2]]
+                    del stream.buffer[: found[2]]
                     told = int(words[1]) / 1e3 if words[:1] == [b"BUSY"] and len(words) > 1 else 0.0
-                    self.lab.scheduler.wait(max(0.1, told))    # as clients do: the rig is not to be pressed by this
+                    self.lab.scheduler.wait(
+                        max(0.1, told)
+                    )  # as clients do: the rig is not to be pressed by this
             except (Closed, resp.Malformed, TimeoutError):
                 self.lab.scheduler.wait(0.05)
             finally:
@@ -144,12 +174,17 @@
 
     @property
     def over(self):
-        return "ok" in self.at and "PING" in self.at and "/-/ready" in self.at or time.time() > self.began + PATIENCE
+        return (
+            "ok" in self.at
+            and "PING" in self.at
+            and "/-/ready" in self.at
+            or time.time() > self.began + PATIENCE
+        )
 
     def row(self):
         """What is known of it, {} of a stage that it never came to."""
         found = dict(self.at)
-        for event in self.gateway.events[self.heard:]:
+        for event in self.gateway.events[self.heard :]:
             if event["event"] == "stages":
                 found |= {name: mark[0] - self.began for name, mark in event["marks"].items()}
                 found["cpu"], found["waited"] = event["marks"]["listening"][1:]
@@ -164,12 +199,14 @@
     lab.discovery.away = discovery == "silent"
     vars(lab.discovery).pop("serve", None)
     if discovery == "503":
+
         def turned_away(stream, gateway):
             while True:
                 while (end := stream.buffer.find(b"\r\n\r\n")) < 0:
                     stream.fill()
-                del stream.buffer[:end + 4]
+                del stream.buffer[: end + 4]
                 stream.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+
         lab.discovery.serve = turned_away
     for door in lab.discovery.doors.values():
         if discovery == "refuses":
@@ -190,7 +227,9 @@
     for one in lost:
         one.kill()
     gate, script = os.path.join(lab.folder, "gate"), os.path.join(lab.folder, "gated")
-    if not os.path.exists(gate):    # the rig starts one after another: they wait there, and go on into the program together
+    if not os.path.exists(
+        gate
+    ):  # the rig starts one after another: they wait there, and go on into the program together
         os.mkfifo(gate)
         with open(script, "w") as file:
             file.write(f'#!/bin/sh\nread line < {gate}\nexec {sys.executable} "$@"\n')
@@ -228,6 +267,7 @@
                 begun.append(Start(one, cores))
                 begun[-1].watch(begun[-1].began)
             return not left and all(start.over for start in begun)
+
         lab.until(again, "a tenth ready", 2 * PATIENCE)
         starts += begun
     return starts
@@ -236,16 +276,28 @@
 def of(values):
     """p50, p90 and most; None where it never came for so many."""
     values = sorted(values)
-    return [round(values[min(len(values) - 1, int(part * len(values)))], 2) if values else None for part in (0.5, 0.9, 1.0)]
+    return [
+        round(values[min(len(values) - 1, int(part * len(values)))], 2) if values else None
+        for part in (0.5, 0.9, 1.0)
+    ]
 
 
 def summed(name, starts):
     rows = [start.row() for start in starts]
-    ready = [max(row[stage] for stage in ("PING", "/-/ready")) for row in rows if "PING" in row and "/-/ready" in row]
+    ready = [
+        max(row[stage] for stage in ("PING", "/-/ready"))
+        for row in rows
+        if "PING" in row and "/-/ready" in row
+    ]
     within = sum(one <= BOUND for one in ready)
     begun = [start.began for start in starts]
-    told = {"row": name, "starts": len(rows), "begun within": round(max(begun) - min(begun), 2), "ready within 10 s": within,
-            "ready": of(ready)}
+    told = {
+        "row": name,
+        "starts": len(rows),
+        "begun within": round(max(begun) - min(begun), 2),
+        "ready within 10 s": within,
+        "ready": of(ready),
+    }
     for stage in (*STAGES, "cpu", "waited"):
         told[stage] = of([row[stage] for row in rows if stage in row])
         if lacking := sum(stage not in row for row in rows):
@@ -254,9 +306,17 @@
 
 
 def play(gateways, rows, cores, agreement):
-    shape = Shape(gateways=gateways, hosts=20, relays=(), rate=60.0, work=0.01, agreement=agreement,
-                  settings=settings(gateways, quota=500.0), methods=[Method("look")],
-                  customers=[Customer(number + 1, "sold", spread=gateways) for number in range(20)])
+    shape = Shape(
+        gateways=gateways,
+        hosts=20,
+        relays=(),
+        rate=60.0,
+        work=0.01,
+        agreement=agreement,
+        settings=settings(gateways, quota=500.0),
+        methods=[Method("look")],
+        customers=[Customer(number + 1, "sold", spread=gateways) for number in range(20)],
+    )
     with Lab(shape) as lab:
         for one in lab.gateways:
             one.build = {"module": "benchmarks.ready", "cwd": ROOT}
@@ -276,8 +336,15 @@
             lab.play(1.0)
             lab.longest = 0.0
             starts = (kill if what == "kill" else roll)(lab, cores)
-            name = f"{what}, discovery {discovery}, counter {counter}" + (", agreed" if agreement else "")
-            yield {**summed(name, starts), "gateways": gateways, "crashes": len(lab.crashes), "rig": round(lab.longest, 2)}
+            name = f"{what}, discovery {discovery}, counter {counter}" + (
+                ", agreed" if agreement else ""
+            )
+            yield {
+                **summed(name, starts),
+                "gateways": gateways,
+                "crashes": len(lab.crashes),
+                "rig": round(lab.longest, 2),
+            }
             put(lab, "up", False)
             lab.play(3.0)
 
@@ -289,18 +356,43 @@
     with tempfile.TemporaryDirectory() as folder:
         for name, more in (("interpreter", None), ("6 methods", 3), ("1000 methods", 997)):
             file = os.path.join(folder, "config.json")
-            rows = [{"name": f"h{number}", "address": f"127.99.0.1:{3000 + number}", "zone": "z", "type": "k", "group": 1,
-                     "status": "in_service", "weight": 1.0, "since_ms": 0} for number in range(200)]
-            told = {"name": "g", "listen": "127.99.0.1:2000", "discovery": "127.99.0.1:2001", "counter": "127.99.0.1:2002",
-                    "seed": "1", "known": {"index": 1, "snapshot": True, "endpoints": rows},
-                    "settings": settings(200, more=[f"m{number}" for number in range(more or 0)])}
+            rows = [
+                {
+                    "name": f"h{number}",
+                    "address": f"127.99.0.1:{3000 + number}",
+                    "zone": "z",
+                    "type": "k",
+                    "group": 1,
+                    "status": "in_service",
+                    "weight": 1.0,
+                    "since_ms": 0,
+                }
+                for number in range(200)
+            ]
+            told = {
+                "name": "g",
+                "listen": "127.99.0.1:2000",
+                "discovery": "127.99.0.1:2001",
+                "counter": "127.99.0.1:2002",
+                "seed": "1",
+                "known": {"index": 1, "snapshot": True, "endpoints": rows},
+                "settings": settings(200, more=[f"m{number}" for number in range(more or 0)]),
+            }
             with open(file, "w") as out:
                 json.dump(told, out)
-            words = ["-m", "petrellane", "serve"] if more else ["-c", "print('\"started\"', flush=True)"]
+            words = (
+                ["-m", "petrellane", "serve"]
+                if more
+                else ["-c", "print('\"started\"', flush=True)"]
+            )
             costs = []
             for _ in range(times):
-                process = subprocess.Popen([sys.executable, *words], stdout=subprocess.PIPE, cwd=ROOT,
-                                           env={**os.environ, "PROXY_CONFIG": file})
+                process = subprocess.Popen(
+                    [sys.executable, *words],
+                    stdout=subprocess.PIPE,
+                    cwd=ROOT,
+                    env={**os.environ, "PROXY_CONFIG": file},
+                )
                 next(line for line in process.stdout if b'"started"' in line)
                 os.kill(process.pid, signal.SIGKILL)
                 _, _, usage = os.wait4(process.pid, 0)
@@ -312,21 +404,37 @@
 
 
 def main():
-    asked = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    asked = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     asked.add_argument("--gateways", type=int, default=200)
-    asked.add_argument("--rows", default="", help="of all rows only those that begin so, e.g. kill,roll")
+    asked.add_argument(
+        "--rows", default="", help="of all rows only those that begin so, e.g. kill,roll"
+    )
     asked.add_argument("--cores", type=int, default=0)
-    asked.add_argument("--agreed", type=int, default=0, help="gateways of a small fleet with agreement, 0: none")
+    asked.add_argument(
+        "--agreed", type=int, default=0, help="gateways of a small fleet with agreement, 0: none"
+    )
     asked.add_argument("--single", type=int, default=15)
     told = asked.parse_args()
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     if max(told.gateways, told.agreed) * MEMORY > memory / 2:
-        print(f"{told.gateways} gateways take over half of the memory ({memory / 2 ** 30:.1f} GB)", file=sys.stderr)
+        print(
+            f"{told.gateways} gateways take over half of the memory ({memory / 2**30:.1f} GB)",
+            file=sys.stderr,
+        )
         return 2
-    cores = set(sorted(os.sched_getaffinity(0))[-told.cores:]) if told.cores else None
-    rows = [("roll", "up", "up"), ("roll", "refuses", "silent"),
-            *(("kill", discovery, "up" if discovery == "up" else "silent") for discovery in DISCOVERY)]
-    rows = [row for row in rows if not told.rows or any(" ".join(row).startswith(one) for one in told.rows.split(","))]
+    cores = set(sorted(os.sched_getaffinity(0))[-told.cores :]) if told.cores else None
+    rows = [
+        ("roll", "up", "up"),
+        ("roll", "refuses", "silent"),
+        *(("kill", discovery, "up" if discovery == "up" else "silent") for discovery in DISCOVERY),
+    ]
+    rows = [
+        row
+        for row in rows
+        if not told.rows or any(" ".join(row).startswith(one) for one in told.rows.split(","))
+    ]
     runs = []
     if told.single:
         runs.append({"row": "alone", **alone(told.single)})
@@ -334,10 +442,18 @@
     for gateways, agreement in ((told.gateways, False), (told.agreed, True)):
         for run in play(gateways, rows, cores, agreement) if gateways else ():
             runs.append(run)
-            print("  ".join(f"{name}: " + ("/".join(map(str, value)) if isinstance(value, list) else str(value))
-                            for name, value in run.items()), flush=True)
+            print(
+                "  ".join(
+                    f"{name}: "
+                    + ("/".join(map(str, value)) if isinstance(value, list) else str(value))
+                    for name, value in run.items()
+                ),
+                flush=True,
+            )
     print(json.dumps(runs))
-    return int(any(run["ready within 10 s"] < 0.9 * run["starts"] for run in runs if "starts" in run))
+    return int(
+        any(run["ready within 10 s"] < 0.9 * run["starts"] for run in runs if "starts" in run)
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale_play.py
+++ b/benchmarks/scale_play.py
@@ -30,14 +30,14 @@
 
 EFFECTS = ("pure", "token", "side_effect")
 ZONES = 12
-COLD = 30.0              # seconds in which a host warms up
-ANSWER = (0.01, 0.1)     # seconds that a host takes, evenly drawn
-TURNED_AWAY = 0.01       # share of call-outs that their host is too full for
-COUNTER = 0.002          # seconds to the counter's answer
-WARM = 5.0               # seconds of RPCs before any is counted
-LEAST_RPCS = 150         # however little CPU is left
-LEDGER = 20.0            # seconds for which the made-up counter keeps a count, and up to as much longer
-FACED = 10.0             # seconds in which a list must be taken over
+COLD = 30.0  # seconds in which a host warms up
+ANSWER = (0.01, 0.1)  # seconds that a host takes, evenly drawn
+TURNED_AWAY = 0.01  # share of call-outs that their host is too full for
+COUNTER = 0.002  # seconds to the counter's answer
+WARM = 5.0  # seconds of RPCs before any is counted
+LEAST_RPCS = 150  # however little CPU is left
+LEDGER = 20.0  # seconds for which the made-up counter keeps a count, and up to as much longer
+FACED = 10.0  # seconds in which a list must be taken over
 
 
 def at(values, share):
@@ -64,22 +64,52 @@
     """A settings object of so many methods and four plans, as bytes: made piece by piece, as memory is measured."""
     text = bytearray(b'{"classes":[')
     for number in range(methods):
-        row = {"name": f"service{number // 16}.method{number % 16}", "effect": EFFECTS[number % 3], "goalTime": 1_000_000,
-               "giveUp": 4_000_000, "worth": 1.0 + number % 4, "window": 5_000_000, "keyScope": "all"}
+        row = {
+            "name": f"service{number // 16}.method{number % 16}",
+            "effect": EFFECTS[number % 3],
+            "goalTime": 1_000_000,
+            "giveUp": 4_000_000,
+            "worth": 1.0 + number % 4,
+            "window": 5_000_000,
+            "keyScope": "all",
+        }
         text += b"," * bool(number) + orjson.dumps(row)
-    plans = [{"name": f"plan{number}", "quotaRate": 20.0 * (number + 1), "storeSize": 80.0 * (number + 1), "pays": 1.0}
-             for number in range(4)]
-    rest = {"contracts": plans, "familyInfo": {"mayCount": True, "counterTimeout": 80_000}, "locality": "zone0",
-            "limits": {"maxAttempts": 4, "mayCancel": True, "retryAfter": True, "maxRetryAfter": 500_000},
-            "obligations": {"cold": int(COLD * 1e6), "coldFrom": 0.25}}
+    plans = [
+        {
+            "name": f"plan{number}",
+            "quotaRate": 20.0 * (number + 1),
+            "storeSize": 80.0 * (number + 1),
+            "pays": 1.0,
+        }
+        for number in range(4)
+    ]
+    rest = {
+        "contracts": plans,
+        "familyInfo": {"mayCount": True, "counterTimeout": 80_000},
+        "locality": "zone0",
+        "limits": {
+            "maxAttempts": 4,
+            "mayCancel": True,
+            "retryAfter": True,
+            "maxRetryAfter": 500_000,
+        },
+        "obligations": {"cold": int(COLD * 1e6), "coldFrom": 0.25},
+    }
     return bytes(text + b"]," + orjson.dumps(rest)[1:])
 
 
 def row_of_host(number, status="in_service", since=0.0):
     """A host as discovery tells of it."""
-    return {"name": f"host{number}", "address": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:7000",
-            "zone": f"zone{number % ZONES}", "type": "standard", "group": number % 48, "status": status, "weight": 1.0,
-            "since_ms": int(since * 1e3)}
+    return {
+        "name": f"host{number}",
+        "address": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:7000",
+        "zone": f"zone{number % ZONES}",
+        "type": "standard",
+        "group": number % 48,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": int(since * 1e3),
+    }
 
 
 def text_of_list(hosts):
@@ -132,11 +162,18 @@
         self.decisions, self.agains, self.adds, self.rpcs, self.pushed = [], [], 0, 0, 0
 
     def figures(self, now):
-        return {"decision_p50_ms": at(self.decisions, 0.5), "decision_p99_ms": at(self.decisions, 0.99),
-                "decision_longest_ms": max(self.decisions, default=0.0), "call_longest_ms": self.longest,
-                "again_p50_ms": at(self.agains, 0.5), "again_p99_ms": at(self.agains, 0.99),
-                "cores": self.total / 1e3 / max(1e-9, now - self.since), "adds_per_rpc": self.adds / max(1, self.rpcs),
-                "pushed_back": self.pushed / max(1, self.rpcs), "rpcs_measured": self.rpcs}
+        return {
+            "decision_p50_ms": at(self.decisions, 0.5),
+            "decision_p99_ms": at(self.decisions, 0.99),
+            "decision_longest_ms": max(self.decisions, default=0.0),
+            "call_longest_ms": self.longest,
+            "again_p50_ms": at(self.agains, 0.5),
+            "again_p99_ms": at(self.agains, 0.99),
+            "cores": self.total / 1e3 / max(1e-9, now - self.since),
+            "adds_per_rpc": self.adds / max(1, self.rpcs),
+            "pushed_back": self.pushed / max(1, self.rpcs),
+            "rpcs_measured": self.rpcs,
+        }
 
 
 class Traffic:
@@ -176,7 +213,11 @@
 
     def settled(self, steps, cost):
         """A call settled these RPCs and took so long: each has its part."""
-        decided = [step.rpc for step in steps if isinstance(step, api.CallOut | api.PushBack) and step.rpc in self.owed]
+        decided = [
+            step.rpc
+            for step in steps
+            if isinstance(step, api.CallOut | api.PushBack) and step.rpc in self.owed
+        ]
         for rpc in decided:
             self.costs.decisions.append(self.owed.pop(rpc) + cost / len(decided))
 
@@ -187,7 +228,7 @@
         self.owed[rpc] = 0.0
         steps, cost = self.call(gateway, gateway.place, self.now, rpc)
         self.settled(steps, cost)
-        if rpc in self.owed:    # it waits for credit
+        if rpc in self.owed:  # it waits for credit
             self.owed[rpc] = cost
 
     def until(self, now):
@@ -196,12 +237,27 @@
             self.now, _, what, gateway, about = heapq.heappop(self.due)
             if what == "answer":
                 full = self.random.random() < TURNED_AWAY
-                _, cost = self.call(gateway, gateway.again, self.now, about, api.FULL if full else api.OK, over=not full,
-                                    took=self.now - about.sent)
+                _, cost = self.call(
+                    gateway,
+                    gateway.again,
+                    self.now,
+                    about,
+                    api.FULL if full else api.OK,
+                    over=not full,
+                    took=self.now - about.sent,
+                )
                 self.costs.agains.append(cost)
             elif what == "counted":
-                self.settled(*self.call(gateway, gateway.counted, self.now, about, api.OK,
-                                        self.ledger.add(self.now, about.name, about.amount)))
+                self.settled(
+                    *self.call(
+                        gateway,
+                        gateway.counted,
+                        self.now,
+                        about,
+                        api.OK,
+                        self.ledger.add(self.now, about.name, about.amount),
+                    )
+                )
             else:
                 self.settled(*self.call(gateway, gateway.woken, self.now, about))
         self.now = now
@@ -218,20 +274,33 @@
         while len(times) < 5 and sum(times) < 300.0:
             times.append(timed(settings, Section(raw, "settings"))[1])
         self.figures["settings_read_ms"] = statistics.median(times)
-        self.node = Node(read({"name": "g0", "seed": "1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1",
-                               "counter": "127.0.0.1:1", "settings": raw}),
-                         os.open(os.devnull, os.O_WRONLY), scheduler=Scheduler(monotonic=self.clock))
+        self.node = Node(
+            read(
+                {
+                    "name": "g0",
+                    "seed": "1",
+                    "listen": "127.0.0.1:1",
+                    "discovery": "127.0.0.1:1",
+                    "counter": "127.0.0.1:1",
+                    "settings": raw,
+                }
+            ),
+            os.open(os.devnull, os.O_WRONLY),
+            scheduler=Scheduler(monotonic=self.clock),
+        )
         self.driver, self.gateway = self.node.driver, self.node.driver.gateway
         self.node.scheduler.offset = 0.0
         self.driver.start(self.node.config.known)
         gc.collect()
-        gc.freeze()    # as `serve` does
+        gc.freeze()  # as `serve` does
         times = []
         while len(times) < 5 and sum(times) < 100.0:
             listed, took = timed(lambda: host_list(Section(orjson.loads(rows), "list")))
             times.append(took)
         self.figures["list_parse_ms"] = statistics.median(times)
-        self.figures["list_whole_ms"], self.figures["list_turn_ms"] = self.take(listed, told["hosts"])
+        self.figures["list_whole_ms"], self.figures["list_turn_ms"] = self.take(
+            listed, told["hosts"]
+        )
         self.traffic = Traffic(told["seed"], self.clock.told)
         self.methods = list(self.driver.settings.methods.values())
         self.plans, self.number = list(self.driver.settings.plans.values()), itertools.count()
@@ -245,10 +314,13 @@
         def told():
             self.node.listed(listed)
             done.append(True)
+
         scheduler.spawn(told)
         while not done or scheduler.ready or known is not None and len(self.driver.hosts) != known:
             if time.monotonic() > end:
-                raise SystemExit(f"list: expected it taken over in {FACED:g} s, found {len(self.driver.hosts)} hosts")
+                raise SystemExit(
+                    f"list: expected it taken over in {FACED:g} s, found {len(self.driver.hosts)} hosts"
+                )
             spent.append(timed(scheduler.turn, 0)[1])
         self.clock.told, self.clock.live = self.clock(), None
         return sum(spent), max(spent)
@@ -261,7 +333,9 @@
 
     def customer(self, number=None):
         number = self.traffic.random.randrange(self.told["customers"]) if number is None else number
-        return self.driver.customers.of(f"customer{number}", self.plans[number % len(self.plans)], 0, 4, self.traffic.now)
+        return self.driver.customers.of(
+            f"customer{number}", self.plans[number % len(self.plans)], 0, 4, self.traffic.now
+        )
 
     def play(self, seconds, each=None, budget=None, number=None):
         """RPCs for so many seconds of the told clock, or until the CPU time is used up; the seconds played. `each` is called
@@ -269,12 +343,20 @@
         traffic, began, cpu = self.traffic, self.traffic.now, time.thread_time()
         at = began
         while (at := at + traffic.random.expovariate(self.told["rpcs"])) < began + seconds:
-            if budget is not None and time.thread_time() - cpu > budget and traffic.costs.rpcs >= LEAST_RPCS:
+            if (
+                budget is not None
+                and time.thread_time() - cpu > budget
+                and traffic.costs.rpcs >= LEAST_RPCS
+            ):
                 break
             if each:
                 each(at)
             traffic.until(at)
-            traffic.place(self.gateway, traffic.random.choice(self.methods), self.customer(next(number) if number else None))
+            traffic.place(
+                self.gateway,
+                traffic.random.choice(self.methods),
+                self.customer(next(number) if number else None),
+            )
         return traffic.now - began
 
     def flips(self, times):
@@ -287,14 +369,26 @@
         for number in range(times):
             host = self.driver.hosts[f"host{number // 2 % self.told['hosts']}"]
             state = api.DRAINING if number % 2 == 0 else api.READY
-            row = api.Listing(host, host.zone, host.kind, host.pod, state, host.share, host.up_since)
+            row = api.Listing(
+                host, host.zone, host.kind, host.pod, state, host.share, host.up_since
+            )
             alone.append(timed(self.gateway.listed, self.traffic.now, False, [row])[1])
         return statistics.median(by_driver), statistics.median(alone)
 
     def alone(self):
         """CPU milliseconds in which the decisions alone take a whole list over."""
-        rows = [api.Listing(api.Host(name), host.zone, host.kind, host.pod, host.state, host.share, host.up_since)
-                for name, host in self.driver.hosts.items()]
+        rows = [
+            api.Listing(
+                api.Host(name),
+                host.zone,
+                host.kind,
+                host.pod,
+                host.state,
+                host.share,
+                host.up_since,
+            )
+            for name, host in self.driver.hosts.items()
+        ]
         fresh = Gateway(seed=1, counter=True, must_ask=False, **self.driver.settings.gateway)
         return timed(fresh.listed, self.traffic.now, True, rows)[1]
 
@@ -324,16 +418,28 @@
         nonlocal gone
         due = min(told["hosts"] // 2, int((now - began) * rate))
         if due - gone >= rate / 10 or due > gone and due == told["hosts"] // 2:
-            rows = [row for number in range(gone, due) for row in (
-                row_of_host(number, "terminated"), row_of_host(told["hosts"] + number, since=now))]
+            rows = [
+                row
+                for number in range(gone, due)
+                for row in (
+                    row_of_host(number, "terminated"),
+                    row_of_host(told["hosts"] + number, since=now),
+                )
+            ]
             whole, turn = rig.change(rows)
             took.append(whole)
             turns.append(turn)
             gone = due
+
     seconds = rig.play(60.0, each, told["budget"])
-    return {**rig.traffic.costs.figures(rig.traffic.now), "seconds": seconds, "replaced": gone,
-            "changes_p50_ms": at(took, 0.5), "turn_longest_ms": max(turns, default=0.0),
-            "memory_mb": resident() - rig.before}
+    return {
+        **rig.traffic.costs.figures(rig.traffic.now),
+        "seconds": seconds,
+        "replaced": gone,
+        "changes_p50_ms": at(took, 0.5),
+        "turn_longest_ms": max(turns, default=0.0),
+        "memory_mb": resident() - rig.before,
+    }
 
 
 def zone(told):
@@ -342,14 +448,27 @@
     rows = [number for number in range(told["hosts"]) if number % ZONES == 1]
     for phase, seconds in (("before", 5.0), ("gone", 15.0), ("back", 20.0)):
         if phase != "before":
-            status, since = ("terminated", 0.0) if phase == "gone" else ("in_service", rig.traffic.now)
+            status, since = (
+                ("terminated", 0.0) if phase == "gone" else ("in_service", rig.traffic.now)
+            )
             whole, turn = rig.change([row_of_host(number, status, since) for number in rows])
             found |= {f"{phase}_taken_ms": whole, f"{phase}_turn_ms": turn}
         rig.traffic.costs.clear(rig.traffic.now)
         played = rig.play(seconds, budget=told["budget"] / 3)
         told_of = rig.traffic.costs.figures(rig.traffic.now)
-        found |= {f"{phase}_seconds": played, **{f"{phase}_{name}": told_of[name] for name in (
-            "decision_p50_ms", "decision_p99_ms", "call_longest_ms", "pushed_back", "cores")}}
+        found |= {
+            f"{phase}_seconds": played,
+            **{
+                f"{phase}_{name}": told_of[name]
+                for name in (
+                    "decision_p50_ms",
+                    "decision_p99_ms",
+                    "call_longest_ms",
+                    "pushed_back",
+                    "cores",
+                )
+            },
+        }
     return {**found, "hosts_of_zone": len(rows), "memory_mb": resident() - rig.before}
 
 
@@ -358,8 +477,13 @@
     rig = Rig({**told, "rpcs": told["customers"] / 60})
     order = itertools.count()
     seconds = rig.play(60.0, budget=told["budget"], number=order)
-    return {**rig.traffic.costs.figures(rig.traffic.now), "seconds": seconds, "customers_seen": rig.traffic.placed,
-            "leases": len(rig.gateway.leases.leases), "memory_mb": resident() - rig.before}
+    return {
+        **rig.traffic.costs.figures(rig.traffic.now),
+        "seconds": seconds,
+        "customers_seen": rig.traffic.placed,
+        "leases": len(rig.gateway.leases.leases),
+        "memory_mb": resident() - rig.before,
+    }
 
 
 def fifty(told):
@@ -374,29 +498,60 @@
         while done < (now - began) * 50:
             number = next(count)
             which = number // 2 * 7 % told["hosts"]
-            whole, turn = rig.change([row_of_host(which, "terminating" if number % 2 == 0 else "in_service")])
+            whole, turn = rig.change(
+                [row_of_host(which, "terminating" if number % 2 == 0 else "in_service")]
+            )
             took.append(whole)
             turns.append(turn)
             done += 1
+
     seconds = rig.play(20.0, each, told["budget"])
-    return {**rig.traffic.costs.figures(rig.traffic.now), "seconds": seconds, "changes": done,
-            "changes_p50_ms": at(took, 0.5), "changes_cores": sum(took) / 1e3 / seconds,
-            "turn_longest_ms": max(turns, default=0.0),
-            "memory_mb": resident() - rig.before}
+    return {
+        **rig.traffic.costs.figures(rig.traffic.now),
+        "seconds": seconds,
+        "changes": done,
+        "changes_p50_ms": at(took, 0.5),
+        "changes_cores": sum(took) / 1e3 / seconds,
+        "turn_longest_ms": max(turns, default=0.0),
+        "memory_mb": resident() - rig.before,
+    }
 
 
 def spread(told):
     """One customer that comes evenly to so many gateways, at 1.5 times what its plan allows, and one counter for all."""
     rate, gateways = told["rpcs"], told["gateways"]
     plan = api.Plan("plan", rate=rate / 1.5, store=4 * rate / 1.5)
-    method, customer = api.Method("look", 1.0, 4.0, api.IDEMPOTENT), api.Customer("customer", plan, 0, gateways)
+    method, customer = (
+        api.Method("look", 1.0, 4.0, api.IDEMPOTENT),
+        api.Customer("customer", plan, 0, gateways),
+    )
     before, traffic, all_of = resident(), Traffic(told["seed"]), []
     for number in range(gateways):
-        gateway = Gateway(seed=number, counter=True, must_ask=False, zone="", counter_timeout=0.08, may_cancel=True,
-                          max_wait=0.5, cold=COLD, cold_from=0.25, cross_zone=0.0, roots={method.root})
+        gateway = Gateway(
+            seed=number,
+            counter=True,
+            must_ask=False,
+            zone="",
+            counter_timeout=0.08,
+            may_cancel=True,
+            max_wait=0.5,
+            cold=COLD,
+            cold_from=0.25,
+            cross_zone=0.0,
+            roots={method.root},
+        )
         traffic.carry(gateway, gateway.started(traffic.now))
-        traffic.carry(gateway, gateway.listed(traffic.now, True, [
-            api.Listing(api.Host(f"host{host}"), "", "", 0, api.READY, 1.0, 0.0) for host in range(told["hosts"])]))
+        traffic.carry(
+            gateway,
+            gateway.listed(
+                traffic.now,
+                True,
+                [
+                    api.Listing(api.Host(f"host{host}"), "", "", 0, api.READY, 1.0, 0.0)
+                    for host in range(told["hosts"])
+                ],
+            ),
+        )
         all_of.append(gateway)
     began, cpu, now = traffic.now, time.thread_time(), traffic.now
     traffic.costs.clear(began)
@@ -407,9 +562,15 @@
         traffic.place(traffic.random.choice(all_of), method, customer)
     seconds = traffic.now - began
     allowed = min(traffic.placed, plan.rate * seconds + plan.store)
-    return {**traffic.costs.figures(traffic.now), "seconds": seconds, "gateways": gateways,
-            "units_let_through": traffic.units, "units_allowed": allowed,
-            "share_of_allowed": traffic.units / allowed, "memory_mb": resident() - before}
+    return {
+        **traffic.costs.figures(traffic.now),
+        "seconds": seconds,
+        "gateways": gateways,
+        "units_let_through": traffic.units,
+        "units_allowed": allowed,
+        "share_of_allowed": traffic.units / allowed,
+        "memory_mb": resident() - before,
+    }
 
 
 def sets(told):
@@ -418,12 +579,33 @@
     method, plan = api.Method("look", 1.0, 4.0, api.IDEMPOTENT), api.Plan("plan")
     traffic, all_of, hosts = Traffic(told["seed"]), [], told["hosts"]
     for number in range(told["gateways"]):
-        gateway = Gateway(seed=number + told["seed"] * 10_000, counter=True, must_ask=False, zone="", counter_timeout=0.08,
-                          may_cancel=True, max_wait=0.5, cold=COLD, cold_from=0.25, cross_zone=0.0, roots={method.root})
+        gateway = Gateway(
+            seed=number + told["seed"] * 10_000,
+            counter=True,
+            must_ask=False,
+            zone="",
+            counter_timeout=0.08,
+            may_cancel=True,
+            max_wait=0.5,
+            cold=COLD,
+            cold_from=0.25,
+            cross_zone=0.0,
+            roots={method.root},
+        )
         traffic.carry(gateway, gateway.started(traffic.now))
-        traffic.carry(gateway, gateway.listed(traffic.now, True, [
-            api.Listing(api.Host(f"host{host}"), f"zone{host % ZONES}", "", 0, api.READY, 1.0, 0.0)
-            for host in range(hosts)]))
+        traffic.carry(
+            gateway,
+            gateway.listed(
+                traffic.now,
+                True,
+                [
+                    api.Listing(
+                        api.Host(f"host{host}"), f"zone{host % ZONES}", "", 0, api.READY, 1.0, 0.0
+                    )
+                    for host in range(hosts)
+                ],
+            ),
+        )
         all_of.append(gateway)
     customers = [api.Customer(f"customer{number}", plan) for number in range(200)]
 
@@ -445,44 +627,83 @@
     for gateway in all_of:
         host = next(host for host in gateway.fleet.hosts if host.address == gone)
         new = api.Host("host-new", zone=host.zone, up_since=traffic.now)
-        traffic.carry(gateway, gateway.listed(traffic.now, False, [
-            api.Listing(host, host.zone, "", 0, api.GONE, 1.0, 0.0),
-            api.Listing(new, host.zone, "", 0, api.READY, 1.0, traffic.now)]))
+        traffic.carry(
+            gateway,
+            gateway.listed(
+                traffic.now,
+                False,
+                [
+                    api.Listing(host, host.zone, "", 0, api.GONE, 1.0, 0.0),
+                    api.Listing(new, host.zone, "", 0, api.READY, 1.0, traffic.now),
+                ],
+            ),
+        )
     play(8)
     third = in_use()
     counts = Counter(address for one in second for address in one)
     in_sets = [counts.get(f"host{number}", 0) for number in range(hosts)]
-    had = [len(before - after) for before, after in zip(second, third, strict=True) if gone in before]
-    rest = [len(before - after) for before, after in zip(second, third, strict=True) if gone not in before]
-    return {"gateways": len(all_of), "hosts": hosts, "rpcs_each": told["rpcs"],
-            "set_mean": statistics.mean(map(len, second)), "sets_least": min(in_sets),
-            "sets_mean": statistics.mean(in_sets), "sets_most": max(in_sets),
-            "sets_deviation": statistics.pstdev(in_sets), "hosts_in_none": in_sets.count(0),
-            "moved_without": statistics.mean(len(one - other) for one, other in zip(first, second, strict=True)),
-            "sets_with_the_host": len(had), "moved_with_the_host": statistics.mean(had or [0]),
-            "moved_others": statistics.mean(rest or [0]), "sets_with_the_new_host": sum("host-new" in one for one in third)}
+    had = [
+        len(before - after) for before, after in zip(second, third, strict=True) if gone in before
+    ]
+    rest = [
+        len(before - after)
+        for before, after in zip(second, third, strict=True)
+        if gone not in before
+    ]
+    return {
+        "gateways": len(all_of),
+        "hosts": hosts,
+        "rpcs_each": told["rpcs"],
+        "set_mean": statistics.mean(map(len, second)),
+        "sets_least": min(in_sets),
+        "sets_mean": statistics.mean(in_sets),
+        "sets_most": max(in_sets),
+        "sets_deviation": statistics.pstdev(in_sets),
+        "hosts_in_none": in_sets.count(0),
+        "moved_without": statistics.mean(
+            len(one - other) for one, other in zip(first, second, strict=True)
+        ),
+        "sets_with_the_host": len(had),
+        "moved_with_the_host": statistics.mean(had or [0]),
+        "moved_others": statistics.mean(rest or [0]),
+        "sets_with_the_new_host": sum("host-new" in one for one in third),
+    }
 
 
 def hollow(told):
     """Figures of hollow gateways beside the real roles; changes of settings are told as so many a second."""
     from petrellane.lab.scale import Scale, ScaleError, play
+
     words = {key: value for key, value in told.items() if key not in ("kind", "settings_rate")}
     try:
-        found = play(Scale(**words, settings_changes=round(told.get("settings_rate", 0.0) * told["seconds"])))
+        found = play(
+            Scale(**words, settings_changes=round(told.get("settings_rate", 0.0) * told["seconds"]))
+        )
     except ScaleError as trouble:
         return {"void": str(trouble)}
-    figures = {f"{role}_{name}": value for role, row in found["roles"].items() if row["number"]
-               for name, value in row.items()}
+    figures = {
+        f"{role}_{name}": value
+        for role, row in found["roles"].items()
+        if row["number"]
+        for name, value in row.items()
+    }
     for kind, row in found["roles"]["hollow"].get("by", {}).items():
         figures |= {f"hollow_to_{kind}_{name}": value for name, value in row.items()}
     for part, name in (("list", "list"), ("settings", "settings"), ("ready_s", "ready")):
         figures |= {f"{name}_{key}": value for key, value in (found.get(part) or {}).items()}
     figures["settings_lost"] = figures["settings_changes"] - figures["settings_committed"]
-    figures["ready_median_s"], figures["ready_last_s"] = figures.pop("ready_median", None), figures.pop("ready_last", None)
-    return {name: value for name, value in figures.items() if isinstance(value, int | float)} | {"void": found["void"]}
-
-
-KINDS = {one.__name__: one for one in (module, replaced, zone, seen_once, fifty, spread, sets, hollow)}
+    figures["ready_median_s"], figures["ready_last_s"] = (
+        figures.pop("ready_median", None),
+        figures.pop("ready_last", None),
+    )
+    return {name: value for name, value in figures.items() if isinstance(value, int | float)} | {
+        "void": found["void"]
+    }
+
+
+KINDS = {
+    one.__name__: one for one in (module, replaced, zone, seen_once, fifty, spread, sets, hollow)
+}
 
 
 def main(text):
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -29,7 +29,7 @@
 from petrellane.referee import Told  # noqa: E402
 
 BOUND = 6.0
-PATIENCE = 20.0    # seconds after which a change counts as not told
+PATIENCE = 20.0  # seconds after which a change counts as not told
 KINDS = ("refused", "turned away", "silent", "unaccepted", "full", "cut", "open watch")
 TOGETHER = 8.0
 
@@ -109,14 +109,20 @@
         found = [one for trial in trials for one in trial.took]
         rows = {kind: [took for of, took in found if of == kind] for kind in told.kinds}
         rig = lab.longest
-    print(f"{'trouble':12} {'trials':>6} {'p50':>6} {'p90':>6} {'most':>6} {'over 6 s':>8} {'never':>6}")
+    print(
+        f"{'trouble':12} {'trials':>6} {'p50':>6} {'p90':>6} {'most':>6} {'over 6 s':>8} {'never':>6}"
+    )
     for kind, took in [*rows.items(), ("all", [one for _, one in found])]:
         known = [one for one in took if one is not None] or [0.0]
         late = sum(one is None or one > BOUND for one in took)
-        print(f"{kind:12} {len(took):>6} {at(known, 0.5):>6.2f} {at(known, 0.9):>6.2f} {max(known):>6.2f} "
-              f"{late:>8} {sum(one is None for one in took):>6}")
+        print(
+            f"{kind:12} {len(took):>6} {at(known, 0.5):>6.2f} {at(known, 0.9):>6.2f} {max(known):>6.2f} "
+            f"{late:>8} {sum(one is None for one in took):>6}"
+        )
     late = sum(took is None or took > BOUND for _, took in found)
-    print(f"calls of a gateway in a second: {calls / told.gateways / told.seconds:.3f}; the rig stood still for {rig:.2f} s")
+    print(
+        f"calls of a gateway in a second: {calls / told.gateways / told.seconds:.3f}; the rig stood still for {rig:.2f} s"
+    )
     print(json.dumps({"trials": len(found), "late": late, "took": rows}))
     return int(bool(late))
 
@@ -144,16 +150,25 @@
             seconds.append((lab.discovery.calls - before[0], lab.discovery.refused - before[1]))
         took = []
         for one in lab.gateways:
-            times = [event["at"] - back for event in one.events if event["event"] == "hosts" and event["index"] >= index]
+            times = [
+                event["at"] - back
+                for event in one.events
+                if event["event"] == "hosts" and event["index"] >= index
+            ]
             took.append(min(times, default=None))
         rig = lab.longest
-    known, late = [one for one in took if one is not None], sum(one is None or one > BOUND for one in took)
+    known, late = (
+        [one for one in took if one is not None],
+        sum(one is None or one > BOUND for one in took),
+    )
     refusing = [number for number, (_, refused) in enumerate(seconds) if refused]
-    print(f"{told.gateways} gateways, {told.together} for {back - began:.1f} s, then {told.rate:g} calls a second served: "
-          f"told p50 {at(known, 0.5):.2f}, p90 {at(known, 0.9):.2f}, most {max(known):.2f} s; {late} over 6 s; "
-          f"calls in a second {max(calls for calls, _ in seconds)} at most, {seconds[-1][0]} in the last; "
-          f"turned away {sum(refused for _, refused in seconds)}, last in second {refusing[-1] if refusing else '-'}; "
-          f"the rig stood still for {rig:.2f} s")
+    print(
+        f"{told.gateways} gateways, {told.together} for {back - began:.1f} s, then {told.rate:g} calls a second served: "
+        f"told p50 {at(known, 0.5):.2f}, p90 {at(known, 0.9):.2f}, most {max(known):.2f} s; {late} over 6 s; "
+        f"calls in a second {max(calls for calls, _ in seconds)} at most, {seconds[-1][0]} in the last; "
+        f"turned away {sum(refused for _, refused in seconds)}, last in second {refusing[-1] if refusing else '-'}; "
+        f"the rig stood still for {rig:.2f} s"
+    )
     print(json.dumps({"trouble": told.together, "took": took, "seconds": seconds}))
     return int(bool(late))
 
@@ -161,14 +176,35 @@
 def scenario(seed, gateways, trouble, rate):
     """Hosts 0 to 3 begin to drain, a second apart, while discovery is away from 10 s to 18 s; all along it serves so many
     calls in a second."""
-    rows = [{"kind": "world", "model": 1, "seed": seed, "length": 45.0, "gateways": gateways, "hosts": 40, "cores": 4.0},
-            {"kind": "plan", "name": "free", "rate": 1000.0, "store": 2000.0},
-            {"kind": "method", "name": "look", "effect": "idempotent", "work": 0.01},
-            {"kind": "customer", "name": "ann", "plan": "free", "rate": 40.0, "spread": gateways},
-            {"kind": "fault", "what": "discovery turned away", "at": 10.0, "length": 35.0, "size": rate}]
+    rows = [
+        {
+            "kind": "world",
+            "model": 1,
+            "seed": seed,
+            "length": 45.0,
+            "gateways": gateways,
+            "hosts": 40,
+            "cores": 4.0,
+        },
+        {"kind": "plan", "name": "free", "rate": 1000.0, "store": 2000.0},
+        {"kind": "method", "name": "look", "effect": "idempotent", "work": 0.01},
+        {"kind": "customer", "name": "ann", "plan": "free", "rate": 40.0, "spread": gateways},
+        {
+            "kind": "fault",
+            "what": "discovery turned away",
+            "at": 10.0,
+            "length": 35.0,
+            "size": rate,
+        },
+    ]
     if trouble != "turned away":
-        rows.append({"kind": "fault", "what": f"discovery {trouble}", "at": 10.0, "length": TOGETHER})
-    rows += [{"kind": "fault", "what": "host drains", "at": 14.0 + host, "length": 25.0, "whom": host} for host in range(4)]
+        rows.append(
+            {"kind": "fault", "what": f"discovery {trouble}", "at": 10.0, "length": TOGETHER}
+        )
+    rows += [
+        {"kind": "fault", "what": "host drains", "at": 14.0 + host, "length": 25.0, "whom": host}
+        for host in range(4)
+    ]
     return read("\n".join(json.dumps(row) for row in rows))
 
 
@@ -182,8 +218,10 @@
             first.setdefault((record.gateway, record.host), record.at)
     took = [first.get((node.name, f"h{host}")) for node in fleet.nodes for host in range(4)]
     took = [at and at - max(back, 14.0 + number % 4) for number, at in enumerate(took)]
-    counts = [[by_second[second] for second in range(int(back), 38)] for by_second in (fleet.discovery.calls,
-                                                                                       fleet.discovery.refused)]
+    counts = [
+        [by_second[second] for second in range(int(back), 38)]
+        for by_second in (fleet.discovery.calls, fleet.discovery.refused)
+    ]
     return took, *counts, run.broken
 
 
@@ -192,21 +230,38 @@
     for trouble in ("refused", "silent", "turned away"):
         for seed in range(told.seed, told.seed + told.seeds):
             took, calls, refused, broken = played(seed, told.gateways, trouble, told.rate)
-            known, over = [one for one in took if one is not None], sum(one is None or one > BOUND for one in took)
+            known, over = (
+                [one for one in took if one is not None],
+                sum(one is None or one > BOUND for one in took),
+            )
             p50, p90, most = at(known, 0.5), at(known, 0.9), max(known)
-            print(f"{trouble:12} seed {seed}: told p50 {p50:.2f}, p90 {p90:.2f}, most {most:.2f} s; "
-                  f"{over} of {len(took)} over 6 s; calls in a second {max(calls)} at most, {sum(calls[10:20]) / 10:.0f} "
-                  f"from 10 s on; turned away {sum(refused[:10])}, from 10 s on {sum(refused[10:])}; "
-                  f"rules broken: {', '.join(broken) or 'none'}")
+            print(
+                f"{trouble:12} seed {seed}: told p50 {p50:.2f}, p90 {p90:.2f}, most {most:.2f} s; "
+                f"{over} of {len(took)} over 6 s; calls in a second {max(calls)} at most, {sum(calls[10:20]) / 10:.0f} "
+                f"from 10 s on; turned away {sum(refused[:10])}, from 10 s on {sum(refused[10:])}; "
+                f"rules broken: {', '.join(broken) or 'none'}"
+            )
             late += over
-            found.append({"trouble": trouble, "seed": seed, "most": most, "over": over, "of": len(took),
-                          "calls": calls, "refused": refused, "broken": broken})
+            found.append(
+                {
+                    "trouble": trouble,
+                    "seed": seed,
+                    "most": most,
+                    "over": over,
+                    "of": len(took),
+                    "calls": calls,
+                    "refused": refused,
+                    "broken": broken,
+                }
+            )
     print(json.dumps(found))
     return int(bool(late))
 
 
 def main():
-    asked = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    asked = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     asked.add_argument("--gateways", type=int, default=0)
     asked.add_argument("--model", action="store_true")
     asked.add_argument("--seeds", type=int, default=5)
--- a/petrellane/agreement/agent.py
+++ b/petrellane/agreement/agent.py
@@ -26,17 +26,25 @@
     """One gateway's. `settings` are those of its own file; `takes` says why settings will not do here, or None; `adopt`
     puts settings in force; `chance` draws from 0 to 1."""
 
-    SIDE_BY_SIDE = 4     # others that are asked at a time
-    PATIENCE = 0.5       # seconds that one may take to answer
-    IN_DOUBT = 3         # others asked a round while the decision is not known
+    SIDE_BY_SIDE = 4  # others that are asked at a time
+    PATIENCE = 0.5  # seconds that one may take to answer
+    IN_DOUBT = 3  # others asked a round while the decision is not known
 
     def __init__(self, scheduler, limits, log, told, name, settings, takes, adopt, chance):
-        self.scheduler, self.limits, self.log, self.told, self.name = scheduler, limits, log, told, name
+        self.scheduler, self.limits, self.log, self.told, self.name = (
+            scheduler,
+            limits,
+            log,
+            told,
+            name,
+        )
         self.settings, self.takes, self.adopt, self.chance = settings, takes, adopt, chance
         self.store, self.remembers, self.writable = Store(told.state, name), True, True
-        self.state = State(Generation(FIRST, digest(settings), policy(settings), tuple(told.members)))
+        self.state = State(
+            Generation(FIRST, digest(settings), policy(settings), tuple(told.members))
+        )
         self.standing = Standing(name, told.members, False, self.clock())
-        self.part = False          # we answer and ask: this process is the gateway
+        self.part = False  # we answer and ask: this process is the gateway
         self.begin = None
         self.asking = self.over = self.busy = False
         self.announced = self.drifted = None
@@ -54,9 +62,16 @@
         self.remembers = found is not None and why is None
         if why:
             self.log.event("agreement_unreadable", error=why)
-        if found and self.writable and found.in_force.ballot >= self.state.in_force.ballot:    # never back to an earlier one
-            self.state = found if found.in_force.number else self.state._replace(
-                promised=found.promised, possible=found.possible, denied=found.denied)
+        if (
+            found and self.writable and found.in_force.ballot >= self.state.in_force.ballot
+        ):  # never back to an earlier one
+            self.state = (
+                found
+                if found.in_force.number
+                else self.state._replace(
+                    promised=found.promised, possible=found.possible, denied=found.denied
+                )
+            )
         if self.bound():
             self.put()
             self.drifts(self.settings)
@@ -78,7 +93,9 @@
 
     def members(self):
         """Who has to agree: whom the generation in force names, or our file where none was agreed on."""
-        return self.state.in_force.members if self.state.in_force.number else tuple(self.told.members)
+        return (
+            self.state.in_force.members if self.state.in_force.number else tuple(self.told.members)
+        )
 
     def leave(self):
         """Another process is the gateway from now on."""
@@ -132,6 +149,7 @@
             except OSError as error:
                 told.append(error)
             theirs.send(b".")
+
         self.scheduler.register(ours.fileno(), select.POLLIN, lambda events: current.switch())
         threading.Thread(target=save, daemon=True).start()
         try:
@@ -150,8 +168,13 @@
         if said != self.announced:
             self.announced = said
             self.adopt(member.admitted(self.state))
-            self.log.event("generation", number=said[0].number, epoch=list(said[0].epoch),
-                           digest=self.state.in_force.digest, possible=[one.number for one in said[1]])
+            self.log.event(
+                "generation",
+                number=said[0].number,
+                epoch=list(said[0].epoch),
+                digest=self.state.in_force.digest,
+                possible=[one.number for one in said[1]],
+            )
             if self.state.possible:
                 self.ask()
 
@@ -162,17 +185,28 @@
     def heard(self, message):
         """A message under the key: the status and the answer."""
         if not self.part:
-            return 503, {"refused": "elsewhere", "why": "another process of this gateway is asked, or none yet"}
+            return 503, {
+                "refused": "elsewhere",
+                "why": "another process of this gateway is asked, or none yet",
+            }
         with self.turn():
             try:
                 after, told = member.heard(self.state, message, self.takes)
             except Refusal as refusal:
                 if refusal.cause == "settings":
-                    self.log.event("agreement_refused", do=message["do"], number=message.get("number"), error=refusal.text)
+                    self.log.event(
+                        "agreement_refused",
+                        do=message["do"],
+                        number=message.get("number"),
+                        error=refusal.text,
+                    )
                 return refusal.status, refusal.told()
             if after != self.state:
                 if not self.remember(after):
-                    return 507, {"refused": "unwritten", "why": f"{self.told.state}: the state can't be written"}
+                    return 507, {
+                        "refused": "unwritten",
+                        "why": f"{self.told.state}: the state can't be written",
+                    }
                 self.put()
                 self.knows()
             return 200, told
@@ -181,14 +215,21 @@
         """The gateway's file was read anew. What it says of settings, where these are agreed, is told and not taken; else
         it is what is in force here. True where it was taken."""
         if self.bound():
-            if digest(settings) not in (self.state.in_force.digest, self.drifted):    # staff see it, once
+            if digest(settings) not in (
+                self.state.in_force.digest,
+                self.drifted,
+            ):  # staff see it, once
                 self.drifted = digest(settings)
-                self.log.event("drift", number=self.state.in_force.number,
-                               lines=compared(self.state.in_force.content, settings)[:20])
+                self.log.event(
+                    "drift",
+                    number=self.state.in_force.number,
+                    lines=compared(self.state.in_force.content, settings)[:20],
+                )
             return False
         self.settings = settings
-        self.state = self.state._replace(in_force=Generation(FIRST, digest(settings), policy(settings),
-                                                             tuple(self.told.members)))
+        self.state = self.state._replace(
+            in_force=Generation(FIRST, digest(settings), policy(settings), tuple(self.told.members))
+        )
         return True
 
     # What we may have missed.
@@ -205,7 +246,7 @@
         if self.standing.look(self.clock()) and self.part:
             self.log.event("stood_still", known=self.standing.known)
             if not self.busy:
-                self.load()    # a process that took our place may have written there
+                self.load()  # a process that took our place may have written there
             self.ask()
 
     def ask(self):
@@ -223,19 +264,29 @@
     def until_known(self):
         outside = False
         with self.turn():
-            self.remember(self.state)    # whether the folder can be written shows now, not in the first change
+            self.remember(
+                self.state
+            )  # whether the folder can be written shows now, not in the first change
         while self.part and not self.over and (not self.standing.known or self.state.possible):
             if self.name not in self.standing.members and not outside:
                 outside = True
-                self.log.event("not_on_roster", number=self.state.in_force.number, members=len(self.standing.members))
-            if self.standing.known:    # a decision mostly comes by itself
+                self.log.event(
+                    "not_on_roster",
+                    number=self.state.in_force.number,
+                    members=len(self.standing.members),
+                )
+            if self.standing.known:  # a decision mostly comes by itself
                 self.scheduler.wait(member.ASK * (0.5 + self.chance()))
                 if not self.state.possible and self.standing.known:
                     break
-            names = [name for name in self.told.members if name != self.name and (
-                self.standing.known or outside or name not in self.standing.heard)]
+            names = [
+                name
+                for name in self.told.members
+                if name != self.name
+                and (self.standing.known or outside or name not in self.standing.heard)
+            ]
             names.sort(key=lambda name: self.chance())
-            self.round(names[:self.IN_DOUBT] if self.standing.known else names)
+            self.round(names[: self.IN_DOUBT] if self.standing.known else names)
             if not self.standing.known:
                 self.scheduler.wait(member.ASK * (0.5 + self.chance()))
 
@@ -250,6 +301,7 @@
                     self.learn_from(left.pop())
             finally:
                 busy.pop()
+
         for _ in range(min(self.SIDE_BY_SIDE, len(left))):
             busy.append(None)
             self.scheduler.spawn(some)
@@ -262,27 +314,43 @@
         standing, since = self.standing, self.standing.since
         for address in self.told.members[name]:
             try:
-                call = partial(post.ask, self.scheduler, self.limits, self.told.key, address, seal.PATH)
+                call = partial(
+                    post.ask, self.scheduler, self.limits, self.told.key, address, seal.PATH
+                )
                 told = call({"do": "state", "to": name}, self.PATIENCE)
                 if "refused" in told:
                     continue
                 learnt = member.learnt_of(told)
                 wanted = member.missing(self.state, learnt)
-                fetched = [generation_of(call({"do": "content", "to": name, "number": one.number,
-                                                      "epoch": list(one.epoch)}, self.PATIENCE), digest)
-                           for one in wanted]
+                fetched = [
+                    generation_of(
+                        call(
+                            {
+                                "do": "content",
+                                "to": name,
+                                "number": one.number,
+                                "epoch": list(one.epoch),
+                            },
+                            self.PATIENCE,
+                        ),
+                        digest,
+                    )
+                    for one in wanted
+                ]
                 with self.turn():
                     after = member.learn(self.state, learnt, fetched, self.takes)
                     if after != self.state:
                         if not self.remember(after):
-                            self.state, self.remembers = after, False    # it holds for this life
+                            self.state, self.remembers = after, False  # it holds for this life
                         self.put()
             except (post.Nobody, post.Silent, ValueError):
                 continue
             except Refusal as refusal:
-                self.log.event("agreement_refused", do="learn", gateway_asked=name, error=refusal.text)
+                self.log.event(
+                    "agreement_refused", do="learn", gateway_asked=name, error=refusal.text
+                )
                 return
-            self.look()    # an answer may have lain here while we stood still
+            self.look()  # an answer may have lain here while we stood still
             standing.told(name, since)
             self.knows()
             return
@@ -292,5 +360,7 @@
         if self.standing.known and self.begin:
             begin, self.begin = self.begin, None
             self.put()
-            self.log.event("agreed", number=self.state.in_force.number, asked=len(self.standing.heard))
+            self.log.event(
+                "agreed", number=self.state.in_force.number, asked=len(self.standing.heard)
+            )
             begin()
--- a/petrellane/agreement/ballots.py
+++ b/petrellane/agreement/ballots.py
@@ -6,6 +6,7 @@
 class Epoch(NamedTuple):
     """The right to change settings: of two, the higher one's word goes. `control` keeps two processes apart that took
     the same number."""
+
     number: int
     control: str
 
@@ -15,12 +16,14 @@
 
 class Ballot(NamedTuple):
     """The name of one proposed generation. Of two, the later one supersedes the other."""
+
     number: int
     epoch: Epoch
 
 
 class Generation(NamedTuple):
     """Settings under a number. `members` are the gateways, by name, that have to agree on the next one."""
+
     ballot: Ballot
     digest: str
     content: dict
@@ -41,8 +44,14 @@
 
 def epoch_of(told) -> Epoch:
     """An epoch from JSON. Raises ValueError where it is none."""
-    if (isinstance(told, (list, tuple)) and len(told) == 2 and type(told[0]) is int and 0 <= told[0] < 2 ** 53
-            and isinstance(told[1], str) and len(told[1]) <= 64):
+    if (
+        isinstance(told, (list, tuple))
+        and len(told) == 2
+        and type(told[0]) is int
+        and 0 <= told[0] < 2**53
+        and isinstance(told[1], str)
+        and len(told[1]) <= 64
+    ):
         return Epoch(*told)
     raise ValueError(f"epoch: expected a number and a name, found {str(told)[:40]}")
 
@@ -50,7 +59,7 @@
 def ballot_of(told) -> Ballot:
     """What names a generation, from JSON. Raises ValueError."""
     number = told.get("number") if isinstance(told, dict) else None
-    if type(number) is not int or not 0 <= number < 2 ** 53:
+    if type(number) is not int or not 0 <= number < 2**53:
         raise ValueError(f"number: expected a whole number from 0, found {str(number)[:40]}")
     return Ballot(number, epoch_of(told.get("epoch")))
 
@@ -67,7 +76,9 @@
     except (TypeError, ValueError, AttributeError):
         raise ValueError("content: expected settings in canonical JSON") from None
     if found != told.get("digest"):
-        raise ValueError(f"digest: expected {found}, that of the content, found {str(told.get('digest'))[:40]}")
+        raise ValueError(
+            f"digest: expected {found}, that of the content, found {str(told.get('digest'))[:40]}"
+        )
     return Generation(ballot, found, content, tuple(members))
 
 
--- a/petrellane/agreement/control.py
+++ b/petrellane/agreement/control.py
@@ -25,9 +25,11 @@
 class Control:
     """A control process from its configuration. Raises JournalError, or OSError where it can't listen."""
 
-    PATIENCE = 0.6     # seconds that a gateway may take to answer
-    TICK = 0.05        # between looks at what time alone brings
-    FRESH = 60.0       # seconds that a call of staff may be old, by their clock, and is not taken twice in
+    PATIENCE = 0.6  # seconds that a gateway may take to answer
+    TICK = 0.05  # between looks at what time alone brings
+    FRESH = (
+        60.0  # seconds that a call of staff may be old, by their clock, and is not taken twice in
+    )
 
     def __init__(self, config, log_descriptor=1, scheduler=None, limits=None):
         self.config, self.scheduler = config, scheduler or Scheduler()
@@ -35,10 +37,14 @@
         self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
         self.scheduler.fault = self.log.fault
         self.journal = Journal(config.journal)
-        self.leader = Leader(config.name, config.members, self.journal, self.scheduler.now(), self.journal.records())
+        self.leader = Leader(
+            config.name, config.members, self.journal, self.scheduler.now(), self.journal.records()
+        )
         self.calls, self.told, self.parked, self.complained = {}, None, {}, 0.0
-        self.nonces = {}    # of the last calls: one that was listened to must do nothing when it is said again
-        self.desk = Management(self.scheduler, self.limits, Service(0.0, 0.0), lambda: None, lambda trouble: None)
+        self.nonces = {}  # of the last calls: one that was listened to must do nothing when it is said again
+        self.desk = Management(
+            self.scheduler, self.limits, Service(0.0, 0.0), lambda: None, lambda trouble: None
+        )
         self.desk.handlers[seal.STAFF] = self.heard
         self.desk.listen(config.listen)
         self.workers = set()
@@ -57,8 +63,12 @@
     def run(self):
         """Serve until `end`."""
         self.start()
-        self.log.event("control", listen="%s:%d" % self.config.listen, gateways=len(self.config.members),
-                       epoch=self.leader.epoch.number)
+        self.log.event(
+            "control",
+            listen="%s:%d" % self.config.listen,
+            gateways=len(self.config.members),
+            epoch=self.leader.epoch.number,
+        )
         self.scheduler.run()
         self.desk.end()
         self.journal.close()
@@ -101,14 +111,23 @@
     def tell(self):
         """Log what has changed of the whole, once."""
         leads = self.leader
-        told = (leads.state, leads.epoch, leads.in_force and leads.in_force.ballot,
-                leads.change and leads.change.generation.ballot)
+        told = (
+            leads.state,
+            leads.epoch,
+            leads.in_force and leads.in_force.ballot,
+            leads.change and leads.change.generation.ballot,
+        )
         if told == self.told:
             return
         self.told = told
         self.staff_up()
-        self.log.event(leads.state, epoch=leads.epoch.number, number=leads.in_force.number if leads.in_force else None,
-                       under_way=leads.change.generation.number if leads.change else None, why=leads.why)
+        self.log.event(
+            leads.state,
+            epoch=leads.epoch.number,
+            number=leads.in_force.number if leads.in_force else None,
+            under_way=leads.change.generation.number if leads.change else None,
+            why=leads.why,
+        )
         self.nudge()
 
     def nudge(self):
@@ -132,6 +151,7 @@
         def wake():
             if self.parked.get(name) is wake:
                 current.switch()
+
         self.parked[name] = wake
         self.scheduler.wait(pause)
         del self.parked[name]
@@ -143,14 +163,21 @@
         self.calls[message["do"]] = self.calls.get(message["do"], 0) + 1
         for address in addresses:
             try:
-                answer = post.ask(self.scheduler, self.limits, self.config.key, address, seal.PATH, message,
-                                  self.PATIENCE)
+                answer = post.ask(
+                    self.scheduler,
+                    self.limits,
+                    self.config.key,
+                    address,
+                    seal.PATH,
+                    message,
+                    self.PATIENCE,
+                )
             except post.Nobody:
                 continue
             except post.Silent as error:
                 down, why = False, str(error)
                 continue
-            if answer.get("refused") == "elsewhere":    # not the process that is the gateway now
+            if answer.get("refused") == "elsewhere":  # not the process that is the gateway now
                 down, why = False, "it starts, or another process follows it"
                 continue
             self.noted(leads.heard, name, message, answer, self.scheduler.now())
@@ -174,8 +201,12 @@
         """Raise Unsealed for a call that is old, or that has come before."""
         now, at, nonce = self.scheduler.now(), message.get("at"), str(message.get("nonce"))
         if not isinstance(at, (int, float)) or abs(now - at) > self.FRESH or nonce in self.nonces:
-            raise seal.Unsealed(f"at: expected a new call of the last {self.FRESH:g} s, by a clock that is about right")
-        self.nonces = {one: until for one, until in self.nonces.items() if until > now} | {nonce: now + 2 * self.FRESH}
+            raise seal.Unsealed(
+                f"at: expected a new call of the last {self.FRESH:g} s, by a clock that is about right"
+            )
+        self.nonces = {one: until for one, until in self.nonces.items() if until > now} | {
+            nonce: now + 2 * self.FRESH
+        }
 
     def obeyed(self, message):
         """What staff asked, carried out: the status and what is told."""
@@ -183,24 +214,40 @@
         if do == "status":
             return 200, self.status()
         if do == "history":
-            return 200, {"history": [change.told() for _, change in sorted(self.leader.history.items())]}
+            return 200, {
+                "history": [change.told() for _, change in sorted(self.leader.history.items())]
+            }
         if do in ("show", "back"):
             found = self.generation(number)
             if not found:
-                return 404, {"refused": "unknown", "why": f"generation {number}: expected one of the history"}
+                return 404, {
+                    "refused": "unknown",
+                    "why": f"generation {number}: expected one of the history",
+                }
             if do == "show":
                 return 200, found.told()
             return self.propose(found.content, message)
         if do == "propose" and isinstance(message.get("settings"), dict):
             return self.propose(message["settings"], message)
         if do == "change":
-            change = next((one for ballot, one in self.leader.history.items() if ballot.number == number), None)
-            return (200, self.progress(change)) if change else (404, {"refused": "unknown", "why": f"no change {number}"})
+            change = next(
+                (one for ballot, one in self.leader.history.items() if ballot.number == number),
+                None,
+            )
+            return (
+                (200, self.progress(change))
+                if change
+                else (404, {"refused": "unknown", "why": f"no change {number}"})
+            )
         return 400, {"refused": "form", "why": f"do: expected a known word, found {str(do)[:40]}"}
 
     def generation(self, number):
         """The generation of a number: the one that was in force, else the last that was proposed under it."""
-        found = [change for ballot, change in sorted(self.leader.history.items()) if ballot.number == number]
+        found = [
+            change
+            for ballot, change in sorted(self.leader.history.items())
+            if ballot.number == number
+        ]
         if self.leader.in_force and self.leader.in_force.number == number:
             return self.leader.in_force
         kept = [change for change in found if change.outcome == rules.COMMITTED] or found
@@ -220,7 +267,9 @@
         except (ConfigError, ValueError, TypeError, AttributeError, KeyError) as error:
             return 422, {"refused": "settings", "why": str(error)}
         try:
-            change = self.leader.propose(content, tuple(without), str(message.get("by", ""))[:64], self.scheduler.now())
+            change = self.leader.propose(
+                content, tuple(without), str(message.get("by", ""))[:64], self.scheduler.now()
+            )
         except NotNow as error:
             return 409, {"refused": "not now", "why": str(error)}
         except OSError as error:
@@ -231,17 +280,36 @@
     def progress(self, change):
         """A change as it stands: its outcome, and where its settings are in force."""
         ballot, seen = change.generation.ballot, self.leader.seen
-        reached = [name for name in self.leader.everyone() if name in seen and seen[name].in_force >= ballot]
-        owed = [name for name in change.needed if name not in reached and name not in change.confirmed]
-        return change.told() | {"reached": len(reached), "of": len(self.leader.everyone()), "owed": sorted(owed),
-                                "control": self.leader.state}
+        reached = [
+            name
+            for name in self.leader.everyone()
+            if name in seen and seen[name].in_force >= ballot
+        ]
+        owed = [
+            name for name in change.needed if name not in reached and name not in change.confirmed
+        ]
+        return change.told() | {
+            "reached": len(reached),
+            "of": len(self.leader.everyone()),
+            "owed": sorted(owed),
+            "control": self.leader.state,
+        }
 
     def status(self):
         """The whole as it stands: this control process, what is in force, and each gateway."""
         leads = self.leader
-        return {"control": self.config.name, "state": leads.state, "why": leads.why, "epoch": list(leads.epoch),
-                "in_force": leads.in_force.named() if leads.in_force else None,
-                "under_way": self.progress(leads.change) if leads.change else None, "calls": self.calls,
-                "settled": leads.state == LEADING and not leads.change and not leads.unknown,
-                "seeking": leads.state == SEEKING,
-                "gateways": {name: dict(zip(("state", "number"), leads.at(name), strict=True)) for name in leads.everyone()}}
+        return {
+            "control": self.config.name,
+            "state": leads.state,
+            "why": leads.why,
+            "epoch": list(leads.epoch),
+            "in_force": leads.in_force.named() if leads.in_force else None,
+            "under_way": self.progress(leads.change) if leads.change else None,
+            "calls": self.calls,
+            "settled": leads.state == LEADING and not leads.change and not leads.unknown,
+            "seeking": leads.state == SEEKING,
+            "gateways": {
+                name: dict(zip(("state", "number"), leads.at(name), strict=True))
+                for name in leads.everyone()
+            },
+        }
--- a/petrellane/agreement/journal.py
+++ b/petrellane/agreement/journal.py
@@ -29,31 +29,41 @@
             version = self.base.execute("PRAGMA user_version").fetchone()[0]
             tables = self.base.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]
             if version != VERSION and (version or tables):
-                raise JournalError(f"{path}: expected a journal of version {VERSION}, found {version}: start the build that "
-                                   "wrote it, or move the file away and start with an empty one")
+                raise JournalError(
+                    f"{path}: expected a journal of version {VERSION}, found {version}: start the build that "
+                    "wrote it, or move the file away and start with an empty one"
+                )
             if not tables:
-                self.base.execute("CREATE TABLE records (number INTEGER PRIMARY KEY, at REAL NOT NULL, told BLOB NOT NULL)")
+                self.base.execute(
+                    "CREATE TABLE records (number INTEGER PRIMARY KEY, at REAL NOT NULL, told BLOB NOT NULL)"
+                )
                 self.base.execute(f"PRAGMA user_version = {VERSION}")
             self.base.execute("COMMIT")
         except sqlite3.OperationalError as error:
             busy = "another control process has it" if "locked" in str(error) else str(error)
             raise JournalError(f"{path}: expected a file that can be written: {busy}") from None
         except sqlite3.DatabaseError as error:
-            raise JournalError(f"{path}: expected a whole journal, found {error}: move it away and start with an empty one; "
-                               "the gateways remember what is in force") from None
+            raise JournalError(
+                f"{path}: expected a whole journal, found {error}: move it away and start with an empty one; "
+                "the gateways remember what is in force"
+            ) from None
 
     def records(self):
         """All records, the oldest first. Raises JournalError."""
         try:
-            return [orjson.loads(row[0]) | {"at": row[1]}
-                    for row in self.base.execute("SELECT told, at FROM records ORDER BY number")]
+            return [
+                orjson.loads(row[0]) | {"at": row[1]}
+                for row in self.base.execute("SELECT told, at FROM records ORDER BY number")
+            ]
         except (sqlite3.DatabaseError, ValueError) as error:
             raise JournalError(f"{self.path}: expected records in JSON, found {error}") from None
 
     def note(self, record, at):
         """Add a record; it is on the disk when this returns. Raises OSError, and nothing was added."""
         try:
-            self.base.execute("INSERT INTO records (at, told) VALUES (?, ?)", (at, orjson.dumps(record)))
+            self.base.execute(
+                "INSERT INTO records (at, told) VALUES (?, ?)", (at, orjson.dumps(record))
+            )
         except sqlite3.Error as error:
             raise OSError(f"{self.path}: {error}") from None
 
--- a/petrellane/agreement/leader.py
+++ b/petrellane/agreement/leader.py
@@ -25,15 +25,30 @@
 from dataclasses import dataclass, field
 
 from petrellane.agreement import policy
-from petrellane.agreement.ballots import Ballot, Epoch, Generation, epoch_of, generation_of, majority
+from petrellane.agreement.ballots import (
+    Ballot,
+    Epoch,
+    Generation,
+    epoch_of,
+    generation_of,
+    majority,
+)
 from petrellane.agreement.member import FENCE, FIRST, learnt_of
 
 SEEKING, LEADING, DEPOSED = "seeking", "leading", "deposed"
-PREPARING, COMMITTED, ABORTED, SUPERSEDED, UNKNOWN = "preparing", "committed", "aborted", "superseded", "unknown"
-RISES = 5       # times that a control process takes a higher epoch while it seeks: two that start at once end it
-WAIT = 3.0      # seconds until a change is given up for members that say nothing
-LOOK = 1.0      # seconds, about, between looks at a member that is due nothing
-AGAIN = 0.1     # seconds before a member that did not answer is asked again while a change is under way
+PREPARING, COMMITTED, ABORTED, SUPERSEDED, UNKNOWN = (
+    "preparing",
+    "committed",
+    "aborted",
+    "superseded",
+    "unknown",
+)
+RISES = 5  # times that a control process takes a higher epoch while it seeks: two that start at once end it
+WAIT = 3.0  # seconds until a change is given up for members that say nothing
+LOOK = 1.0  # seconds, about, between looks at a member that is due nothing
+AGAIN = (
+    0.1  # seconds before a member that did not answer is asked again while a change is under way
+)
 
 
 class NotNow(Exception):
@@ -43,6 +58,7 @@
 @dataclass
 class Change:
     """One proposal. `replies` maps a member to what it said: "prepared", "absent" or nothing yet."""
+
     generation: Generation
     base: Ballot
     needed: tuple
@@ -50,8 +66,8 @@
     began: float
     members_before: tuple
     replies: dict = field(default_factory=dict)
-    first: int = 0          # the order of the last message before it
-    settled: int = 0        # and of the last one sent when the last of those that serve prepared
+    first: int = 0  # the order of the last message before it
+    settled: int = 0  # and of the last one sent when the last of those that serve prepared
     confirmed: set = field(default_factory=set)
     outcome: str = PREPARING
     why: str = ""
@@ -59,10 +75,17 @@
 
     def told(self):
         ballot = self.generation.ballot
-        return {"number": ballot.number, "epoch": list(ballot.epoch), "digest": self.generation.digest,
-                "outcome": self.outcome, "why": self.why, "by": self.by, "without": list(self.without),
-                "prepared": sorted(name for name, said in self.replies.items() if said == "prepared"),
-                "absent": sorted(self.confirmed)}
+        return {
+            "number": ballot.number,
+            "epoch": list(ballot.epoch),
+            "digest": self.generation.digest,
+            "outcome": self.outcome,
+            "why": self.why,
+            "by": self.by,
+            "without": list(self.without),
+            "prepared": sorted(name for name, said in self.replies.items() if said == "prepared"),
+            "absent": sorted(self.confirmed),
+        }
 
 
 class Leader:
@@ -71,18 +94,20 @@
     def __init__(self, name, members, journal, now, records=()):
         self.name, self.members, self.journal = name, tuple(members), journal
         self.state, self.why = SEEKING, ""
-        self.in_force = None            # the generation, once it is known
+        self.in_force = None  # the generation, once it is known
         self.seen, self.asked_at = {}, {}
         self.promised, self.down, self.fault = set(), {}, {}
-        self.unknown = set()            # ballots that may have been decided before us, which are neither told nor denied
-        self.whole = set()              # members that are to be told what is in force with its content
-        self.top = 0                    # the highest number seen
-        self.roster = ()                # the last that was heard
+        self.unknown = (
+            set()
+        )  # ballots that may have been decided before us, which are neither told nor denied
+        self.whole = set()  # members that are to be told what is in force with its content
+        self.top = 0  # the highest number seen
+        self.roster = ()  # the last that was heard
         self.order = itertools.count(1)
         self.last = 0
         self.change, self.history, self.decided = None, {}, {}
-        self.tried = -math.inf          # when a change began last
-        self.wanted = None              # a ballot of which the content is looked for, and who has it
+        self.tried = -math.inf  # when a change began last
+        self.wanted = None  # a ballot of which the content is looked for, and who has it
         highest = 0
         for record in records:
             highest = max(highest, self.remember(record))
@@ -100,11 +125,23 @@
             generation = generation_of(record["generation"], policy.digest)
             self.top = max(self.top, generation.number)
             if kind == "in_force":
-                self.in_force = max(filter(None, (self.in_force, generation)), key=lambda one: one.ballot)
+                self.in_force = max(
+                    filter(None, (self.in_force, generation)), key=lambda one: one.ballot
+                )
             else:
                 change = self.history[generation.ballot] = Change(
-                    generation, FIRST, (), tuple(record.get("without", ())), 0.0, (), by=record.get("by", ""))
-                change.outcome, change.why = UNKNOWN, "the control process ended before it was decided"
+                    generation,
+                    FIRST,
+                    (),
+                    tuple(record.get("without", ())),
+                    0.0,
+                    (),
+                    by=record.get("by", ""),
+                )
+                change.outcome, change.why = (
+                    UNKNOWN,
+                    "the control process ended before it was decided",
+                )
         elif kind == "decided":
             ballot = Ballot(record["number"], Epoch(*record["epoch"]))
             self.decided[ballot] = record["outcome"]
@@ -113,7 +150,9 @@
                 change.confirmed = set(record.get("absent", ()))
                 change.replies = dict.fromkeys(record.get("prepared", ()), "prepared")
                 if record["outcome"] == COMMITTED:
-                    self.in_force = max(filter(None, (self.in_force, change.generation)), key=lambda one: one.ballot)
+                    self.in_force = max(
+                        filter(None, (self.in_force, change.generation)), key=lambda one: one.ballot
+                    )
         return 0
 
     def rise(self, number, now):
@@ -147,7 +186,11 @@
     def due(self, name, now):
         if self.state == SEEKING:
             if self.wanted and name in self.wanted[1]:
-                return {"do": "content", "number": self.wanted[0].number, "epoch": list(self.wanted[0].epoch)}
+                return {
+                    "do": "content",
+                    "number": self.wanted[0].number,
+                    "epoch": list(self.wanted[0].epoch),
+                }
             return {"do": "promise"} if name not in self.promised or self.stale(name, now) else None
         seen, change = self.seen.get(name), self.change
         if name in self.whole:
@@ -159,10 +202,17 @@
         for ballot in seen.possible if seen else ():
             if ballot not in kept and ballot > self.in_force.ballot:
                 return {"do": "deny", "number": ballot.number, "epoch": list(ballot.epoch)}
-        if change and name in change.needed and change.replies.get(name) != "prepared" and (
-                name not in change.confirmed):
-            return {"do": "prepare", "base": {"number": change.base.number, "epoch": list(change.base.epoch)},
-                    **change.generation.told()}
+        if (
+            change
+            and name in change.needed
+            and change.replies.get(name) != "prepared"
+            and (name not in change.confirmed)
+        ):
+            return {
+                "do": "prepare",
+                "base": {"number": change.base.number, "epoch": list(change.base.epoch)},
+                **change.generation.told(),
+            }
         return {"do": "promise"} if self.stale(name, now) else None
 
     def stale(self, name, now):
@@ -194,7 +244,9 @@
         if self.state == SEEKING:
             self.lead(now)
             return
-        if learnt.in_force > self.in_force.ballot:    # it was decided before us, and we know it only now
+        if (
+            learnt.in_force > self.in_force.ballot
+        ):  # it was decided before us, and we know it only now
             if self.change:
                 self.give_up(f"generation {learnt.in_force.number} is in force at {name}", now)
             self.state = SEEKING
@@ -204,11 +256,18 @@
         if change and name in change.without and message["order"] > change.first:
             self.give_up(f"{name} was counted out, and answers", now)
             return
-        if change and message["do"] == "prepare" and message["number"] == change.generation.number and (
-                change.generation.ballot in learnt.possible or learnt.in_force >= change.generation.ballot):
+        if (
+            change
+            and message["do"] == "prepare"
+            and message["number"] == change.generation.number
+            and (
+                change.generation.ballot in learnt.possible
+                or learnt.in_force >= change.generation.ballot
+            )
+        ):
             if change.replies.get(name) != "prepared":
                 change.replies[name] = "prepared"
-                change.confirmed.clear()    # whoever seemed absent is looked at once more
+                change.confirmed.clear()  # whoever seemed absent is looked at once more
                 change.settled = self.last
         self.judge(now)
 
@@ -220,14 +279,14 @@
             except ValueError:
                 promised = self.epoch
             if promised <= self.epoch:
-                return    # it was said to an earlier message of ours
+                return  # it was said to an earlier message of ours
             if self.state == SEEKING and self.rises < RISES:
                 self.rise(promised.number + 1, now)
             else:
                 self.depose(f"{name} follows another control process: {why}")
             return
         self.fault[name] = now + (AGAIN if self.change else LOOK)
-        if cause in ("behind", "unknown"):    # it is told what is in force first, whole
+        if cause in ("behind", "unknown"):  # it is told what is in force first, whole
             self.whole.add(name)
             self.fault.pop(name)
             return
@@ -285,10 +344,18 @@
             return
         highest = max(self.seen[name].in_force for name in self.promised)
         if self.in_force is None or self.in_force.ballot < highest:
-            self.wanted = highest, {name for name in self.promised if self.seen[name].in_force == highest}
+            self.wanted = (
+                highest,
+                {name for name in self.promised if self.seen[name].in_force == highest},
+            )
             return
         self.wanted, self.state = None, LEADING
-        doubts = {one for name in self.promised for one in self.seen[name].possible if one > self.in_force.ballot}
+        doubts = {
+            one
+            for name in self.promised
+            for one in self.seen[name].possible
+            if one > self.in_force.ballot
+        }
         self.unknown = {one for one in doubts if self.may_be_decided(one)}
         self.supersede(now)
 
@@ -296,8 +363,14 @@
         """What may have been decided is put behind: the settings in force come again under a later number."""
         self.unknown = {one for one in self.unknown if one > self.in_force.ballot}
         if self.unknown and not self.change:
-            self.begin(self.in_force.content, (), now, "the control process", "back to what is in force: nobody can tell "
-                       f"whether generation {max(self.unknown).number} was decided")
+            self.begin(
+                self.in_force.content,
+                (),
+                now,
+                "the control process",
+                "back to what is in force: nobody can tell "
+                f"whether generation {max(self.unknown).number} was decided",
+            )
 
     def may_be_decided(self, ballot):
         """Whether a ballot that was prepared somewhere may be in force at a gateway that has not answered."""
@@ -305,15 +378,19 @@
             return False
         if any(ballot in self.seen[name].denied for name in self.promised):
             return False
-        members = self.in_force.members    # a majority of these had to prepare it
-        never = [name for name in members if name in self.promised and ballot not in self.seen[name].possible]
+        members = self.in_force.members  # a majority of these had to prepare it
+        never = [
+            name
+            for name in members
+            if name in self.promised and ballot not in self.seen[name].possible
+        ]
         return len(never) <= len(members) - majority(members)
 
     def fetched(self, name, answer, now):
         """The content that was looked for. A gateway's own file, number 0, is taken as it is there."""
         try:
             generation = generation_of(answer, policy.digest)
-        except ValueError:    # it has moved on meanwhile
+        except ValueError:  # it has moved on meanwhile
             self.wanted = None
             self.promised.discard(name)
             return
@@ -327,15 +404,29 @@
     def propose(self, content, without, by, now):
         """Begin a change, or join the same one; the Change. Raises NotNow; Journal.note may raise."""
         if self.state != LEADING:
-            raise NotNow(f"{self.state}: {self.why or 'a majority of the gateways has not answered yet'}")
+            raise NotNow(
+                f"{self.state}: {self.why or 'a majority of the gateways has not answered yet'}"
+            )
         digest = policy.digest(content)
         if self.change:
             if self.change.generation.digest == digest:
                 return self.change
             raise NotNow(f"generation {self.change.generation.number} is under way")
-        if self.in_force.digest == digest and self.in_force.number and set(self.members) == set(self.in_force.members):
+        if (
+            self.in_force.digest == digest
+            and self.in_force.number
+            and set(self.members) == set(self.in_force.members)
+        ):
             return self.history.get(self.in_force.ballot) or Change(
-                self.in_force, self.in_force.ballot, (), (), now, (), outcome=COMMITTED, why="in force already")
+                self.in_force,
+                self.in_force.ballot,
+                (),
+                (),
+                now,
+                (),
+                outcome=COMMITTED,
+                why="in force already",
+            )
         if unknown := sorted(set(without) - set(self.everyone())):
             raise NotNow(f"without: expected names of the roster, found {unknown[0]}")
         if len(set(self.members) - set(without)) < majority(self.members):
@@ -345,13 +436,30 @@
     def begin(self, content, without, now, by, why):
         ballot = Ballot(max(self.top, self.in_force.number) + 1, self.epoch)
         generation = Generation(ballot, policy.digest(content), content, self.members)
-        self.journal.note({"kind": "proposed", "generation": generation.told(), "without": list(without), "by": by,
-                           "why": why}, now)
+        self.journal.note(
+            {
+                "kind": "proposed",
+                "generation": generation.told(),
+                "without": list(without),
+                "by": by,
+                "why": why,
+            },
+            now,
+        )
         self.top, self.tried = ballot.number, now
         needed = tuple(name for name in self.everyone() if name not in without)
-        self.change = self.history[ballot] = Change(generation, self.in_force.ballot, needed, tuple(without), now,
-                                                    self.in_force.members, why=why, by=by, first=self.last,
-                                                    settled=self.last)
+        self.change = self.history[ballot] = Change(
+            generation,
+            self.in_force.ballot,
+            needed,
+            tuple(without),
+            now,
+            self.in_force.members,
+            why=why,
+            by=by,
+            first=self.last,
+            settled=self.last,
+        )
         return self.change
 
     def judge(self, now):
@@ -363,21 +471,34 @@
             if self.unknown and now - self.tried >= LOOK:
                 self.supersede(now)
             return
-        left = (name for name in change.needed if change.replies.get(name) != "prepared" and name not in change.confirmed)
-        first = next(left, None)    # looked for anew at each answer, and mostly found at once
+        left = (
+            name
+            for name in change.needed
+            if change.replies.get(name) != "prepared" and name not in change.confirmed
+        )
+        first = next(left, None)  # looked for anew at each answer, and mostly found at once
         if first is None:
             done = {name for name in change.needed if change.replies.get(name) == "prepared"}
             for members in filter(None, (change.members_before, self.members)):
                 if len(done & set(members)) < majority(members):
-                    self.give_up(f"no majority: {len(done & set(members))} of {len(members)} gateways prepared, "
-                                 f"nobody listens at {', '.join(sorted(change.confirmed)) or 'none'}", now)
+                    self.give_up(
+                        f"no majority: {len(done & set(members))} of {len(members)} gateways prepared, "
+                        f"nobody listens at {', '.join(sorted(change.confirmed)) or 'none'}",
+                        now,
+                    )
                     return
             if change.without and now - change.began < 2 * FENCE:
-                return    # whoever was counted out and merely stands still is to notice that it did
+                return  # whoever was counted out and merely stands still is to notice that it did
             self.decide(COMMITTED, change.why, now)
         elif now - change.began >= WAIT:
-            self.give_up("no word from " + ", ".join(
-                f"{name} ({self.down.get(name, 'no answer')})" for name in sorted((first, *left))), now)
+            self.give_up(
+                "no word from "
+                + ", ".join(
+                    f"{name} ({self.down.get(name, 'no answer')})"
+                    for name in sorted((first, *left))
+                ),
+                now,
+            )
 
     def give_up(self, why, now):
         self.decide(ABORTED, why, now)
@@ -385,9 +506,20 @@
     def decide(self, outcome, why, now):
         change = self.change
         ballot = change.generation.ballot
-        self.journal.note({"kind": "decided", "number": ballot.number, "epoch": list(ballot.epoch), "outcome": outcome,
-                           "why": why, "absent": sorted(change.confirmed), "prepared": sorted(
-                               name for name, said in change.replies.items() if said == "prepared")}, now)
+        self.journal.note(
+            {
+                "kind": "decided",
+                "number": ballot.number,
+                "epoch": list(ballot.epoch),
+                "outcome": outcome,
+                "why": why,
+                "absent": sorted(change.confirmed),
+                "prepared": sorted(
+                    name for name, said in change.replies.items() if said == "prepared"
+                ),
+            },
+            now,
+        )
         change.outcome, change.why, self.decided[ballot] = outcome, why, outcome
         self.change = None
         if outcome == COMMITTED:
--- a/petrellane/agreement/member.py
+++ b/petrellane/agreement/member.py
@@ -36,15 +36,16 @@
     generation_of,
 )
 
-KEPT = 16          # ballots kept as denied: of changes that far back nobody speaks any more
-MOST = 8           # generations that may be possible at a time
-FENCE = 1.0        # seconds of standing still after which a gateway can have been counted out meanwhile
-ASK = 0.5          # seconds, about, between rounds of asking others while in doubt or unknowing
+KEPT = 16  # ballots kept as denied: of changes that far back nobody speaks any more
+MOST = 8  # generations that may be possible at a time
+FENCE = 1.0  # seconds of standing still after which a gateway can have been counted out meanwhile
+ASK = 0.5  # seconds, about, between rounds of asking others while in doubt or unknowing
 FIRST = Ballot(0, NOBODY)
 
 
 class State(NamedTuple):
     """What a gateway remembers."""
+
     in_force: Generation
     promised: Epoch = NOBODY
     possible: tuple = ()
@@ -52,10 +53,13 @@
 
     def told(self):
         """As JSON, without contents."""
-        return {"promised": list(self.promised), "in_force": self.in_force.named(),
-                "possible": [one.named() for one in self.possible],
-                "denied": [{"number": one.number, "epoch": list(one.epoch)} for one in self.denied],
-                "members": list(self.in_force.members)}
+        return {
+            "promised": list(self.promised),
+            "in_force": self.in_force.named(),
+            "possible": [one.named() for one in self.possible],
+            "denied": [{"number": one.number, "epoch": list(one.epoch)} for one in self.denied],
+            "members": list(self.in_force.members),
+        }
 
     def holds(self, ballot):
         """The generation of a ballot, where it is in force or possible here."""
@@ -97,12 +101,18 @@
             raise Refusal(400, "form", f"do: expected a known word, found {str(do)[:40]}")
         epoch = epoch_of(message.get("epoch_of"))
         if epoch < state.promised:
-            raise Refusal(409, "epoch", f"epoch {epoch.number} of {epoch.control}: expected at least "
-                                        f"{state.promised.number} of {state.promised.control}",
-                          promised=list(state.promised))
+            raise Refusal(
+                409,
+                "epoch",
+                f"epoch {epoch.number} of {epoch.control}: expected at least "
+                f"{state.promised.number} of {state.promised.control}",
+                promised=list(state.promised),
+            )
         after = state._replace(promised=epoch)
         if do == "prepare":
-            after = prepared(after, generation_of(message, policy.digest), ballot_of(message.get("base")), takes)
+            after = prepared(
+                after, generation_of(message, policy.digest), ballot_of(message.get("base")), takes
+            )
         elif do == "commit":
             after = committed(after, message, takes)
         elif do == "deny":
@@ -117,16 +127,24 @@
     if state.holds(ballot):
         return state
     if ballot <= state.in_force.ballot:
-        raise Refusal(409, "past", f"generation {ballot.number}: {state.in_force.number} is in force")
+        raise Refusal(
+            409, "past", f"generation {ballot.number}: {state.in_force.number} is in force"
+        )
     if ballot in state.denied:
         raise Refusal(409, "past", f"generation {ballot.number}: it was given up")
     if state.in_force.ballot < base:
-        raise Refusal(409, "behind", f"generation {base.number} is not in force here, but {state.in_force.number}")
+        raise Refusal(
+            409,
+            "behind",
+            f"generation {base.number} is not in force here, but {state.in_force.number}",
+        )
     if wrong := takes(generation.content):
         raise Refusal(422, "settings", wrong)
     if len(state.possible) >= MOST:
         raise Refusal(409, "crowded", f"{MOST} generations are possible here already")
-    return state._replace(possible=tuple(sorted((*state.possible, generation), key=lambda one: one.ballot)))
+    return state._replace(
+        possible=tuple(sorted((*state.possible, generation), key=lambda one: one.ballot))
+    )
 
 
 def committed(state, message, takes):
@@ -138,25 +156,32 @@
         if "content" not in message:
             raise Refusal(409, "unknown", f"generation {ballot.number}: its content is not here")
         found = generation_of(message, policy.digest)
-        if wrong := takes(found.content):    # the decision holds; this gateway can't follow it, and says so
+        if wrong := takes(
+            found.content
+        ):  # the decision holds; this gateway can't follow it, and says so
             raise Refusal(422, "settings", wrong)
     return put_in_force(state, found)
 
 
 def put_in_force(state, generation):
-    return state._replace(in_force=generation,
-                          possible=tuple(one for one in state.possible if one.ballot > generation.ballot))
+    return state._replace(
+        in_force=generation,
+        possible=tuple(one for one in state.possible if one.ballot > generation.ballot),
+    )
 
 
 def denied(state, ballot):
     if ballot <= state.in_force.ballot or ballot in state.denied:
         return state
-    return state._replace(possible=tuple(one for one in state.possible if one.ballot != ballot),
-                          denied=(*state.denied, ballot)[-KEPT:])
+    return state._replace(
+        possible=tuple(one for one in state.possible if one.ballot != ballot),
+        denied=(*state.denied, ballot)[-KEPT:],
+    )
 
 
 class Learnt(NamedTuple):
     """What another gateway remembers, as it told."""
+
     in_force: Ballot
     digest: str
     possible: tuple
@@ -170,15 +195,23 @@
     if not all(isinstance(row, list) for row in rows):
         raise ValueError("possible, denied, members: expected lists")
     force = told.get("in_force")
-    return Learnt(ballot_of(force), str(force.get("digest")), tuple(map(ballot_of, rows[0])),
-                  tuple(map(ballot_of, rows[1])), tuple(map(str, rows[2])))
+    return Learnt(
+        ballot_of(force),
+        str(force.get("digest")),
+        tuple(map(ballot_of, rows[0])),
+        tuple(map(ballot_of, rows[1])),
+        tuple(map(str, rows[2])),
+    )
 
 
 def missing(state, learnt):
     """Ballots of which the content has to be fetched from a gateway before what it told can be learnt."""
     wanted = [learnt.in_force] if learnt.in_force > state.in_force.ballot else []
-    wanted += [one for one in learnt.possible
-               if one > max(learnt.in_force, state.in_force.ballot) and one not in state.denied]
+    wanted += [
+        one
+        for one in learnt.possible
+        if one > max(learnt.in_force, state.in_force.ballot) and one not in state.denied
+    ]
     return [one for one in wanted if not state.holds(one)]
 
 
@@ -197,9 +230,16 @@
             state = put_in_force(state, found)
     for ballot in learnt.possible:
         found = got.get(ballot)
-        if found and ballot > state.in_force.ballot and not state.holds(ballot) and ballot not in state.denied:
+        if (
+            found
+            and ballot > state.in_force.ballot
+            and not state.holds(ballot)
+            and ballot not in state.denied
+        ):
             if takes(found.content) is None and len(state.possible) < MOST:
-                state = state._replace(possible=tuple(sorted((*state.possible, found), key=lambda one: one.ballot)))
+                state = state._replace(
+                    possible=tuple(sorted((*state.possible, found), key=lambda one: one.ballot))
+                )
     return state
 
 
@@ -210,7 +250,7 @@
     def __init__(self, name, members, remembers, now):
         self.name, self.remembers = name, remembers
         self.heard, self.looked, self.known = set(), now, False
-        self.since = 0    # times that it stood still: what was asked before says nothing after
+        self.since = 0  # times that it stood still: what was asked before says nothing after
         self.of(members)
 
     def of(self, members):
--- a/petrellane/agreement/policy.py
+++ b/petrellane/agreement/policy.py
@@ -15,11 +15,16 @@
 import json
 import math
 
-OWN = ("locality",)    # what a gateway knows of itself alone
+OWN = ("locality",)  # what a gateway knows of itself alone
 
-QUERY = "pure"                       # the effect whose RPCs come by the other command
+QUERY = "pure"  # the effect whose RPCs come by the other command
 KEYED = "token"
-SCOPES = ("none", "cell", "zone", "all")     # from the scope in which a repeat is discarded nowhere to everywhere
+SCOPES = (
+    "none",
+    "cell",
+    "zone",
+    "all",
+)  # from the scope in which a repeat is discarded nowhere to everywhere
 
 
 def policy(settings):
@@ -49,8 +54,13 @@
     told = plain(policy(settings))
     for key in ("classes", "contracts"):
         if isinstance(told.get(key), list):
-            told[key] = sorted(told[key], key=lambda row: json.dumps(row.get("name") if isinstance(row, dict) else row))
-    return json.dumps(told, separators=(",", ":"), sort_keys=True, ensure_ascii=False, allow_nan=False).encode()
+            told[key] = sorted(
+                told[key],
+                key=lambda row: json.dumps(row.get("name") if isinstance(row, dict) else row),
+            )
+    return json.dumps(
+        told, separators=(",", ":"), sort_keys=True, ensure_ascii=False, allow_nan=False
+    ).encode()
 
 
 def digest(settings):
@@ -60,16 +70,42 @@
 
 # The full form: what is left to its default is told.
 
-METHOD = {"goalTime": 0, "giveUp": 0, "keyScope": "", "window": 0, "worth": 0, "lateWorth": 0, "streamed": False}
-PLAN = {"quotaRate": 0, "storeSize": 0, "ceilingRate": 0, "ceilingBurst": 0, "ceilingSlack": 0, "maxOut": 0, "pays": 0,
-        "extraWorth": 0, "overrunCost": 0}
+METHOD = {
+    "goalTime": 0,
+    "giveUp": 0,
+    "keyScope": "",
+    "window": 0,
+    "worth": 0,
+    "lateWorth": 0,
+    "streamed": False,
+}
+PLAN = {
+    "quotaRate": 0,
+    "storeSize": 0,
+    "ceilingRate": 0,
+    "ceilingBurst": 0,
+    "ceilingSlack": 0,
+    "maxOut": 0,
+    "pays": 0,
+    "extraWorth": 0,
+    "overrunCost": 0,
+}
 BOUNDS = (("quotaRate", ("storeSize",)), ("ceilingRate", ("ceilingBurst", "ceilingSlack")))
 PARTS = {
     "familyInfo": {"mayCount": False, "counterTimeout": 0, "maxUnits": 1_000_000_000},
-    "limits": {"maxAttempts": 1, "dialTimeout": 1_000_000, "connIdle": 30_000_000, "streamsPerConn": 1, "mayCancel": False,
-               "retryAfter": False, "maxRetryAfter": 0},
+    "limits": {
+        "maxAttempts": 1,
+        "dialTimeout": 1_000_000,
+        "connIdle": 30_000_000,
+        "streamsPerConn": 1,
+        "mayCancel": False,
+        "retryAfter": False,
+        "maxRetryAfter": 0,
+    },
     "obligations": {"cold": 0, "coldFrom": 1},
-    "prices": {"crossZone": 0}, "report": {"fields": []}}
+    "prices": {"crossZone": 0},
+    "report": {"fields": []},
+}
 TOP = {"discovery": "push", "replicasOfMe": 1_000_000}
 
 
@@ -79,12 +115,14 @@
     for key, defaults in PARTS.items():
         told[key] = defaults | told.get(key, {})
     told = TOP | told
-    told["report"]["fields"] = sorted(set(map(str, told["report"]["fields"])))    # their order says nothing
+    told["report"]["fields"] = sorted(
+        set(map(str, told["report"]["fields"]))
+    )  # their order says nothing
     told["classes"] = [METHOD | row | keyed(row) for row in told.get("classes", [])]
     told["contracts"] = [PLAN | row for row in told.get("contracts", [])]
     for row in told["contracts"]:
         for rate, rest in BOUNDS:
-            row |= dict.fromkeys(rest, 0) if not row[rate] else {}    # of no effect
+            row |= dict.fromkeys(rest, 0) if not row[rate] else {}  # of no effect
     return plain(told)
 
 
@@ -98,6 +136,7 @@
 
 # The meet.
 
+
 def least(one, other):
     return min(one, other)
 
@@ -116,11 +155,31 @@
 
 
 RULES = {
-    "goalTime": least, "giveUp": least, "worth": least, "lateWorth": least, "streamed": both, "window": least,
-    "maxOut": bounded, "pays": least, "extraWorth": least, "overrunCost": max,
-    "counterTimeout": least, "maxUnits": least, "maxAttempts": least, "dialTimeout": least, "connIdle": least,
-    "streamsPerConn": least, "mayCancel": both, "retryAfter": both, "maxRetryAfter": least, "cold": max,
-    "coldFrom": least, "crossZone": max, "fields": common, "replicasOfMe": least}
+    "goalTime": least,
+    "giveUp": least,
+    "worth": least,
+    "lateWorth": least,
+    "streamed": both,
+    "window": least,
+    "maxOut": bounded,
+    "pays": least,
+    "extraWorth": least,
+    "overrunCost": max,
+    "counterTimeout": least,
+    "maxUnits": least,
+    "maxAttempts": least,
+    "dialTimeout": least,
+    "connIdle": least,
+    "streamsPerConn": least,
+    "mayCancel": both,
+    "retryAfter": both,
+    "maxRetryAfter": least,
+    "cold": max,
+    "coldFrom": least,
+    "crossZone": max,
+    "fields": common,
+    "replicasOfMe": least,
+}
 
 
 def meet(one, other):
@@ -163,8 +222,11 @@
         return told | {"effect": QUERY, "keyScope": "none", "window": 0}
     narrow = min(one["keyScope"], other["keyScope"], key=SCOPES.index)
     keyed = KEYED in (one["effect"], other["effect"])
-    return told | {"effect": KEYED if keyed else "side_effect", "keyScope": narrow,
-                   "window": min(one["window"], other["window"]) if narrow != "none" else 0}
+    return told | {
+        "effect": KEYED if keyed else "side_effect",
+        "keyScope": narrow,
+        "window": min(one["window"], other["window"]) if narrow != "none" else 0,
+    }
 
 
 def plans(one, other):
@@ -184,12 +246,34 @@
 
 # The comparison, in words.
 
-WORDS = {"goalTime": "soft deadline", "giveUp": "deadline", "keyScope": "scope of its key", "window": "time of its key",
-         "quotaRate": "quota", "storeSize": "store", "ceilingRate": "ceiling", "ceilingBurst": "ceiling at once",
-         "ceilingSlack": "slack of the ceiling", "maxOut": "RPCs out at once", "pays": "price", "worth": "utility",
-         "lateWorth": "late utility", "maxAttempts": "attempts", "extraWorth": "utility past the quota",
-         "overrunCost": "cost past the quota"}
-TIMES = ("goalTime", "giveUp", "window", "dialTimeout", "connIdle", "counterTimeout", "maxRetryAfter", "cold")
+WORDS = {
+    "goalTime": "soft deadline",
+    "giveUp": "deadline",
+    "keyScope": "scope of its key",
+    "window": "time of its key",
+    "quotaRate": "quota",
+    "storeSize": "store",
+    "ceilingRate": "ceiling",
+    "ceilingBurst": "ceiling at once",
+    "ceilingSlack": "slack of the ceiling",
+    "maxOut": "RPCs out at once",
+    "pays": "price",
+    "worth": "utility",
+    "lateWorth": "late utility",
+    "maxAttempts": "attempts",
+    "extraWorth": "utility past the quota",
+    "overrunCost": "cost past the quota",
+}
+TIMES = (
+    "goalTime",
+    "giveUp",
+    "window",
+    "dialTimeout",
+    "connIdle",
+    "counterTimeout",
+    "maxRetryAfter",
+    "cold",
+)
 EFFECTS = {"pure": "idempotent", "token": "deduplicated", "side_effect": "non-idempotent"}
 NONE_AT_ZERO = ("quotaRate", "ceilingRate", "maxOut")
 
@@ -204,9 +288,14 @@
             if name not in new:
                 said.append(f"{kind} {name}: gone")
             elif name not in old:
-                said.append(f"{kind} {name}: new, " + ", ".join(
-                    f"{WORDS.get(field, field)} {shown(field, value)}" for field, value in sorted(new[name].items())
-                    if field != "name" and value not in (0, "", "none", False)))
+                said.append(
+                    f"{kind} {name}: new, "
+                    + ", ".join(
+                        f"{WORDS.get(field, field)} {shown(field, value)}"
+                        for field, value in sorted(new[name].items())
+                        if field != "name" and value not in (0, "", "none", False)
+                    )
+                )
             else:
                 said += [f"{kind} {name}: {line}" for line in changes(old[name], new[name])]
     rest = {key: value for key, value in before.items() if key not in ("classes", "contracts")}
--- a/petrellane/agreement/post.py
+++ b/petrellane/agreement/post.py
@@ -31,14 +31,20 @@
         raise Silent(f"no connection: {error}") from None
     try:
         body, body_seal = seal.question(key, message)
-        stream.write(http.post(path.decode(), "%s:%d" % address, {seal.FIELD.decode(): body_seal.decode()}, body))
+        stream.write(
+            http.post(
+                path.decode(), "%s:%d" % address, {seal.FIELD.decode(): body_seal.decode()}, body
+            )
+        )
         while not (found := http.head(stream.buffer, limits)):
             http.more(stream, until)
         status, fields, end = found
         del stream.buffer[:end]
         told = http.body(stream, fields, limits, until)
         if seal.FIELD not in fields:
-            raise Impostor(f"status {status} without a seal: {told[:100].decode('latin-1').strip()}")
+            raise Impostor(
+                f"status {status} without a seal: {told[:100].decode('latin-1').strip()}"
+            )
         return seal.answered(key, body_seal, fields.get(seal.FIELD), told)
     except seal.Unsealed as error:
         raise Impostor(str(error)) from None
--- a/petrellane/agreement/seal.py
+++ b/petrellane/agreement/seal.py
@@ -15,7 +15,7 @@
 PATH = b"/-/agreement"
 STAFF = b"/-/settings"
 FIELD = b"petrellane-seal"
-LEAST = 16    # bytes of a key
+LEAST = 16  # bytes of a key
 
 
 class Unsealed(Exception):
@@ -24,7 +24,11 @@
 
 def sealed(key, *parts):
     """The seal of some parts, each counted with its length."""
-    return hmac.new(key, b"".join(b"%d:%b" % (len(part), part) for part in parts), hashlib.sha256).hexdigest().encode()
+    return (
+        hmac.new(key, b"".join(b"%d:%b" % (len(part), part) for part in parts), hashlib.sha256)
+        .hexdigest()
+        .encode()
+    )
 
 
 def question(key, message):
--- a/petrellane/agreement/store.py
+++ b/petrellane/agreement/store.py
@@ -47,9 +47,12 @@
 
     @staticmethod
     def state_of(content):
-        return State(generation_of(content["in_force"], policy.digest), epoch_of(content["promised"]),
-                     tuple(generation_of(one, policy.digest) for one in content["possible"]),
-                     tuple(map(ballot_of, content["denied"])))
+        return State(
+            generation_of(content["in_force"], policy.digest),
+            epoch_of(content["promised"]),
+            tuple(generation_of(one, policy.digest) for one in content["possible"]),
+            tuple(map(ballot_of, content["denied"])),
+        )
 
     def read(self, path):
         """The turn and the state of one file; None where there is none. Raises Unreadable."""
@@ -57,8 +60,10 @@
             with open(path, "rb") as file:
                 told = orjson.loads(file.read())
             if told["version"] != VERSION:
-                raise Unreadable(f"{path}: expected version {VERSION}, found {told['version']}: move it away, and the "
-                                 "gateway asks the others")
+                raise Unreadable(
+                    f"{path}: expected version {VERSION}, found {told['version']}: move it away, and the "
+                    "gateway asks the others"
+                )
             if told["gateway"] != self.gateway or told["check"] != check(told["remembers"]):
                 raise Unreadable(f"{path}: expected what {self.gateway} wrote whole")
             return told["turn"], self.state_of(told["remembers"])
@@ -67,15 +72,25 @@
         except OSError as error:
             raise Unreadable(f"{path}: expected a readable file: {error.strerror}") from None
         except (ValueError, KeyError, TypeError) as error:
-            raise Unreadable(f"{path}: expected a whole file, found one cut short or spoilt ({error})") from None
+            raise Unreadable(
+                f"{path}: expected a whole file, found one cut short or spoilt ({error})"
+            ) from None
 
     def save(self, state):
         """Remember; durable when it returns. Raises OSError, and what was remembered before still is."""
-        content = {"in_force": state.in_force.told(), "promised": list(state.promised),
-                   "possible": [one.told() for one in state.possible],
-                   "denied": [{"number": one.number, "epoch": list(one.epoch)} for one in state.denied]}
-        told = {"version": VERSION, "gateway": self.gateway, "turn": self.turn + 1, "check": check(content),
-                "remembers": content}
+        content = {
+            "in_force": state.in_force.told(),
+            "promised": list(state.promised),
+            "possible": [one.told() for one in state.possible],
+            "denied": [{"number": one.number, "epoch": list(one.epoch)} for one in state.denied],
+        }
+        told = {
+            "version": VERSION,
+            "gateway": self.gateway,
+            "turn": self.turn + 1,
+            "check": check(content),
+            "remembers": content,
+        }
         path = self.paths[(self.turn + 1) % 2]
         made = not os.path.exists(path)
         with open(path, "wb") as file:
@@ -92,4 +107,6 @@
 
 
 def check(content):
-    return hashlib.blake2b(orjson.dumps(content, option=orjson.OPT_SORT_KEYS), digest_size=16).hexdigest()
+    return hashlib.blake2b(
+        orjson.dumps(content, option=orjson.OPT_SORT_KEYS), digest_size=16
+    ).hexdigest()
--- a/petrellane/agreement/words.py
+++ b/petrellane/agreement/words.py
@@ -17,7 +17,7 @@
 from petrellane.net.scheduler import Scheduler
 
 DONE, GIVEN, REFUSED, ABORTED, DOUBT = 0, 2, 3, 4, 5
-PAUSE = 0.1        # seconds between looks at a change
+PAUSE = 0.1  # seconds between looks at a change
 
 
 class Control:
@@ -33,11 +33,21 @@
 
         def call():
             try:
-                found.append(post.ask(scheduler, self.limits, self.config.key, self.config.listen, seal.STAFF,
-                                      {"do": do, "to": "control", **words}, self.patience))
+                found.append(
+                    post.ask(
+                        scheduler,
+                        self.limits,
+                        self.config.key,
+                        self.config.listen,
+                        seal.STAFF,
+                        {"do": do, "to": "control", **words},
+                        self.patience,
+                    )
+                )
             except (post.Nobody, post.Silent) as error:
                 found.append(error)
             scheduler.stop()
+
         scheduler.soon(greenlet.greenlet(call, scheduler.hub).switch)
         scheduler.run()
         if isinstance(found[0], Exception):
@@ -54,11 +64,18 @@
     try:
         told = control.ask(do, **words)
     except post.Nobody:
-        say({"outcome": "no control process"}, as_json, "nobody listens at %s:%d: is the control process up?" % (
-            control.config.listen))
+        say(
+            {"outcome": "no control process"},
+            as_json,
+            "nobody listens at %s:%d: is the control process up?" % (control.config.listen),
+        )
         return None, DOUBT
     except post.Silent as error:
-        say({"outcome": "no answer", "why": str(error)}, as_json, f"no answer from the control process: {error}")
+        say(
+            {"outcome": "no answer", "why": str(error)},
+            as_json,
+            f"no answer from the control process: {error}",
+        )
         return None, DOUBT
     if "refused" in told:
         say({"outcome": "refused", **told}, as_json, f"refused: {told['why']}")
@@ -80,7 +97,10 @@
         try:
             told = control.ask("change", number=number)
         except (post.Nobody, post.Silent):
-            told = told | {"outcome": "unknown", "why": "the control process does not answer any more"}
+            told = told | {
+                "outcome": "unknown",
+                "why": "the control process does not answer any more",
+            }
     if line:
         print(file=sys.stderr)
     say(told, as_json, progress(told))
@@ -92,7 +112,11 @@
 
 
 def ended(told):
-    return told["outcome"] in ("aborted", "superseded") or told["outcome"] == "committed" and not told["owed"]
+    return (
+        told["outcome"] in ("aborted", "superseded")
+        or told["outcome"] == "committed"
+        and not told["owed"]
+    )
 
 
 def progress(told):
@@ -102,13 +126,19 @@
         return f"generation {number}: prepared at {len(told['prepared'])}"
     if outcome == "committed":
         owed = f", not yet at {', '.join(told['owed'])}" if told["owed"] else ""
-        absent = f"; down, to have it when they start: {', '.join(told['absent'])}" if told["absent"] else ""
+        absent = (
+            f"; down, to have it when they start: {', '.join(told['absent'])}"
+            if told["absent"]
+            else ""
+        )
         return f"generation {number}: in force at {told['reached']} of {told['of']}{owed}{absent}"
     return f"generation {number}: {outcome}: {told['why']}"
 
 
 def propose(control, path, without, wait, less, as_json):
-    return change(control, wait, as_json, "propose", settings=settings_file(path), without=without, less=less)
+    return change(
+        control, wait, as_json, "propose", settings=settings_file(path), without=without, less=less
+    )
 
 
 def back(control, number, without, wait, as_json):
@@ -125,11 +155,16 @@
     force = told["in_force"]
     why = f" ({told['why']})" if told["why"] else ""
     print(f"control {told['control']}: {told['state']}, epoch {told['epoch'][0]}{why}")
-    print(f"in force: {'not known yet' if not force else 'generation %d, %s' % (force['number'], force['digest'])}")
+    print(
+        f"in force: {'not known yet' if not force else 'generation %d, %s' % (force['number'], force['digest'])}"
+    )
     if told["under_way"]:
         print(f"under way: {progress(told['under_way'])}")
     for name, at in told["gateways"].items():
-        print(f"  {name:20} {at['state']}" + ("" if at["number"] is None else f" (generation {at['number']})"))
+        print(
+            f"  {name:20} {at['state']}"
+            + ("" if at["number"] is None else f" (generation {at['number']})")
+        )
     return DONE
 
 
@@ -137,15 +172,24 @@
     told, code = called(control, as_json, "history")
     if told is None:
         return code
-    say(told, as_json, "\n".join(f"{one['number']:5} {one['outcome']:10} {one['by']:12} {one['why']}"
-                                 for one in told["history"]) or "no change yet")
+    say(
+        told,
+        as_json,
+        "\n".join(
+            f"{one['number']:5} {one['outcome']:10} {one['by']:12} {one['why']}"
+            for one in told["history"]
+        )
+        or "no change yet",
+    )
     return DONE
 
 
 def show(control, number, as_json):
     told, code = called(control, as_json, "show", number=number)
     if told is not None:
-        print(json.dumps(told) if as_json else json.dumps(told["content"], indent=1, sort_keys=True))
+        print(
+            json.dumps(told) if as_json else json.dumps(told["content"], indent=1, sort_keys=True)
+        )
     return code
 
 
--- a/petrellane/benchlink/door.py
+++ b/petrellane/benchlink/door.py
@@ -9,8 +9,16 @@
 from petrellane import interface as api
 from petrellane.choice import Gateway
 
-OUTCOMES = {"GOOD": api.OK, "BAD": api.ERROR, "LATE": api.LATE, "RST": api.RESET, "CXL": api.CANCELLED,
-            "FULL": api.FULL, "NOCONN": api.UNREACHABLE, "NOP": api.NEVER_SENT}
+OUTCOMES = {
+    "GOOD": api.OK,
+    "BAD": api.ERROR,
+    "LATE": api.LATE,
+    "RST": api.RESET,
+    "CXL": api.CANCELLED,
+    "FULL": api.FULL,
+    "NOCONN": api.UNREACHABLE,
+    "NOP": api.NEVER_SENT,
+}
 STATES = {"0": api.GONE, "1": api.READY, "2": api.DRAINING}
 NUMBER = re.compile(r"-?\d+(\.\d+)?(e[-+]?\d+)?", re.IGNORECASE)
 FULL_KINDS = {"1", "2"}
@@ -36,10 +44,12 @@
         self.methods, self.plans, self.report_fields = told.methods, told.plans, told.report_fields
         self.hosts, self.rpcs, self.handles = {}, {}, {}
         self.customers = WeakValueDictionary()
-        self.closing = []    # RPCs that may be let go of once the event's lines are made
+        self.closing = []  # RPCs that may be let go of once the event's lines are made
         self.adds = defaultdict(deque)
         self.wakes, self.nonce = {}, 0
-        self.gateway = Gateway(seed=seed, counter=told.may_count, must_ask=told.must_ask, **told.gateway)
+        self.gateway = Gateway(
+            seed=seed, counter=told.may_count, must_ask=told.must_ask, **told.gateway
+        )
 
     def start(self, now):
         """The instance's first actions."""
@@ -62,10 +72,17 @@
         listings = []
         for row in rows:
             host = self.hosts.setdefault(row["host"], api.Host(row["host"]))
-            listings.append(api.Listing(
-                host, row.get("az", ""), row.get("type", ""), int(row.get("pod", 0)),
-                STATES.get(row.get("state", "0"), api.GONE), float(row.get("share", 0)),
-                seconds(row.get("upSince"))))
+            listings.append(
+                api.Listing(
+                    host,
+                    row.get("az", ""),
+                    row.get("type", ""),
+                    int(row.get("pod", 0)),
+                    STATES.get(row.get("state", "0"), api.GONE),
+                    float(row.get("share", 0)),
+                    seconds(row.get("upSince")),
+                )
+            )
         return self.gateway.listed(now, fields.get("kind") in FULL_KINDS, listings)
 
     def demand(self, now, fields, rows):
@@ -77,9 +94,15 @@
             customer = self.customers[name] = api.Customer(name, plan)
         customer.first = int(fields.get("setStart", 0))
         customer.spread = int(fields.get("entryPoints", 0))
-        rpc = api.Rpc(self.methods[fields["grade"]], customer, float(fields.get("priceUnits", 0)),
-                      seconds(fields["expires"]), now,
-                      resent=fields.get("resent") == "1", write=fields.get("write") == "1")
+        rpc = api.Rpc(
+            self.methods[fields["grade"]],
+            customer,
+            float(fields.get("priceUnits", 0)),
+            seconds(fields["expires"]),
+            now,
+            resent=fields.get("resent") == "1",
+            write=fields.get("write") == "1",
+        )
         self.rpcs[fields["handle"]], self.handles[rpc] = rpc, fields["handle"]
         return self.gateway.place(now, rpc)
 
@@ -91,14 +114,22 @@
             return []
         self.closing.append(rpc)
         return self.gateway.again(
-            now, rpc.call_outs[number], OUTCOMES.get(fields.get("outcome"), api.ERROR),
-            over=fields.get("over") == "1", took=seconds(fields.get("took")), usage=int(fields.get("usage", 0)),
-            units=float(fields.get("finalUnits", 0)), report=self.report(fields))
+            now,
+            rpc.call_outs[number],
+            OUTCOMES.get(fields.get("outcome"), api.ERROR),
+            over=fields.get("over") == "1",
+            took=seconds(fields.get("took")),
+            usage=int(fields.get("usage", 0)),
+            units=float(fields.get("finalUnits", 0)),
+            report=self.report(fields),
+        )
 
     def streaming(self, now, fields, rows):
         """A streamed answer has begun."""
         rpc = self.rpcs.get(fields["handle"])
-        return self.gateway.streaming(now, rpc.call_outs[int(fields.get("sendNo", 0))]) if rpc else []
+        return (
+            self.gateway.streaming(now, rpc.call_outs[int(fields.get("sendNo", 0))]) if rpc else []
+        )
 
     def expired(self, now, fields, rows):
         """The client has left."""
@@ -128,7 +159,11 @@
     def report(self, fields):
         """A load report as a dict by field name; empty when none came."""
         values = fields.get("healthInfo", "").split(",")
-        return {name: float(text) for name, text in zip(self.report_fields, values, strict=False) if NUMBER.fullmatch(text)}
+        return {
+            name: float(text)
+            for name, text in zip(self.report_fields, values, strict=False)
+            if NUMBER.fullmatch(text)
+        }
 
     def say(self, steps):
         """The module's plain values as lines of the wire."""
@@ -140,8 +175,10 @@
         return lines
 
     def say_call_out(self, step):
-        return (f"DISPATCH gateway={self.number} handle={self.handles[step.rpc]} host={step.host.address} "
-                f"timeout={max(1, micros(step.timeout))}")
+        return (
+            f"DISPATCH gateway={self.number} handle={self.handles[step.rpc]} host={step.host.address} "
+            f"timeout={max(1, micros(step.timeout))}"
+        )
 
     def say_push_back(self, step):
         return f"REJECT gateway={self.number} handle={self.handles[step.rpc]} retryAfter={micros(step.wait)}"
@@ -168,8 +205,22 @@
         return f"STREAM_CHANGES gateway={self.number} on=1"
 
 
-HANDLERS = {"PEERS_KNOWN": Door.listed, "DEMAND": Door.demand, "ANSWER": Door.answer, "FIRST": Door.streaming,
-            "EXPIRED": Door.expired, "RING": Door.ring, "COUNTER_REPLY": Door.counted}
-SAYERS = {api.CallOut: Door.say_call_out, api.PushBack: Door.say_push_back, api.Abort: Door.say_abort,
-          api.Cancel: Door.say_cancel, api.Add: Door.say_add, api.Wake: Door.say_wake,
-          api.Log: Door.say_log, api.Subscribe: Door.say_subscribe}
+HANDLERS = {
+    "PEERS_KNOWN": Door.listed,
+    "DEMAND": Door.demand,
+    "ANSWER": Door.answer,
+    "FIRST": Door.streaming,
+    "EXPIRED": Door.expired,
+    "RING": Door.ring,
+    "COUNTER_REPLY": Door.counted,
+}
+SAYERS = {
+    api.CallOut: Door.say_call_out,
+    api.PushBack: Door.say_push_back,
+    api.Abort: Door.say_abort,
+    api.Cancel: Door.say_cancel,
+    api.Add: Door.say_add,
+    api.Wake: Door.say_wake,
+    api.Log: Door.say_log,
+    api.Subscribe: Door.say_subscribe,
+}
