--- a/petrellane/choice.py
+++ b/petrellane/choice.py
@@ -10,44 +10,69 @@
 
 from petrellane.hosts import AGAIN, NEW, Highest, Hosts
 from petrellane.interface import (
-    CANCELLED, DEDUPLICATED, ERROR, FULL, IDEMPOTENT, LATE, NEVER_SENT, OK, READY, UNREACHABLE,
-    Abort, Add, CallOut, Cancel, Log, PushBack, Rpc, Subscribe, Wake)
-
-WINDOW = 1.0          # a lease window, as a multiple of the time in which the plan's store fills
-CROWDED = 0.05        # share of failed asks from which the counter counts as crowded
-HEADROOM = 1.25       # leases are this multiple of recent demand (the source's figure)
-AHEAD = 0.25          # part of a window that a lease covers: what lies unused elsewhere is credit lost
-PIECE = 0.1           # what is worth an ask when credit is short, as a share of the allowance
-RESERVE = 0.3         # this last part of an allowance goes only to units in hand (the source's figure)
-ASK_SHARE = 0.6       # our deadline for an ask, as a share of the counter's own time-out
-POOL = 0.5            # of a ceiling's slack, what may lie on a count for gateways that are short of ceiling
-SILENT_AFTER = 2      # failed asks in a row after which the counter counts as silent
-PROBE_EVERY = 1.0     # seconds, about, between asks of a silent counter
-TICK = 0.1            # seconds between looks at what is out, while anything is
-IN_USE = 12           # hosts that a gateway uses at least
-KNOWN = 4             # and as many more as its own call-outs can give so many samples while they speak
-EXCHANGE = 5.0        # seconds after which one of the hosts in use is exchanged, when not all are
-PATIENCE = 8.0        # a call-out is overdue at this multiple of its method's typical time
-LATEST = 0.75         # or at this share of its soft deadline, if that comes sooner
-MEMORY = 10.0         # seconds for which a host's samples speak for it
-PRESSED = 0.2         # hosts are pressed when a call-out is expected to take this share of its soft deadline
-BEHIND = 0.6          # pressure is full there, and a host that far behind gets nothing more
-MOST = 0.9            # share of RPCs pushed back under the highest pressure: the rest shows when it ends
-SPANS = ((64, 2.5), (64, 0.6))    # samples that tell of pressure: at least so many, those of so many seconds
-PRIOR = [0.1, 0.1]    # shares of the soft deadline that speak for hosts of which little is known
-MORE = 1.5            # what cold hosts may take over of those just gone, as a multiple of what these had each
-LOCAL = 3.0           # odds of a host in our own zone, where crossing has a price
-RETRY_BUDGET = 0.2        # further call-outs, as a share of the last hundred
-PROVEN = (FULL, UNREACHABLE, NEVER_SENT)    # outcomes that prove a call-out never ran; no other does
-HANDED = ("window ends shares held got added owed total carry part dry_until single_at since ceiling filled "
-          "pooled pool_at busy out").split()    # what makes a lease, for the process that follows this one
-
-
-def stable(text):    # a whole number below 2**63 for a text, the same in every process
+    CANCELLED,
+    DEDUPLICATED,
+    ERROR,
+    FULL,
+    IDEMPOTENT,
+    LATE,
+    NEVER_SENT,
+    OK,
+    READY,
+    UNREACHABLE,
+    Abort,
+    Add,
+    CallOut,
+    Cancel,
+    Log,
+    PushBack,
+    Rpc,
+    Subscribe,
+    Wake,
+)
+
+WINDOW = 1.0  # a lease window, as a multiple of the time in which the plan's store fills
+CROWDED = 0.05  # share of failed asks from which the counter counts as crowded
+HEADROOM = 1.25  # leases are this multiple of recent demand (the source's figure)
+AHEAD = 0.25  # part of a window that a lease covers: what lies unused elsewhere is credit lost
+PIECE = 0.1  # what is worth an ask when credit is short, as a share of the allowance
+RESERVE = 0.3  # this last part of an allowance goes only to units in hand (the source's figure)
+ASK_SHARE = 0.6  # our deadline for an ask, as a share of the counter's own time-out
+POOL = 0.5  # of a ceiling's slack, what may lie on a count for gateways that are short of ceiling
+SILENT_AFTER = 2  # failed asks in a row after which the counter counts as silent
+PROBE_EVERY = 1.0  # seconds, about, between asks of a silent counter
+TICK = 0.1  # seconds between looks at what is out, while anything is
+IN_USE = 12  # hosts that a gateway uses at least
+KNOWN = 4  # and as many more as its own call-outs can give so many samples while they speak
+EXCHANGE = 5.0  # seconds after which one of the hosts in use is exchanged, when not all are
+PATIENCE = 8.0  # a call-out is overdue at this multiple of its method's typical time
+LATEST = 0.75  # or at this share of its soft deadline, if that comes sooner
+MEMORY = 10.0  # seconds for which a host's samples speak for it
+PRESSED = (
+    0.2  # hosts are pressed when a call-out is expected to take this share of its soft deadline
+)
+BEHIND = 0.6  # pressure is full there, and a host that far behind gets nothing more
+MOST = 0.9  # share of RPCs pushed back under the highest pressure: the rest shows when it ends
+SPANS = (
+    (64, 2.5),
+    (64, 0.6),
+)  # samples that tell of pressure: at least so many, those of so many seconds
+PRIOR = [0.1, 0.1]  # shares of the soft deadline that speak for hosts of which little is known
+MORE = 1.5  # what cold hosts may take over of those just gone, as a multiple of what these had each
+LOCAL = 3.0  # odds of a host in our own zone, where crossing has a price
+RETRY_BUDGET = 0.2  # further call-outs, as a share of the last hundred
+PROVEN = (FULL, UNREACHABLE, NEVER_SENT)  # outcomes that prove a call-out never ran; no other does
+HANDED = (
+    "window ends shares held got added owed total carry part dry_until single_at since ceiling filled "
+    "pooled pool_at busy out"
+).split()  # what makes a lease, for the process that follows this one
+
+
+def stable(text):  # a whole number below 2**63 for a text, the same in every process
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big") >> 1
 
 
-def mean(values, default=0.0):    # the mean of some samples, or the default when there are none
+def mean(values, default=0.0):  # the mean of some samples, or the default when there are none
     values = list(values)
     return sum(values) / len(values) if values else default
 
@@ -60,23 +85,45 @@
     """One customer's credit at this gateway, for the window that is running."""
 
     def __init__(self, customer, now, born):
-        self.customer, self.even = customer, 1 / max(1, customer.spread)    # our share of what is shared
-        self.held = self.got = self.added = self.owed = self.total = self.pooled = self.pooling = 0.0
-        self.out, self.part, self.queue = 0, 0.0, []    # call-outs out; of the last ledger; waits for ceiling
-        self.ask, self.carry, self.waiting = None, None, []    # carry: of the window before, None: unknown
+        self.customer, self.even = (
+            customer,
+            1 / max(1, customer.spread),
+        )  # our share of what is shared
+        self.held = self.got = self.added = self.owed = self.total = self.pooled = self.pooling = (
+            0.0
+        )
+        self.out, self.part, self.queue = (
+            0,
+            0.0,
+            [],
+        )  # call-outs out; of the last ledger; waits for ceiling
+        self.ask, self.carry, self.waiting = (
+            None,
+            None,
+            [],
+        )  # carry: of the window before, None: unknown
         self.dry_until, self.window, self.shares, self.busy = 0.0, None, True, False
-        self.single_at = self.since = self.ends = self.pool_at = now    # first: when a share may be one RPC
-        self.ceiling, self.filled, self.demand = 0.0, born, deque(maxlen=256)    # lives in a row never add up
+        self.single_at = self.since = self.ends = self.pool_at = (
+            now  # first: when a share may be one RPC
+        )
+        self.ceiling = 0.0  # lives in a row never add up
+        self.filled = born
+        self.demand = deque(maxlen=256)
         self.fit(now)
 
-    def fit(self, now):    # to the customer's plan: at first, and when new settings say something else of it
+    def fit(
+        self, now
+    ):  # to the customer's plan: at first, and when new settings say something else of it
         self.plan = plan = self.customer.plan
-        self.pool, self.terms = POOL * plan.ceiling_slack * (self.even < 1), (math.inf, math.inf, 0.0)
+        self.pool, self.terms = (
+            POOL * plan.ceiling_slack * (self.even < 1),
+            (math.inf, math.inf, 0.0),
+        )
         if plan.rate:
             length = WINDOW * plan.store / plan.rate
-            self.terms = length, plan.rate * length, stable(self.customer.name) / 2 ** 63 * length
+            self.terms = length, plan.rate * length, stable(self.customer.name) / 2**63 * length
         self.ends = self.ends if plan.rate else now
-        if now < self.ends:    # the count that runs goes on to its end: those of two would add up
+        if now < self.ends:  # the count that runs goes on to its end: those of two would add up
             before, self.dry_until = self.allowance, 0.0
             self.allowance = min(max(before, plan.store), plan.rate * self.length)
             self.held *= min(1.0, self.allowance / before)
@@ -90,8 +137,12 @@
         self.window = math.floor((now + self.phase) / self.length)
         self.ends = (self.window + 1) * self.length - self.phase
         self.part = min(1.0, self.got / self.total) if self.total else self.part
-        self.busy = self.total > self.customer.plan.ceiling_rate * self.even * self.length    # for one of us
-        self.held = self.got = self.added = self.owed = self.total = self.dry_until = self.pooled = 0.0
+        self.busy = (
+            self.total > self.customer.plan.ceiling_rate * self.even * self.length
+        )  # for one of us
+        self.held = self.got = self.added = self.owed = self.total = self.dry_until = (
+            self.pooled
+        ) = 0.0
         self.carry, self.shares = None, True
 
     def share(self, now, silent, units):
@@ -108,7 +159,9 @@
     def limit(self, now, carry):
         """The allowance; past it a customer may go on as its plan's store allows: with what the window before
         left (the carry) and what has been filled in since this one began."""
-        return max(self.allowance, carry + self.customer.plan.rate * (now - self.ends + self.length))
+        return max(
+            self.allowance, carry + self.customer.plan.rate * (now - self.ends + self.length)
+        )
 
     def wanted(self, now):
         """Recent demand for a part of the window, times the headroom, in whole RPCs: less than one is credit
@@ -118,15 +171,19 @@
         ahead = rate * min(AHEAD * self.length, self.ends - now) * HEADROOM
         return min(max(self.in_hand(), ahead - ahead % mean(recent, 1.0)), self.allowance)
 
-    def in_hand(self):    # the units of the RPCs that wait for credit
+    def in_hand(self):  # the units of the RPCs that wait for credit
         return sum(rpc.units for rpc in self.waiting if not rpc.ended)
 
-    def short(self):    # the units in hand that no credit covers
+    def short(self):  # the units in hand that no credit covers
         return self.in_hand() - self.held
 
-    def room(self, now, units):    # whether the ceiling and what the plan allows out at once leave any
+    def room(
+        self, now, units
+    ):  # whether the ceiling and what the plan allows out at once leave any
         most = self.customer.plan.max_out
-        return self.fill_ceiling(now) >= units and not (most and self.out >= max(1, most * self.even // 1))
+        return self.fill_ceiling(now) >= units and not (
+            most and self.out >= max(1, most * self.even // 1)
+        )
 
     def fill_ceiling(self, now):
         """Our even share of the ceiling's store, less what may lie in the pool: twice POOL of the slack.
@@ -137,36 +194,42 @@
             self.ceiling, self.filled = min(grown, self.top()), max(now, self.filled)
         return self.ceiling if plan.ceiling_rate else math.inf
 
-    def idle(self, now):    # it may be made anew without a loss, or a gain: a new one's ceiling is full
+    def idle(
+        self, now
+    ):  # it may be made anew without a loss, or a gain: a new one's ceiling is full
         over = now >= self.ends + min(self.length, MEMORY) and self.fill_ceiling(now) >= self.top()
         return over and not (self.out or self.waiting or self.ask or self.queue or self.pooling)
 
-    def given(self, now):    # what it is, as plain values, given up here: the ceiling of what waits stays
+    def given(
+        self, now
+    ):  # what it is, as plain values, given up here: the ceiling of what waits stays
         kept = min(self.fill_ceiling(now), self.in_hand() + sum(rpc.units for rpc in self.queue))
         self.ceiling -= kept if self.customer.plan.ceiling_rate else 0.0
         told = {name: getattr(self, name) for name in HANDED}
-        self.held, self.ceiling, self.filled = 0.0, kept, math.inf    # and it grows no more
+        self.held, self.ceiling, self.filled = 0.0, kept, math.inf  # and it grows no more
         return told | {"demand": list(self.demand)[-32:]}
 
-    def taken(self, told):    # go on with what another process was given up
+    def taken(self, told):  # go on with what another process was given up
         vars(self).update({name: told[name] for name in HANDED})
         self.demand.extend((at, units) for at, units in told["demand"])
 
-    def top(self):    # the most of the ceiling that we hold
+    def top(self):  # the most of the ceiling that we hold
         return (self.customer.plan.ceiling_burst - 2 * self.pool) * self.even
 
 
-class Leases:    # the quota: leases credit, spends it locally, refuses when a top-up fails
-
+class Leases:  # the quota: leases credit, spends it locally, refuses when a top-up fails
     def __init__(self, counter, rng, settle):
         self.random, self.settle, self.leases, self.most = rng.random, settle, {}, 100
-        self.look_at, self.ask_deadline = -math.inf if counter else math.inf, 0.0    # when it is asked next
-        self.silent, self.born, self.asks = not counter, math.inf, deque(maxlen=32)    # (at, in time)
+        self.look_at, self.ask_deadline = (
+            -math.inf if counter else math.inf,
+            0.0,
+        )  # when it is asked next
+        self.silent, self.born, self.asks = not counter, math.inf, deque(maxlen=32)  # (at, in time)
 
-    def of(self, customer, now):    # the customer's lease, brought into the running window
+    def of(self, customer, now):  # the customer's lease, brought into the running window
         lease = self.leases.get(customer)
         if lease is None:
-            if len(self.leases) >= self.most:    # guards memory against customers that are seen once
+            if len(self.leases) >= self.most:  # guards memory against customers that are seen once
                 self.leases = {who: old for who, old in self.leases.items() if not old.idle(now)}
                 self.most = 2 * len(self.leases) + 100
             lease = self.leases[customer] = Lease(customer, now, max(self.born, customer.since))
@@ -191,15 +254,21 @@
         covered = lease.held >= rpc.units or lease.allowance == math.inf
         lease.held -= rpc.units if covered else 0.0
         look = self.silent and now >= self.look_at and not lease.ask
-        if look:    # in silence an RPC now and then brings an ask: these follow demand, and not in step
+        if (
+            look
+        ):  # in silence an RPC now and then brings an ask: these follow demand, and not in step
             self.look_at = now + PROBE_EVERY * (0.5 + self.random())
         if covered:
-            return True, pooled + (self.top_up(lease, now) if look and lease.allowance < math.inf else [])
+            return True, pooled + (
+                self.top_up(lease, now) if look and lease.allowance < math.inf else []
+            )
         if now < lease.dry_until or self.silent and not look:
             return False, pooled
-        lease.waiting.append(rpc)    # the timer guards what waits longer than its client does
+        lease.waiting.append(rpc)  # the timer guards what waits longer than its client does
         steps = pooled + (self.top_up(lease, now) if lease.ask is None else [])
-        if lease.ask is None:    # all of an allowance that is less than its units is here: no ask will help
+        if (
+            lease.ask is None
+        ):  # all of an allowance that is less than its units is here: no ask will help
             lease.waiting.remove(rpc)
             return False, steps
         return None, steps + [Wake(max(0.0, rpc.deadline - now), rpc)]
@@ -207,14 +276,24 @@
     def pool(self, lease, now, units):
         """Escrow: a gateway whose share of the ceiling is full puts a piece of it on a count of this window,
         one that is short takes from there. What is lost is safe; a copy of it gives at most the slack."""
-        piece, name = lease.pool * lease.even, stable(f"{lease.customer.name} {lease.window} ceiling")
+        piece, name = (
+            lease.pool * lease.even,
+            stable(f"{lease.customer.name} {lease.window} ceiling"),
+        )
         if not piece or lease.pooling or now < lease.pool_at or self.silent or self.crowded(now):
             return []
         level, top = lease.fill_ceiling(now), lease.top()
-        busy = lease.busy or lease.total > lease.customer.plan.ceiling_rate * lease.even * lease.length
-        if busy and level > top - piece and level - piece >= units and lease.pooled + piece <= lease.pool:
+        busy = (
+            lease.busy or lease.total > lease.customer.plan.ceiling_rate * lease.even * lease.length
+        )
+        if (
+            busy
+            and level > top - piece
+            and level - piece >= units
+            and lease.pooled + piece <= lease.pool
+        ):
             lease.ceiling -= piece
-        elif level < units and now >= lease.dry_until:    # no more than fits, or it is lost
+        elif level < units and now >= lease.dry_until:  # no more than fits, or it is lost
             piece = -min(lease.pool, top - level)
         else:
             return []
@@ -228,20 +307,22 @@
             got = min(-add.amount, max(0.0, total - add.amount))
             steps = [Add(add.name, -add.amount - got, lease.length)] if got < -add.amount else []
         elif outcome in PROVEN and add.amount > 0:
-            got = add.amount    # it never went there
+            got = add.amount  # it never went there
         lease.ceiling += got
-        if not got and (add.amount < 0 or outcome != OK):    # empty: look later
+        if not got and (add.amount < 0 or outcome != OK):  # empty: look later
             lease.pool_at = now + PIECE * min(lease.length, 1.0)
         if outcome == OK and add.window == lease.window:
             lease.pooled, piece = total, lease.pool * lease.even
             more = min(lease.fill_ceiling(now) - lease.in_hand(), (lease.pool - total) / 2)
-            if add.again and total > lease.pool:    # several lent at once: back with what is too much
+            if add.again and total > lease.pool:  # several lent at once: back with what is too much
                 more = -min(add.amount, total - lease.pool)
-            elif add.again or add.amount < 0 or more < piece:    # else lend: its RPCs may be rare
+            elif add.again or add.amount < 0 or more < piece:  # else lend: its RPCs may be rare
                 more = 0.0
             if more:
                 lease.ceiling, lease.pooling = lease.ceiling - max(0.0, more), more
-                steps.append(Add(add.name, more, add.ttl, window=lease.window, again=more > 0, pool=lease))
+                steps.append(
+                    Add(add.name, more, add.ttl, window=lease.window, again=more > 0, pool=lease)
+                )
         queue, lease.queue = lease.queue, []
         for rpc in [rpc for rpc in queue if not rpc.ended]:
             verdict, more = self.spend(now, rpc, True)
@@ -253,11 +334,15 @@
         debt, lease.owed = lease.owed, 0.0
         amount = max(0.0, lease.wanted(now) - lease.held) + debt
         lease.added += amount
-        return self.post(lease, lease.window, amount, debt, again) if amount or debt or again else []
+        return (
+            self.post(lease, lease.window, amount, debt, again) if amount or debt or again else []
+        )
 
     def post(self, lease, window, amount, debt=0.0, again=False):
         """One ask, which our own deadline bounds; an amount of 0 only reads."""
-        name = stable(f"{lease.customer.name} {window}")    # the same at every gateway and every start
+        name = stable(
+            f"{lease.customer.name} {window}"
+        )  # the same at every gateway and every start
         lease.ask = Add(name, amount, min(60.0, 4 * lease.length), lease, lease.window, debt, again)
         return [lease.ask, Wake(self.ask_deadline, lease.ask)]
 
@@ -268,12 +353,15 @@
             return steps
         lease.ask, ask.settled = None, True
         self.asks.append((now, False))
-        if not self.silent and [ok for _, ok in self.asks][-SILENT_AFTER:] == [False] * SILENT_AFTER:
+        if (
+            not self.silent
+            and [ok for _, ok in self.asks][-SILENT_AFTER:] == [False] * SILENT_AFTER
+        ):
             self.silent = True
             steps = [Log(f"counter silent: {SILENT_AFTER} asks in a row failed")]
             self.look_at = now + PROBE_EVERY * (0.5 + self.random())
         if self.crowded(now):
-            lease.share(now, self.silent, lease.in_hand())    # for what waits now
+            lease.share(now, self.silent, lease.in_hand())  # for what waits now
             lease.dry_until = now + PIECE * lease.length
         return steps + self.decide(lease, now)
 
@@ -290,9 +378,11 @@
         if outcome != OK:
             if lease and lease.window == add.window:
                 if outcome == ERROR and lease.ask is add and not add.again and lease.waiting:
-                    lease.owed += add.debt - add.amount    # it was added: ask once more, for the total alone
+                    lease.owed += (
+                        add.debt - add.amount
+                    )  # it was added: ask once more, for the total alone
                     return self.top_up(lease, now, True)
-                proven = outcome in PROVEN    # else it may stand for what a share let in
+                proven = outcome in PROVEN  # else it may stand for what a share let in
                 lease.added -= add.amount if proven else 0.0
                 lease.owed = max(0.0, lease.owed + (add.debt if proven else add.debt - add.amount))
             return self.fail(now, add) if lease else []
@@ -303,32 +393,46 @@
         late, add.settled = add.settled, True
         lease.roll(now)
         if lease.window == add.window:
-            steps += self.grant(lease, add, total, now, late) + self.pool(lease, now, lease.in_hand())
+            steps += self.grant(lease, add, total, now, late) + self.pool(
+                lease, now, lease.in_hand()
+            )
         if lease.ask is not add:
             return steps
         lease.ask, short = None, lease.short() > 0
         if short and lease.carry is None and lease.window == add.window and not self.crowded(now):
-            if lease.total + lease.short() <= lease.limit(now, lease.allowance):    # a carry may cover it
+            if lease.total + lease.short() <= lease.limit(
+                now, lease.allowance
+            ):  # a carry may cover it
                 return steps + self.post(lease, lease.window - 1, 0.0)
             self.dry(lease, now)
-        asked = self.top_up(lease, now) if short and now >= lease.dry_until else []    # or a carry
+        asked = self.top_up(lease, now) if short and now >= lease.dry_until else []  # or a carry
         return steps + (asked or self.decide(lease, now))
 
     def grant(self, lease, add, total, now, late):
         """Take from an add what lies within the allowance and give the excess back."""
         steps, limit, asked = [], lease.limit(now, lease.carry or 0.0), add.amount - add.debt
-        if not add.amount and not add.debt:    # a look at what the window before left
+        if not add.amount and not add.debt:  # a look at what the window before left
             lease.carry = max(0.0, lease.allowance - total)
             self.dry(lease, now)
             return []
-        if total < lease.added - 0.5:    # less than we added ourselves: counts were lost, put ours back
+        if (
+            total < lease.added - 0.5
+        ):  # less than we added ourselves: counts were lost, put ours back
             steps.append(Add(add.name, lease.added - total, lease.length))
             total = lease.added
-        granted = max(0.0, min(asked, limit - total + asked))    # the debt was let in by shares and stays
+        granted = max(
+            0.0, min(asked, limit - total + asked)
+        )  # the debt was let in by shares and stays
         spare = total - limit * (1 - RESERVE)
         kept = max(min(granted, lease.short()), min(granted, granted - spare), 0.0)
-        new = kept - (min(lease.owed, kept) if late else 0.0)    # it came late: a share stood in for it
-        lease.held, lease.got, lease.owed = lease.held + new, lease.got + new, lease.owed - kept + new
+        new = kept - (
+            min(lease.owed, kept) if late else 0.0
+        )  # it came late: a share stood in for it
+        lease.held, lease.got, lease.owed = (
+            lease.held + new,
+            lease.got + new,
+            lease.owed - kept + new,
+        )
         lease.total = total - asked + kept
         if kept < asked:
             lease.added -= asked - kept
@@ -341,12 +445,15 @@
         """No further ask before the limit has grown by a worthwhile piece, or before the next window."""
         piece, carry = max(lease.short(), lease.allowance * PIECE), lease.carry or 0.0
         if lease.total + max(1.0, lease.short()) <= lease.limit(now, carry):
-            return    # only the reserve was kept back
-        lease.shares, lease.single_at = False, max(lease.single_at, lease.ends)    # at its limit, by t
+            return  # only the reserve was kept back
+        lease.shares, lease.single_at = (
+            False,
+            max(lease.single_at, lease.ends),
+        )  # at its limit, by t
         grown = (lease.total + piece - carry) / lease.customer.plan.rate
         lease.dry_until = lease.ends - lease.length + min(lease.length, max(0.0, grown))
 
-    def decide(self, lease, now):    # settle what waited for an ask, in order of arrival
+    def decide(self, lease, now):  # settle what waited for an ask, in order of arrival
         waiting, lease.waiting, steps = lease.waiting, [], []
         for rpc in [rpc for rpc in waiting if not rpc.ended]:
             covered = lease.held >= rpc.units
@@ -355,42 +462,52 @@
         return steps
 
 
-class Health:    # what is known of one host from our own call-outs
-
+class Health:  # what is known of one host from our own call-outs
     __slots__ = "out", "samples", "heard", "until", "rooms", "usual"
 
     def __init__(self):
-        self.out = {}                       # call-outs in flight, oldest first: how many were out before
-        self.samples = []    # the last 16: (at, method's root, outcome, share of soft deadline, out beside)
-        self.heard = {}                     # method's root -> when it last answered one
-        self.until, self.rooms, self.usual = -math.inf, {}, 0.0    # room by method, or of any, until then
-
-    def recent(self, root, now):    # the samples that still speak for it: of this method, or of all
+        self.out = {}  # call-outs in flight, oldest first: how many were out before
+        self.samples = []  # the last 16: (at, method's root, outcome, share of soft deadline, out beside)
+        self.heard = {}  # method's root -> when it last answered one
+        self.until, self.rooms, self.usual = (
+            -math.inf,
+            {},
+            0.0,
+        )  # room by method, or of any, until then
+
+    def recent(self, root, now):  # the samples that still speak for it: of this method, or of all
         recent = [sample for sample in self.samples if now - sample[0] <= MEMORY]
         return [sample for sample in recent if sample[1] is root] or recent
 
 
-class Fleet:    # the hosts: which may be used, how much room each has, and the draw
-
+class Fleet:  # the hosts: which may be used, how much room each has, and the draw
     def __init__(self, rng):
-        self.random, self.choices, self.choice, self.sample = rng.random, rng.choices, rng.choice, rng.sample
-        self.hosts, self.local = Hosts(Health), ("", 1.0)    # (zone, odds of a host there)
-        self.used, self.exchanged = [], 0.0    # (host, health) in use, drawn at random
-        self.out = {}                          # all call-outs in flight, oldest first
-        self.sizes = Highest(MEMORY)           # the capacity up to each list
-        self.lately = deque(maxlen=1024)         # (at, share of the soft deadline, out beside) of the last
-        self.tooks, self.usual = {}, {}        # method's root -> the last times of ok answers; their mean
-
-    def listed(self, now, full, listings):    # take over a list or its changes
+        self.random, self.choices, self.choice, self.sample = (
+            rng.random,
+            rng.choices,
+            rng.choice,
+            rng.sample,
+        )
+        self.hosts, self.local = Hosts(Health), ("", 1.0)  # (zone, odds of a host there)
+        self.used, self.exchanged = [], 0.0  # (host, health) in use, drawn at random
+        self.out = {}  # all call-outs in flight, oldest first
+        self.sizes = Highest(MEMORY)  # the capacity up to each list
+        self.lately = deque(maxlen=1024)  # (at, share of the soft deadline, out beside) of the last
+        self.tooks, self.usual = {}, {}  # method's root -> the last times of ok answers; their mean
+
+    def listed(self, now, full, listings):  # take over a list or its changes
         self.sizes.put(now, self.hosts.capacity(now))
         for host, health, news in self.hosts.listed(now, full, listings):
             health.until = -math.inf
             if news == AGAIN:
-                health.samples = []    # what we knew is of another process
-            elif news == NEW and self.random() * len(self.hosts) < len(self.used):    # as any other
+                health.samples = []  # what we knew is of another process
+            elif news == NEW and self.random() * len(self.hosts) < len(self.used):  # as any other
                 self.used[int(self.random() * len(self.used))] = (host, health)
-        self.used = [(host, health) for host, health in self.used
-                     if host.state == READY and self.hosts.get(host) is health]
+        self.used = [
+            (host, health)
+            for host, health in self.used
+            if host.state == READY and self.hosts.get(host) is health
+        ]
 
     def in_use(self, now):
         """The hosts drawn for use: as many as our own call-outs can keep known, one exchanged at times."""
@@ -401,12 +518,16 @@
             used.remove(self.choice(used))
             self.exchanged = now
         number = 1
-        while (short := want - len(used)) > 0:    # most of a few are not in use yet; of all there are enough
+        while (
+            short := want - len(used)
+        ) > 0:  # most of a few are not in use yet; of all there are enough
             number *= 2
-            used += [pair for pair in self.hosts.some(self.sample, number) if pair not in used][:short]
+            used += [pair for pair in self.hosts.some(self.sample, number) if pair not in used][
+                :short
+            ]
         return used
 
-    def typical(self, method):    # the usual time of an ok answer of this method
+    def typical(self, method):  # the usual time of an ok answer of this method
         return self.usual.get(method.root, method.soft_deadline / 8)
 
     def overdue(self, call_out, now):
@@ -420,7 +541,9 @@
     def is_outlier(self, health, method, now):
         """Out of favour: silent, unreachable, or failing much of what it takes of this method."""
         same = [call_out for call_out in health.out if call_out.rpc.method.root is method.root]
-        return any(self.overdue(one, now) for one in same) or self.fails(health.recent(method.root, now))
+        return any(self.overdue(one, now) for one in same) or self.fails(
+            health.recent(method.root, now)
+        )
 
     def fails(self, recent):
         bad = sum(sample[2] not in (OK, FULL) for sample in recent)
@@ -434,7 +557,7 @@
         carried = 2 * (1 + sum(part < 1 for part in parts)) / (1 + len(parts) + len(self.out))
         return max(self.hosts.capacity(now), self.sizes.most(now) / MORE) / min(1.0, carried)
 
-    def room(self, host, recent, lag):    # what a host is thought to have, in no unit but its own
+    def room(self, host, recent, lag):  # what a host is thought to have, in no unit but its own
         fine = (sum(sample[2] == OK for sample in recent) + 2) / (len(recent) + 2)
         local = self.local[1] if host.zone == self.local[0] else 1.0
         return local * host.share * (fine / lag) ** 2 if lag < BEHIND else 0.0
@@ -450,27 +573,44 @@
         for sample in recent:
             same.setdefault(sample[1], []).append(sample)
         health.until = recent[0][0] + MEMORY if recent else math.inf
-        rooms = {root: 0.0 if self.fails(some) else self.room(host, some, lag) for root, some in same.items()}
-        health.rooms, health.usual = rooms, 0.0 if self.fails(recent) else self.room(host, recent, lag)
+        rooms = {
+            root: 0.0 if self.fails(some) else self.room(host, some, lag)
+            for root, some in same.items()
+        }
+        health.rooms, health.usual = (
+            rooms,
+            0.0 if self.fails(recent) else self.room(host, recent, lag),
+        )
         return rooms.get(method.root, health.usual)
 
     def draw(self, now, rpc, scope):
         """A host for the RPC, drawn at random with odds in step with room; None when none may take it."""
         method, tried = rpc.method, {call_out.host for call_out in rpc.call_outs}
         cold = self.hosts.cold(now)
-        if cold and (lot := self.random() * self.whole(now)) < cold:    # warmth's part, in use or not
+        if cold and (lot := self.random() * self.whole(now)) < cold:  # warmth's part, in use or not
             host = self.hosts.cold_at(lot, now)
             fits = host not in tried and scope in (None, host.zone, host.pod)
             if fits and not self.is_outlier(self.hosts[host], method, now):
-                return host    # else its part is for warm ones: another cold one would get two
+                return host  # else its part is for warm ones: another cold one would get two
         edge, more = self.hosts.warm_up(now), max(IN_USE, len(self.used))
-        for find in (lambda: self.in_use(now), lambda: self.hosts.some_warm(self.sample, more, scope)):
-            ready = [pair for pair in find() if pair[0].up_since <= edge and (
-                scope is None or scope in (pair[0].zone, pair[0].pod))]
+        for find in (
+            lambda: self.in_use(now),
+            lambda: self.hosts.some_warm(self.sample, more, scope),
+        ):
+            ready = [
+                pair
+                for pair in find()
+                if pair[0].up_since <= edge
+                and (scope is None or scope in (pair[0].zone, pair[0].pod))
+            ]
             if ready := [pair for pair in ready if pair[0] not in tried] or ready:
                 break
-        rooms = [health.rooms.get(method.root, health.usual) if now < health.until else
-                 self.room_now(host, health, method, now) for host, health in ready]
+        rooms = [
+            health.rooms.get(method.root, health.usual)
+            if now < health.until
+            else self.room_now(host, health, method, now)
+            for host, health in ready
+        ]
         if not any(rooms) and all(self.is_outlier(health, method, now) for _, health in ready):
             rooms = [self.room_now(host, health, method, now, True) for host, health in ready]
         left = len(rooms) - rooms.count(0.0)
@@ -479,22 +619,38 @@
         usual = 1 + sum(out.values()) / max(1, left)
         for at in out:
             rooms[at] /= (1 + out[at] / usual) ** 2
-        return self.choices(ready, rooms)[0][0] if left else None    # None: more work would only be late
+        return (
+            self.choices(ready, rooms)[0][0] if left else None
+        )  # None: more work would only be late
 
-    def sent(self, call_out, now):    # a call-out has gone to its host
+    def sent(self, call_out, now):  # a call-out has gone to its host
         health = self.hosts[call_out.host]
-        health.out[call_out], self.out[call_out], health.until = len(health.out), len(self.out), -math.inf
-
-    def ended(self, call_out, outcome, took, now):    # a call-out has ended: note what it says of its host
+        health.out[call_out], self.out[call_out], health.until = (
+            len(health.out),
+            len(self.out),
+            -math.inf,
+        )
+
+    def ended(
+        self, call_out, outcome, took, now
+    ):  # a call-out has ended: note what it says of its host
         method, health = call_out.rpc.method, self.hosts.get(call_out.host, Health())
-        beside, all_out, health.until = health.out.pop(call_out, 0), self.out.pop(call_out, 0), -math.inf
+        beside = health.out.pop(call_out, 0)
+        all_out = self.out.pop(call_out, 0)
+        health.until = -math.inf
         silent, part = outcome in (CANCELLED, LATE), took / (method.soft_deadline or 1.0)
-        part = 1.0 if silent or outcome == FULL else part    # cut short: no less than all
+        part = 1.0 if silent or outcome == FULL else part  # cut short: no less than all
         if outcome == OK:
             self.tooks.setdefault(method.root, deque(maxlen=64)).append(took)
             self.usual[method.root] = mean(self.tooks[method.root])
-        if outcome in (OK, FULL) or silent and not any(at > call_out.sent for at in health.heard.values()):
-            self.lately.append((now, part, all_out))    # else the host serves others: it is sick, not behind
+        if (
+            outcome in (OK, FULL)
+            or silent
+            and not any(at > call_out.sent for at in health.heard.values())
+        ):
+            self.lately.append(
+                (now, part, all_out)
+            )  # else the host serves others: it is sick, not behind
         if outcome in (OK, ERROR, FULL):
             health.heard[method.root] = now
         if outcome not in (NEVER_SENT, CANCELLED) or call_out.cancelled:
@@ -505,7 +661,9 @@
         out have waited, in step with how many are out; fewer out helps less: other gateways send too."""
         parts = [sample[-2] for sample in samples] + PRIOR
         usual, besides = mean(parts), mean((sample[-1] for sample in samples), 1.0)
-        ages = [(now - call_out.sent) / (call_out.rpc.method.soft_deadline or 1.0) for call_out in out]
+        ages = [
+            (now - call_out.sent) / (call_out.rpc.method.soft_deadline or 1.0) for call_out in out
+        ]
         growth = (3 + len(ages)) / (3 + besides)
         return mean(parts + [age for age in ages if age > usual]) * max(growth, math.sqrt(growth))
 
@@ -513,9 +671,13 @@
         """How pressed the hosts are, by the last call-outs wherever they went, as we may hear little of
         each host: 0 at ease, full where a host would rest."""
         lately = [sample for sample in self.lately if now - sample[0] <= MEMORY]
-        some = [max(least, sum(now - sample[0] <= span for sample in lately)) for least, span in SPANS]
-        out = [call_out for call_out in self.out if not self.overdue(call_out, now)]    # silent is not behind
-        lag = max(self.lag(lately[-number:], out, now) for number in some)    # sooner up than down
+        some = [
+            max(least, sum(now - sample[0] <= span for sample in lately)) for least, span in SPANS
+        ]
+        out = [
+            call_out for call_out in self.out if not self.overdue(call_out, now)
+        ]  # silent is not behind
+        lag = max(self.lag(lately[-number:], out, now) for number in some)  # sooner up than down
         return min(MOST, max(0.0, (lag - PRESSED) / (BEHIND - PRESSED)))
 
 
@@ -527,11 +689,15 @@
         self.random, self.must_ask = rng.random, must_ask
         self.leases, self.fleet = Leases(counter, rng, self.settle), Fleet(rng)
         self.renewed(**settings)
-        self.firsts = deque(maxlen=100)    # of the last call-outs: 0 for a first one, 1 for a further one
-        self.values = deque(maxlen=64)     # utility per unit of work of the last RPCs
-        self.pressure, self.looking = 0.0, False    # as of the last look round
-
-    def renewed(self, *, zone, counter_timeout, may_cancel, max_wait, cold, cold_from, cross_zone, roots=()):
+        self.firsts = deque(
+            maxlen=100
+        )  # of the last call-outs: 0 for a first one, 1 for a further one
+        self.values = deque(maxlen=64)  # utility per unit of work of the last RPCs
+        self.pressure, self.looking = 0.0, False  # as of the last look round
+
+    def renewed(
+        self, *, zone, counter_timeout, may_cancel, max_wait, cold, cold_from, cross_zone, roots=()
+    ):
         """The settings, at the start and anew; RPCs point to their own methods and plans."""
         self.may_cancel, self.max_wait = may_cancel, max_wait
         self.fleet.hosts.warms(cold, cold_from)
@@ -539,19 +705,25 @@
         for health in self.fleet.hosts.values():
             health.until = -math.inf
         self.leases.ask_deadline = ASK_SHARE * counter_timeout
-        self.fleet.tooks = {root: tooks for root, tooks in self.fleet.tooks.items() if root in roots}
+        self.fleet.tooks = {
+            root: tooks for root, tooks in self.fleet.tooks.items() if root in roots
+        }
         self.fleet.usual = {root: mean(tooks) for root, tooks in self.fleet.tooks.items()}
 
-    def started(self, now):    # the first steps of a life
+    def started(self, now):  # the first steps of a life
         self.leases.born = now
         return [Subscribe()] if self.must_ask else []
 
-    def listed(self, now, full, listings):    # the host list or changes; None: asking failed, ask again
+    def listed(
+        self, now, full, listings
+    ):  # the host list or changes; None: asking failed, ask again
         if listings is not None:
             self.fleet.listed(now, full, listings)
         return [Subscribe()] if self.must_ask and listings is None else []
 
-    def place(self, now, rpc):    # where to send this one: to a host, into the wait for credit, or back
+    def place(
+        self, now, rpc
+    ):  # where to send this one: to a host, into the wait for credit, or back
         if self.shed(now, rpc):
             return [PushBack(self.end(rpc), self.max_wait, "pressed")]
         verdict, steps = self.leases.spend(now, rpc)
@@ -559,7 +731,12 @@
 
     def shed(self, now, rpc):
         """Whether the hosts are too pressed for an RPC of this utility per unit of work."""
-        value = rpc.method.utility * rpc.customer.plan.price * rpc.units / self.fleet.typical(rpc.method)
+        value = (
+            rpc.method.utility
+            * rpc.customer.plan.price
+            * rpc.units
+            / self.fleet.typical(rpc.method)
+        )
         self.values.append(value)
         rank = (sum(other < value for other in self.values) + self.random()) / len(self.values)
         return rank < self.pressure
@@ -576,7 +753,9 @@
         lease.held += rpc.units if may_go else 0.0
         return [PushBack(self.end(rpc), max(0.0, min(self.max_wait, lease.ends - now)), cause)]
 
-    def send(self, now, rpc, scope, by=math.inf):    # one call-out to a drawn host; no steps where none is
+    def send(
+        self, now, rpc, scope, by=math.inf
+    ):  # one call-out to a drawn host; no steps where none is
         host = self.fleet.draw(now, rpc, scope) if rpc.deadline > now else None
         if host is None:
             return []
@@ -593,7 +772,10 @@
         call_out.outcome, rpc.ended = outcome, rpc.ended or over
         call_out in self.fleet.out and self.fleet.ended(call_out, outcome, took, now)
         lease = self.leases.of(rpc.customer, now)
-        lease.out, lease.held = max(0, lease.out - 1), lease.held - (units - rpc.units if units else 0.0)
+        lease.out, lease.held = (
+            max(0, lease.out - 1),
+            lease.held - (units - rpc.units if units else 0.0),
+        )
         if rpc.ended:
             return []
         group = self.retry_targets(now, rpc)
@@ -604,7 +786,9 @@
         self.firsts += [1] * bool(steps)
         return steps or [self.give_up(now, rpc)]
 
-    def may_retry(self):    # guards hosts against further call-outs that add to a jam, however few each sends
+    def may_retry(
+        self,
+    ):  # guards hosts against further call-outs that add to a jam, however few each sends
         return sum(self.firsts) < RETRY_BUDGET * len(self.firsts)
 
     def retry_targets(self, now, rpc):
@@ -620,26 +804,29 @@
     def give_up(self, now, rpc):
         """The final answer for what will not go again: pushed back where a repeat is safe, else aborted."""
         effect, scope = rpc.method.effect, rpc.method.key_scope
-        safe = effect == IDEMPOTENT or effect == DEDUPLICATED and scope == "all" or not may_have_run(rpc)
+        repeats_anywhere = effect == DEDUPLICATED and scope == "all"
+        safe = effect == IDEMPOTENT or repeats_anywhere or not may_have_run(rpc)
         return PushBack(self.end(rpc), 0.0, "given up") if safe else Abort(self.end(rpc))
 
-    def end(self, rpc):    # it has its final answer, or nobody to give it to
+    def end(self, rpc):  # it has its final answer, or nobody to give it to
         rpc.ended = True
         return rpc
 
-    def left(self, now, rpc):    # the client has gone; nothing more is owed
+    def left(self, now, rpc):  # the client has gone; nothing more is owed
         rpc.ended = True
         return []
 
-    def streaming(self, now, call_out, passing=False):    # its answer has begun: the host works, or is done
+    def streaming(
+        self, now, call_out, passing=False
+    ):  # its answer has begun: the host works, or is done
         passing and self.fleet.ended(call_out, OK, now - call_out.sent, now)
         self.fleet.hosts.get(call_out.host, Health()).heard[call_out.rpc.method.root] = now
         return []
 
-    def counted(self, now, add, outcome, total):    # the counter has answered an add
+    def counted(self, now, add, outcome, total):  # the counter has answered an add
         return self.leases.counted(now, add, outcome, total)
 
-    def woken(self, now, about):    # a time that we asked to be woken at
+    def woken(self, now, about):  # a time that we asked to be woken at
         if about is self.fleet:
             return self.look_round(now)
         if isinstance(about, Rpc) and not (about.ended or about.call_outs):
@@ -658,6 +845,10 @@
                 steps.append(Cancel(call_out))
         before, self.pressure = self.pressure, self.fleet.pressure(now)
         if (self.pressure > 0) != (before > 0):
-            steps += [Log(f"hosts {'at ease' if before else 'pressed'}: {before:.2f} to {self.pressure:.2f}")]
+            steps += [
+                Log(
+                    f"hosts {'at ease' if before else 'pressed'}: {before:.2f} to {self.pressure:.2f}"
+                )
+            ]
         self.looking = bool(self.fleet.out or self.pressure)
         return steps + [Wake(TICK, self.fleet)] * self.looking
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -9,14 +9,19 @@
 
 from petrellane import __version__
 
-app = typer.Typer(help="An admission gateway that leases customers' credit from a shared count.",
-                  no_args_is_help=True, add_completion=False, rich_markup_mode=None,
-                  pretty_exceptions_enable=False)
+app = typer.Typer(
+    help="An admission gateway that leases customers' credit from a shared count.",
+    no_args_is_help=True,
+    add_completion=False,
+    rich_markup_mode=None,
+    pretty_exceptions_enable=False,
+)
 
 
 def configuration():
     """The configuration, or one line on standard error and exit code 2."""
     from petrellane.config import ConfigError, load
+
     try:
         return load(os.environ)
     except ConfigError as error:
@@ -33,6 +38,7 @@
 def serve():
     """Serve until SIGTERM; PROXY_CONFIG names the configuration file, which SIGHUP has read anew."""
     from petrellane.gateway import node
+
     raise typer.Exit(node.serve(os.environ))
 
 
@@ -46,33 +52,47 @@
 def check_config():
     """Read the configuration as serve would, and say what it holds or what is wrong with it."""
     config = configuration()
-    print(f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, {len(config.settings.methods)} methods, "
-          f"{len(config.settings.plans)} plans, {len(config.known.entries)} hosts known")
+    print(
+        f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, {len(config.settings.methods)} methods, "
+        f"{len(config.settings.plans)} plans, {len(config.known.entries)} hosts known"
+    )
 
 
 @app.command()
 def hunt(
     seeds: Annotated[int, typer.Option(min=1, help="Scenarios to play.")] = 2000,
-    first: Annotated[int, typer.Option(min=0, help="The first seed; the same one gives the same hunt.")] = 1,
+    first: Annotated[
+        int, typer.Option(min=0, help="The first seed; the same one gives the same hunt.")
+    ] = 1,
     jobs: Annotated[int, typer.Option(min=0, help="Processes; 0 is one a core.")] = 0,
-    enough: Annotated[int, typer.Option(min=1, help="End once so many scenarios have broken a rule.")] = 1,
+    enough: Annotated[
+        int, typer.Option(min=1, help="End once so many scenarios have broken a rule.")
+    ] = 1,
     out: Annotated[str, typer.Option(help="Folder for what is found.")] = "found",
 ):
     """Look for a run of the fleet model that breaks a rule; exit code 1 when there is one."""
     from petrellane.model import command
+
     raise typer.Exit(command.hunt(seeds, first, jobs, enough, out))
 
 
 @app.command()
 def replay(
-    file: Annotated[str, typer.Argument(help="A scenario file, or the number of a seed with --seed.")],
-    seed: Annotated[bool, typer.Option("--seed", help="Play the scenario that this seed draws.")] = False,
+    file: Annotated[
+        str, typer.Argument(help="A scenario file, or the number of a seed with --seed.")
+    ],
+    seed: Annotated[
+        bool, typer.Option("--seed", help="Play the scenario that this seed draws.")
+    ] = False,
     write: Annotated[str, typer.Option(help="Write the scenario to this file.")] = "",
-    records: Annotated[str, typer.Option(help="Write what was seen to this file, for `spread`.")] = "",
+    records: Annotated[
+        str, typer.Option(help="Write what was seen to this file, for `spread`.")
+    ] = "",
 ):
     """Play one scenario of the fleet model and tell it as a time line; exit code 1 when it is not as expected."""
     from petrellane.model import command
     from petrellane.model.scenario import ScenarioError
+
     try:
         raise typer.Exit(command.replay(file, seed, write, records))
     except ScenarioError as error:
@@ -82,37 +102,59 @@
 @app.command()
 def spread(
     path: Annotated[str, typer.Argument(help="A file of records, or a folder of gateways' logs.")],
-    since: Annotated[float, typer.Option(min=0.0, help="Seconds from the begin to leave out.")] = 0.0,
-    until: Annotated[float, typer.Option(min=0.0, help="Seconds up to which to look; 0 is the end.")] = 0.0,
-    json: Annotated[bool, typer.Option("--json", help="One JSON object in place of a table.")] = False,
-    svg: Annotated[str, typer.Option(help="Write a heat map of hosts over time to this file.")] = "",
+    since: Annotated[
+        float, typer.Option(min=0.0, help="Seconds from the begin to leave out.")
+    ] = 0.0,
+    until: Annotated[
+        float, typer.Option(min=0.0, help="Seconds up to which to look; 0 is the end.")
+    ] = 0.0,
+    json: Annotated[
+        bool, typer.Option("--json", help="One JSON object in place of a table.")
+    ] = False,
+    svg: Annotated[
+        str, typer.Option(help="Write a heat map of hosts over time to this file.")
+    ] = "",
     seed: Annotated[int, typer.Option(help="Of the draws that tell what chance gives.")] = 0,
 ):
     """How even load is over hosts: peaks, troughs, idle hosts, herds and swings; docs/spread.md defines them."""
     from petrellane.spread import words
     from petrellane.spread.sources import SpreadError
+
     try:
         words.tell(path, since, until or None, json, svg, seed)
     except SpreadError as error:
         refuse(error)
 
 
-settings_app = typer.Typer(help="Settings that take hold at every gateway or at none, through a control process.",
-                           no_args_is_help=True, add_completion=False, rich_markup_mode=None)
+settings_app = typer.Typer(
+    help="Settings that take hold at every gateway or at none, through a control process.",
+    no_args_is_help=True,
+    add_completion=False,
+    rich_markup_mode=None,
+)
 app.add_typer(settings_app, name="settings")
-CONTROL = Annotated[str, typer.Option("--control", help="The control process's TOML file.", envvar="PETRELLANE_CONTROL")]
+CONTROL = Annotated[
+    str,
+    typer.Option("--control", help="The control process's TOML file.", envvar="PETRELLANE_CONTROL"),
+]
 JSON = Annotated[bool, typer.Option("--json", help="One JSON object in place of words.")]
 WAIT = Annotated[float, typer.Option("--wait", min=0.0, help="Seconds to follow a change for.")]
-WITHOUT = Annotated[list[str], typer.Option("--without", help="A gateway whose process has surely ended, by your word.")]
+WITHOUT = Annotated[
+    list[str],
+    typer.Option("--without", help="A gateway whose process has surely ended, by your word."),
+]
 
 
 @app.command()
-def control(file: Annotated[str, typer.Argument(help="A TOML file; docs/agreeing.md names its keys.")]):
+def control(
+    file: Annotated[str, typer.Argument(help="A TOML file; docs/agreeing.md names its keys.")],
+):
     """Run the control process that staff propose settings to, until SIGTERM."""
     from petrellane.agreement.control import Control
     from petrellane.agreement.journal import JournalError
     from petrellane.config import ConfigError
     from petrellane.config import control as read
+
     try:
         process = Control(read(file))
     except (ConfigError, JournalError) as error:
@@ -128,6 +170,7 @@
     from petrellane.agreement import words as told
     from petrellane.config import ConfigError
     from petrellane.config import control as read
+
     try:
         raise typer.Exit(getattr(told, call)(told.Control(read(file)), *words))
     except ConfigError as error:
@@ -135,17 +178,30 @@
 
 
 @settings_app.command("propose")
-def settings_propose(file: Annotated[str, typer.Argument(help="JSON: settings, or a gateway's whole configuration.")],
-                     control: CONTROL, without: WITHOUT = [], wait: WAIT = 10.0,    # noqa: B006
-                     less: Annotated[bool, typer.Option(help="Keys of the settings in force may be lacking.")] = False,
-                     json: JSON = False):
+def settings_propose(
+    file: Annotated[
+        str, typer.Argument(help="JSON: settings, or a gateway's whole configuration.")
+    ],
+    control: CONTROL,
+    without: WITHOUT = [],  # noqa: B006 - typer never changes it
+    wait: WAIT = 10.0,
+    less: Annotated[
+        bool, typer.Option(help="Keys of the settings in force may be lacking.")
+    ] = False,
+    json: JSON = False,
+):
     """Propose settings. Exit code 0 in force, 2 what you gave is wrong, 3 refused, 4 aborted, 5 in doubt."""
     of_control("propose", control, file, without, wait, less, json)
 
 
 @settings_app.command("back")
-def settings_back(number: int, control: CONTROL, without: WITHOUT = [], wait: WAIT = 10.0,    # noqa: B006
-                  json: JSON = False):
+def settings_back(
+    number: int,
+    control: CONTROL,
+    without: WITHOUT = [],  # noqa: B006 - typer never changes it
+    wait: WAIT = 10.0,
+    json: JSON = False,
+):
     """Propose the settings of an earlier generation again, as a new change."""
     of_control("back", control, number, without, wait, json)
 
@@ -169,24 +225,36 @@
 
 
 @settings_app.command("diff")
-def settings_diff(one: Annotated[str, typer.Argument(help="A generation's number, or a file.")],
-                  other: Annotated[str, typer.Argument(help="A generation's number, or a file.")],
-                  control: CONTROL, json: JSON = False):
+def settings_diff(
+    one: Annotated[str, typer.Argument(help="A generation's number, or a file.")],
+    other: Annotated[str, typer.Argument(help="A generation's number, or a file.")],
+    control: CONTROL,
+    json: JSON = False,
+):
     """What changes for whom between two generations, or to a file's settings, in words."""
     of_control("diff", control, one, other, json)
 
 
-lab_app = typer.Typer(help="A rig of many processes on loopback, with faults between them.", no_args_is_help=True,
-                      add_completion=False, rich_markup_mode=None)
+lab_app = typer.Typer(
+    help="A rig of many processes on loopback, with faults between them.",
+    no_args_is_help=True,
+    add_completion=False,
+    rich_markup_mode=None,
+)
 app.add_typer(lab_app, name="lab")
 
 
 @lab_app.command("run")
-def lab_run(file: Annotated[str, typer.Argument(help="A run file; docs/lab.md has the notation.")],
-            records: Annotated[str, typer.Option(help="Write what was seen to this file, for `spread`.")] = ""):
+def lab_run(
+    file: Annotated[str, typer.Argument(help="A run file; docs/lab.md has the notation.")],
+    records: Annotated[
+        str, typer.Option(help="Write what was seen to this file, for `spread`.")
+    ] = "",
+):
     """Play a run file and tell what happened; exit code 1 when a rule broke or a process crashed."""
     from petrellane.lab import command
     from petrellane.lab.play import PlayError
+
     try:
         raise typer.Exit(command.play_file(file, records))
     except PlayError as error:
@@ -197,14 +265,18 @@
 def lab_demo():
     """Three gateways, six hosts, 20 s of load, one host killed half way; ends by itself."""
     from petrellane.lab import command
+
     raise typer.Exit(command.demo())
 
 
 @lab_app.command("scale")
-def lab_scale(file: Annotated[str, typer.Argument(help="A scale file; docs/lab.md has the notation.")]):
+def lab_scale(
+    file: Annotated[str, typer.Argument(help="A scale file; docs/lab.md has the notation.")],
+):
     """Run many hollow gateways beside some real ones, and tell what each role spends; exit code 1 when the run proves
     nothing."""
     from petrellane.lab import scale
+
     try:
         raise typer.Exit(scale.play_file(file))
     except scale.ScaleError as error:
--- a/petrellane/config.py
+++ b/petrellane/config.py
@@ -19,7 +19,10 @@
 EFFECTS = {"pure": api.IDEMPOTENT, "token": api.DEDUPLICATED, "side_effect": api.NON_IDEMPOTENT}
 STATES = {"in_service": api.READY, "terminating": api.DRAINING, "terminated": api.GONE}
 REQUIRED = object()
-SAID = {kind: attrgetter(*(one.name for one in fields(kind) if one.name != "root")) for kind in (api.Method, api.Plan)}
+SAID = {
+    kind: attrgetter(*(one.name for one in fields(kind) if one.name != "root"))
+    for kind in (api.Method, api.Plan)
+}
 
 
 class ConfigError(Exception):
@@ -29,12 +32,15 @@
 class Section:
     """One JSON object under its path, read key by key. What is right is taken at once: the words of an error are put
     together where there is one."""
+
     __slots__ = ("value", "path")
 
     def __init__(self, value, path=""):
         self.value, self.path = value, path
         if not isinstance(value, dict):
-            raise ConfigError(f"{path or 'configuration'}: expected an object, found {brief(value)}")
+            raise ConfigError(
+                f"{path or 'configuration'}: expected an object, found {brief(value)}"
+            )
 
     def at(self, key):
         """The whole path of a key."""
@@ -59,7 +65,11 @@
     def number(self, key, default=REQUIRED, least=0.0, above=False):
         value = self.value.get(key, default)
         kind = type(value)
-        if (kind is int or kind is float) and least <= value <= sys.float_info.max and not (above and value == least):
+        if (
+            (kind is int or kind is float)
+            and least <= value <= sys.float_info.max
+            and not (above and value == least)
+        ):
             return value
         if value is default and default is not REQUIRED:
             return default
@@ -114,6 +124,7 @@
 @dataclass(frozen=True)
 class Settings:
     """The settings object: the module's own part of it ready to hand over, and what the network needs."""
+
     methods: dict
     plans: dict
     may_count: bool
@@ -139,19 +150,28 @@
     each_once(plans, "settings.contracts")
     may_count, counter_timeout = family.flag("mayCount"), family.seconds("counterTimeout")
     return Settings(
-        methods={row.name: row for row in methods}, plans={row.name: row for row in plans},
+        methods={row.name: row for row in methods},
+        plans={row.name: row for row in plans},
         report_fields=report.get("fields", (list,), "a list of names", []),
-        may_count=may_count, must_ask=told.text("discovery", "push") == "ask", counter_timeout=counter_timeout,
-        dial_timeout=limits.seconds("dialTimeout", 1_000_000), conn_idle=limits.seconds("connIdle", 30_000_000),
+        may_count=may_count,
+        must_ask=told.text("discovery", "push") == "ask",
+        counter_timeout=counter_timeout,
+        dial_timeout=limits.seconds("dialTimeout", 1_000_000),
+        conn_idle=limits.seconds("connIdle", 30_000_000),
         streams=limits.whole("streamsPerConn", 1, 1),
-        most_units=family.number("maxUnits", 1e9), gateways=told.whole("replicasOfMe", 1_000_000, 1),
+        most_units=family.number("maxUnits", 1e9),
+        gateways=told.whole("replicasOfMe", 1_000_000, 1),
         gateway=dict(
-            zone=told.text("locality", ""), counter_timeout=counter_timeout,
+            zone=told.text("locality", ""),
+            counter_timeout=counter_timeout,
             may_cancel=limits.flag("mayCancel"),
             max_wait=limits.seconds("maxRetryAfter") if limits.flag("retryAfter") else 0.0,
-            cold=rules.seconds("cold"), cold_from=rules.number("coldFrom", 1.0),
+            cold=rules.seconds("cold"),
+            cold_from=rules.number("coldFrom", 1.0),
             cross_zone=told.section("prices", {}).number("crossZone", 0.0),
-            roots={row.root for row in methods}))
+            roots={row.root for row in methods},
+        ),
+    )
 
 
 def each_once(rows, path):
@@ -166,13 +186,19 @@
 def renewed(before, now):
     """The settings that follow others: what has not changed keeps its object, and a method that has its root. Raises
     ConfigError where something differs that holds from a start to an end."""
-    for key, one, other in (("familyInfo.mayCount", before.may_count, now.may_count),
-                            ("discovery", before.must_ask, now.must_ask)):
+    for key, one, other in (
+        ("familyInfo.mayCount", before.may_count, now.may_count),
+        ("discovery", before.must_ask, now.must_ask),
+    ):
         if one != other:
             raise ConfigError(f"settings.{key}: expected what it was at the start, found another")
     methods = {name: kept(before.methods.get(name), row) for name, row in now.methods.items()}
-    return replace(now, methods=methods, plans={name: kept(before.plans.get(name), row) for name, row in now.plans.items()},
-                   gateway=now.gateway | {"roots": {row.root for row in methods.values()}})
+    return replace(
+        now,
+        methods=methods,
+        plans={name: kept(before.plans.get(name), row) for name, row in now.plans.items()},
+        gateway=now.gateway | {"roots": {row.root for row in methods.values()}},
+    )
 
 
 def kept(old, row):
@@ -188,25 +214,41 @@
 def method(row, call_outs):
     effect = row.text("effect")
     if effect not in EFFECTS:
-        raise ConfigError(f"{row.path}.effect: expected one of {', '.join(EFFECTS)}, found {brief(effect)}")
+        raise ConfigError(
+            f"{row.path}.effect: expected one of {', '.join(EFFECTS)}, found {brief(effect)}"
+        )
     return api.Method(
-        name=row.text("name"), effect=EFFECTS[effect],
-        soft_deadline=row.seconds("goalTime", REQUIRED), deadline=row.number("giveUp", above=True) / 1e6,
-        key_scope=row.text("keyScope", ""), key_window=row.seconds("window"),
-        utility=row.number("worth", 0.0), late_utility=row.number("lateWorth", 0.0), streamed=row.flag("streamed"),
-        call_outs=call_outs)
+        name=row.text("name"),
+        effect=EFFECTS[effect],
+        soft_deadline=row.seconds("goalTime", REQUIRED),
+        deadline=row.number("giveUp", above=True) / 1e6,
+        key_scope=row.text("keyScope", ""),
+        key_window=row.seconds("window"),
+        utility=row.number("worth", 0.0),
+        late_utility=row.number("lateWorth", 0.0),
+        streamed=row.flag("streamed"),
+        call_outs=call_outs,
+    )
 
 
 def plan(row):
     return api.Plan(
-        name=row.text("name"), rate=row.number("quotaRate", 0.0), store=row.number("storeSize", 0.0),
-        ceiling_rate=row.number("ceilingRate", 0.0), ceiling_burst=row.number("ceilingBurst", 0.0),
-        ceiling_slack=row.number("ceilingSlack", 0.0), max_out=row.whole("maxOut", 0), price=row.number("pays", 0.0),
-        over_utility=row.number("extraWorth", 0.0), over_cost=row.number("overrunCost", 0.0))
+        name=row.text("name"),
+        rate=row.number("quotaRate", 0.0),
+        store=row.number("storeSize", 0.0),
+        ceiling_rate=row.number("ceilingRate", 0.0),
+        ceiling_burst=row.number("ceilingBurst", 0.0),
+        ceiling_slack=row.number("ceilingSlack", 0.0),
+        max_out=row.whole("maxOut", 0),
+        price=row.number("pays", 0.0),
+        over_utility=row.number("extraWorth", 0.0),
+        over_cost=row.number("overrunCost", 0.0),
+    )
 
 
 class Entry(NamedTuple):
     """One host as a host list tells of it."""
+
     name: str
     address: tuple
     zone: str
@@ -219,6 +261,7 @@
 
 class HostList(NamedTuple):
     """A host list or changes to one, in discovery's form."""
+
     index: int
     full: bool
     entries: list
@@ -236,8 +279,15 @@
 
 def host_entry(row):
     return Entry(
-        row.text("name"), row.address("address"), row.text("zone", ""), row.text("type", ""), row.whole("group", 0),
-        STATES.get(row.text("status"), api.DRAINING), row.number("weight", 1.0), row.number("since_ms", 0) / 1e3)
+        row.text("name"),
+        row.address("address"),
+        row.text("zone", ""),
+        row.text("type", ""),
+        row.whole("group", 0),
+        STATES.get(row.text("status"), api.DRAINING),
+        row.number("weight", 1.0),
+        row.number("since_ms", 0) / 1e3,
+    )
 
 
 def lacks(before, told, path=""):
@@ -255,9 +305,10 @@
 class Agreement:
     """What a gateway needs to take part in agreement on settings: the key that all share, a folder that outlives it, and
     where each gateway's management listens (one address, or several where processes follow each other)."""
+
     key: bytes
     state: str
-    members: dict    # name -> addresses
+    members: dict  # name -> addresses
 
 
 def agreement(told, name, management):
@@ -269,7 +320,9 @@
         raise ConfigError("management: missing, expected HOST:PORT, as agreement needs it")
     members = roster(section.section("members"))
     if name not in members:
-        raise ConfigError(f"agreement.members: expected {name} among them, found {brief(sorted(members))}")
+        raise ConfigError(
+            f"agreement.members: expected {name} among them, found {brief(sorted(members))}"
+        )
     state = section.text("state")
     if not os.path.isdir(state):
         raise ConfigError(f"agreement.state: expected a folder, found {brief(state)}")
@@ -283,11 +336,15 @@
         path = f"{section.path}.{name}"
         texts = value if isinstance(value, list) else [value]
         if not texts or not all(isinstance(text, str) for text in texts):
-            raise ConfigError(f"{path}: expected HOST:PORT or a list of these, found {brief(value)}")
+            raise ConfigError(
+                f"{path}: expected HOST:PORT or a list of these, found {brief(value)}"
+            )
         members[name] = [address(text, path) for text in texts]
         for one in members[name]:
             if one in owners:
-                raise ConfigError(f"{path}: expected an address of its own, found that of {owners[one]}")
+                raise ConfigError(
+                    f"{path}: expected an address of its own, found that of {owners[one]}"
+                )
             owners[one] = name
     if not members:
         raise ConfigError(f"{section.path}: expected at least one gateway, found none")
@@ -309,6 +366,7 @@
 @dataclass(frozen=True)
 class Control:
     """What a control process is told: its name, where staff call, its journal, the key and the roster."""
+
     name: str
     listen: tuple
     journal: str
@@ -319,6 +377,7 @@
 def control(path):
     """A control process's configuration from a TOML file; paths in it are taken from its folder. Raises ConfigError."""
     import tomllib  # 4 ms that a gateway's start does without
+
     try:
         with open(path, "rb") as file:
             told = Section(tomllib.load(file))
@@ -331,8 +390,13 @@
         raise ConfigError(f"name: expected 1 to 64 characters, found {brief(name)}")
     if unknown := sorted(told.value.keys() - {"name", "listen", "journal", "key_file", "gateways"}):
         raise ConfigError(f"{unknown[0]}: expected no such key")
-    return Control(name, told.address("listen"), os.path.join(folder, told.text("journal")),
-                   key_file(os.path.join(folder, told.text("key_file")), "key_file"), roster(told.section("gateways")))
+    return Control(
+        name,
+        told.address("listen"),
+        os.path.join(folder, told.text("journal")),
+        key_file(os.path.join(folder, told.text("key_file")), "key_file"),
+        roster(told.section("gateways")),
+    )
 
 
 def settled(before, told):
@@ -343,6 +407,7 @@
 @dataclass(frozen=True)
 class Config:
     """All that a gateway is told at its start."""
+
     name: str
     listen: tuple
     listen_fd: int | None
@@ -355,8 +420,8 @@
     known: HostList
     settings: Settings
     agreement: Agreement | None
-    by_host: bool    # whether figures tell call-outs by host
-    raw: dict    # as it was read, but for the host list
+    by_host: bool  # whether figures tell call-outs by host
+    raw: dict  # as it was read, but for the host list
 
 
 def listening(text):
@@ -371,8 +436,11 @@
     except OSError as error:
         raise ConfigError(f"{expected} {text}: {error.strerror}") from None
     with sock:
-        if sock.family != socket.AF_INET or sock.type != socket.SOCK_STREAM or not sock.getsockopt(
-                socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        if (
+            sock.family != socket.AF_INET
+            or sock.type != socket.SOCK_STREAM
+            or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+        ):
             raise ConfigError(f"{expected} {text}, which is none")
     return int(text)
 
@@ -416,7 +484,11 @@
     raw = {key: value for key, value in told.value.items() if key != "known"}
     if before:
         lacks(before.raw, raw)
-    seed, limits, set_up = told.text("seed"), told.section("limits", {}), settings(told.section("settings"))
+    seed, limits, set_up = (
+        told.text("seed"),
+        told.section("limits", {}),
+        settings(told.section("settings")),
+    )
     set_up = renewed(before.settings, set_up) if before else set_up
     try:
         seed = int(seed, 16)
@@ -426,10 +498,18 @@
     if told.value.get("management") is not None:
         management = told.address("management")
     return Config(
-        name=name, listen=told.address("listen"), discovery=told.address("discovery"),
+        name=name,
+        listen=told.address("listen"),
+        discovery=told.address("discovery"),
         listen_fd=listening((environ or {}).get("PROXY_LISTEN_FD")),
-        management=management, agreement=agreement(told, name, management),
+        management=management,
+        agreement=agreement(told, name, management),
         by_host=told.section("figures", {}).flag("hosts"),
-        counter=told.address("counter") if set_up.may_count else None, seed=seed,
-        memory_mb=limits.number("memory_mb", 192), sockets=limits.whole("sockets", 1024, 64),
-        known=host_list(told.section("known", {"index": 0, "snapshot": True, "endpoints": []})), settings=set_up, raw=raw)
+        counter=told.address("counter") if set_up.may_count else None,
+        seed=seed,
+        memory_mb=limits.number("memory_mb", 192),
+        sockets=limits.whole("sockets", 1024, 64),
+        known=host_list(told.section("known", {"index": 0, "snapshot": True, "endpoints": []})),
+        settings=set_up,
+        raw=raw,
+    )
--- a/petrellane/gateway/counter.py
+++ b/petrellane/gateway/counter.py
@@ -12,6 +12,7 @@
 
 class Call:
     """One add on its way."""
+
     __slots__ = ("add", "at", "timer", "mark", "told")
 
     def __init__(self, add, at):
@@ -22,27 +23,33 @@
     """One connection to the counter."""
 
     def __init__(self, counter):
-        self.counter, self.address, self.stream, self.calls = counter, counter.address, None, deque()
+        self.counter, self.address, self.stream, self.calls = (
+            counter,
+            counter.address,
+            None,
+            deque(),
+        )
         self.used = counter.scheduler.now()
 
     def run(self):
         """Dial, write what waits, and read answers until the connection ends."""
         counter = self.counter
         try:
-            self.stream = Stream.dial(counter.scheduler, counter.limits, self.address,
-                                      counter.limits.counter_timeout)
+            self.stream = Stream.dial(
+                counter.scheduler, counter.limits, self.address, counter.limits.counter_timeout
+            )
             for call in [call for call in self.calls if call.told]:
-                self.calls.remove(call)    # its time is over, and it was never written
+                self.calls.remove(call)  # its time is over, and it was never written
             for call in self.calls:
                 self.write(call)
-            while self in counter.links:    # it may have been ended while it dialed
+            while self in counter.links:  # it may have been ended while it dialed
                 self.read()
                 if not self.calls and self.address != counter.address:
                     break
                 self.stream.fill()
             self.end("not used any more")
         except resp.Malformed as trouble:
-            if self.calls:    # the answer to this one came: it was added, to what total is not known
+            if self.calls:  # the answer to this one came: it was added, to what total is not known
                 counter.tell(self.calls.popleft(), api.ERROR, 0.0)
             self.end(str(trouble))
         except (OSError, Closed) as trouble:
@@ -56,8 +63,11 @@
     def write(self, call):
         add = call.add
         amount = f"{add.amount:.7f}".rstrip("0").rstrip(".")
-        self.stream.write(resp.words(b"CNT.ADD", b"%d" % add.name, amount.encode(),
-                                     b"%d" % max(1, int(add.ttl * 1e3))))
+        self.stream.write(
+            resp.words(
+                b"CNT.ADD", b"%d" % add.name, amount.encode(), b"%d" % max(1, int(add.ttl * 1e3))
+            )
+        )
         call.mark, self.used = self.stream.queued, self.counter.scheduler.now()
 
     def read(self):
@@ -83,7 +93,7 @@
             return api.OK, total
         if kind != 0x2D:
             raise resp.Malformed("an answer out of form")
-        return api.FULL, 0.0    # turned away or refused: nothing was added
+        return api.FULL, 0.0  # turned away or refused: nothing was added
 
     def stuck(self, now):
         """Whether an answer has been due for so long that no call should wait behind it."""
@@ -105,7 +115,12 @@
     """Carries out adds; `counted` hears of each, once."""
 
     def __init__(self, scheduler, limits, address, counted):
-        self.scheduler, self.limits, self.address, self.counted = scheduler, limits, address, counted
+        self.scheduler, self.limits, self.address, self.counted = (
+            scheduler,
+            limits,
+            address,
+            counted,
+        )
         self.links = []
         scheduler.after(limits.look, self.look)
 
@@ -119,7 +134,10 @@
         goes to the new address."""
         self.address, links = address, list(self.links)
         for link in links:
-            calls, link.calls = link.calls, deque(call for call in link.calls if call.mark is not None)
+            calls, link.calls = (
+                link.calls,
+                deque(call for call in link.calls if call.mark is not None),
+            )
             if not link.calls:
                 link.end("not used any more")
             for call in calls:
@@ -130,7 +148,9 @@
         """An idle connection, or a new one, or the one with the fewest calls on it."""
         here = [link for link in self.links if link.address == self.address]
         for link in sorted((link for link in here if not link.calls), key=lambda link: -link.used):
-            if link.stream.quiet() and not link.stream.buffer:    # the last one used first: others can be retired
+            if (
+                link.stream.quiet() and not link.stream.buffer
+            ):  # the last one used first: others can be retired
                 return link
             link.end("spoilt or ended by the counter")
             here.remove(link)
@@ -157,5 +177,9 @@
         self.scheduler.after(self.limits.look, self.look)
         before = self.scheduler.now() - self.limits.counter_idle_timeout
         for link in list(self.links):
-            if link.stream and (not link.calls or link.address != self.address) and link.used < before:
+            if (
+                link.stream
+                and (not link.calls or link.address != self.address)
+                and link.used < before
+            ):
                 link.end("idle")
--- a/petrellane/gateway/customers.py
+++ b/petrellane/gateway/customers.py
@@ -14,14 +14,21 @@
     """Customers as RPCs name them; one that nothing points to any more is forgotten."""
 
     def __init__(self):
-        self.usual, self.others = WeakValueDictionary(), WeakValueDictionary()    # by name; by all that was said
+        self.usual, self.others = (
+            WeakValueDictionary(),
+            WeakValueDictionary(),
+        )  # by name; by all that was said
 
     def of(self, name, plan, first, spread, now):
         """The customer that an RPC is of. One that is known under other words as well begins with no share of a ceiling:
         it may just have had that of the other plan."""
         usual = self.usual.get(name)
-        if usual is not None and (usual.plan.name, usual.first, usual.spread) == (plan.name, first, spread):
-            usual.plan = plan    # as the settings say now
+        if usual is not None and (usual.plan.name, usual.first, usual.spread) == (
+            plan.name,
+            first,
+            spread,
+        ):
+            usual.plan = plan  # as the settings say now
             return usual
         key = name, plan.name, first, spread
         other = self.others.get(key)
@@ -37,4 +44,6 @@
     def named(self, name):
         """All that are known by a name."""
         usual = self.usual.get(name)
-        return [usual] * (usual is not None) + [one for key, one in self.others.items() if key[0] == name]
+        return [usual] * (usual is not None) + [
+            one for key, one in self.others.items() if key[0] == name
+        ]
--- a/petrellane/gateway/discovery.py
+++ b/petrellane/gateway/discovery.py
@@ -27,9 +27,15 @@
     def __init__(self, scheduler, limits, log, address, index, listed, random, busy=lambda: False):
         self.scheduler, self.limits, self.log, self.address = scheduler, limits, log, address
         self.index, self.listed, self.busy = index, listed, busy
-        self.backoff = backoff.Backoff(random, limits.watch_next, limits.watch_next if index is not None else
-                                       limits.watch_first, limits.watch_hold, limits.watch_grace, limits.watch_timeout,
-                                       limits.backoff_first)
+        self.backoff = backoff.Backoff(
+            random,
+            limits.watch_next,
+            limits.watch_next if index is not None else limits.watch_first,
+            limits.watch_hold,
+            limits.watch_grace,
+            limits.watch_timeout,
+            limits.backoff_first,
+        )
         self.stream, self.over = None, False
 
     def end(self):
@@ -46,7 +52,9 @@
             stream = None
             try:
                 until = self.backoff.begin(now(), self.index is not None)
-                stream = self.stream = Stream.dial(self.scheduler, self.limits, self.address, until - now())
+                stream = self.stream = Stream.dial(
+                    self.scheduler, self.limits, self.address, until - now()
+                )
                 while self.heard(*self.watch(stream, until)) and not self.over:
                     until = self.backoff.begin(now(), self.index is not None)
             except (OSError, Closed, Malformed, ConfigError, ValueError) as trouble:
@@ -55,8 +63,13 @@
                 if not self.backoff.away:
                     self.log.event("discovery_away", error=str(trouble))
                     self.listed(None)
-                outcome = backoff.SILENT if isinstance(trouble, TimeoutError) else (
-                    backoff.TURNED_AWAY if isinstance(trouble, TurnedAway) else backoff.FAILED)
+                outcome = (
+                    backoff.SILENT
+                    if isinstance(trouble, TimeoutError)
+                    else (
+                        backoff.TURNED_AWAY if isinstance(trouble, TurnedAway) else backoff.FAILED
+                    )
+                )
             else:
                 continue
             finally:
@@ -67,16 +80,20 @@
     def watch(self, stream, until):
         """One call: the list or the changes, and whether the connection goes on."""
         limits, path = self.limits, PATH
-        if self.index is not None:    # an index of 0 is one too
-            path += f"?from={self.index}&hold_ms={int(self.backoff.hold(self.scheduler.now()) * 1e3)}"
+        if self.index is not None:  # an index of 0 is one too
+            path += (
+                f"?from={self.index}&hold_ms={int(self.backoff.hold(self.scheduler.now()) * 1e3)}"
+            )
         stream.write(http.get(path, "%s:%d" % self.address))
         while not (found := http.head(stream.buffer, limits)):
             http.more(stream, until)
         status, fields, end = found
-        if status != 200:    # what it says besides may have no end
+        if status != 200:  # what it says besides may have no end
             raise TurnedAway(f"status {status}")
         del stream.buffer[:end]
-        return self.checked(Section(orjson.loads(http.body(stream, fields, limits, until)), "list")), http.lasts(fields)
+        return self.checked(
+            Section(orjson.loads(http.body(stream, fields, limits, until)), "list")
+        ), http.lasts(fields)
 
     def checked(self, told):
         """A host list, checked a share of its rows in a turn. Raises ConfigError, and Closed where we end meanwhile."""
@@ -97,7 +114,7 @@
         """Pass on what a call told; whether the connection goes on."""
         if self.index is not None and told.index < self.index and not told.full:
             self.log.event("discovery_restarted", before=self.index, index=told.index)
-            self.index = None    # its numbers began anew: what they count from is not what we have
+            self.index = None  # its numbers began anew: what they count from is not what we have
             return lasting
         if self.backoff.away:
             self.log.event("discovery_back", index=told.index)
@@ -106,6 +123,6 @@
             self.others()
         self.listed(told)
         self.index = told.index
-        if not told.entries:    # the watch goes on all the same; guards against answers without end
+        if not told.entries:  # the watch goes on all the same; guards against answers without end
             self.scheduler.wait(self.limits.watch_pause)
         return lasting
--- a/petrellane/gateway/driver.py
+++ b/petrellane/gateway/driver.py
@@ -14,20 +14,43 @@
     """The one place where the network and the module meet."""
 
     def __init__(self, config, scheduler, limits, log):
-        self.settings, self.scheduler, self.log, self.now = config.settings, scheduler, log, scheduler.now
+        self.settings, self.scheduler, self.log, self.now = (
+            config.settings,
+            scheduler,
+            log,
+            scheduler.now,
+        )
         self.limits = limits
-        self.gateway = Gateway(seed=config.seed, counter=self.settings.may_count, must_ask=self.settings.must_ask,
-                               **self.settings.gateway)
+        self.gateway = Gateway(
+            seed=config.seed,
+            counter=self.settings.may_count,
+            must_ask=self.settings.must_ask,
+            **self.settings.gateway,
+        )
         self.customers, self.hosts, self.exchanges = Customers(), {}, {}
-        self.ready, self.taking = set(), False    # hosts that are; whether a host list is being taken over
-        self.ids = {}    # id -> exchange, while it is open
-        self.to = Counter() if config.by_host else None    # call-outs by host since the last figures
-        self.tally = Counter()    # what came, went out and was answered since the last figures, by kind
-        self.last = math.inf    # when all that is open has its answer, where we end
-        self.upstream = self.counter = self.handover = self.agent = None    # set before the first event
-        self.carriers = {api.CallOut: self.call_out, api.PushBack: self.push_back, api.Abort: self.abort,
-                         api.Cancel: self.cancel, api.Add: self.add, api.Wake: self.wake,
-                         api.Log: self.note, api.Subscribe: self.subscribe}
+        self.ready, self.taking = (
+            set(),
+            False,
+        )  # hosts that are; whether a host list is being taken over
+        self.ids = {}  # id -> exchange, while it is open
+        self.to = Counter() if config.by_host else None  # call-outs by host since the last figures
+        self.tally = (
+            Counter()
+        )  # what came, went out and was answered since the last figures, by kind
+        self.last = math.inf  # when all that is open has its answer, where we end
+        self.upstream = self.counter = self.handover = self.agent = (
+            None  # set before the first event
+        )
+        self.carriers = {
+            api.CallOut: self.call_out,
+            api.PushBack: self.push_back,
+            api.Abort: self.abort,
+            api.Cancel: self.cancel,
+            api.Add: self.add,
+            api.Wake: self.wake,
+            api.Log: self.note,
+            api.Subscribe: self.subscribe,
+        }
 
     def carry_out(self, steps):
         for step in steps:
@@ -35,7 +58,7 @@
 
     def start(self, known):
         self.carry_out(self.gateway.started(self.now()))
-        self.listed(known._replace(full=True))    # nobody waits yet
+        self.listed(known._replace(full=True))  # nobody waits yet
 
     def renewed(self, settings, limits):
         """Other settings from now on; what is open keeps the method that it came under."""
@@ -61,8 +84,14 @@
         finally:
             self.taking = False
         if news:
-            self.log.event("hosts", index=told.index, full=told.full, changed=len(told.entries),
-                           known=len(self.hosts), ready=len(self.ready))
+            self.log.event(
+                "hosts",
+                index=told.index,
+                full=told.full,
+                changed=len(told.entries),
+                known=len(self.hosts),
+                ready=len(self.ready),
+            )
 
     def rows(self, told):
         """What a list says of each host that it is about: its name, its address, and the row for the module."""
@@ -76,7 +105,13 @@
             left.pop(entry.name, None)
             yield entry.name, entry.address, api.Listing(host, *entry[2:])
         for name, host in left.items():
-            yield name, None, api.Listing(host, host.zone, host.kind, host.pod, api.GONE, host.share, host.up_since)
+            yield (
+                name,
+                None,
+                api.Listing(
+                    host, host.zone, host.kind, host.pod, api.GONE, host.share, host.up_since
+                ),
+            )
 
     def take_over(self, rows):
         """Tell the module of some rows, then the host side of what became of their hosts."""
@@ -97,7 +132,9 @@
     def place(self, exchange):
         """A client's RPC; BadField when it makes no sense."""
         now = self.now()
-        if self.agent and not self.agent.admits():    # before it is looked at under settings that others may have left
+        if (
+            self.agent and not self.agent.admits()
+        ):  # before it is looked at under settings that others may have left
             self.tally["pushed generation"] += 1
             exchange.finish(b"-BUSY\r\n")
             return
@@ -114,13 +151,23 @@
         if exchange.id in self.ids:
             raise BadField("id: its RPC is open")
         units, gateways = exchange.units(self.settings.most_units), self.settings.gateways
-        first, spread = exchange.whole("first", 0, 0, gateways - 1), exchange.whole("spread", 1, 1, gateways)
+        first, spread = (
+            exchange.whole("first", 0, 0, gateways - 1),
+            exchange.whole("spread", 1, 1, gateways),
+        )
         name = exchange.customer.decode()
         customer = self.customers.of(name, plan, first, spread, now)
-        came = self.scheduler.since()    # its patience may have run while we stood still
+        came = self.scheduler.since()  # its patience may have run while we stood still
         deadline = min(came + min(exchange.patience, method.deadline), self.last)
-        rpc = exchange.rpc = api.Rpc(method, customer, units, deadline, came,
-                                     resent=exchange.named.get("r") == "1", write=method.effect != api.IDEMPOTENT)
+        rpc = exchange.rpc = api.Rpc(
+            method,
+            customer,
+            units,
+            deadline,
+            came,
+            resent=exchange.named.get("r") == "1",
+            write=method.effect != api.IDEMPOTENT,
+        )
         self.exchanges[rpc] = self.ids[exchange.id] = exchange
         self.tally["rpcs"] += 1
         self.tell(rpc, self.gateway.place, now, rpc)
@@ -128,8 +175,14 @@
     def taken(self, rows):
         """Take over the leases that the process before has given up; how many."""
         plans, now = self.settings.plans, self.now()
-        return succession.taken(self.gateway, now, rows, lambda name, plan, first, spread: plan in plans and
-                                self.customers.of(name, plans[plan], first, spread, now))
+        return succession.taken(
+            self.gateway,
+            now,
+            rows,
+            lambda name, plan, first, spread: (
+                plan in plans and self.customers.of(name, plans[plan], first, spread, now)
+            ),
+        )
 
     def settled(self, name, number):
         """So many RPCs of a customer that the process before still had have ended."""
@@ -156,7 +209,7 @@
         for rpc in list(self.exchanges):
             rpc.deadline = min(rpc.deadline, self.now())
             self.upstream.run_out(rpc.call_outs)
-            if rpc in self.exchanges:    # it waits, and was never sent
+            if rpc in self.exchanges:  # it waits, and was never sent
                 self.tell(rpc, self.gateway.woken, self.now(), rpc)
 
     def begun(self, attempt, passage, length):
@@ -180,9 +233,18 @@
             self.finish(call_out.rpc, b"$%d\r\n" % len(value), value, b"\r\n")
         over, report = call_out.rpc not in self.exchanges, self.figures(figures, self.limits.figure)
         cost = report.pop("cost", 0.0)
-        self.tell(call_out.rpc, self.gateway.again, now, call_out, outcome, over=over,
-                  took=max(1e-6, now - call_out.sent), usage=int(report.pop("used", -1)) + 1,
-                  units=cost if cost <= self.settings.most_units else 0.0, report=report)
+        self.tell(
+            call_out.rpc,
+            self.gateway.again,
+            now,
+            call_out,
+            outcome,
+            over=over,
+            took=max(1e-6, now - call_out.sent),
+            usage=int(report.pop("used", -1)) + 1,
+            units=cost if cost <= self.settings.most_units else 0.0,
+            report=report,
+        )
 
     @staticmethod
     def figures(text, most):
@@ -234,7 +296,9 @@
         self.counter.post(step)
 
     def wake(self, step):
-        self.scheduler.after(step.after, lambda: self.carry_out(self.gateway.woken(self.now(), step.about)))
+        self.scheduler.after(
+            step.after, lambda: self.carry_out(self.gateway.woken(self.now(), step.about))
+        )
 
     def note(self, step):
         self.log.event("mode", text=step.text)
--- a/petrellane/gateway/exchange.py
+++ b/petrellane/gateway/exchange.py
@@ -12,17 +12,34 @@
 
 class Reply:
     """A place in the order of a connection's answers; `answer` is its buffers once they are known."""
+
     __slots__ = ("answer", "passage")
 
     def __init__(self, *answer):
-        self.answer, self.passage = answer or None, None    # a long value follows its answer through a passage
+        self.answer, self.passage = (
+            answer or None,
+            None,
+        )  # a long value follows its answer through a passage
 
 
 class Exchange(Reply):
     """One RPC as its client worded it. The client side makes it, hands it over and hears of its answer; the
     host side writes it out again, with the time that is left in place of the client's."""
-    __slots__ = ("query", "customer", "id", "named", "head", "before", "after", "tail", "patience", "answered",
-                 "gone", "rpc")
+
+    __slots__ = (
+        "query",
+        "customer",
+        "id",
+        "named",
+        "head",
+        "before",
+        "after",
+        "tail",
+        "patience",
+        "answered",
+        "gone",
+        "rpc",
+    )
 
     def __init__(self, query, buffer, start, spans, end, answered, gone):
         super().__init__()
@@ -39,13 +56,21 @@
         time = PIECES.search(text)
         if not time or len(time[1]) > 9:
             raise BadField("d: expected milliseconds")
-        self.named = dict(part.split("=", 1) if "=" in part else (part, "")
-                          for part in text.decode("latin-1").split(","))
+        self.named = dict(
+            part.split("=", 1) if "=" in part else (part, "")
+            for part in text.decode("latin-1").split(",")
+        )
         self.patience = int(time[1]) / 1e3
-        self.before, self.after = text[:time.start(1)], text[time.end(1):]
-        self.head = bytes(buffer[start:rpc_id[1] + 2])    # passes on unchanged, as does what follows the fields
-        self.tail = bytes(buffer[fields[1]:end])
-        self.answered, self.gone, self.rpc = answered, gone, None    # `gone` asks whether its client has left
+        self.before, self.after = text[: time.start(1)], text[time.end(1) :]
+        self.head = bytes(
+            buffer[start : rpc_id[1] + 2]
+        )  # passes on unchanged, as does what follows the fields
+        self.tail = bytes(buffer[fields[1] : end])
+        self.answered, self.gone, self.rpc = (
+            answered,
+            gone,
+            None,
+        )  # `gone` asks whether its client has left
 
     def text(self, name, default=None):
         value = self.named.get(name, default)
@@ -58,7 +83,9 @@
         value = self.named.get(name)
         if value is None:
             return default
-        if not (value.isascii() and value.isdigit() and len(value) <= 9 and least <= int(value) <= most):
+        if not (
+            value.isascii() and value.isdigit() and len(value) <= 9 and least <= int(value) <= most
+        ):
             raise BadField(f"{name}: expected a whole number from {least} to {most}")
         return int(value)
 
--- a/petrellane/gateway/node.py
+++ b/petrellane/gateway/node.py
@@ -37,35 +37,86 @@
         self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
         self.driver = Driver(config, self.scheduler, self.limits, self.log)
         account = Account(self.limits)
-        self.service = Service(self.limits.change_over, self.limits.last_command, self.limits.kill_after,
-                               self.limits.kill_longest)
-        self.server = Server(self.scheduler, self.limits, self.log, self.service, self.driver.place, self.driver.left,
-                             lambda more: self.upstream.make_room(more), account)
-        self.management = Management(self.scheduler, self.limits, self.service, self.changed,
-                                     lambda trouble: self.server.make_way(trouble))
+        self.service = Service(
+            self.limits.change_over,
+            self.limits.last_command,
+            self.limits.kill_after,
+            self.limits.kill_longest,
+        )
+        self.server = Server(
+            self.scheduler,
+            self.limits,
+            self.log,
+            self.service,
+            self.driver.place,
+            self.driver.left,
+            lambda more: self.upstream.make_room(more),
+            account,
+        )
+        self.management = Management(
+            self.scheduler,
+            self.limits,
+            self.service,
+            self.changed,
+            lambda trouble: self.server.make_way(trouble),
+        )
         self.upstream = self.driver.upstream = Upstream(
-            self.scheduler, self.limits, account, lambda: len(self.server.clients), self.driver.begun, self.driver.ended)
+            self.scheduler,
+            self.limits,
+            account,
+            lambda: len(self.server.clients),
+            self.driver.begun,
+            self.driver.ended,
+        )
         if config.counter:
-            self.driver.counter = Counter(self.scheduler, self.limits, config.counter, self.driver.counted)
+            self.driver.counter = Counter(
+                self.scheduler, self.limits, config.counter, self.driver.counted
+            )
         self.discovery = self.watch(config.known.index if config.known.entries else None)
         self.agent = None
-        if config.agreement:    # imported where it is asked for: a gateway alone starts without it
+        if config.agreement:  # imported where it is asked for: a gateway alone starts without it
             from petrellane.agreement.agent import Agent
             from petrellane.agreement.seal import PATH
+
             self.agent = self.driver.agent = Agent(
-                self.scheduler, self.limits, self.log, config.agreement, config.name, config.raw["settings"], self.takes,
-                self.adopt, self.driver.gateway.random)
+                self.scheduler,
+                self.limits,
+                self.log,
+                config.agreement,
+                config.name,
+                config.raw["settings"],
+                self.takes,
+                self.adopt,
+                self.driver.gateway.random,
+            )
             self.management.handlers[PATH] = self.agent.desk
         self.ending = self.succeeding = False
         self.handover = None
         if config.listen_fd is not None:
-            self.handover = self.driver.handover = Handover(self.scheduler, self.limits, self.log, config.name,
-                                                            self.give, self.hand, self.driver.taken, self.server.adopt,
-                                                            self.driver.settled, self.beside)
+            self.handover = self.driver.handover = Handover(
+                self.scheduler,
+                self.limits,
+                self.log,
+                config.name,
+                self.give,
+                self.hand,
+                self.driver.taken,
+                self.server.adopt,
+                self.driver.settled,
+                self.beside,
+            )
 
     def watch(self, index):
-        return Discovery(self.scheduler, self.limits, self.log, self.config.discovery, index, self.listed,
-                         self.driver.gateway.random, lambda: self.driver.taking)
+        return Discovery(
+            self.scheduler,
+            self.limits,
+            self.log,
+            self.config.discovery,
+            index,
+            self.listed,
+            self.driver.gateway.random,
+            lambda: self.driver.taking,
+        )
 
     def listed(self, told):
         """Discovery has told of a list, or its call failed."""
@@ -157,11 +208,17 @@
         if self.driver.to is not None:
             tally["to"], self.driver.to = dict(self.driver.to), Tally()
         if tally:
-            self.log.event("figures", **tally, cpu=round(time.process_time(), 3), turn=round(self.scheduler.longest, 3),
-                           clients=len(self.server.clients), connections=self.upstream.open,
-                           busy=sum(len(pool.busy) for pool in self.upstream.pools.values()),
-                           pressure=round(self.driver.gateway.pressure, 3),
-                           crowded=int(self.driver.gateway.leases.crowded(self.scheduler.now())))
+            self.log.event(
+                "figures",
+                **tally,
+                cpu=round(time.process_time(), 3),
+                turn=round(self.scheduler.longest, 3),
+                clients=len(self.server.clients),
+                connections=self.upstream.open,
+                busy=sum(len(pool.busy) for pool in self.upstream.pools.values()),
+                pressure=round(self.driver.gateway.pressure, 3),
+                crowded=int(self.driver.gateway.leases.crowded(self.scheduler.now())),
+            )
         self.scheduler.longest = 0.0
 
     def obey(self, signals):
@@ -178,8 +235,11 @@
             for number in ours.recv(64):
                 if number in signals:
                     signals[number]()
+
         self.scheduler.register(ours.fileno(), select.POLLIN, rung)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, signals)    # what came since the start of the process is heard now
+        signal.pthread_sigmask(
+            signal.SIG_UNBLOCK, signals
+        )  # what came since the start of the process is heard now
 
     def reload(self, load):
         """Take up what can be taken up of a configuration read anew: the settings, and the addresses of discovery and the
@@ -190,27 +250,48 @@
             self.log.event("reload_refused", error=str(error))
             return
         counter = config.counter or self.config.counter
-        moved = [key for key, before, now in (("discovery", self.config.discovery, config.discovery),
-                                              ("counter", self.config.counter, counter)) if before and before != now]
+        moved = [
+            key
+            for key, before, now in (
+                ("discovery", self.config.discovery, config.discovery),
+                ("counter", self.config.counter, counter),
+            )
+            if before and before != now
+        ]
         before, now = self.config.settings, config.settings
         if self.agent and not self.agent.drifts(config.raw["settings"]):
             now = before
-        self.config = replace(self.config, discovery=config.discovery, counter=counter, raw=config.raw)
+        self.config = replace(
+            self.config, discovery=config.discovery, counter=counter, raw=config.raw
+        )
         self.put(now)
         if "counter" in moved:
             self.driver.counter.move(counter)
-        if "discovery" in moved:    # the list is asked for whole, whatever version the old address gave
+        if (
+            "discovery" in moved
+        ):  # the list is asked for whole, whatever version the old address gave
             self.discovery.end()
             self.discovery = self.watch(None)
             self.scheduler.spawn(self.discovery.run)
-        self.log.event("reloaded", moved=moved, methods=self.differ(before.methods, now.methods),
-                       plans=self.differ(before.plans, now.plans))
+        self.log.event(
+            "reloaded",
+            moved=moved,
+            methods=self.differ(before.methods, now.methods),
+            plans=self.differ(before.plans, now.plans),
+        )
 
     def put(self, settings):
         """Put settings in force."""
         self.config = replace(self.config, settings=settings)
         self.limits = self.limits.renewed(self.config)
-        for part in (self.server, self.upstream, self.management, self.discovery, self.driver.counter, self.agent):
+        for part in (
+            self.server,
+            self.upstream,
+            self.management,
+            self.discovery,
+            self.driver.counter,
+            self.agent,
+        ):
             if part:
                 part.limits = self.limits
         self.driver.renewed(settings, self.limits)
@@ -218,6 +299,7 @@
     def agreed(self, content):
         """The configuration with settings that are agreed on, and what of them is our own. Raises ConfigError."""
         from petrellane.agreement import policy
+
         return settled(self.config, {**policy.own(self.config.raw["settings"]), **content})
 
     def takes(self, content):
@@ -232,17 +314,24 @@
         """Put agreed settings in force; `takes` has looked at them."""
         before, now = self.config.settings, self.agreed(content).settings
         self.put(now)
-        self.log.event("settings", methods=self.differ(before.methods, now.methods),
-                       plans=self.differ(before.plans, now.plans))
+        self.log.event(
+            "settings",
+            methods=self.differ(before.methods, now.methods),
+            plans=self.differ(before.plans, now.plans),
+        )
 
     @staticmethod
     def differ(before, now):
         """The names that came, went or stand for something else."""
-        return sorted(name for name in before.keys() | now.keys() if before.get(name) is not now.get(name))
+        return sorted(
+            name for name in before.keys() | now.keys() if before.get(name) is not now.get(name)
+        )
 
     def changed(self):
         """Staff have had the gateway emptied, or taken into service again."""
-        self.log.event(self.service.state, clients=len(self.server.clients), open=len(self.driver.exchanges))
+        self.log.event(
+            self.service.state, clients=len(self.server.clients), open=len(self.driver.exchanges)
+        )
         self.server.drain()
 
     def end(self):
@@ -250,11 +339,15 @@
         if not self.ending:
             self.ending = True
             self.service.end(self.scheduler.now())
-            self.log.event("ending", clients=len(self.server.clients), open=len(self.driver.exchanges))
-            by = self.service.answers_by(max((one.deadline for one in self.config.settings.methods.values()), default=0.0))
+            self.log.event(
+                "ending", clients=len(self.server.clients), open=len(self.driver.exchanges)
+            )
+            by = self.service.answers_by(
+                max((one.deadline for one in self.config.settings.methods.values()), default=0.0)
+            )
             self.scheduler.after(max(0.0, by - self.scheduler.now()), self.driver.last_answers)
             self.driver.last = by
-            if self.server.heir:    # clients go to the next process, not away
+            if self.server.heir:  # clients go to the next process, not away
                 self.server.end(self.stop)
                 return
             left = self.service.since + self.limits.change_over - self.scheduler.now()
@@ -281,7 +374,12 @@
     except ConfigError as error:
         print(f"petrellane: {error}", file=sys.stderr)
         return 2
-    node.obey({signal.SIGTERM: node.end, signal.SIGINT: node.end,
-               signal.SIGHUP: lambda: node.reload(partial(load, environ))})
+    node.obey(
+        {
+            signal.SIGTERM: node.end,
+            signal.SIGINT: node.end,
+            signal.SIGHUP: lambda: node.reload(partial(load, environ)),
+        }
+    )
     node.run()
     return 0
--- a/petrellane/gateway/passage.py
+++ b/petrellane/gateway/passage.py
@@ -24,7 +24,7 @@
         """So many bytes of a body are kept now; 0 when it is over."""
         self.kept += size - self.bodies.get(whose, 0)
         if size:
-            self.bodies[whose] = size    # in its old place: the first one stays the first
+            self.bodies[whose] = size  # in its old place: the first one stays the first
         else:
             self.bodies.pop(whose, None)
 
@@ -41,9 +41,9 @@
     def __init__(self, account, now, hold, gone):
         self.account, self.now, self.hold, self.gone = account, now, hold, gone
         self.pieces, self.waiting, self.stream = deque(), 0, None
-        self.flush = lambda: None    # set by who takes it
+        self.flush = lambda: None  # set by who takes it
         self.held = self.whole = self.broken = self.sink = False
-        self.moved, self.sent = now(), 0    # when bytes moved last, and how many the client had then
+        self.moved, self.sent = now(), 0  # when bytes moved last, and how many the client had then
         account.passages.add(self)
 
     # The host's side.
--- a/petrellane/gateway/room.py
+++ b/petrellane/gateway/room.py
@@ -10,9 +10,17 @@
     comes then is shut instead.
 
     All but `now` (seconds) are in the order in which they came to be there; `halves` says since when."""
-    settled, ripe, rested = now - limits.client_settle, now - limits.command_timeout_crowded, now - limits.client_rested
+    settled, ripe, rested = (
+        now - limits.client_settle,
+        now - limits.command_timeout_crowded,
+        now - limits.client_rested,
+    )
     yield from itertools.takewhile(lambda client: client.came <= settled, silent)
     yield from (client for client in once if not client.asked or client.since <= rested)
     yield from (client for client, since in halves.items() if since <= ripe)
     yield from (client for client in clients if client not in silent and not client.asked)
-    yield from (client for client in clients if client not in silent and client.asked and client.since <= rested)
+    yield from (
+        client
+        for client in clients
+        if client not in silent and client.asked and client.since <= rested
+    )
--- a/petrellane/gateway/server.py
+++ b/petrellane/gateway/server.py
@@ -16,7 +16,7 @@
 QUERY = b"SVC.QUERY"
 SERVED = {QUERY, b"SVC.SUBMIT"}
 PING, PONG, UNWELCOME = b"PING", b"+PONG\r\n", b"-ERR draining\r\n"
-REFUSED = b"-BUSY\r\n"    # not taken: we go, and another gateway may
+REFUSED = b"-BUSY\r\n"  # not taken: we go, and another gateway may
 AT_ONCE = {PING: PONG, b"CLIENT": b"+OK\r\n", b"SELECT": b"+OK\r\n"}
 
 
@@ -30,16 +30,22 @@
     def __init__(self, scheduler, limits, log, service, place, left, make_room, account):
         self.scheduler, self.limits, self.log, self.service = scheduler, limits, log, service
         self.place, self.left, self.make_room, self.account = place, left, make_room, account
-        self.clients = {}    # connected ones, in the order of their last command
-        self.silent, self.once = {}, {}    # those that have said nothing yet, or one thing, the oldest first
-        self.halves = {}    # those found in the midst of a command when room was sought, and since when
+        self.clients = {}  # connected ones, in the order of their last command
+        self.silent, self.once = (
+            {},
+            {},
+        )  # those that have said nothing yet, or one thing, the oldest first
+        self.halves = {}  # those found in the midst of a command when room was sought, and since when
         self.listener, self.attending, self.starved = None, False, 0.0
-        self.unread = {}    # those that don't take what is written to them: bytes taken so far, and since when no more
+        self.unread = {}  # those that don't take what is written to them: bytes taken so far, and since when no more
         scheduler.after(limits.look, self.look)
-        self.shut, self.told = 0, 0.0    # connections for which there was no room, and when the log was told
-        self.bound = False   # the address is ours, and whoever comes is refused
+        self.shut, self.told = (
+            0,
+            0.0,
+        )  # connections for which there was no room, and when the log was told
+        self.bound = False  # the address is ours, and whoever comes is refused
         self.ended, self.until, self.draining = None, 0.0, False
-        self.heir = None    # what passes connections on to the process that follows, while it does
+        self.heir = None  # what passes connections on to the process that follows, while it does
 
     def listen(self, address, now=True):
         """Listen at an address; callers are heard from `attend` on. Or only take the address for now: who comes is refused,
@@ -69,7 +75,7 @@
             return
         for sock in accepted(self.listener, self.limits.accepts, self.make_way):
             if full or not self.admits():
-                full = True    # for the rest of this turn
+                full = True  # for the rest of this turn
                 self.turn_away(sock)
                 continue
             client = Client(self, Stream(self.scheduler, self.limits, sock, leaves=True))
@@ -104,7 +110,9 @@
         self.shut += 1
         now = self.scheduler.now()
         if now - self.told >= self.limits.look:
-            self.log.event("no_room", clients=len(self.clients), halves=len(self.halves), shut=self.shut)
+            self.log.event(
+                "no_room", clients=len(self.clients), halves=len(self.halves), shut=self.shut
+            )
             self.told, self.shut = now, 0
 
     def hand(self, heir):
@@ -138,7 +146,9 @@
         for client in self.clients:
             if client.stream.buffer and not client.offered:
                 self.halves.setdefault(client, now)
-        return self.shed_one(room.spare(now, self.limits, self.silent, self.once, self.halves, self.clients))
+        return self.shed_one(
+            room.spare(now, self.limits, self.silent, self.once, self.halves, self.clients)
+        )
 
     def shed_one(self, clients):
         for client in clients:
@@ -152,7 +162,9 @@
         """Let go of clients that are owed nothing more and take nothing of their answers for too long."""
         self.scheduler.after(self.limits.look, self.look)
         now, before, self.unread = self.scheduler.now(), self.unread, {}
-        for client in [client for client in self.clients if client.stream.unsent and not client.owed]:
+        for client in [
+            client for client in self.clients if client.stream.unsent and not client.owed
+        ]:
             taken, since = before.get(client, (None, now))
             self.unread[client] = client.stream.sent, since if taken == client.stream.sent else now
             if now - self.unread[client][1] >= self.limits.stall_timeout:
@@ -161,7 +173,9 @@
     def stuck(self, client):
         """Whether it is owed nothing, and has been in the midst of a command for too long now that room is short."""
         since = self.halves.get(client, math.inf)
-        return self.scheduler.now() - since >= self.limits.command_timeout_crowded and not (client.owed or client.offered)
+        return self.scheduler.now() - since >= self.limits.command_timeout_crowded and not (
+            client.owed or client.offered
+        )
 
     def heard(self, client):
         """A client has said something: the order of clients is that of their last commands."""
@@ -201,7 +215,7 @@
         for client in list(self.clients):
             client.let_go()
         if not self.clients and not self.heir:
-            self.accept()    # whoever came in the meantime is served
+            self.accept()  # whoever came in the meantime is served
         if self.clients and self.scheduler.now() < self.until:
             self.scheduler.after(self.limits.let_go, self.let_go)
             return
@@ -219,19 +233,30 @@
     def __init__(self, server, stream):
         self.server, self.stream = server, stream
         stream.deserted = self.desert
-        self.owed = deque()    # replies in the order of their commands
-        self.came = self.since = server.scheduler.now()    # since when nothing is owed to it
-        self.closing, self.finished = False, 0.0    # the connection ends once all is written; and since when it has
-        self.asked = False     # it has sent an RPC
-        self.parked, self.stays = None, 0.0    # waits until nothing is owed; is not passed on before then
-        self.offered, self.passed = False, None    # to the process that follows; and whether it is its now
-        self.half = None       # when a command that has begun must have come whole
+        self.owed = deque()  # replies in the order of their commands
+        self.came = self.since = server.scheduler.now()  # since when nothing is owed to it
+        self.closing, self.finished = (
+            False,
+            0.0,
+        )  # the connection ends once all is written; and since when it has
+        self.asked = False  # it has sent an RPC
+        self.parked, self.stays = (
+            None,
+            0.0,
+        )  # waits until nothing is owed; is not passed on before then
+        self.offered, self.passed = (
+            False,
+            None,
+        )  # to the process that follows; and whether it is its now
+        self.half = None  # when a command that has begun must have come whole
 
     def run(self):
         """Read commands until the client goes away, or is idle or in the middle of a command for too long."""
         try:
             while True:
-                while not self.closing and not self.passing() and self.read():    # others have their turn
+                while (
+                    not self.closing and not self.passing() and self.read()
+                ):  # others have their turn
                     self.server.scheduler.wait(0)
                 self.here()
                 self.let_go()
@@ -304,13 +329,22 @@
     def passing(self):
         """Whether the process that follows is to have this connection; not in the midst of a long command."""
         server = self.server
-        return server.heir and len(self.stream.buffer) <= server.limits.passed and server.scheduler.now() >= self.stays
+        return (
+            server.heir
+            and len(self.stream.buffer) <= server.limits.passed
+            and server.scheduler.now() >= self.stays
+        )
 
     def pass_on(self):
         """Wait until nothing is owed, then pass the connection on; False when it stays here."""
         server = self.server
         self.stream.hold()
-        while (self.owed or self.stream.unsent) and not self.stream.broken and not self.closing and server.heir:
+        while (
+            (self.owed or self.stream.unsent)
+            and not self.stream.broken
+            and not self.closing
+            and server.heir
+        ):
             self.park(server.limits.let_go)
         self.here()
         if server.heir and not self.closing:
@@ -360,8 +394,12 @@
         try:
             self.server.account.keep(self, 0)
             while (now := self.server.scheduler.now()) < until:
-                if not self.owed:    # what a slow client has not got yet has the time of a long value
-                    most = self.server.limits.stall_timeout if self.stream.unsent else self.server.limits.linger
+                if not self.owed:  # what a slow client has not got yet has the time of a long value
+                    most = (
+                        self.server.limits.stall_timeout
+                        if self.stream.unsent
+                        else self.server.limits.linger
+                    )
                     until = min(until, now + most)
                 self.stream.buffer.clear()
                 try:
@@ -375,7 +413,9 @@
         """Take commands that have come whole, a share of a turn; True when there may be more."""
         buffer, at, limits, taken = self.stream.buffer, 0, self.server.limits, 0
         self.here()
-        waited = self in self.server.silent or self.server.scheduler.stood_still()    # to be accepted, or for us
+        waited = (
+            self in self.server.silent or self.server.scheduler.stood_still()
+        )  # to be accepted, or for us
         if buffer and waited and self.stream.left():
             raise Closed("left before it was read")
         try:
@@ -394,7 +434,9 @@
 
     def take(self, buffer, start, spans, end):
         verb, service = bytes(buffer[slice(*spans[0])]).upper(), self.server.service
-        if verb in SERVED and not service.takes(self.server.scheduler.now(), self.came, bool(self.owed)):
+        if verb in SERVED and not service.takes(
+            self.server.scheduler.now(), self.came, bool(self.owed)
+        ):
             self.reply(REFUSED)
         elif verb in SERVED:
             self.asked = True
@@ -424,7 +466,7 @@
         while self.owed and (reply := self.owed[0]).answer is not None:
             pieces += reply.answer
             if passage := reply.passage:
-                reply.answer = ()    # its head is told
+                reply.answer = ()  # its head is told
                 pieces += passage.take(self.stream)
                 if not passage.whole:
                     break
@@ -436,7 +478,11 @@
             self.since = self.server.scheduler.now()
             self.stream.write(*pieces)
         if self.owed and self.owed[0].passage and self.owed[0].passage.broken:
-            self.cut(self.owed[0].passage.moved + self.server.limits.stall_timeout - self.server.scheduler.now())
+            self.cut(
+                self.owed[0].passage.moved
+                + self.server.limits.stall_timeout
+                - self.server.scheduler.now()
+            )
         elif pieces:
             if not self.owed and self.parked:
                 self.server.scheduler.soon(self.nudge)
@@ -455,7 +501,13 @@
     def idle(self):
         """Whether it is owed nothing and has sent nothing that we have not read."""
         stream = self.stream
-        return not self.offered and not self.owed and not stream.buffer and not stream.unsent and stream.quiet()
+        return (
+            not self.offered
+            and not self.owed
+            and not stream.buffer
+            and not stream.unsent
+            and stream.quiet()
+        )
 
     def let_go(self):
         """End our side of a connection that is to end, when nothing is owed on it; its client is read for a while more."""
@@ -466,14 +518,28 @@
             if now - self.finished > self.server.limits.linger:
                 self.stream.close()
         elif self.offered or self.server.heir and not self.closing:
-            pass    # it goes to another process
-        elif self.server.service.lets_go(now) and self.goes(now) and self.idle() or not (
-                self.closing or self.owed or self.stream.unsent or self.stream.buffer and not self.half
-                or self.server.service.takes(now, self.came)):
-            self.closing = True    # it has all its answers, and our end tells that what it sends from now on is not taken
+            pass  # it goes to another process
+        elif (
+            self.server.service.lets_go(now)
+            and self.goes(now)
+            and self.idle()
+            or not (
+                self.closing
+                or self.owed
+                or self.stream.unsent
+                or self.stream.buffer
+                and not self.half
+                or self.server.service.takes(now, self.came)
+            )
+        ):
+            self.closing = True  # it has all its answers, and our end tells that what it sends from now on is not taken
             self.let_go()
 
     def goes(self, now):
         """Whether it is to end when idle. One that pings alone, to learn when we are back, may go on while we drain."""
         limits = self.server.limits
-        return self.asked or self.server.service.state == ENDING or now - self.since >= limits.drain_idle
+        return (
+            self.asked
+            or self.server.service.state == ENDING
+            or now - self.since >= limits.drain_idle
+        )
--- a/petrellane/gateway/upstream.py
+++ b/petrellane/gateway/upstream.py
@@ -16,13 +16,24 @@
 
 class Attempt:
     """A call-out on the network."""
-    __slots__ = ("exchange", "call_out", "pool", "connection", "until", "timer", "mark", "given_up", "passing")
+
+    __slots__ = (
+        "exchange",
+        "call_out",
+        "pool",
+        "connection",
+        "until",
+        "timer",
+        "mark",
+        "given_up",
+        "passing",
+    )
 
     def __init__(self, exchange, call_out, pool, until):
         self.exchange, self.call_out, self.pool, self.until = exchange, call_out, pool, until
         self.connection = self.timer = self.mark = None
-        self.passing = False    # its answer has begun to go to the client
-        self.given_up = ""    # the outcome that is told once its connection allows
+        self.passing = False  # its answer has begun to go to the client
+        self.given_up = ""  # the outcome that is told once its connection allows
 
 
 class Connection:
@@ -31,13 +42,19 @@
     def __init__(self, pool):
         self.pool, self.address, self.stream, self.out = pool, pool.address, None, deque()
         self.idle_since, self.answered, self.retiring, self.ended = 0.0, 0.0, False, False
-        self.left, self.parts, self.passage = 0, 0, None    # bytes of a long value still to come; its answer's parts
+        self.left, self.parts, self.passage = (
+            0,
+            0,
+            None,
+        )  # bytes of a long value still to come; its answer's parts
 
     def run(self):
         """Dial, then read answers until the connection ends."""
         upstream, pool = self.pool.upstream, self.pool
         try:
-            self.stream = Stream.dial(upstream.scheduler, upstream.limits, self.address, upstream.limits.dial_timeout)
+            self.stream = Stream.dial(
+                upstream.scheduler, upstream.limits, self.address, upstream.limits.dial_timeout
+            )
         except OSError as trouble:
             upstream.open -= 1
             upstream.tally["dials failed"] += 1
@@ -65,8 +82,13 @@
     def takes_more(self):
         """Whether one more attempt may be written behind those that are out: not behind bytes that the host does not
         take, where it would wait unseen, nor at an address that the host has left."""
-        return not (self.retiring or self.stream.unsent or self.stream.broken or self.address != self.pool.address
-                    or len(self.out) >= self.pool.upstream.limits.streams)
+        return not (
+            self.retiring
+            or self.stream.unsent
+            or self.stream.broken
+            or self.address != self.pool.address
+            or len(self.out) >= self.pool.upstream.limits.streams
+        )
 
     def read(self):
         """Take the answers that have come whole."""
@@ -94,7 +116,7 @@
                 passage, self.passage = self.passage, None
                 passage.end()
             self.answered = self.pool.heard = self.pool.upstream.scheduler.now()
-            self.pool.free(self)    # first, since what follows may be for this host as well
+            self.pool.free(self)  # first, since what follows may be for this host as well
             self.pool.upstream.over(attempt, outcome, value, figures)
 
     def begin(self, buffer, parts, length, start):
@@ -104,14 +126,19 @@
         attempt, self.left, self.parts = self.out[0], length, parts
         del buffer[:start]
         self.stream.bound(socket.SO_RCVBUF)
-        self.passage = Passage(self.pool.upstream.account, self.pool.upstream.scheduler.now, self.stream.hold, self.unwanted)
+        self.passage = Passage(
+            self.pool.upstream.account,
+            self.pool.upstream.scheduler.now,
+            self.stream.hold,
+            self.unwanted,
+        )
         if attempt.given_up or not self.pool.upstream.begun(attempt, self.passage, length):
             self.passage.drop()
 
     def pass_on(self, buffer):
         """Some of a long value has come; once all of it has, what follows reads like the rest of a short answer."""
-        data = bytes(buffer[:self.left])
-        del buffer[:len(data)]
+        data = bytes(buffer[: self.left])
+        del buffer[: len(data)]
         self.left -= len(data)
         if not self.left:
             buffer[:0] = b"*%d\r\n$0\r\n" % self.parts
@@ -129,8 +156,10 @@
 
     def meaning(self, kind, content):
         """What an answer says: the outcome, the value, and the figures on use and load that came with it."""
+
         def taken(span):
             return bytes(self.stream.buffer[slice(*span)]) if span else b""
+
         if kind == 0x2A and content and content[0]:
             value, used, report = (content + [None, None])[:3]
             return api.OK, taken(value), b",".join(filter(None, (taken(used), taken(report))))
@@ -171,7 +200,9 @@
         self.retiring = True
         if all(other.given_up for other in self.out):
             self.end()
-        elif outcome == api.LATE:    # its time is over: nothing can be sent in its place, so this may be told
+        elif (
+            outcome == api.LATE
+        ):  # its time is over: nothing can be sent in its place, so this may be told
             self.pool.upstream.over(attempt, outcome)
 
 
@@ -180,9 +211,9 @@
 
     def __init__(self, upstream, host, address):
         self.upstream, self.host, self.address = upstream, host, address
-        self.idle, self.busy = deque(), {}    # the last one used is the next one used
+        self.idle, self.busy = deque(), {}  # the last one used is the next one used
         self.queue, self.dials, self.heard = deque(), 0, 0.0
-        self.resting = None    # the timer for an idle connection to have rested
+        self.resting = None  # the timer for an idle connection to have rested
 
     def assign(self, attempt):
         """Write an attempt to an idle connection, or let it wait for a new one, or pipeline it."""
@@ -204,7 +235,9 @@
                     min(shared, key=lambda one: len(one.out)).write(self.queue.popleft())
                 else:
                     break
-        if self.queue and self.idle and not self.resting:    # a dial may be late: one that has rested is as good
+        if (
+            self.queue and self.idle and not self.resting
+        ):  # a dial may be late: one that has rested is as good
             self.resting = self.upstream.scheduler.after(self.upstream.limits.rest, self.rested)
 
     def rested(self):
@@ -251,7 +284,11 @@
         if not connection.out and not connection.clean():
             connection.end()
             return
-        if connection.retiring or self.host.state != api.READY or connection.address != self.address:
+        if (
+            connection.retiring
+            or self.host.state != api.READY
+            or connection.address != self.address
+        ):
             if all(other.given_up for other in connection.out):
                 connection.end()
             return
@@ -274,7 +311,7 @@
         self.busy.pop(connection, None)
         if connection in self.idle:
             self.idle.remove(connection)
-        if self.queue:    # one may wait that no dial will serve
+        if self.queue:  # one may wait that no dial will serve
             self.upstream.scheduler.soon(self.go_on)
 
     def withdraw(self):
@@ -299,10 +336,15 @@
     once."""
 
     def __init__(self, scheduler, limits, account, clients, begun, ended):
-        self.scheduler, self.limits, self.account, self.clients = scheduler, limits, account, clients
+        self.scheduler, self.limits, self.account, self.clients = (
+            scheduler,
+            limits,
+            account,
+            clients,
+        )
         self.told_begun, self.ended = begun, ended
         self.pools, self.open, self.tally = {}, 0, Counter()
-        self.attempts = {}    # call-out -> attempt, while its outcome is not told
+        self.attempts = {}  # call-out -> attempt, while its outcome is not told
         scheduler.after(limits.look, self.look)
 
     def listed(self, host, address):
@@ -346,15 +388,22 @@
             attempt.pool.queue.remove(attempt)
             self.over(attempt, api.NEVER_SENT)
         else:
-            attempt.timer = self.scheduler.after(attempt.until - self.scheduler.now(),
-                                                 partial(self.give_up, attempt, api.LATE))
+            attempt.timer = self.scheduler.after(
+                attempt.until - self.scheduler.now(), partial(self.give_up, attempt, api.LATE)
+            )
 
     def stale(self, attempt):
         """Whether an attempt is not to be sent any more: its RPC is over, its time, or its host's. Where its client may
         have left unseen for a while, its socket is asked: that costs little beside a turn that takes so long."""
         now = self.scheduler.now()
-        return (attempt.exchange.rpc.ended or attempt.call_out.host.state != api.READY or attempt.until <= now
-                or attempt.call_out.by < now or self.scheduler.unseen() and attempt.exchange.gone())
+        return (
+            attempt.exchange.rpc.ended
+            or attempt.call_out.host.state != api.READY
+            or attempt.until <= now
+            or attempt.call_out.by < now
+            or self.scheduler.unseen()
+            and attempt.exchange.gone()
+        )
 
     def cancel(self, call_out):
         """Stop waiting for an attempt; its outcome still comes."""
@@ -372,13 +421,15 @@
                 attempt.pool.queue.remove(attempt)
                 self.scheduler.soon(self.over, attempt, api.NEVER_SENT)
             elif connection and attempt.mark > connection.stream.sent and not attempt.given_up:
-                connection.stream.unsent.clear()    # nothing is written behind it: see takes_more
+                connection.stream.unsent.clear()  # nothing is written behind it: see takes_more
                 connection.give_up(attempt, api.NEVER_SENT)
             elif connection and may_cancel:
                 self.scheduler.soon(self.call_off, attempt)
 
     def call_off(self, attempt):
-        if attempt.call_out in self.attempts and not (attempt.connection.answered or attempt.given_up or attempt.passing):
+        if attempt.call_out in self.attempts and not (
+            attempt.connection.answered or attempt.given_up or attempt.passing
+        ):
             attempt.connection.call_off(attempt, api.CANCELLED)
 
     def run_out(self, call_outs):
@@ -387,7 +438,12 @@
             self.give_up(attempt, api.LATE)
 
     def give_up(self, attempt, outcome):
-        if attempt.call_out not in self.attempts or attempt.given_up and outcome != api.LATE or attempt.passing:
+        if (
+            attempt.call_out not in self.attempts
+            or attempt.given_up
+            and outcome != api.LATE
+            or attempt.passing
+        ):
             return
         if attempt.connection:
             attempt.connection.give_up(attempt, outcome)
--- a/petrellane/hosts.py
+++ b/petrellane/hosts.py
@@ -18,14 +18,15 @@
 from petrellane.interface import GONE, READY, Host, Listing
 
 START = itemgetter(0)
-NEW, AGAIN, CHANGED = "new", "started again", "changed"    # what a list may say of a host
+NEW, AGAIN, CHANGED = "new", "started again", "changed"  # what a list may say of a host
+
 
 class Groups:
     """Members under keys; a key without members takes no memory."""
 
     def __init__(self) -> None:
         self.members: dict[Hashable, list] = {}
-        self.places: dict[Hashable, dict] = {}    # key -> member -> its index in the list
+        self.places: dict[Hashable, dict] = {}  # key -> member -> its index in the list
 
     def put(self, member: Hashable, keys: Iterable[Hashable]) -> None:
         """Put a member under keys that it is not under yet."""
@@ -57,9 +58,12 @@
     """Members with a start (seconds of any clock) and a size, in the order of starts; among equal ones as they came."""
 
     def __init__(self) -> None:
-        self.rows: list[tuple] = []    # (start, size, member)
-        self.sizes, self.moments = [0.0], [0.0]    # over the first so many rows: sizes, and sizes by start since `base`
-        self.base, self.summed = 0.0, 0    # so many rows are added up
+        self.rows: list[tuple] = []  # (start, size, member)
+        self.sizes, self.moments = (
+            [0.0],
+            [0.0],
+        )  # over the first so many rows: sizes, and sizes by start since `base`
+        self.base, self.summed = 0.0, 0  # so many rows are added up
 
     def __len__(self) -> int:
         return len(self.rows)
@@ -99,11 +103,15 @@
         """Bring the sums up to date behind the first row that changed: a step for each row behind it."""
         if self.summed < len(self.rows):
             if not self.summed:
-                self.base = self.rows[0][0]    # near the starts: a sum of times since long ago would lose digits
-            rows, base = self.rows[self.summed:], self.base
-            for sums, parts in ((self.sizes, [size for _, size, _ in rows]),
-                                (self.moments, [size * (start - base) for start, size, _ in rows])):
-                sums[self.summed:] = accumulate(parts, initial=sums[self.summed])
+                self.base = self.rows[0][
+                    0
+                ]  # near the starts: a sum of times since long ago would lose digits
+            rows, base = self.rows[self.summed :], self.base
+            for sums, parts in (
+                (self.sizes, [size for _, size, _ in rows]),
+                (self.moments, [size * (start - base) for start, size, _ in rows]),
+            ):
+                sums[self.summed :] = accumulate(parts, initial=sums[self.summed])
             self.summed = len(self.rows)
 
     def size(self, first: int, last: int) -> float:
@@ -115,7 +123,9 @@
         """Their sizes, each times the seconds since its start; 0 for what has a start to come."""
         self.add_up()
         last = max(first, min(last, self.after(now)))
-        return (now - self.base) * (self.sizes[last] - self.sizes[first]) - (self.moments[last] - self.moments[first])
+        return (now - self.base) * (self.sizes[last] - self.sizes[first]) - (
+            self.moments[last] - self.moments[first]
+        )
 
 
 class Highest:
@@ -125,7 +135,7 @@
     MOST = 4096
 
     def __init__(self, span: float) -> None:
-        self.span, self.values = span, deque(maxlen=self.MOST)    # (at, value), falling
+        self.span, self.values = span, deque(maxlen=self.MOST)  # (at, value), falling
 
     def put(self, at: float, value: float) -> None:
         """Note a value; times must not go back."""
@@ -145,9 +155,12 @@
 
     def __init__(self, known: Callable[[], object]) -> None:
         super().__init__()
-        self.known, self.groups, self.size = known, Groups(), 0.0    # shares of all that are ready
+        self.known, self.groups, self.size = known, Groups(), 0.0  # shares of all that are ready
         self.cold_for, self.cold_from = 0.0, 1.0
-        self.starts, self.passed = Starts(), 0    # those that are cold, behind so many that are warm by now
+        self.starts, self.passed = (
+            Starts(),
+            0,
+        )  # those that are cold, behind so many that are warm by now
 
     def warms(self, cold_for: float, cold_from: float) -> None:
         """A host is cold for so many seconds from its start, and has then that share of its capacity, which grows evenly."""
@@ -155,7 +168,7 @@
             self.cold_for, self.cold_from = cold_for, cold_from
             self.groups, self.starts, self.passed, self.size = Groups(), Starts(), 0, 0.0
             for host in self:
-                self.count_in(host, -math.inf)    # `warm_up` sorts out who is warm
+                self.count_in(host, -math.inf)  # `warm_up` sorts out who is warm
 
     def listed(self, now: float, full: bool, rows: Iterable[Listing]) -> list[tuple]:
         """Take over a list, or changes to it, at a cost in step with its rows; what a whole one leaves out is gone. What it
@@ -172,7 +185,14 @@
             host, known = row.host, self.get(row.host)
             share, again = row.share or 1.0, row.up_since != host.up_since
             if known is not None:
-                if row[1:] == (host.zone, host.kind, host.pod, host.state, host.share, host.up_since):
+                if row[1:] == (
+                    host.zone,
+                    host.kind,
+                    host.pod,
+                    host.state,
+                    host.share,
+                    host.up_since,
+                ):
                     continue
                 self.count_out(host)
             host.zone, host.kind, host.pod, host.state = row.zone, row.kind, row.pod, row.state
@@ -211,7 +231,7 @@
         time up to which a start is long enough ago for that."""
         edge = now - self.cold_for if self.cold_for and self.cold_from < 1 else math.inf
         first = self.starts.after(edge)
-        for _, _, host in self.starts.rows[self.passed:first]:
+        for _, _, host in self.starts.rows[self.passed : first]:
             self.groups.put(host, (None, host.zone, host.pod))
         self.passed = max(first, self.passed) - self.starts.forget(edge)
         return edge
@@ -239,7 +259,9 @@
     def cold_at(self, lot: float, now: float) -> Host:
         """The cold host on which a lot from 0 up to `cold` falls, each having a part as large as what it has by now."""
         first, last = self.passed, len(self.starts)
-        below = bisect_right(range(first, last - 1), lot, key=lambda at: self.warm(first, at + 1, now))
+        below = bisect_right(
+            range(first, last - 1), lot, key=lambda at: self.warm(first, at + 1, now)
+        )
         return self.starts.rows[first + below][2]
 
     def warm(self, first: int, last: int, now: float) -> float:
--- a/petrellane/interface.py
+++ b/petrellane/interface.py
@@ -15,6 +15,7 @@
 class Method:
     """What the settings say of one method. `call_outs` is the most that one RPC may have; methods that stand for the
     same one, before and after new settings, share a `root`."""
+
     name: str
     soft_deadline: float
     deadline: float
@@ -34,6 +35,7 @@
 @dataclass(eq=False, slots=True)
 class Plan:
     """What the settings say of one plan; a rate of 0 means no such quota."""
+
     name: str
     rate: float = 0.0
     store: float = 0.0
@@ -50,6 +52,7 @@
 class Customer:
     """One customer: its id, the gateways it comes through (`spread` of them from number `first`), and since when it is known
     under this plan where it was under another one before: a share of a ceiling fills from then on."""
+
     name: str
     plan: Plan
     first: int = 0
@@ -60,6 +63,7 @@
 @dataclass(eq=False, slots=True)
 class Host:
     """One host as the list last told of it; `up_since` is 0 when it started long ago."""
+
     address: str
     zone: str = ""
     kind: str = ""
@@ -71,6 +75,7 @@
 
 class Listing(NamedTuple):
     """One row of a host list, not yet taken over into its host."""
+
     host: Host
     zone: str
     kind: str
@@ -83,6 +88,7 @@
 @dataclass(eq=False, slots=True)
 class Rpc:
     """One RPC; `deadline` is the clock time at which the client gives up."""
+
     method: Method
     customer: Customer
     units: float
@@ -97,6 +103,7 @@
 @dataclass(eq=False, slots=True)
 class CallOut:
     """Send the RPC to the host, `by` some time or not at all; `number` counts the RPC's call-outs from 0."""
+
     rpc: Rpc
     host: Host
     number: int
@@ -109,6 +116,7 @@
 
 class PushBack(NamedTuple):
     """End the RPC as pushed back; the client may try again after `wait`. The cause is for counts alone."""
+
     rpc: Rpc
     wait: float
     cause: str = ""
@@ -116,17 +124,20 @@
 
 class Abort(NamedTuple):
     """End the RPC as aborted; nothing is promised of its effect."""
+
     rpc: Rpc
 
 
 class Cancel(NamedTuple):
     """Stop waiting for a call-out; its outcome still comes."""
+
     call_out: CallOut
 
 
 @dataclass(eq=False, slots=True)
 class Add:
     """Add an amount to a named count and tell the total; `lease` and what follows are the module's own."""
+
     name: int
     amount: float
     ttl: float
@@ -140,12 +151,14 @@
 
 class Wake(NamedTuple):
     """Call `woken` with `about` after so many seconds."""
+
     after: float
     about: object
 
 
 class Log(NamedTuple):
     """One line for the operators."""
+
     text: str
 
 
