--- a/petrellane/lab/capacity.py
+++ b/petrellane/lab/capacity.py
@@ -23,7 +23,7 @@
 from petrellane.operation.backoff import SPACED
 
 DAY, HOUR, MS, MB, GB = 86_400.0, 3600.0, 1e3, 1e6, 1e9
-MIB = 2 ** 20 / MB    # the run tells of memory in 2^20 bytes
+MIB = 2**20 / MB  # the run tells of memory in 2^20 bytes
 ABSENT = "not measured"
 BUILD = "this"
 
@@ -35,6 +35,7 @@
 @dataclass(frozen=True)
 class Figure:
     """A value, or None where something it rests on was not measured; and what it rests on, in order."""
+
     value: float | None
     sources: tuple = ()
 
@@ -85,11 +86,16 @@
     """All that the tables are worked out from. Raises BadCapacity where an input lacks a part."""
 
     def __init__(self, plan, scale, messages, run=None):
-        for name, told, parts in (("capacity.toml", plan, ("sizes", "budgets", "estimates", "rates", "shown")),
-                                  ("scale.json", scale, ("slopes",)), ("messages.json", messages, ("figures",))):
+        for name, told, parts in (
+            ("capacity.toml", plan, ("sizes", "budgets", "estimates", "rates", "shown")),
+            ("scale.json", scale, ("slopes",)),
+            ("messages.json", messages, ("figures",)),
+        ):
             for part in parts:
                 if not isinstance(told.get(part), dict):
-                    raise BadCapacity(f"{name}: {part}: expected a table, found {str(told.get(part))[:40]}")
+                    raise BadCapacity(
+                        f"{name}: {part}: expected a table, found {str(told.get(part))[:40]}"
+                    )
         self.plan, self.scale, self.messages, self.run = plan, scale, messages, run or {}
 
     def size(self, name):
@@ -102,7 +108,10 @@
 
     def estimate(self, name):
         """An estimate."""
-        return Figure(float(self._of(self.plan["estimates"], "estimates", name)["value"]), (f"estimate {name}",))
+        return Figure(
+            float(self._of(self.plan["estimates"], "estimates", name)["value"]),
+            (f"estimate {name}",),
+        )
 
     def message(self, name):
         """A figure of benchmarks/messages.py."""
@@ -123,8 +132,10 @@
                 return Figure(float(point[1]), (source,))
         if fit.get("slope") is None:
             return Figure(None, (source,))
-        return Figure(fit["intercept"] + fit["slope"] * value, (f"{source}, by its slope" + (
-            "" if fit.get("line", True) else " (no line)"),))
+        return Figure(
+            fit["intercept"] + fit["slope"] * value,
+            (f"{source}, by its slope" + ("" if fit.get("line", True) else " (no line)"),),
+        )
 
     def played(self, *path):
         """A figure of the run at the whole size, by its path in the report."""
@@ -145,7 +156,10 @@
         for size in others:
             fit = self.fit(size, figure, build)
             least = min((point[0] for point in fit["points"]), default=0.0) if fit else 0.0
-            told = told + (self.at(size, figure, self.size(size).value, build) - self.at(size, figure, least, build))
+            told = told + (
+                self.at(size, figure, self.size(size).value, build)
+                - self.at(size, figure, least, build)
+            )
         return told
 
     @staticmethod
@@ -158,6 +172,7 @@
 @dataclass(frozen=True)
 class Row:
     """One line of what a role costs; `budget` names the budget it stands beside, or is empty."""
+
     role: str
     what: str
     figure: Figure
@@ -184,6 +199,7 @@
 
 # What the program does, in messages and steps.
 
+
 def rpcs_each(book):
     return book.size("rpcs") / book.size("gateways")
 
@@ -196,7 +212,12 @@
 def news(book):
     """Changes of the host list a second, the mean of a day: machines that are hosts, each with its rows."""
     machines = book.size("hosts") + book.size("gateways")
-    return (book.size("replaced") + book.size("failed")) * (book.size("hosts") / machines) * book.estimate("rows") / DAY
+    return (
+        (book.size("replaced") + book.size("failed"))
+        * (book.size("hosts") / machines)
+        * book.estimate("rows")
+        / DAY
+    )
 
 
 def calls_at_rest(book):
@@ -206,7 +227,11 @@
 
 def change_bytes(book):
     """What one change sends to and from one gateway: prepare and commit, and an answer to each."""
-    return book.message("prepare_bytes") + book.message("commit_bytes") + book.message("state_bytes_1200") * 2
+    return (
+        book.message("prepare_bytes")
+        + book.message("commit_bytes")
+        + book.message("state_bytes_1200") * 2
+    )
 
 
 def written_bytes(book):
@@ -216,7 +241,11 @@
 
 def delta_bytes(book):
     """The same where a changed row goes with digests, and answers name the roster by a digest."""
-    return book.message("delta_bytes") + book.message("commit_bytes") + book.message("state_bytes_digest") * 2
+    return (
+        book.message("delta_bytes")
+        + book.message("commit_bytes")
+        + book.message("state_bytes_digest") * 2
+    )
 
 
 def looks_bytes(book, answer="state_bytes_1200"):
@@ -239,8 +268,13 @@
 def change_ms(book):
     """Processor time of a gateway for one change: the prepare's seal and check, settings read to see whether they will do,
     the meet made and read while in doubt, the settings read once more when in force, and two states remembered."""
-    return (book.message("prepare_ms") + book.message("seal_prepare_ms") + book.message("meet_ms")
-            + settings_ms(book) * 3 + book.message("remember_ms") * 2)
+    return (
+        book.message("prepare_ms")
+        + book.message("seal_prepare_ms")
+        + book.message("meet_ms")
+        + settings_ms(book) * 3
+        + book.message("remember_ms") * 2
+    )
 
 
 def in_use(book):
@@ -266,10 +300,26 @@
     sizes = ("hosts", "customers", "methods")
     return [
         Row(role, "state: hosts", book.size("hosts"), "hosts"),
-        Row(role, "state: customers seen in a window, at most", rpcs_each(book) * book.estimate("window_s"), "customers"),
-        Row(role, "decision, 99 in 100, all sizes at once (as a sum)", book.whole("decision_p99_ms", sizes), "ms",
-            "added_ms"),
-        Row(role, "decision, 99 in 100, by hosts alone", hosts(figure="decision_p99_ms"), "ms", "decision_ms"),
+        Row(
+            role,
+            "state: customers seen in a window, at most",
+            rpcs_each(book) * book.estimate("window_s"),
+            "customers",
+        ),
+        Row(
+            role,
+            "decision, 99 in 100, all sizes at once (as a sum)",
+            book.whole("decision_p99_ms", sizes),
+            "ms",
+            "added_ms",
+        ),
+        Row(
+            role,
+            "decision, 99 in 100, by hosts alone",
+            hosts(figure="decision_p99_ms"),
+            "ms",
+            "decision_ms",
+        ),
         Row(role, "decision, the median, by hosts alone", hosts(figure="decision_p50_ms"), "ms"),
         Row(role, "processor, at its RPCs", book.whole("cores", sizes), "cores"),
         Row(role, "RPCs", rpcs_each(book), "1/s"),
@@ -277,75 +327,239 @@
         Row(role, "whole host list taken over", hosts(figure="list_whole_ms"), "ms"),
         Row(role, "the longest turn of that", hosts(figure="list_turn_ms"), "ms", "turn_ms"),
         Row(role, "whole host list read (JSON)", book.message("list_read_ms"), "ms"),
-        Row(role, "one change of the list taken over", hosts(figure="list_change_ms"), "ms", "list_change_ms"),
+        Row(
+            role,
+            "one change of the list taken over",
+            hosts(figure="list_change_ms"),
+            "ms",
+            "list_change_ms",
+        ),
         Row(role, "settings read", settings_ms(book), "ms", "settings_read_ms"),
-        Row(role, "RPCs that come while a change of settings is taken over, and wait",
-            change_ms(book) / MS * changes_each(book), "of 1", "late_share")]
+        Row(
+            role,
+            "RPCs that come while a change of settings is taken over, and wait",
+            change_ms(book) / MS * changes_each(book),
+            "of 1",
+            "late_share",
+        ),
+    ]
 
 
 def control_part(book):
     role, each = "gateway, control part", changes_each(book)
     now = watch_bytes(book) + news_bytes(book) + looks_bytes(book) + change_bytes(book) * each
-    then = watch_bytes(book) + news_bytes(book) + looks_bytes(book, "state_bytes_digest") + delta_bytes(book) * each
-    core = book.message("look_ms") / MS + change_ms(book) / MS * each + news(book) * book.at(
-        "hosts", "list_change_ms", book.size("hosts").value) / MS
+    then = (
+        watch_bytes(book)
+        + news_bytes(book)
+        + looks_bytes(book, "state_bytes_digest")
+        + delta_bytes(book) * each
+    )
+    core = (
+        book.message("look_ms") / MS
+        + change_ms(book) / MS * each
+        + news(book) * book.at("hosts", "list_change_ms", book.size("hosts").value) / MS
+    )
     return [
         Row(role, "state: settings, read", book.message("settings_mb"), "MB"),
         Row(role, "state: members of the roster", book.size("gateways"), "names"),
         Row(role, "watch of the host list, at rest", watch_bytes(book), "B/s", "control_bytes"),
         Row(role, "changes of the host list", news_bytes(book), "B/s", "control_bytes"),
         Row(role, "looks of one control process", looks_bytes(book), "B/s", "control_bytes"),
-        Row(role, "settings, whole at each change", change_bytes(book) * each, "B/s", "control_bytes"),
+        Row(
+            role,
+            "settings, whole at each change",
+            change_bytes(book) * each,
+            "B/s",
+            "control_bytes",
+        ),
         Row(role, "all of these", now, "B/s", "control_bytes"),
         Row(role, "all of these, by deltas and digests (not built)", then, "B/s", "control_bytes"),
-        Row(role, "adds on the counter, one an RPC (credit; not in the sum)", add_bytes(book), "B/s", "control_bytes"),
-        Row(role, "written to its disk in a day, for changes",
-            written_bytes(book) * book.size("changes") / GB, "GB"),
+        Row(
+            role,
+            "adds on the counter, one an RPC (credit; not in the sum)",
+            add_bytes(book),
+            "B/s",
+            "control_bytes",
+        ),
+        Row(
+            role,
+            "written to its disk in a day, for changes",
+            written_bytes(book) * book.size("changes") / GB,
+            "GB",
+        ),
         Row(role, "processor for one change of settings", change_ms(book), "ms"),
-        Row(role, "processor: looks, changes of settings and of the list", core, "cores", "control_core"),
-        Row(role, "processor of a hollow gateway, measured", book.each("hollow", "cpu_s"), "cores", "control_core"),
-        Row(role, "processor of a real gateway without RPCs, measured", book.each("real", "cpu_s"), "cores", "control_core"),
-        Row(role, "traffic of a real gateway without RPCs, measured",
-            book.each("real", "bytes_in") + book.each("real", "bytes_out"), "B/s", "control_bytes"),
-        Row(role, "memory of a hollow gateway, measured", book.played("roles", "hollow", "rss_mb_each") * MIB, "MB",
-            "control_mb"),
-        Row(role, "memory of a real gateway, all of it, measured", book.each("real", "rss_mb") * MIB, "MB", "control_mb"),
-        Row(role, "memory of the module with its lists, as a sum",
-            book.whole("memory_mb", ("hosts", "customers", "methods")), "MB", "control_mb")]
+        Row(
+            role,
+            "processor: looks, changes of settings and of the list",
+            core,
+            "cores",
+            "control_core",
+        ),
+        Row(
+            role,
+            "processor of a hollow gateway, measured",
+            book.each("hollow", "cpu_s"),
+            "cores",
+            "control_core",
+        ),
+        Row(
+            role,
+            "processor of a real gateway without RPCs, measured",
+            book.each("real", "cpu_s"),
+            "cores",
+            "control_core",
+        ),
+        Row(
+            role,
+            "traffic of a real gateway without RPCs, measured",
+            book.each("real", "bytes_in") + book.each("real", "bytes_out"),
+            "B/s",
+            "control_bytes",
+        ),
+        Row(
+            role,
+            "memory of a hollow gateway, measured",
+            book.played("roles", "hollow", "rss_mb_each") * MIB,
+            "MB",
+            "control_mb",
+        ),
+        Row(
+            role,
+            "memory of a real gateway, all of it, measured",
+            book.each("real", "rss_mb") * MIB,
+            "MB",
+            "control_mb",
+        ),
+        Row(
+            role,
+            "memory of the module with its lists, as a sum",
+            book.whole("memory_mb", ("hosts", "customers", "methods")),
+            "MB",
+            "control_mb",
+        ),
+    ]
 
 
 def control_process(book):
     role, gateways = "control process, one for all", book.size("gateways")
     number = f"{gateways.value:.0f}"
     change = change_bytes(book) * gateways
-    work = (book.message(f"leader_change_ms_{number}") + book.message("prepare_write_ms") * gateways
-            + book.message("look_ms") * gateways) / MS
-    rest = book.message(f"leader_look_ms_{number}") / MS / LOOK + book.message("look_ms") / MS / LOOK * gateways
+    work = (
+        book.message(f"leader_change_ms_{number}")
+        + book.message("prepare_write_ms") * gateways
+        + book.message("look_ms") * gateways
+    ) / MS
+    rest = (
+        book.message(f"leader_look_ms_{number}") / MS / LOOK
+        + book.message("look_ms") / MS / LOOK * gateways
+    )
     return [
-        Row(role, "state: names of members, a list for each gateway heard", gateways * gateways, "names"),
+        Row(
+            role,
+            "state: names of members, a list for each gateway heard",
+            gateways * gateways,
+            "names",
+        ),
         Row(role, "looks at rest", gateways * 1.0, "1/s"),
         Row(role, "traffic at rest", looks_bytes(book) * gateways / MB, "MB/s"),
-        Row(role, "processor at rest: rules and seals of the looks, without sockets", rest, "cores", "control_process_core"),
-        Row(role, "processor, measured", book.each("control", "cpu_s"), "cores", "control_process_core"),
+        Row(
+            role,
+            "processor at rest: rules and seals of the looks, without sockets",
+            rest,
+            "cores",
+            "control_process_core",
+        ),
+        Row(
+            role,
+            "processor, measured",
+            book.each("control", "cpu_s"),
+            "cores",
+            "control_process_core",
+        ),
         Row(role, "memory, measured", book.each("control", "rss_mb") * MIB, "MB", "machine_mb"),
-        Row(role, "messages for one change", book.message(f"leader_calls_{number}") * gateways, "calls"),
+        Row(
+            role,
+            "messages for one change",
+            book.message(f"leader_calls_{number}") * gateways,
+            "calls",
+        ),
         Row(role, "bytes for one change, whole settings", change / MB, "MB"),
-        Row(role, "prepares in memory at once, at most", book.message("prepare_bytes") * gateways / MB, "MB"),
-        Row(role, "memory that stays, of a day's changes (the history keeps each one's settings)",
-            book.message("settings_mb") * book.size("changes"), "MB", "machine_mb"),
-        Row(role, "journal written in a day, which none shortens", book.message("record_bytes") * book.size("changes") / GB,
-            "GB"),
-        Row(role, "processor to write all prepares", book.message("prepare_write_ms") / MS * gateways, "s", "patience_s"),
-        Row(role, "one change on one card, whole settings", change / MB / book.estimate("link_mb"), "s", "in_force_s"),
-        Row(role, "bytes for one change, by deltas and digests (not built)", delta_bytes(book) * gateways / MB, "MB"),
-        Row(role, "rules for one change", book.message(f"leader_change_ms_{number}") / MS, "s", "give_up_s"),
+        Row(
+            role,
+            "prepares in memory at once, at most",
+            book.message("prepare_bytes") * gateways / MB,
+            "MB",
+        ),
+        Row(
+            role,
+            "memory that stays, of a day's changes (the history keeps each one's settings)",
+            book.message("settings_mb") * book.size("changes"),
+            "MB",
+            "machine_mb",
+        ),
+        Row(
+            role,
+            "journal written in a day, which none shortens",
+            book.message("record_bytes") * book.size("changes") / GB,
+            "GB",
+        ),
+        Row(
+            role,
+            "processor to write all prepares",
+            book.message("prepare_write_ms") / MS * gateways,
+            "s",
+            "patience_s",
+        ),
+        Row(
+            role,
+            "one change on one card, whole settings",
+            change / MB / book.estimate("link_mb"),
+            "s",
+            "in_force_s",
+        ),
+        Row(
+            role,
+            "bytes for one change, by deltas and digests (not built)",
+            delta_bytes(book) * gateways / MB,
+            "MB",
+        ),
+        Row(
+            role,
+            "rules for one change",
+            book.message(f"leader_change_ms_{number}") / MS,
+            "s",
+            "give_up_s",
+        ),
         Row(role, "processor for one change", work, "s", "in_force_s"),
-        Row(role, "time of changes in a second, the day's mean", work * changes_each(book), "cores", "control_process_core"),
-        Row(role, "rules until it leads, after a start", book.message(f"leader_seek_ms_{number}") / MS, "s", "in_force_s"),
-        Row(role, "changes committed, of those proposed, measured",
-            book.played("settings", "committed") / book.played("settings", "changes"), "of 1"),
+        Row(
+            role,
+            "time of changes in a second, the day's mean",
+            work * changes_each(book),
+            "cores",
+            "control_process_core",
+        ),
+        Row(
+            role,
+            "rules until it leads, after a start",
+            book.message(f"leader_seek_ms_{number}") / MS,
+            "s",
+            "in_force_s",
+        ),
+        Row(
+            role,
+            "changes committed, of those proposed, measured",
+            book.played("settings", "committed") / book.played("settings", "changes"),
+            "of 1",
+        ),
         Row(role, "gateways ready, the last one, measured", book.played("ready_s", "last"), "s"),
-        Row(role, "settings in force at the last gateway, measured", book.played("settings", "last_s"), "s", "in_force_s")]
+        Row(
+            role,
+            "settings in force at the last gateway, measured",
+            book.played("settings", "last_s"),
+            "s",
+            "in_force_s",
+        ),
+    ]
 
 
 def discovery(book):
@@ -357,43 +571,93 @@
         Row(role, "traffic at rest", watch_bytes(book) * gateways / MB, "MB/s"),
         Row(role, "calls for the day's changes of the list", news(book) * gateways, "1/s"),
         Row(role, "traffic for these", news_bytes(book) * gateways / MB, "MB/s"),
-        Row(role, "processor at rest, of what one core does",
-            (rest + news(book) * gateways) / book.estimate("discovery_calls"), "cores"),
+        Row(
+            role,
+            "processor at rest, of what one core does",
+            (rest + news(book) * gateways) / book.estimate("discovery_calls"),
+            "cores",
+        ),
         Row(role, "processor of the stand-in, measured", book.each("discovery", "cpu_s"), "cores"),
-        Row(role, "calls, with one change of the list a second, measured", book.played("roles", "discovery", "messages_in"),
-            "1/s"),
+        Row(
+            role,
+            "calls, with one change of the list a second, measured",
+            book.played("roles", "discovery", "messages_in"),
+            "1/s",
+        ),
         Row(role, "one whole list", book.message("list_bytes") / MB, "MB"),
-        Row(role, "list in force at the last gateway, measured", book.played("list", "last_s"), "s", "in_force_s")]
+        Row(
+            role,
+            "list in force at the last gateway, measured",
+            book.played("list", "last_s"),
+            "s",
+            "in_force_s",
+        ),
+    ]
 
 
 def counter(book):
     role, rpcs = "counter", book.size("rpcs")
-    spreads = {"few": book.estimate("few"), "some": book.estimate("some"), "all": book.size("gateways")}
-    rows = [Row(role, f"adds an RPC, customers at {what} gateways", credit(book, spread), "adds")
-            for what, spread in spreads.items()]
+    spreads = {
+        "few": book.estimate("few"),
+        "some": book.estimate("some"),
+        "all": book.size("gateways"),
+    }
+    rows = [
+        Row(role, f"adds an RPC, customers at {what} gateways", credit(book, spread), "adds")
+        for what, spread in spreads.items()
+    ]
     most = rpcs * credit(book, book.estimate("some"))
     return rows + [
-        Row(role, "adds an RPC, measured with all customers at one gateway", book.at(
-            "customers", "adds_per_rpc", book.size("customers").value), "adds"),
+        Row(
+            role,
+            "adds an RPC, measured with all customers at one gateway",
+            book.at("customers", "adds_per_rpc", book.size("customers").value),
+            "adds",
+        ),
         Row(role, "adds on one counter, customers at some gateways", most, "1/s"),
         Row(role, "of what one core does", most / book.estimate("counter_adds"), "cores"),
         Row(role, "adds on the counter of one region", most / book.size("regions"), "1/s"),
-        Row(role, "of what one core does, one counter a region", most / book.size("regions") / book.estimate("counter_adds"),
-            "cores"),
-        Row(role, "processor of the stand-in at a few hundred adds a second, measured", book.each("counter", "cpu_s"),
-            "cores"),
+        Row(
+            role,
+            "of what one core does, one counter a region",
+            most / book.size("regions") / book.estimate("counter_adds"),
+            "cores",
+        ),
+        Row(
+            role,
+            "processor of the stand-in at a few hundred adds a second, measured",
+            book.each("counter", "cpu_s"),
+            "cores",
+        ),
         Row(role, "traffic on one counter", add_bytes(book) * book.size("gateways") / MB, "MB/s"),
-        Row(role, "connections, at most", book.size("gateways") * Limits.counter_connections, "connections"),
-        Row(role, "state: counts, customers that are seen in two windows", book.size("customers") * 2, "counts")]
+        Row(
+            role,
+            "connections, at most",
+            book.size("gateways") * Limits.counter_connections,
+            "connections",
+        ),
+        Row(
+            role,
+            "state: counts, customers that are seen in two windows",
+            book.size("customers") * 2,
+            "counts",
+        ),
+    ]
 
 
 def hosts(book):
     role, used = "hosts, as we load them", in_use(book)
     return [
         Row(role, "RPCs on a host", book.size("rpcs") / book.size("hosts"), "1/s"),
-        Row(role, "gateways that have it in use", book.size("gateways") * used / book.size("hosts"), "gateways"),
+        Row(
+            role,
+            "gateways that have it in use",
+            book.size("gateways") * used / book.size("hosts"),
+            "gateways",
+        ),
         Row(role, "RPCs from one gateway on one host in use", rpcs_each(book) / used, "1/s"),
-        Row(role, "exchanges in the sets of all gateways", book.size("gateways") / EXCHANGE, "1/s")]
+        Row(role, "exchanges in the sets of all gateways", book.size("gateways") / EXCHANGE, "1/s"),
+    ]
 
 
 ROLES = (data_path, control_part, control_process, discovery, counter, hosts)
@@ -406,9 +670,11 @@
 
 # Tables.
 
+
 @dataclass(frozen=True)
 class Table:
     """A table of the page: its name, headings and rows of text."""
+
     name: str
     heads: tuple
     rows: tuple
@@ -424,14 +690,29 @@
 
 
 def role_table(name, rows, book):
-    return Table(name, ("what", "at that size", "budget", "verdict", "from"), tuple(
-        (row.what, plain(row.figure.value, row.unit), limit(row, book), row.verdict(book), sources(row.figure))
-        for row in rows))
+    return Table(
+        name,
+        ("what", "at that size", "budget", "verdict", "from"),
+        tuple(
+            (
+                row.what,
+                plain(row.figure.value, row.unit),
+                limit(row, book),
+                row.verdict(book),
+                sources(row.figure),
+            )
+            for row in rows
+        ),
+    )
 
 
 def limit(row, book):
     """The budget beside a row, as text."""
-    return plain(book.budget(row.budget)["value"], book.budget(row.budget)["unit"]) if row.budget else ""
+    return (
+        plain(book.budget(row.budget)["value"], book.budget(row.budget)["unit"])
+        if row.budget
+        else ""
+    )
 
 
 def run_table(book):
@@ -439,36 +720,77 @@
     scale, machine = book.scale, book.scale.get("machine") or {}
     load = [plain(one) for one in scale.get("load") or () if one is not None]
     notes = book.plan.get("notes", {})
-    return Table("runs", ("file", "commit", "runs", "machine", "load before and after", "note"), (
-        ("scale.json", str(scale.get("commit", ABSENT)),
-         f"{len(scale.get('runs') or ())}",
-         f"{machine.get('cores', '?')} cores, {machine.get('memory_gb', '?')} GB, Python {machine.get('python', '?')}",
-         " and ".join(load) or ABSENT, notes.get("scale", "")),
-        ("messages.json", str(book.messages.get("commit", ABSENT)),
-         str(sum(one.get("runs", 1) for one in book.messages["figures"].values())),
-         f"Python {book.messages.get('python', '?')}", plain(book.messages.get("load")), notes.get("messages", "")),
-        ("scale-1200.txt", ABSENT, "1" if book.run else ABSENT, ABSENT, ABSENT, notes.get("run", ""))))
+    return Table(
+        "runs",
+        ("file", "commit", "runs", "machine", "load before and after", "note"),
+        (
+            (
+                "scale.json",
+                str(scale.get("commit", ABSENT)),
+                f"{len(scale.get('runs') or ())}",
+                f"{machine.get('cores', '?')} cores, {machine.get('memory_gb', '?')} GB, Python {machine.get('python', '?')}",
+                " and ".join(load) or ABSENT,
+                notes.get("scale", ""),
+            ),
+            (
+                "messages.json",
+                str(book.messages.get("commit", ABSENT)),
+                str(sum(one.get("runs", 1) for one in book.messages["figures"].values())),
+                f"Python {book.messages.get('python', '?')}",
+                plain(book.messages.get("load")),
+                notes.get("messages", ""),
+            ),
+            (
+                "scale-1200.txt",
+                ABSENT,
+                "1" if book.run else ABSENT,
+                ABSENT,
+                ABSENT,
+                notes.get("run", ""),
+            ),
+        ),
+    )
 
 
 def size_table(book):
-    return Table("sizes", ("size", "value"), tuple(
-        (told["what"], f"{told['value']:,}") for told in book.plan["sizes"].values()))
+    return Table(
+        "sizes",
+        ("size", "value"),
+        tuple((told["what"], f"{told['value']:,}") for told in book.plan["sizes"].values()),
+    )
 
 
 def budget_table(book):
-    return Table("budgets", ("budget", "value", "set by"), tuple(
-        (told["what"], plain(told["value"], told["unit"]), told["by"]) for told in book.plan["budgets"].values()))
+    return Table(
+        "budgets",
+        ("budget", "value", "set by"),
+        tuple(
+            (told["what"], plain(told["value"], told["unit"]), told["by"])
+            for told in book.plan["budgets"].values()
+        ),
+    )
 
 
 def estimate_table(book):
-    return Table("estimates", ("estimate", "value", "basis"), tuple(
-        (name, plain(told["value"], told["unit"]), told["basis"]) for name, told in book.plan["estimates"].items()))
+    return Table(
+        "estimates",
+        ("estimate", "value", "basis"),
+        tuple(
+            (name, plain(told["value"], told["unit"]), told["basis"])
+            for name, told in book.plan["estimates"].items()
+        ),
+    )
 
 
 def message_table(book):
-    return Table("messages", ("figure", "value", "runs", "what"), tuple(
-        (name, plain(told["value"], told["unit"]), str(told.get("runs", 1)), told["what"])
-        for name, told in book.messages["figures"].items()))
+    return Table(
+        "messages",
+        ("figure", "value", "runs", "what"),
+        tuple(
+            (name, plain(told["value"], told["unit"]), str(told.get("runs", 1)), told["what"])
+            for name, told in book.messages["figures"].items()
+        ),
+    )
 
 
 def slope_table(book):
@@ -482,10 +804,30 @@
                 rows.append((size, figure, "", *[ABSENT] * 4, "", ""))
                 continue
             least, most = fit.get("spread") or (None, None)
-            rows.append((size, figure, fit.get("unit", ""), plain(fit["intercept"]), number(fit["slope"]),
-                         f"{number(least)} to {number(most)}", "yes" if fit.get("line") else "no", told_points(points),
-                         fit.get("note") or ""))
-    heads = ("by", "figure", "unit", "at none", "for each more", "spread", "a line", "points", "note")
+            rows.append(
+                (
+                    size,
+                    figure,
+                    fit.get("unit", ""),
+                    plain(fit["intercept"]),
+                    number(fit["slope"]),
+                    f"{number(least)} to {number(most)}",
+                    "yes" if fit.get("line") else "no",
+                    told_points(points),
+                    fit.get("note") or "",
+                )
+            )
+    heads = (
+        "by",
+        "figure",
+        "unit",
+        "at none",
+        "for each more",
+        "spread",
+        "a line",
+        "points",
+        "note",
+    )
     return Table("slopes", heads, tuple(rows))
 
 
@@ -508,18 +850,39 @@
             for before in (fit["points"][0], fit["points"][-1]):
                 after = [point for point in ours["points"] if point[0] == before[0]]
                 if after and before[1] is not None and after[0][1] is not None:
-                    rows.append((size, f"{before[0]:,g}", figure, plain(before[1], fit.get("unit", "")),
-                                 plain(after[0][1], fit.get("unit", "")),
-                                 plain(before[1] / after[0][1]) if after[0][1] else ABSENT))
-    return Table("before", ("size", "at", "figure", "before", "this build", "before over this"), tuple(rows))
+                    rows.append(
+                        (
+                            size,
+                            f"{before[0]:,g}",
+                            figure,
+                            plain(before[1], fit.get("unit", "")),
+                            plain(after[0][1], fit.get("unit", "")),
+                            plain(before[1] / after[0][1]) if after[0][1] else ABSENT,
+                        )
+                    )
+    return Table(
+        "before", ("size", "at", "figure", "before", "this build", "before over this"), tuple(rows)
+    )
 
 
 def prediction_table(book):
-    return Table("predictions", ("by", "at", "figure", "stated", "found", "off", "within"), tuple(
-        (one["size"], f"{one['value']:,g}", one["figure"], plain(one["stated"]), plain(middle(one["found"])),
-         ABSENT if one.get("off") is None else f"{one['off'] * 100:+.0f}%",
-         {True: "yes", False: "no"}.get(one.get("within"), ABSENT))
-        for one in book.scale.get("predictions", ()) if one["figure"] in book.plan["shown"].get(one["size"], ())))
+    return Table(
+        "predictions",
+        ("by", "at", "figure", "stated", "found", "off", "within"),
+        tuple(
+            (
+                one["size"],
+                f"{one['value']:,g}",
+                one["figure"],
+                plain(one["stated"]),
+                plain(middle(one["found"])),
+                ABSENT if one.get("off") is None else f"{one['off'] * 100:+.0f}%",
+                {True: "yes", False: "no"}.get(one.get("within"), ABSENT),
+            )
+            for one in book.scale.get("predictions", ())
+            if one["figure"] in book.plan["shown"].get(one["size"], ())
+        ),
+    )
 
 
 def middle(found):
@@ -532,9 +895,18 @@
 def case_table(book):
     """Hard cases and the evenness of hosts in use, as the scale runs have them."""
     rows = [*(book.scale.get("hard") or ()), *(book.scale.get("sets") or ())]
-    return Table("cases", ("case", "build", "figures"), tuple(
-        (row["case"], row["build"], "; ".join(f"{name} {plain(value)}" for name, value in row["figures"].items()))
-        for row in rows))
+    return Table(
+        "cases",
+        ("case", "build", "figures"),
+        tuple(
+            (
+                row["case"],
+                row["build"],
+                "; ".join(f"{name} {plain(value)}" for name, value in row["figures"].items()),
+            )
+            for row in rows
+        ),
+    )
 
 
 def settings_ways(book):
@@ -544,37 +916,87 @@
 
     def row(way, told, one, members):
         rules = book.message(f"leader_change_ms_{members}") / MS
-        return (way, plain(told.value), plain((one * told / MB).value, "MB"), plain(rules.value, "s"),
-                plain((one * changes_each(book)).value, "B/s"), sources(one))
+        return (
+            way,
+            plain(told.value),
+            plain((one * told / MB).value, "MB"),
+            plain(rules.value, "s"),
+            plain((one * changes_each(book)).value, "B/s"),
+            sources(one),
+        )
+
     number = f"{gateways.value:.0f}"
     of_zone, of_region = gateways / zones, gateways / regions
-    return Table("settings-ways", ("way", "gateways that the busiest tells", "its bytes for a change", "its rules",
-                                   "at a gateway", "from"), (
-        row("whole, one for all (as it is)", gateways, whole, number),
-        row("whole, a tree: one a zone passes on", of_zone, whole, f"{of_zone.value:.0f}"),
-        row("whole, one control process a region", of_region, whole, f"{of_region.value:.0f}"),
-        row("deltas by digest, one for all", gateways, delta, number),
-        row("deltas by digest, one control process a region", of_region, delta, f"{of_region.value:.0f}")))
+    return Table(
+        "settings-ways",
+        (
+            "way",
+            "gateways that the busiest tells",
+            "its bytes for a change",
+            "its rules",
+            "at a gateway",
+            "from",
+        ),
+        (
+            row("whole, one for all (as it is)", gateways, whole, number),
+            row("whole, a tree: one a zone passes on", of_zone, whole, f"{of_zone.value:.0f}"),
+            row("whole, one control process a region", of_region, whole, f"{of_region.value:.0f}"),
+            row("deltas by digest, one for all", gateways, delta, number),
+            row(
+                "deltas by digest, one control process a region",
+                of_region,
+                delta,
+                f"{of_region.value:.0f}",
+            ),
+        ),
+    )
 
 
 def counter_ways(book):
     """Ways to divide the shared count."""
     adds, regions = book.size("rpcs") * credit(book, book.estimate("some")), book.size("regions")
-    rows = (("one counter for all (as it is)", adds), ("one a region, customers at home in one", adds / regions),
-            ("by key over some in each region", adds / regions / book.estimate("counters")))
-    return Table("counter-ways", ("way", "adds on each", "of what one core does", "from"), tuple(
-        (way, plain(each.value, "1/s"), plain((each / book.estimate("counter_adds")).value, "cores"), sources(each))
-        for way, each in rows))
+    rows = (
+        ("one counter for all (as it is)", adds),
+        ("one a region, customers at home in one", adds / regions),
+        ("by key over some in each region", adds / regions / book.estimate("counters")),
+    )
+    return Table(
+        "counter-ways",
+        ("way", "adds on each", "of what one core does", "from"),
+        tuple(
+            (
+                way,
+                plain(each.value, "1/s"),
+                plain((each / book.estimate("counter_adds")).value, "cores"),
+                sources(each),
+            )
+            for way, each in rows
+        ),
+    )
 
 
 def list_ways(book):
     """Ways to know of hosts: all of them, or those of a region or a service."""
     hosts_, row = book.size("hosts"), book.message("list_bytes") / book.size("hosts")
-    rows = (("all hosts (as it is)", hosts_), ("those of its region", hosts_ / book.size("regions")),
-            ("those of some services", hosts_ / book.size("services") * book.estimate("served")))
-    return Table("list-ways", ("a gateway knows", "hosts", "a whole list", "changes, the day's mean", "from"), tuple(
-        (way, plain(number_.value), plain((row * number_ / MB).value, "MB"),
-         plain((news(book) * number_ / hosts_).value, "1/s"), sources(row * number_)) for way, number_ in rows))
+    rows = (
+        ("all hosts (as it is)", hosts_),
+        ("those of its region", hosts_ / book.size("regions")),
+        ("those of some services", hosts_ / book.size("services") * book.estimate("served")),
+    )
+    return Table(
+        "list-ways",
+        ("a gateway knows", "hosts", "a whole list", "changes, the day's mean", "from"),
+        tuple(
+            (
+                way,
+                plain(number_.value),
+                plain((row * number_ / MB).value, "MB"),
+                plain((news(book) * number_ / hosts_).value, "1/s"),
+                sources(row * number_),
+            )
+            for way, number_ in rows
+        ),
+    )
 
 
 def region_table(book):
@@ -584,24 +1006,53 @@
     number = f"{(gateways / regions).value:.0f}"
     rows = (
         ("gateways that one control process tells", gateways, gateways / regions, "gateways"),
-        ("bytes for one change, whole settings", change_bytes(book) * gateways / MB,
-         change_bytes(book) * gateways / regions / MB, "MB"),
-        ("rules for one change", book.message(f"leader_change_ms_{gateways.value:.0f}") / MS,
-         book.message(f"leader_change_ms_{number}") / MS, "s"),
+        (
+            "bytes for one change, whole settings",
+            change_bytes(book) * gateways / MB,
+            change_bytes(book) * gateways / regions / MB,
+            "MB",
+        ),
+        (
+            "rules for one change",
+            book.message(f"leader_change_ms_{gateways.value:.0f}") / MS,
+            book.message(f"leader_change_ms_{number}") / MS,
+            "s",
+        ),
         ("looks at rest", gateways * 1.0, gateways / regions, "1/s"),
-        ("calls at discovery, at rest", gateways * calls_at_rest(book), gateways / regions * calls_at_rest(book), "1/s"),
+        (
+            "calls at discovery, at rest",
+            gateways * calls_at_rest(book),
+            gateways / regions * calls_at_rest(book),
+            "1/s",
+        ),
         ("adds on the counter, customers at some gateways", adds, adds / regions, "1/s"),
         ("hosts in the list", book.size("hosts"), book.size("hosts") / regions, "hosts"),
-        ("a whole list", book.message("list_bytes") / MB, book.message("list_bytes") / regions / MB, "MB"))
-    return Table("regions", ("what", "one for all", "one of each region", "from"), tuple(
-        (what, plain(all_.value, unit), plain(one.value, unit), sources(all_)) for what, all_, one, unit in rows))
+        (
+            "a whole list",
+            book.message("list_bytes") / MB,
+            book.message("list_bytes") / regions / MB,
+            "MB",
+        ),
+    )
+    return Table(
+        "regions",
+        ("what", "one for all", "one of each region", "from"),
+        tuple(
+            (what, plain(all_.value, unit), plain(one.value, unit), sources(all_))
+            for what, all_, one, unit in rows
+        ),
+    )
 
 
 def failure_table(book):
     """Failures at their stated rates: how often, and what one costs."""
     rates = {name: told["often"] for name, told in book.plan["rates"].items()}
-    machine, rack_, zone_, restart, cut = (rates[name] for name in ("machine", "rack", "zone", "restart", "cut"))
-    gateways, hosts_, regions, zones = (book.size(name) for name in ("gateways", "hosts", "regions", "zones"))
+    machine, rack_, zone_, restart, cut = (
+        rates[name] for name in ("machine", "rack", "zone", "restart", "cut")
+    )
+    gateways, hosts_, regions, zones = (
+        book.size(name) for name in ("gateways", "hosts", "regions", "zones")
+    )
     row, per_host = book.message("list_row_bytes"), book.estimate("rows")
     told = (book.message("news_bytes") + book.message("watch_bytes")) * gateways
     zone, rack = hosts_ / zones, book.estimate("rack")
@@ -614,63 +1065,188 @@
 
     def gone(what, rate, machines, seconds=None):
         news_ = machines * per_host
-        return [(what, rate, "rows of the list to each gateway", news_, "rows"),
-                (what, rate, "bytes to each gateway", news_ * row / 1e3, "kB"),
-                (what, rate, "bytes from discovery, if each row goes alone", machines * per_host * told / MB, "MB"),
-                *([(what, rate, "the same a second, by its length", machines * per_host * told / MB / seconds, "MB/s"),
-                   (what, rate, "processor of a gateway for it, by its length", news_ / seconds * book.at(
-                       "hosts", "list_change_ms", hosts_.value) / MS, "cores")] if seconds else [])]
-    out = [*gone("a machine is replaced", machine, Figure(1.0)),
-           ("a gateway starts", machine, "starts, by their share of all machines", starts, "a day"),
-           ("a gateway starts", machine, "whole list read", book.message("list_bytes") / MB, "MB"),
-           ("a gateway starts", machine, "calls to other gateways until it knows", half, "calls"),
-           ("a gateway starts", machine, "bytes of these calls", start_state / MB, "MB"),
-           ("a gateway starts", machine, "its processor for these and the list",
-            (half * book.message("look_ms") + book.message("list_read_ms")) / MS, "s"),
-           *gone("a rack", rack_, rack), *gone("a zone", zone_, zone, book.estimate("zone_s")),
-           ("a zone", zone_, "hosts that come back cold", zone, "hosts"),
-           ("a region's gateways restart at once", restart, "whole lists from discovery", lists, "MB"),
-           ("a region's gateways restart at once", restart, "these on one card", lists / book.estimate("link_mb"), "s"),
-           ("a region's gateways restart at once", restart, "settings, where they lost them", content, "MB"),
-           ("a region's gateways restart at once", restart, "calls to other gateways", region * half, "calls"),
-           ("a region's gateways restart at once", restart, "calls that each gateway answers", region * half / gateways,
-            "calls"),
-           ("a region's gateways restart at once", restart, "bytes of these", region * start_state / MB, "MB"),
-           ("a region is cut off for an hour", cut, "changes of settings that fall into it",
-            changes_each(book) * HOUR, "changes"),
-           ("a region is cut off for an hour", cut, "gateways there", region, "gateways"),
-           ("a region is cut off for an hour", cut, "gateways there that start meanwhile and can't serve",
-            starts / regions * (HOUR / DAY), "gateways"),
-           ("a region is cut off for an hour", cut, "others that a start has to hear, and has", half - region,
-            "too few"),
-           ("a region is cut off for an hour", cut, "RPCs there in the hour, in millions",
-            book.size("rpcs") / regions * HOUR / MB, "million")]
-    return Table("failures", ("failure", "how often", "what", "cost", "from"), tuple(
-        (what, rate, cost, plain(figure.value, unit), sources(figure)) for what, rate, cost, figure, unit in out))
+        return [
+            (what, rate, "rows of the list to each gateway", news_, "rows"),
+            (what, rate, "bytes to each gateway", news_ * row / 1e3, "kB"),
+            (
+                what,
+                rate,
+                "bytes from discovery, if each row goes alone",
+                machines * per_host * told / MB,
+                "MB",
+            ),
+            *(
+                [
+                    (
+                        what,
+                        rate,
+                        "the same a second, by its length",
+                        machines * per_host * told / MB / seconds,
+                        "MB/s",
+                    ),
+                    (
+                        what,
+                        rate,
+                        "processor of a gateway for it, by its length",
+                        news_ / seconds * book.at("hosts", "list_change_ms", hosts_.value) / MS,
+                        "cores",
+                    ),
+                ]
+                if seconds
+                else []
+            ),
+        ]
+
+    out = [
+        *gone("a machine is replaced", machine, Figure(1.0)),
+        ("a gateway starts", machine, "starts, by their share of all machines", starts, "a day"),
+        ("a gateway starts", machine, "whole list read", book.message("list_bytes") / MB, "MB"),
+        ("a gateway starts", machine, "calls to other gateways until it knows", half, "calls"),
+        ("a gateway starts", machine, "bytes of these calls", start_state / MB, "MB"),
+        (
+            "a gateway starts",
+            machine,
+            "its processor for these and the list",
+            (half * book.message("look_ms") + book.message("list_read_ms")) / MS,
+            "s",
+        ),
+        *gone("a rack", rack_, rack),
+        *gone("a zone", zone_, zone, book.estimate("zone_s")),
+        ("a zone", zone_, "hosts that come back cold", zone, "hosts"),
+        ("a region's gateways restart at once", restart, "whole lists from discovery", lists, "MB"),
+        (
+            "a region's gateways restart at once",
+            restart,
+            "these on one card",
+            lists / book.estimate("link_mb"),
+            "s",
+        ),
+        (
+            "a region's gateways restart at once",
+            restart,
+            "settings, where they lost them",
+            content,
+            "MB",
+        ),
+        (
+            "a region's gateways restart at once",
+            restart,
+            "calls to other gateways",
+            region * half,
+            "calls",
+        ),
+        (
+            "a region's gateways restart at once",
+            restart,
+            "calls that each gateway answers",
+            region * half / gateways,
+            "calls",
+        ),
+        (
+            "a region's gateways restart at once",
+            restart,
+            "bytes of these",
+            region * start_state / MB,
+            "MB",
+        ),
+        (
+            "a region is cut off for an hour",
+            cut,
+            "changes of settings that fall into it",
+            changes_each(book) * HOUR,
+            "changes",
+        ),
+        ("a region is cut off for an hour", cut, "gateways there", region, "gateways"),
+        (
+            "a region is cut off for an hour",
+            cut,
+            "gateways there that start meanwhile and can't serve",
+            starts / regions * (HOUR / DAY),
+            "gateways",
+        ),
+        (
+            "a region is cut off for an hour",
+            cut,
+            "others that a start has to hear, and has",
+            half - region,
+            "too few",
+        ),
+        (
+            "a region is cut off for an hour",
+            cut,
+            "RPCs there in the hour, in millions",
+            book.size("rpcs") / regions * HOUR / MB,
+            "million",
+        ),
+    ]
+    return Table(
+        "failures",
+        ("failure", "how often", "what", "cost", "from"),
+        tuple(
+            (what, rate, cost, plain(figure.value, unit), sources(figure))
+            for what, rate, cost, figure, unit in out
+        ),
+    )
 
 
 def missed_table(book):
     """What misses its budget, the worst first; and what stands open for want of a measurement."""
     rows = [row for row in rows_of(book) if row.budget]
-    missed = sorted((row for row in rows if (row.factor(book) or 0.0) > 1.0), key=lambda row: -row.factor(book))
+    missed = sorted(
+        (row for row in rows if (row.factor(book) or 0.0) > 1.0), key=lambda row: -row.factor(book)
+    )
     open_ = [row for row in rows if row.figure.value is None]
-    return Table("missed", ("role", "what", "at that size", "budget", "set by", "times"), tuple(
-        (row.role, row.what, plain(row.figure.value, row.unit), limit(row, book), book.budget(row.budget)["by"],
-         plain(row.factor(book))) for row in (*missed, *open_)))
+    return Table(
+        "missed",
+        ("role", "what", "at that size", "budget", "set by", "times"),
+        tuple(
+            (
+                row.role,
+                row.what,
+                plain(row.figure.value, row.unit),
+                limit(row, book),
+                book.budget(row.budget)["by"],
+                plain(row.factor(book)),
+            )
+            for row in (*missed, *open_)
+        ),
+    )
 
 
 def tables(plan, scale, messages, run=None):
     """All tables of the page, in its order. Raises BadCapacity."""
     book = Book(plan, scale, messages, run)
-    roles = [role_table(name, role(book), book) for name, role in zip(
-        ("data-path", "control-part", "control-process", "discovery", "counter", "hosts"), ROLES, strict=True)]
-    return [run_table(book), size_table(book), budget_table(book), *roles, settings_ways(book), counter_ways(book),
-            list_ways(book), region_table(book), failure_table(book), missed_table(book), compared_table(book),
-            slope_table(book), prediction_table(book), case_table(book), message_table(book), estimate_table(book)]
+    roles = [
+        role_table(name, role(book), book)
+        for name, role in zip(
+            ("data-path", "control-part", "control-process", "discovery", "counter", "hosts"),
+            ROLES,
+            strict=True,
+        )
+    ]
+    return [
+        run_table(book),
+        size_table(book),
+        budget_table(book),
+        *roles,
+        settings_ways(book),
+        counter_ways(book),
+        list_ways(book),
+        region_table(book),
+        failure_table(book),
+        missed_table(book),
+        compared_table(book),
+        slope_table(book),
+        prediction_table(book),
+        case_table(book),
+        message_table(book),
+        estimate_table(book),
+    ]
 
 
 # The page.
 
+
 def marks(name):
     return f"<!-- table {name} -->", f"<!-- end {name} -->"
 
@@ -680,7 +1256,9 @@
     first, last = marks(name)
     for mark in (first, last):
         if page.count(mark) != 1:
-            raise BadCapacity(f"page: {mark}: expected this marker once, found it {page.count(mark)} times")
+            raise BadCapacity(
+                f"page: {mark}: expected this marker once, found it {page.count(mark)} times"
+            )
     start, end = page.index(first) + len(first), page.index(last)
     if end < start:
         raise BadCapacity(f"page: {last}: expected after {first}, found before")
@@ -702,8 +1280,16 @@
         start, end = span(page, table.name)
         theirs, ours = page[start:end].strip("\n").split("\n"), table.text().split("\n")
         if theirs != ours:
-            at = next((at for at, (one, other) in enumerate(zip(theirs, ours, strict=False)) if one != other),
-                      min(len(theirs), len(ours)))
-            expected, has = (lines[at][:120] if at < len(lines) else "nothing" for lines in (ours, theirs))
+            at = next(
+                (
+                    at
+                    for at, (one, other) in enumerate(zip(theirs, ours, strict=False))
+                    if one != other
+                ),
+                min(len(theirs), len(ours)),
+            )
+            expected, has = (
+                lines[at][:120] if at < len(lines) else "nothing" for lines in (ours, theirs)
+            )
             return f"table {table.name}, line {at + 1}: expected {expected}, found {has}"
     return None
--- a/petrellane/lab/clients.py
+++ b/petrellane/lab/clients.py
@@ -14,6 +14,7 @@
 @dataclass
 class Method:
     """What clients ask: `share` of the RPCs, by the command that its effect wants."""
+
     name: str
     share: float = 1.0
     effect: str = "idempotent"
@@ -23,6 +24,7 @@
 @dataclass
 class Customer:
     """Who asks: a part of the RPCs, through `spread` gateways from number `first`."""
+
     number: int
     plan: str
     share: float = 1.0
@@ -34,7 +36,7 @@
 class Front:
     """What clients know of one gateway: where it is, whether it is taken in, and connections that stand."""
 
-    SUSPECT = 0.25    # seconds before a gateway that could not be reached is tried again
+    SUSPECT = 0.25  # seconds before a gateway that could not be reached is tried again
 
     def __init__(self, name, address):
         self.name, self.address = name, address
@@ -46,15 +48,18 @@
     some time within its patience."""
 
     DIAL = 0.5
-    SLACK = 0.3    # seconds past its patience after which a client stops listening
+    SLACK = 0.3  # seconds past its patience after which a client stops listening
 
     def __init__(self, scheduler, records, fronts, methods, customers, rate, seed=0):
         self.scheduler, self.records, self.fronts = scheduler, records, fronts
         self.methods, self.customers, self.rate = methods, customers, rate
         self.random = random.Random(f"{seed} clients")
         self.on, self.number, self.out, self.turned_back, self.seed = False, 0, 0, 0, seed
-        self.leaving, self.halves = 0.0, 0.0    # the share; and of these, who end their sending and close later
-        self.waits = []    # seconds that answers took, from the intended time
+        self.leaving, self.halves = (
+            0.0,
+            0.0,
+        )  # the share; and of these, who end their sending and close later
+        self.waits = []  # seconds that answers took, from the intended time
 
     def start(self):
         self.on, self.next = True, self.scheduler.monotonic()
@@ -87,20 +92,32 @@
         names = [(customer.first + step) % len(self.fronts) for step in range(customer.spread)]
         self.random.shuffle(names)
         now, known, until = self.scheduler.monotonic(), False, 0.0
-        for front in sorted((self.fronts[name] for name in names), key=lambda one: not one.taken_in or one.avoid > now):
+        for front in sorted(
+            (self.fronts[name] for name in names),
+            key=lambda one: not one.taken_in or one.avoid > now,
+        ):
             if not front.taken_in:
                 continue
             for stream, kept in self.streams(front):
                 if not known:
                     known, until = True, self.scheduler.monotonic() + method.patience
-                    self.records.taken(rpc, front.name, "%016x" % customer.number, customer.plan, method.name,
-                                       customer.units, method.patience)
+                    self.records.taken(
+                        rpc,
+                        front.name,
+                        "%016x" % customer.number,
+                        customer.plan,
+                        method.name,
+                        customer.units,
+                        method.patience,
+                    )
                 verdict = self.exchange(stream, method, customer, rpc, until, leave_at)
-                if rpc not in self.records.open:    # it died with its gateway: nobody may ask again in its name
+                if (
+                    rpc not in self.records.open
+                ):  # it died with its gateway: nobody may ask again in its name
                     stream.close()
                     return
                 if verdict == "again" and kept:
-                    continue    # it was closed under our command
+                    continue  # it was closed under our command
                 self.end(front, stream, method, rpc, verdict, intended)
                 return
             front.avoid = self.scheduler.monotonic() + front.SUSPECT
@@ -122,9 +139,13 @@
     def exchange(self, stream, method, customer, rpc, until, leave_at=None):
         """Ask on a connection, with patience until some time; the answer's kind, "again" where it ended with none, "late"
         where none came in time."""
-        left = max(0.001, until - self.scheduler.monotonic())    # a first try may have taken some of it
-        fields = (f"c={method.name},t={customer.plan},d={int(left * 1e3)},units={customer.units:g},"
-                  f"spread={customer.spread},first={customer.first}")
+        left = max(
+            0.001, until - self.scheduler.monotonic()
+        )  # a first try may have taken some of it
+        fields = (
+            f"c={method.name},t={customer.plan},d={int(left * 1e3)},units={customer.units:g},"
+            f"spread={customer.spread},first={customer.first}"
+        )
         if method.effect == referee.DEDUPLICATED:
             fields += f",k={rpc[-8:]}"
         verb = b"SVC.QUERY" if method.effect == referee.IDEMPOTENT else b"SVC.SUBMIT"
@@ -138,7 +159,7 @@
         except TimeoutError:
             if not leaves:
                 return "late"
-            self.records.left(rpc)    # first: the close takes some time, within which it may be seen
+            self.records.left(rpc)  # first: the close takes some time, within which it may be seen
             if self.halves and self.random.random() < self.halves:
                 stream.finish()
                 self.scheduler.wait(self.SLACK)
@@ -156,8 +177,12 @@
     def end(self, front, stream, method, rpc, verdict, intended):
         if verdict in (referee.OK, referee.PUSHED_BACK) or verdict.startswith("ERR"):
             front.idle.append(stream)
-            self.records.answered(rpc, verdict if verdict[:3] != "ERR" else referee.ABORTED, method.name)
+            self.records.answered(
+                rpc, verdict if verdict[:3] != "ERR" else referee.ABORTED, method.name
+            )
             self.waits.append((self.scheduler.monotonic() - intended, verdict))
-        else:    # nothing, or nothing that a host made: it is lost, unless its gateway was killed
+        else:  # nothing, or nothing that a host made: it is lost, unless its gateway was killed
             stream.close()
-            self.records.counts[method.name, verdict] = self.records.counts.get((method.name, verdict), 0) + 1
+            self.records.counts[method.name, verdict] = (
+                self.records.counts.get((method.name, verdict), 0) + 1
+            )
--- a/petrellane/lab/command.py
+++ b/petrellane/lab/command.py
@@ -11,8 +11,10 @@
 from petrellane.referee import OK, PUSHED_BACK
 from petrellane.spread import sources
 
-DEMO = Play(lab=Figures(gateways=3, hosts=6, seconds=20.0, rate=120.0),
-            step=[Step(at=10.0, do="kill", who=["h2"])])
+DEMO = Play(
+    lab=Figures(gateways=3, hosts=6, seconds=20.0, rate=120.0),
+    step=[Step(at=10.0, do="kill", who=["h2"])],
+)
 
 
 class Watch:
@@ -21,7 +23,9 @@
     def __init__(self, lab, seconds):
         self.lab, self.seconds, self.console = lab, seconds, Console()
         self.began, self.before, self.next = time.monotonic(), {}, 5.0
-        self.live = Live(console=self.console, auto_refresh=False) if self.console.is_terminal else None
+        self.live = (
+            Live(console=self.console, auto_refresh=False) if self.console.is_terminal else None
+        )
 
     def __enter__(self):
         if self.live:
@@ -44,8 +48,20 @@
             print(f"{passed:5.1f} s of {self.seconds:g}: {answers(self.lab)}", flush=True)
 
     def table(self):
-        table = Table(title=f"{time.monotonic() - self.began:.1f} s of {self.seconds:g}   {answers(self.lab)}")
-        for name in ("gateway", "state", "RPCs/s", "call-outs/s", "clients", "host", "up", "at work", "RPCs run"):
+        table = Table(
+            title=f"{time.monotonic() - self.began:.1f} s of {self.seconds:g}   {answers(self.lab)}"
+        )
+        for name in (
+            "gateway",
+            "state",
+            "RPCs/s",
+            "call-outs/s",
+            "clients",
+            "host",
+            "up",
+            "at work",
+            "RPCs run",
+        ):
             table.add_column(name, justify="right")
         rows = max(len(self.lab.gateways), len(self.lab.hosts))
         for at in range(rows):
@@ -53,8 +69,18 @@
             if at < len(self.lab.gateways):
                 one = self.lab.gateways[at]
                 told = one.last("figures") or {}
-                state = "serves" if one.ready else "starts" if one.process and one.process.up else "down"
-                left = [one.name, state, *(str(told.get(name, 0)) for name in ("rpcs", "call_outs", "clients"))]
+                state = (
+                    "serves"
+                    if one.ready
+                    else "starts"
+                    if one.process and one.process.up
+                    else "down"
+                )
+                left = [
+                    one.name,
+                    state,
+                    *(str(told.get(name, 0)) for name in ("rpcs", "call_outs", "clients")),
+                ]
             if at < len(self.lab.hosts):
                 host = self.lab.hosts[at]
                 right = [host.name, "yes" if host.listener else "no", str(host.busy), str(host.ran)]
@@ -93,11 +119,16 @@
 
 def told(lab, verdict, expected):
     """The verdict in words; the exit code, 1 where a rule broke that was not to, or a process crashed."""
-    print(answers(lab) + (f", {lab.clients.turned_back} found no gateway" if lab.clients.turned_back else ""))
+    print(
+        answers(lab)
+        + (f", {lab.clients.turned_back} found no gateway" if lab.clients.turned_back else "")
+    )
     if lab.clients.waits:
         waits = sorted(took for took, _ in lab.clients.waits)
         p50, p99 = (waits[int(len(waits) * part)] for part in (0.5, 0.99))
-        print(f"answers after {p50:.3f} s at the median, {p99:.3f} s for 99 of 100, from intended times")
+        print(
+            f"answers after {p50:.3f} s at the median, {p99:.3f} s for 99 of 100, from intended times"
+        )
     for broken in verdict.broken:
         print(f"{broken.at:8.3f} rule {broken.rule} is broken: {broken.text}")
         for line in [line for rpc in broken.rpcs for line in lab.records.about(rpc)]:
@@ -109,8 +140,12 @@
     if lab.void:
         print(f"void: {lab.void}")
     as_expected = sorted(verdict.counts) == sorted(expected)
-    print("no rule broken" if not verdict.counts else f"broken: {', '.join(sorted(verdict.counts))}"
-          + (", as expected" if as_expected else ""))
+    print(
+        "no rule broken"
+        if not verdict.counts
+        else f"broken: {', '.join(sorted(verdict.counts))}"
+        + (", as expected" if as_expected else "")
+    )
     return 0 if as_expected and not lab.crashes and not lab.faults and not lab.void else 1
 
 
@@ -121,5 +156,7 @@
 
 def demo():
     """Three gateways, six hosts, 20 s of load, one host killed half way; gives the exit code."""
-    print("three gateways, six hosts, a counter and discovery, on loopback; host h2 is killed half way")
+    print(
+        "three gateways, six hosts, a counter and discovery, on loopback; host h2 is killed half way"
+    )
     return run(DEMO, Shape(rate=DEMO.lab.rate))
--- a/petrellane/lab/hollow.py
+++ b/petrellane/lab/hollow.py
@@ -31,18 +31,19 @@
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
 
-SEEN = 52            # hosts that a module knows
-WORK = 0.02          # mean seconds of a call-out
-WIDE = 10            # every so many customers, one comes to all gateways; the others to `FEW`
+SEEN = 52  # hosts that a module knows
+WORK = 0.02  # mean seconds of a call-out
+WIDE = 10  # every so many customers, one comes to all gateways; the others to `FEW`
 FEW = 3
-BACK = 2000          # changes that one list may bring of which each is told
-EVERY = 0.5          # seconds between lines on who has heard what since
-SWITCH = 0.0005      # seconds that one thread goes on for: each agent has one that writes, and they wait for each other
-LINE = 300           # times in one line of the log, which then goes whole
+BACK = 2000  # changes that one list may bring of which each is told
+EVERY = 0.5  # seconds between lines on who has heard what since
+SWITCH = 0.0005  # seconds that one thread goes on for: each agent has one that writes, and they wait for each other
+LINE = 300  # times in one line of the log, which then goes whole
 
 
 class Attempt:
     """A call-out that is out nowhere."""
+
     __slots__ = ("call_out",)
 
     def __init__(self, call_out):
@@ -54,7 +55,12 @@
 
     def __init__(self, scheduler, limits, ended, rng):
         self.scheduler, self.limits, self.ended, self.random = scheduler, limits, ended, rng
-        self.pools, self.tally, self.open, self.out = {}, Tally(), 0, {}    # as figures and hand-over read them
+        self.pools, self.tally, self.open, self.out = (
+            {},
+            Tally(),
+            0,
+            {},
+        )  # as figures and hand-over read them
 
     def listed(self, host, address):
         """Nobody dials."""
@@ -85,13 +91,16 @@
 class Watch(Discovery):
     """The watch of the list as it is, but that a whole list is read once for all gateways of the process that get the same:
     each would spend a tenth of a second on 13,000 hosts, one after the other on one core. `whole` has the last one."""
+
     whole = {}
 
     def watch(self, stream, until):
         """As there."""
         limits, path = self.limits, discovery.PATH
         if self.index is not None:
-            path += f"?from={self.index}&hold_ms={int(self.backoff.hold(self.scheduler.now()) * 1e3)}"
+            path += (
+                f"?from={self.index}&hold_ms={int(self.backoff.hold(self.scheduler.now()) * 1e3)}"
+            )
         stream.write(http.get(path, "%s:%d" % self.address))
         while not (found := http.head(stream.buffer, limits)):
             http.more(stream, until)
@@ -115,7 +124,9 @@
         super().__init__(config, limits=crowd.limits, scheduler=crowd.scheduler)
         self.crowd, self.number, self.fresh, self.first = crowd, number, fresh, config.known
         self.heard_of = config.known.index if fresh else None
-        self.upstream = self.driver.upstream = Answering(self.scheduler, self.limits, self.driver.ended, crowd.random)
+        self.upstream = self.driver.upstream = Answering(
+            self.scheduler, self.limits, self.driver.ended, crowd.random
+        )
         self.driver.log, self.driver.tally = Quiet(self.log), crowd.tally
 
     def start(self):
@@ -136,8 +147,15 @@
             self.agent.knows()
 
     def watch(self, index):
-        return Watch(self.scheduler, self.limits, self.log, self.config.discovery, index, self.listed,
-                     self.driver.gateway.random)
+        return Watch(
+            self.scheduler,
+            self.limits,
+            self.log,
+            self.config.discovery,
+            index,
+            self.listed,
+            self.driver.gateway.random,
+        )
 
     def seen(self, told):
         """What of a list its module knows: the hosts of its share, by their numbers."""
@@ -190,7 +208,7 @@
                         self.narrow[at].append(customer)
 
     def first(self, customer):
-        return customer * 7919 % self.gateways    # a prime: neighbours come to other gateways
+        return customer * 7919 % self.gateways  # a prime: neighbours come to other gateways
 
     def begin(self):
         self.on = self.rate > 0
@@ -216,12 +234,17 @@
         few = self.narrow[node.number]
         wide = not few or self.random.random() < 1 / WIDE
         customer = self.random.choice(self.wide if wide else few)
-        first, spread = (0, self.gateways) if wide else (self.first(customer), min(FEW, self.gateways))
+        first, spread = (
+            (0, self.gateways) if wide else (self.first(customer), min(FEW, self.gateways))
+        )
         method, self.sent = self.random.choice(self.methods), self.sent + 1
         name, query, key = method["name"], method["effect"] == "pure", ",k=k%d" % self.sent
         words = resp.words(
-            b"SVC.QUERY" if query else b"SVC.SUBMIT", b"%016X" % (customer + 1), b"r%d" % self.sent,
-            f"c={name},t=sold,d={method['giveUp'] // 1000},first={first},spread={spread}{'' if query else key}".encode())
+            b"SVC.QUERY" if query else b"SVC.SUBMIT",
+            b"%016X" % (customer + 1),
+            b"r%d" % self.sent,
+            f"c={name},t=sold,d={method['giveUp'] // 1000},first={first},spread={spread}{'' if query else key}".encode(),
+        )
         spans, end = resp.command(words, 0, node.limits)
         node.driver.place(Exchange(query, words, 0, spans, end, self.crowd.answered, lambda: False))
 
@@ -243,14 +266,19 @@
             if base.agreement:
                 state = os.path.join(told["folder"], name)
                 os.makedirs(state, exist_ok=True)
-                config = replace(config, management=base.agreement.members[name][0],
-                                 agreement=replace(base.agreement, state=state))
+                config = replace(
+                    config,
+                    management=base.agreement.members[name][0],
+                    agreement=replace(base.agreement, state=state),
+                )
             self.nodes.append(Hollow(self, config, number, told["fresh"]))
         self.cut = [node for node in self.nodes if node.number < told["cut"]]
         self.load = Load(self, told, told["numbers"])
 
     def start(self):
-        for at, node in enumerate(self.nodes):    # not all in one turn: none is to stand still meanwhile
+        for at, node in enumerate(
+            self.nodes
+        ):  # not all in one turn: none is to stand still meanwhile
             self.scheduler.after(at * 0.005, node.start)
         self.look()
         self.tell()
@@ -290,7 +318,12 @@
     def times(self, event, times, **more):
         """Times of many gateways, in lines that go whole."""
         for at in range(0, len(times), LINE):
-            self.log.event(event, **more, since=times[0], times=[round(one - times[0], 4) for one in times[at:at + LINE]])
+            self.log.event(
+                event,
+                **more,
+                since=times[0],
+                times=[round(one - times[0], 4) for one in times[at : at + LINE]],
+            )
 
     def begin(self):
         self.counting = True
@@ -311,7 +344,12 @@
     def figures(self):
         """Sums since the start, for the meter's line."""
         longest, self.scheduler.longest = self.scheduler.longest, 0.0
-        return {"rpcs": self.load.sent, "answers": self.answers, "tally": self.tally, "turn": round(longest, 4)}
+        return {
+            "rpcs": self.load.sent,
+            "answers": self.answers,
+            "tally": self.tally,
+            "turn": round(longest, 4),
+        }
 
 
 def run(path, meter):
@@ -325,8 +363,16 @@
     crowd = Crowd(told, scheduler, log)
     gc.collect()
     gc.freeze()
-    Words(scheduler, told["words"], {
-        "begin": crowd.begin, "quiet": crowd.quiet, "cut": crowd.unreachable, "heal": crowd.reachable})
+    Words(
+        scheduler,
+        told["words"],
+        {
+            "begin": crowd.begin,
+            "quiet": crowd.quiet,
+            "cut": crowd.unreachable,
+            "heal": crowd.reachable,
+        },
+    )
     meter.more = crowd.figures
     scheduler.soon(crowd.start)
     scheduler.run()
--- a/petrellane/lab/metered.py
+++ b/petrellane/lab/metered.py
@@ -16,7 +16,10 @@
 import orjson
 
 EVERY = 0.25
-HEADS = {"counter": (b"$", b"-BUSY", b"-ERR"), "adds": (b"*",)}    # that answers and questions begin with
+HEADS = {
+    "counter": (b"$", b"-BUSY", b"-ERR"),
+    "adds": (b"*",),
+}  # that answers and questions begin with
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
@@ -38,7 +41,7 @@
         if found is None:
             try:
                 kind = self.ports.get(str(stream.sock.getpeername()[1]), self.otherwise)
-            except OSError:    # it is over already
+            except OSError:  # it is over already
                 kind = self.otherwise
             stream.meter = found = self.by.setdefault(kind, [0, 0, 0, 0]), HEADS.get(kind), [True]
         return found
@@ -47,6 +50,7 @@
         """Count from now on, in every stream that is made."""
         from petrellane.net.scheduler import Scheduler
         from petrellane.net.stream import Stream
+
         fill, flush, write, run = Stream.fill, Stream.flush, Stream.write, Scheduler.run
 
         def filled(stream, timeout=None):
@@ -74,14 +78,22 @@
             def tell():
                 scheduler.after(EVERY, tell)
                 self.tell(scheduler.now())
+
             tell()
             run(scheduler)
+
         Stream.fill, Stream.flush, Stream.write, Scheduler.run = filled, flushed, written, running
 
     def tell(self, now):
         """One line on standard output, dropped where nobody takes it: the next one tells the same and more."""
-        line = {"at": round(now, 6), "event": "meter", "cpu": round(time.process_time(), 4), "rss": self.resident(),
-                "by": self.by, **self.more()}
+        line = {
+            "at": round(now, 6),
+            "event": "meter",
+            "cpu": round(time.process_time(), 4),
+            "rss": self.resident(),
+            "by": self.by,
+            **self.more(),
+        }
         try:
             os.write(1, orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE))
         except OSError:
@@ -95,14 +107,18 @@
     what, *words = sys.argv[1:]
     if what == "hollow":
         from petrellane.lab import hollow
+
         return hollow.run(words[0], meter)
     if what in ("discovery", "counter"):
         from petrellane.lab import services
+
         return services.run(what, words[0], meter)
     if what == "serve":
         from petrellane.gateway import node
+
         return node.serve(os.environ)
     from petrellane.cli import app
+
     return app(prog_name="petrellane")
 
 
--- a/petrellane/lab/play.py
+++ b/petrellane/lab/play.py
@@ -37,14 +37,38 @@
 from petrellane.referee import RULES
 
 RELAY = ("cut", "mute", "deaf", "late", "lossy", "half", "hang", "refuse", "reset")
-STEPS = {    # name: (whom it is done to, what `size` is)
-    "kill": ("gateways, hosts, controls", ""), "start": ("gateways, hosts, controls", ""),
-    "stop": ("gateways", ""), "old file": ("gateways", ""), "term": ("gateways", ""),
-    "slow": ("hosts", "times"), "fail": ("hosts", "share of what it takes"), "silent": ("hosts", ""), "drain": ("hosts", ""),
-    "counter quiet": ("", ""), "counter refuses": ("", ""), "counter forgets": ("", ""), "discovery away": ("", ""),
-    "rate": ("", "RPCs a second"), "propose": ("", "attempts that the new settings give"), "split": ("gateways", ""),
-    **{name: ("gateways, hosts", {"late": "seconds", "lossy": "share", "half": "bytes"}.get(name, "")) for name in RELAY}}
-BETWEEN = {"clients": "client", "counter": "counter", "discovery": "discovery", "agents": "agent", "hosts": "host"}
+STEPS = {  # name: (whom it is done to, what `size` is)
+    "kill": ("gateways, hosts, controls", ""),
+    "start": ("gateways, hosts, controls", ""),
+    "stop": ("gateways", ""),
+    "old file": ("gateways", ""),
+    "term": ("gateways", ""),
+    "slow": ("hosts", "times"),
+    "fail": ("hosts", "share of what it takes"),
+    "silent": ("hosts", ""),
+    "drain": ("hosts", ""),
+    "counter quiet": ("", ""),
+    "counter refuses": ("", ""),
+    "counter forgets": ("", ""),
+    "discovery away": ("", ""),
+    "rate": ("", "RPCs a second"),
+    "propose": ("", "attempts that the new settings give"),
+    "split": ("gateways", ""),
+    **{
+        name: (
+            "gateways, hosts",
+            {"late": "seconds", "lossy": "share", "half": "bytes"}.get(name, ""),
+        )
+        for name in RELAY
+    },
+}
+BETWEEN = {
+    "clients": "client",
+    "counter": "counter",
+    "discovery": "discovery",
+    "agents": "agent",
+    "hosts": "host",
+}
 
 
 class PlayError(Exception):
@@ -53,6 +77,7 @@
 
 class Figures(msgspec.Struct, forbid_unknown_fields=True):
     """The section `lab`."""
+
     gateways: int = 3
     hosts: int = 6
     seconds: float = 10.0
@@ -69,6 +94,7 @@
 
 class Step(msgspec.Struct, forbid_unknown_fields=True, rename={"length": "for"}):
     """Something that is done."""
+
     at: float
     do: str
     who: list[str] = []
@@ -83,6 +109,7 @@
 
 class Play(msgspec.Struct, forbid_unknown_fields=True):
     """A whole run."""
+
     lab: Figures = msgspec.field(default_factory=Figures)
     step: list[Step] = []
     expect: Expect = msgspec.field(default_factory=Expect)
@@ -95,32 +122,57 @@
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise PlayError(f"{name}: {error}") from None
     lab = play.lab
-    for key, least, most in (("gateways", 1, 300), ("hosts", 1, 400), ("seconds", 0.1, 3600), ("rate", 0.1, 20000)):
+    for key, least, most in (
+        ("gateways", 1, 300),
+        ("hosts", 1, 400),
+        ("seconds", 0.1, 3600),
+        ("rate", 0.1, 20000),
+    ):
         if not least <= getattr(lab, key) <= most:
-            raise PlayError(f"{name}: lab.{key}: expected {least} to {most}, found {getattr(lab, key)}")
+            raise PlayError(
+                f"{name}: lab.{key}: expected {least} to {most}, found {getattr(lab, key)}"
+            )
     if lab.cold < 0 or not 0 < lab.cold_from <= 1:
-        raise PlayError(f"{name}: lab.cold: expected seconds from 0 and a share over 0 up to 1, "
-                        f"found {lab.cold:g}, {lab.cold_from:g}")
+        raise PlayError(
+            f"{name}: lab.cold: expected seconds from 0 and a share over 0 up to 1, "
+            f"found {lab.cold:g}, {lab.cold_from:g}"
+        )
     if wrong := [kind for kind in lab.relays if kind not in BETWEEN]:
-        raise PlayError(f"{name}: lab.relays: expected some of {', '.join(BETWEEN)}, found {wrong[0]}")
-    if unknown := [rule for rule in play.expect.broken if rule not in (*RULES, "agreed", "forgotten")]:
+        raise PlayError(
+            f"{name}: lab.relays: expected some of {', '.join(BETWEEN)}, found {wrong[0]}"
+        )
+    if unknown := [
+        rule for rule in play.expect.broken if rule not in (*RULES, "agreed", "forgotten")
+    ]:
         raise PlayError(f"{name}: expect.broken: expected rules of the referee, found {unknown[0]}")
     for at, step in enumerate(play.step):
         path = f"{name}: step[{at}]"
         if step.do not in STEPS:
             raise PlayError(f"{path}.do: expected one of {', '.join(STEPS)}, found {step.do}")
         if not 0 <= step.at <= lab.seconds or step.length < 0:
-            raise PlayError(f"{path}.at: expected 0 to {lab.seconds:g} and a length from 0, "
-                            f"found {step.at:g}, {step.length:g}")
-        known = {f"g{number}" for number in range(lab.gateways)} | {f"h{number}" for number in range(lab.hosts)}
+            raise PlayError(
+                f"{path}.at: expected 0 to {lab.seconds:g} and a length from 0, "
+                f"found {step.at:g}, {step.length:g}"
+            )
+        known = {f"g{number}" for number in range(lab.gateways)} | {
+            f"h{number}" for number in range(lab.hosts)
+        }
         known |= {"control"} if lab.agreement else set()
         if wrong := [who for who in step.who if who not in known]:
-            raise PlayError(f"{path}.who: expected g0 to g{lab.gateways - 1}, h0 to h{lab.hosts - 1} or control, "
-                            f"found {wrong[0]}")
+            raise PlayError(
+                f"{path}.who: expected g0 to g{lab.gateways - 1}, h0 to h{lab.hosts - 1} or control, "
+                f"found {wrong[0]}"
+            )
         if wrong := [kind for kind in step.between if kind not in BETWEEN]:
-            raise PlayError(f"{path}.between: expected some of {', '.join(BETWEEN)}, found {wrong[0]}")
-        if step.do in RELAY and (wrong := [kind for kind in step.between if kind not in lab.relays]):
-            raise PlayError(f"{path}.between: expected some of lab.relays ({', '.join(lab.relays)}), found {wrong[0]}")
+            raise PlayError(
+                f"{path}.between: expected some of {', '.join(BETWEEN)}, found {wrong[0]}"
+            )
+        if step.do in RELAY and (
+            wrong := [kind for kind in step.between if kind not in lab.relays]
+        ):
+            raise PlayError(
+                f"{path}.between: expected some of lab.relays ({', '.join(lab.relays)}), found {wrong[0]}"
+            )
     return play
 
 
@@ -135,11 +187,29 @@
 
 def shape_of(play: Play) -> Shape:
     lab = play.lab
-    told = settings(lab.gateways, quota=lab.quota, ceiling=lab.ceiling, cold=lab.cold, cold_from=lab.cold_from)
-    customers = [Customer(number + 1, "sold" if number % 2 and (lab.quota or lab.ceiling) else "free",
-                          first=number % lab.gateways, spread=lab.gateways) for number in range(8)]
-    return Shape(gateways=lab.gateways, hosts=lab.hosts, seed=lab.seed, agreement=lab.agreement, relays=lab.relays,
-                 settings=told, rate=lab.rate, work=lab.work, customers=customers)
+    told = settings(
+        lab.gateways, quota=lab.quota, ceiling=lab.ceiling, cold=lab.cold, cold_from=lab.cold_from
+    )
+    customers = [
+        Customer(
+            number + 1,
+            "sold" if number % 2 and (lab.quota or lab.ceiling) else "free",
+            first=number % lab.gateways,
+            spread=lab.gateways,
+        )
+        for number in range(8)
+    ]
+    return Shape(
+        gateways=lab.gateways,
+        hosts=lab.hosts,
+        seed=lab.seed,
+        agreement=lab.agreement,
+        relays=lab.relays,
+        settings=told,
+        rate=lab.rate,
+        work=lab.work,
+        customers=customers,
+    )
 
 
 class Stage:
@@ -151,14 +221,18 @@
     def begin(self) -> None:
         """Set every step for its time."""
         for step in self.play.step:
-            self.lab.scheduler.after(step.at, lambda step=step: self.lab.scheduler.spawn(self.take, step))
+            self.lab.scheduler.after(
+                step.at, lambda step=step: self.lab.scheduler.spawn(self.take, step)
+            )
 
     def take(self, step: Step) -> None:
         undo = self.done(step)
         if step.length and undo:
+
             def over():
                 self.lab.records.tell(f"{step.do} is over: {', '.join(step.who)}")
                 undo()
+
             self.lab.scheduler.after(step.length, lambda: self.lab.scheduler.spawn(over))
 
     def parties(self, step):
@@ -169,7 +243,9 @@
     def done(self, step):
         """Do one step; what undoes it, or None."""
         lab, parties = self.lab, self.parties(step)
-        lab.records.tell(" ".join([step.do, *step.who, *(step.between if step.do in RELAY else ())]))
+        lab.records.tell(
+            " ".join([step.do, *step.who, *(step.between if step.do in RELAY else ())])
+        )
         if step.do in RELAY:
             kinds = [BETWEEN[kind] for kind in step.between]
             relays = lab.between(*kinds, to=step.who or None)
@@ -185,8 +261,14 @@
             return lambda: setattr(lab.clients, "rate", before)
         if step.do == "propose":
             figures = self.play.lab
-            told = settings(figures.gateways, attempts=int(step.size), quota=figures.quota, ceiling=figures.ceiling,
-                            cold=figures.cold, cold_from=figures.cold_from)
+            told = settings(
+                figures.gateways,
+                attempts=int(step.size),
+                quota=figures.quota,
+                ceiling=figures.ceiling,
+                cold=figures.cold,
+                cold_from=figures.cold_from,
+            )
             lab.controls["control"].ask("propose", settings=told)
             return None
         if step.do.startswith(("counter", "discovery")):
@@ -199,14 +281,18 @@
         if what == "counter forgets":
             lab.counter.forget()
             return None
-        party, flag = {"counter quiet": (lab.counter, "quiet"), "counter refuses": (lab.counter, "refuses"),
-                       "discovery away": (lab.discovery, "away")}[what]
+        party, flag = {
+            "counter quiet": (lab.counter, "quiet"),
+            "counter refuses": (lab.counter, "refuses"),
+            "discovery away": (lab.discovery, "away"),
+        }[what]
         setattr(party, flag, True)
 
         def undo():
             setattr(party, flag, False)
             if party is lab.discovery:
                 lab.discovery.tell()
+
         return undo
 
     def party(self, step, one):
@@ -223,7 +309,7 @@
         if step.do == "stop":
             one.stop()
             return one.go_on
-        if step.do == "old file":    # as at the first start of the run, whatever was agreed since
+        if step.do == "old file":  # as at the first start of the run, whatever was agreed since
             one.kill()
             one.write()
             one.start()
@@ -235,11 +321,14 @@
         lab = self.lab
         if step.do == "kill":
             one.down()
-            lab.scheduler.after(lab.discovery.notice, lambda: lab.discovery.put(one.name, one.text, "terminated"))
+            lab.scheduler.after(
+                lab.discovery.notice, lambda: lab.discovery.put(one.name, one.text, "terminated")
+            )
 
             def again():
                 one.start()
                 lab.discovery.put(one.name, one.text, since=one.started)
+
             return again
         if step.do == "start":
             one.start()
@@ -248,13 +337,16 @@
         if step.do == "drain":
             lab.discovery.put(one.name, one.text, "terminating")
             return lambda: lab.discovery.put(one.name, one.text)
-        field, value = {"slow": ("slow", step.size), "fail": ("share", step.size), "silent": ("silent", True)}[step.do]
+        field, value = {
+            "slow": ("slow", step.size),
+            "fail": ("share", step.size),
+            "silent": ("silent", True),
+        }[step.do]
         before = getattr(one, field)
         setattr(one, field, value)
 
         def undo():
             setattr(one, field, before)
             one.work()
-        return undo
-
 
+        return undo
--- a/petrellane/lab/processes.py
+++ b/petrellane/lab/processes.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-DEATH = 1    # PR_SET_PDEATHSIG
+DEATH = 1  # PR_SET_PDEATHSIG
 LIBC = ctypes.CDLL(None, use_errno=True)
 
 
@@ -26,18 +26,39 @@
     """One process of the program; `heard` is told of each JSON line that it logs, `ended` of its end, once. `module` is what
     is run, by another `python` from another folder where a build of its own is."""
 
-    def __init__(self, scheduler, name, words, environ, heard, ended, folder, skew=0.0, python=sys.executable, cwd=None,
-                 descriptors=(), module="petrellane"):
+    def __init__(
+        self,
+        scheduler,
+        name,
+        words,
+        environ,
+        heard,
+        ended,
+        folder,
+        skew=0.0,
+        python=sys.executable,
+        cwd=None,
+        descriptors=(),
+        module="petrellane",
+    ):
         self.scheduler, self.name, self.heard, self.ended = scheduler, name, heard, ended
         self.errors = tempfile.TemporaryFile(dir=folder)
         module = "petrellane.lab.skewed" if skew else module
         self.process = subprocess.Popen(
-            [python, "-m", module, *words], stdout=subprocess.PIPE, stderr=self.errors, stdin=subprocess.DEVNULL, cwd=cwd,
-            env={**os.environ, **environ, **({"LAB_SKEW": str(skew)} if skew else {})}, preexec_fn=tied,
-            pass_fds=descriptors)
+            [python, "-m", module, *words],
+            stdout=subprocess.PIPE,
+            stderr=self.errors,
+            stdin=subprocess.DEVNULL,
+            cwd=cwd,
+            env={**os.environ, **environ, **({"LAB_SKEW": str(skew)} if skew else {})},
+            preexec_fn=tied,
+            pass_fds=descriptors,
+        )
         self.buffer, self.expected, self.stopped = b"", False, False
         os.set_blocking(self.process.stdout.fileno(), False)
-        scheduler.register(self.process.stdout.fileno(), select.POLLIN, self.read, urgent=True)    # its end before all else
+        scheduler.register(
+            self.process.stdout.fileno(), select.POLLIN, self.read, urgent=True
+        )  # its end before all else
 
     @property
     def up(self):
--- a/petrellane/lab/records.py
+++ b/petrellane/lab/records.py
@@ -18,12 +18,14 @@
 
 SETTLE = 0.05
 TURNS = 2
-CROSSED = 0.1    # seconds after a client's end in which an attempt for it may still begin
-MOST = 50_000    # RPCs remembered after their end
+CROSSED = 0.1  # seconds after a client's end in which an attempt for it may still begin
+MOST = 50_000  # RPCs remembered after their end
+
 
 @dataclass(eq=False, slots=True)
 class Call:
     """One call-out, as its host saw it come."""
+
     rpc: str
     number: int
     host: str
@@ -40,8 +42,13 @@
     def __init__(self, terms, clock, after=None, keep=20_000):
         self.referee, self.clock, self.began = referee.Referee(terms), clock, clock()
         self.open, self.kept, self.most = {}, deque(maxlen=keep), keep
-        self.pending, self.turns = deque(), 0    # (record, turn) that are still put in order; turns of the rig so far
-        self.stood_still = -2 * TURNS    # the turn after which the rig last stood still for longer than SETTLE
+        self.pending, self.turns = (
+            deque(),
+            0,
+        )  # (record, turn) that are still put in order; turns of the rig so far
+        self.stood_still = (
+            -2 * TURNS
+        )  # the turn after which the rig last stood still for longer than SETTLE
         self.counts, self.told, self.proves = {}, [], {}
         self.gone, self.sent_after, self.after = {}, [], after
 
@@ -55,7 +62,11 @@
 
     def take(self, record):
         self.pending.append((record, self.turns))
-        while self.pending and self.pending[0][0].at < self.now() - SETTLE and self.pending[0][1] <= self.turns - TURNS:
+        while (
+            self.pending
+            and self.pending[0][0].at < self.now() - SETTLE
+            and self.pending[0][1] <= self.turns - TURNS
+        ):
             self.judge(self.pending.popleft()[0])
 
     def before_the_answer(self, record):
@@ -77,7 +88,7 @@
 
     def taken(self, rpc, gateway, customer, plan, method, units, patience):
         if len(self.open) > MOST:
-            for old in list(self.open)[:MOST // 2]:
+            for old in list(self.open)[: MOST // 2]:
                 del self.open[old]
         now = self.now()
         self.open[rpc] = [gateway, 0, method, now, now + patience]
@@ -111,7 +122,11 @@
         call.over = True
         record = referee.Ended(self.now(), call.gateway, call.rpc, call.number, outcome)
         for at, (other, turn) in enumerate(self.pending):
-            if isinstance(other, referee.Sent) and other.rpc == call.rpc and other.number > call.number:
+            if (
+                isinstance(other, referee.Sent)
+                and other.rpc == call.rpc
+                and other.number > call.number
+            ):
                 self.pending.insert(at, (record._replace(at=other.at), turn))
                 return
         self.before_the_answer(record)
@@ -131,8 +146,10 @@
         record of this."""
         if told := self.open.get(rpc):
             self.gone[rpc] = self.now()
-            self.after(CROSSED, lambda: self.take(
-                referee.Left(min(self.now(), told[4] - 1e-6), told[0], rpc)))
+            self.after(
+                CROSSED,
+                lambda: self.take(referee.Left(min(self.now(), told[4] - 1e-6), told[0], rpc)),
+            )
 
     def forget(self, gateway):
         """A gateway was killed: it owes nothing."""
@@ -141,9 +158,16 @@
 
     def about(self, rpc):
         """What was seen of an RPC, a line each."""
-        return [f"{one.at:8.3f} {type(one).__name__} " + " ".join(
-            f"{name}={value}" for name, value in one._asdict().items() if name not in ("at", "rpc"))
-            for one in self.kept if getattr(one, "rpc", None) == rpc]
+        return [
+            f"{one.at:8.3f} {type(one).__name__} "
+            + " ".join(
+                f"{name}={value}"
+                for name, value in one._asdict().items()
+                if name not in ("at", "rpc")
+            )
+            for one in self.kept
+            if getattr(one, "rpc", None) == rpc
+        ]
 
     def close(self):
         """The verdict, up to now."""
--- a/petrellane/lab/relay.py
+++ b/petrellane/lab/relay.py
@@ -33,8 +33,12 @@
         self.faults = {}
         self.listener, self.address = None, address
         self.connections, self.looking = 0, None
-        self.hung_up = lambda peer: None    # told when who dialed closes a connection: the address it goes on from
-        self.carried = lambda peer, came: None    # told when bytes go on there: when the last of them were read here
+        self.hung_up = lambda peer: (
+            None
+        )  # told when who dialed closes a connection: the address it goes on from
+        self.carried = lambda peer, came: (
+            None
+        )  # told when bytes go on there: when the last of them were read here
         self.listen()
 
     def listen(self, backlog=256):
@@ -70,7 +74,9 @@
         self.faults[name] = size
         if name in ("refuse", "hang") and self.listener:
             self.unlisten()
-            if name == "hang":    # a full queue: whoever connects waits, as the machine answers nothing
+            if (
+                name == "hang"
+            ):  # a full queue: whoever connects waits, as the machine answers nothing
                 sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 sock.bind(self.address)
@@ -92,7 +98,11 @@
     def look(self):
         """Listen again once the target does."""
         sock = self.looking
-        if sock is None or sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) or not connected(sock):
+        if (
+            sock is None
+            or sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            or not connected(sock)
+        ):
             if sock:
                 sock.close()
             self.looking = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -145,9 +155,11 @@
 
     def __init__(self, source, sink):
         self.source, self.sink = source, sink
-        self.waiting = deque()     # (when it may go, bytes, when they came); b"" is the end of the sending
+        self.waiting = (
+            deque()
+        )  # (when it may go, bytes, when they came); b"" is the end of the sending
         self.lost, self.over, self.passed = False, False, None
-        self.pressed = False       # the sink takes nothing now
+        self.pressed = False  # the sink takes nothing now
 
 
 class Pair:
@@ -164,8 +176,12 @@
         for sock in (self.near, self.far):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.there, self.back = self.ways = [Way(self.near, self.far), Way(self.far, self.near)]
-        relay.scheduler.register(self.near.fileno(), select.POLLIN, lambda events: self.told(self.near, events))
-        relay.scheduler.register(self.far.fileno(), select.POLLOUT, lambda events: self.told(self.far, events))
+        relay.scheduler.register(
+            self.near.fileno(), select.POLLIN, lambda events: self.told(self.near, events)
+        )
+        relay.scheduler.register(
+            self.far.fileno(), select.POLLOUT, lambda events: self.told(self.far, events)
+        )
 
     def told(self, sock, events):
         if self.far is None or self.far.fileno() < 0:
@@ -203,7 +219,7 @@
         else:
             if way is self.back and "half" in faults and data:
                 way.passed = int(faults["half"]) if way.passed is None else way.passed
-                data, way.passed = data[:way.passed], max(0, way.passed - len(data))
+                data, way.passed = data[: way.passed], max(0, way.passed - len(data))
                 if not data:
                     return
             way.waiting.append((now + faults.get("late", 0.0), data, now))
@@ -245,7 +261,10 @@
 
     def watch(self):
         """Look at each socket for what can be done there."""
-        for sock, into, out in ((self.near, self.there, self.back), (self.far, self.back, self.there)):
+        for sock, into, out in (
+            (self.near, self.there, self.back),
+            (self.far, self.back, self.there),
+        ):
             if sock.fileno() < 0 or sock.fileno() not in self.relay.scheduler.calls:
                 continue
             held = sum(len(data) for _, data, _ in into.waiting) > 4 * CHUNK
@@ -258,7 +277,7 @@
         if self.lost:
             return
         if any(way.lost for way in self.ways) and not self.relay.faults.keys() & {"mute", "deaf"}:
-            self.end(reset=True)    # bytes are missing: what came after them can't be told apart
+            self.end(reset=True)  # bytes are missing: what came after them can't be told apart
         else:
             self.flush()
 
--- a/petrellane/lab/rig.py
+++ b/petrellane/lab/rig.py
@@ -16,10 +16,10 @@
 from petrellane.lab.standins import LIMITS
 from petrellane.net.scheduler import Scheduler
 
-WAIT = 120.0         # seconds for all to be ready
-ANSWER = 30.0        # and for the control process to answer staff
-CHANGE = 60.0        # and for a change of settings to end
-WATCHED = 5000       # events kept of one process
+WAIT = 120.0  # seconds for all to be ready
+ANSWER = 30.0  # and for the control process to answer staff
+CHANGE = 60.0  # and for a change of settings to end
+WATCHED = 5000  # events kept of one process
 
 
 class RigError(Exception):
@@ -32,7 +32,9 @@
     def __init__(self, rig, role, name, words, told=None, environ=None, number=1):
         self.role, self.name, self.number, self.meters, self.empty = role, name, number, [], None
         self.events, self.began, self.words = [], time.time(), None
-        ours = {"discovery": {"else": "discovery"}, "counter": {"else": "adds"}}.get(role, {"ports": rig.ports})
+        ours = {"discovery": {"else": "discovery"}, "counter": {"else": "adds"}}.get(
+            role, {"ports": rig.ports}
+        )
         descriptors = ()
         if told is not None:
             theirs, self.words = os.pipe()
@@ -41,9 +43,17 @@
             with open(path, "wb") as file:
                 file.write(orjson.dumps(told | {"words": theirs}))
             words = [*words, path]
-        self.process = Process(rig.scheduler, name, words, {"LAB_METER": orjson.dumps(ours).decode(), **(environ or {})},
-                               lambda process, event: rig.heard(self, event), lambda process: rig.ended(self), rig.folder,
-                               module="petrellane.lab.metered", descriptors=descriptors)
+        self.process = Process(
+            rig.scheduler,
+            name,
+            words,
+            {"LAB_METER": orjson.dumps(ours).decode(), **(environ or {})},
+            lambda process, event: rig.heard(self, event),
+            lambda process: rig.ended(self),
+            rig.folder,
+            module="petrellane.lab.metered",
+            descriptors=descriptors,
+        )
         if descriptors:
             os.close(theirs)
         rig.parties.append(self)
@@ -65,11 +75,23 @@
         if not lines:
             return [0.0] * 5, {}
         last = lines[-1]
-        first = lines[0] if lines[0]["at"] < begin + 0.3 else {"cpu": 0.0, "by": {}, "at": last["at"] - (end - begin)}
+        first = (
+            lines[0]
+            if lines[0]["at"] < begin + 0.3
+            else {"cpu": 0.0, "by": {}, "at": last["at"] - (end - begin)}
+        )
         seconds = max(last["at"] - first["at"], 1e-3) if last["at"] > end - 0.6 else end - begin
-        by = {kind: [(one - before) / seconds for one, before in zip(row, first["by"].get(kind, [0] * 4), strict=True)]
-              for kind, row in last["by"].items()}
-        return [(last["cpu"] - first["cpu"]) / seconds, *(sum(row[at] for row in by.values()) for at in range(4))], by
+        by = {
+            kind: [
+                (one - before) / seconds
+                for one, before in zip(row, first["by"].get(kind, [0] * 4), strict=True)
+            ]
+            for kind, row in last["by"].items()
+        }
+        return [
+            (last["cpu"] - first["cpu"]) / seconds,
+            *(sum(row[at] for row in by.values()) for at in range(4)),
+        ], by
 
 
 class Rig:
@@ -80,13 +102,23 @@
         self.told, self.crowds, self.settings_of = told, crowds, settings
         self.scheduler, self.parties, self.started = Scheduler(), [], {}
         self.scheduler.fault = lambda error: self.troubles.append(f"a fault of the rig: {error!r}")
-        memory_disk = "/dev/shm"    # a thousand gateways have no disk in common
-        self.folder = tempfile.mkdtemp(prefix=f"petrellane-scale-{os.getpid()}-",
-                                       dir=memory_disk if os.path.isdir(memory_disk) else None)
+        memory_disk = "/dev/shm"  # a thousand gateways have no disk in common
+        self.folder = tempfile.mkdtemp(
+            prefix=f"petrellane-scale-{os.getpid()}-",
+            dir=memory_disk if os.path.isdir(memory_disk) else None,
+        )
         self.ip = "127.%d.%d.%d" % tuple(random.SystemRandom().randint(1, 250) for _ in range(3))
         self.last_port, self.troubles, self.longest = 9999, [], 0.0
-        self.changed, self.arrivals, self.last_index = {}, {}, {}    # index -> when; index -> times; real gateway -> index
-        self.ready, self.firsts, self.generations = {}, [], {}    # name -> seconds; times; number -> name -> when
+        self.changed, self.arrivals, self.last_index = (
+            {},
+            {},
+            {},
+        )  # index -> when; index -> times; real gateway -> index
+        self.ready, self.firsts, self.generations = (
+            {},
+            [],
+            {},
+        )  # name -> seconds; times; number -> name -> when
         self.proposed = []
 
     # Addresses and files.
@@ -102,16 +134,34 @@
         """Write all files."""
         told = self.told
         self.ports = {}
-        self.discovery_port, self.counter_port, self.control_port = self.port(), self.port(), self.port()
+        self.discovery_port, self.counter_port, self.control_port = (
+            self.port(),
+            self.port(),
+            self.port(),
+        )
         self.ports = {str(self.discovery_port): "discovery", str(self.counter_port): "counter"}
-        self.names = [f"g{number}" for number in range(told.hollow)] + [f"r{number}" for number in range(told.real)]
-        self.members = {name: f"{self.ip}:{self.port()}" for name in self.names} if told.agreement else {}
+        self.names = [f"g{number}" for number in range(told.hollow)] + [
+            f"r{number}" for number in range(told.real)
+        ]
+        self.members = (
+            {name: f"{self.ip}:{self.port()}" for name in self.names} if told.agreement else {}
+        )
         self.key, self.key_file = b"key of one run only", os.path.join(self.folder, "key")
         with open(self.key_file, "wb") as file:
             file.write(self.key)
-        self.rows = [{"name": f"h{at}", "address": f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}:7000", "zone": f"z{at % 12}",
-                      "type": "k", "group": at % 250, "status": "in_service", "weight": 1.0, "since_ms": 0}
-                     for at in range(told.hosts)]
+        self.rows = [
+            {
+                "name": f"h{at}",
+                "address": f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}:7000",
+                "zone": f"z{at % 12}",
+                "type": "k",
+                "group": at % 250,
+                "status": "in_service",
+                "weight": 1.0,
+                "since_ms": 0,
+            }
+            for at in range(told.hosts)
+        ]
         self.settings = self.settings_of(0)
 
     def write(self, name, told):
@@ -122,54 +172,99 @@
 
     def config(self, name, known):
         """A gateway's configuration; `known`: it has the list of before."""
-        told = {"name": name, "listen": f"{self.ip}:{self.port() if name[0] == 'r' else 1}",
-                "discovery": f"{self.ip}:{self.discovery_port}", "counter": f"{self.ip}:{self.counter_port}",
-                "seed": "%016x" % (self.told.seed * 100_000 + int(name[1:])),
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                "known": {"index": self.told.hosts if known else 0, "snapshot": True,
-                          "endpoints": self.rows if known else []},
-                "settings": {**self.settings, "locality": "z0"}}
+        told = {
+            "name": name,
+            "listen": f"{self.ip}:{self.port() if name[0] == 'r' else 1}",
+            "discovery": f"{self.ip}:{self.discovery_port}",
+            "counter": f"{self.ip}:{self.counter_port}",
+            "seed": "%016x" % (self.told.seed * 100_000 + int(name[1:])),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "known": {
+                "index": self.told.hosts if known else 0,
+                "snapshot": True,
+                "endpoints": self.rows if known else [],
+            },
+            "settings": {**self.settings, "locality": "z0"},
+        }
         if self.told.agreement:
             state = os.path.join(self.folder, "state", name)
             os.makedirs(state, exist_ok=True)
-            told |= {"management": self.members[name], "agreement": {
-                "key_file": self.key_file, "state": state, "members": self.members}}
+            told |= {
+                "management": self.members[name],
+                "agreement": {"key_file": self.key_file, "state": state, "members": self.members},
+            }
         return told
 
     # Processes.
 
     def services(self):
         told = self.told
-        Party(self, "discovery", "discovery", ["discovery"], {
-            "ip": self.ip, "port": self.discovery_port, "rows": self.rows, "rate": told.discovery_rate,
-            "changes": told.list_changes, "seed": told.seed})
+        Party(
+            self,
+            "discovery",
+            "discovery",
+            ["discovery"],
+            {
+                "ip": self.ip,
+                "port": self.discovery_port,
+                "rows": self.rows,
+                "rate": told.discovery_rate,
+                "changes": told.list_changes,
+                "seed": told.seed,
+            },
+        )
         Party(self, "counter", "counter", ["counter"], {"ip": self.ip, "port": self.counter_port})
-        self.until(lambda: all(one.events and one.events[-1]["event"] == "started" for one in self.parties),
-                   "the stand-ins", 20.0)
+        self.until(
+            lambda: all(
+                one.events and one.events[-1]["event"] == "started" for one in self.parties
+            ),
+            "the stand-ins",
+            20.0,
+        )
 
     def hollow(self, fresh=True):
         """Start all hollow gateways, a process at a time; `fresh`: as of a fleet that has been at rest, with its list."""
         told, base = self.told, "g0"
         file = self.write(f"hollow-{fresh}.json", self.config(base, fresh)) if told.hollow else ""
         for at, numbers in enumerate(self.crowds):
-            Party(self, "hollow", f"hollow{at}", ["hollow"], {
-                "file": file, "numbers": list(numbers), "folder": os.path.join(self.folder, "state"), "hosts": told.hosts,
-                "module": told.module, "fresh": fresh, "cut": round(told.cut * told.hollow), "customers": told.customers,
-                "rpcs": told.rpcs * len(numbers) / told.hollow, "seed": told.seed, "gateways": told.hollow,
-                "methods": self.settings["classes"]}, number=len(numbers))
+            Party(
+                self,
+                "hollow",
+                f"hollow{at}",
+                ["hollow"],
+                {
+                    "file": file,
+                    "numbers": list(numbers),
+                    "folder": os.path.join(self.folder, "state"),
+                    "hosts": told.hosts,
+                    "module": told.module,
+                    "fresh": fresh,
+                    "cut": round(told.cut * told.hollow),
+                    "customers": told.customers,
+                    "rpcs": told.rpcs * len(numbers) / told.hollow,
+                    "seed": told.seed,
+                    "gateways": told.hollow,
+                    "methods": self.settings["classes"],
+                },
+                number=len(numbers),
+            )
             yield
 
     def real(self):
-        for name in self.names[self.told.hollow:]:
+        for name in self.names[self.told.hollow :]:
             file = self.write(f"{name}.json", self.config(name, True))
-            Party(self, "real", name, ["serve"], environ={"PROXY_CONFIG": file, "TMPDIR": self.folder})
+            Party(
+                self, "real", name, ["serve"], environ={"PROXY_CONFIG": file, "TMPDIR": self.folder}
+            )
             self.turn()
 
     def control(self):
         file = os.path.join(self.folder, "control.toml")
         with open(file, "w") as out:
-            out.write(f'name = "control"\nlisten = "{self.ip}:{self.control_port}"\njournal = "journal.db"\n'
-                      'key_file = "key"\n\n[gateways]\n')
+            out.write(
+                f'name = "control"\nlisten = "{self.ip}:{self.control_port}"\njournal = "journal.db"\n'
+                'key_file = "key"\n\n[gateways]\n'
+            )
             out.writelines(f'{name} = "{address}"\n' for name, address in self.members.items())
         return Party(self, "control", "control", ["control", file])
 
@@ -187,7 +282,9 @@
         if kind == "meter":
             party.meters.append(event)
         elif kind == "heard":
-            self.arrivals.setdefault(event["index"], []).extend(event["since"] + one for one in event["times"])
+            self.arrivals.setdefault(event["index"], []).extend(
+                event["since"] + one for one in event["times"]
+            )
         elif kind == "hosts":
             before = self.last_index.get(party.name, self.told.hosts)
             self.last_index[party.name] = event["index"]
@@ -204,13 +301,20 @@
         elif kind == "empty":
             party.empty = event["rss"]
         elif kind == "fault" and len(self.troubles) < 20:
-            self.troubles.append(f"{party.name}: fault {event.get('error')} {event.get('trace', '')[-400:]}")
-        if kind in ("started", "leading", "stood_still", "discovery_away") and len(party.events) < WATCHED:
+            self.troubles.append(
+                f"{party.name}: fault {event.get('error')} {event.get('trace', '')[-400:]}"
+            )
+        if (
+            kind in ("started", "leading", "stood_still", "discovery_away")
+            and len(party.events) < WATCHED
+        ):
             party.events.append(event)
 
     def ended(self, party):
         if not party.process.expected:
-            self.troubles.append(f"{party.name} ended: exit code {party.process.process.returncode}: {party.process.said()}")
+            self.troubles.append(
+                f"{party.name} ended: exit code {party.process.process.returncode}: {party.process.said()}"
+            )
 
     # Running.
 
@@ -229,14 +333,23 @@
         limit = time.monotonic() + patience
         while not holds():
             if time.monotonic() > limit or self.troubles:
-                raise RigError(f"never came: {what}" + "".join(f"; {one}" for one in self.troubles[:3]))
+                raise RigError(
+                    f"never came: {what}" + "".join(f"; {one}" for one in self.troubles[:3])
+                )
             self.turn()
 
     def ask(self, do, **words):
         """Ask the control process something as staff would, in a greenlet; {} where there is no answer."""
         try:
-            return post.ask(self.scheduler, LIMITS, self.key, (self.ip, self.control_port), seal.STAFF,
-                            {"do": do, "to": "control", **words}, ANSWER)
+            return post.ask(
+                self.scheduler,
+                LIMITS,
+                self.key,
+                (self.ip, self.control_port),
+                seal.STAFF,
+                {"do": do, "to": "control", **words},
+                ANSWER,
+            )
         except (post.Nobody, post.Silent) as error:
             return {"refused": "silent", "why": str(error)}
 
@@ -249,8 +362,14 @@
         while change.get("outcome") == "preparing" and time.time() < since + CHANGE:
             self.scheduler.wait(0.25)
             change = self.ask("change", number=change["number"]) or change
-        self.proposed.append({"since": since, "number": change.get("number"), "outcome": change.get(
-            "outcome", change.get("refused")), "why": str(change.get("why", ""))[:200]})
+        self.proposed.append(
+            {
+                "since": since,
+                "number": change.get("number"),
+                "outcome": change.get("outcome", change.get("refused")),
+                "why": str(change.get("why", ""))[:200],
+            }
+        )
         if self.told.cut:
             self.scheduler.wait(1.0)
             self.tell_all("heal")
@@ -265,9 +384,9 @@
 
     def restart(self):
         """All hollow gateways end, and begin anew with nothing but their folders."""
-        for one in self.of("hollow"):    # in a greenlet, others have their turn meanwhile
+        for one in self.of("hollow"):  # in a greenlet, others have their turn meanwhile
             one.process.kill()
-        for name in self.names[:self.told.hollow]:
+        for name in self.names[: self.told.hollow]:
             self.ready.pop(name, None)
         self.firsts.clear()
         for _ in self.hollow(fresh=False):
@@ -286,7 +405,11 @@
         self.until(lambda: len(self.ready) >= len(self.names), "all real gateways ready", WAIT)
         if self.told.agreement:
             control = self.control()
-            self.until(lambda: any(one["event"] == "leading" for one in control.events), "control leads", WAIT)
+            self.until(
+                lambda: any(one["event"] == "leading" for one in control.events),
+                "control leads",
+                WAIT,
+            )
         self.play(1.0)
 
     def run(self):
--- a/petrellane/lab/scale.py
+++ b/petrellane/lab/scale.py
@@ -38,22 +38,22 @@
 from petrellane.lab import fleet
 from petrellane.lab.rig import Rig, RigError
 
-SHARE = 0.5          # of the machine's memory that a run may take
-PROCESSES = 300      # and processes
-SIDE = 50            # hollow gateways in one process, where the file names no number of them
-SPARE = 200          # descriptors beside those for gateways
-HELD = 14            # descriptors that a hollow gateway may hold: its watch, its listener, the counter's eight, callers
-EMPTY_MB = 30.0      # of a process that holds nothing yet
-HOLLOW_MB = 0.1      # of a hollow gateway
-MEMBER_MB = 0.0004   # of a member of the roster, in each gateway that agrees
-ASKED_MB = 0.0001    # of a member in the control process, for each gateway, as each names all
-HOST_MB = 0.004      # of a host in a real gateway, in its module
-ROW_MB = 0.002       # of a host in the stand-in, and in a process of hollow gateways
-LIST_MB = 0.00015    # of a host in each hollow gateway that gets the list whole
-METHOD_MB = 0.002    # of a method in a gateway that has agreed on settings of its own
-TIME_MB = 0.00005    # of the time at which one gateway had one change of the list, kept by the rig
-STOOD_STILL = 0.5    # seconds after which the rig's own times are no good
-FENCE = 1.0          # seconds after which a hollow gateway that stood still asks what it may have missed
+SHARE = 0.5  # of the machine's memory that a run may take
+PROCESSES = 300  # and processes
+SIDE = 50  # hollow gateways in one process, where the file names no number of them
+SPARE = 200  # descriptors beside those for gateways
+HELD = 14  # descriptors that a hollow gateway may hold: its watch, its listener, the counter's eight, callers
+EMPTY_MB = 30.0  # of a process that holds nothing yet
+HOLLOW_MB = 0.1  # of a hollow gateway
+MEMBER_MB = 0.0004  # of a member of the roster, in each gateway that agrees
+ASKED_MB = 0.0001  # of a member in the control process, for each gateway, as each names all
+HOST_MB = 0.004  # of a host in a real gateway, in its module
+ROW_MB = 0.002  # of a host in the stand-in, and in a process of hollow gateways
+LIST_MB = 0.00015  # of a host in each hollow gateway that gets the list whole
+METHOD_MB = 0.002  # of a method in a gateway that has agreed on settings of its own
+TIME_MB = 0.00005  # of the time at which one gateway had one change of the list, kept by the rig
+STOOD_STILL = 0.5  # seconds after which the rig's own times are no good
+FENCE = 1.0  # seconds after which a hollow gateway that stood still asks what it may have missed
 ROLES = ("hollow", "real", "control", "discovery", "counter")
 WORDS = ("cpu_s", "messages_in", "messages_out", "bytes_in", "bytes_out")
 
@@ -64,6 +64,7 @@
 
 class Scale(msgspec.Struct, forbid_unknown_fields=True):
     """The section `scale`."""
+
     hollow: int = 30
     real: int = 0
     hosts: int = 50
@@ -84,12 +85,26 @@
 
 class File(msgspec.Struct, forbid_unknown_fields=True):
     """A whole file."""
+
     scale: Scale
 
 
-RANGES = {"hollow": (0, 5000), "real": (0, 200), "hosts": (1, 50_000), "methods": (3, 10_000), "customers": (1, 200_000),
-          "rpcs": (0, 100_000), "seconds": (1, 600), "list_changes": (0, 1000), "settings_changes": (0, 100),
-          "processes": (0, 200), "seed": (0, 2 ** 31), "cut": (0, 1), "restart_at": (0, 600), "discovery_rate": (0, 1e6)}
+RANGES = {
+    "hollow": (0, 5000),
+    "real": (0, 200),
+    "hosts": (1, 50_000),
+    "methods": (3, 10_000),
+    "customers": (1, 200_000),
+    "rpcs": (0, 100_000),
+    "seconds": (1, 600),
+    "list_changes": (0, 1000),
+    "settings_changes": (0, 100),
+    "processes": (0, 200),
+    "seed": (0, 2**31),
+    "cut": (0, 1),
+    "restart_at": (0, 600),
+    "discovery_rate": (0, 1e6),
+}
 
 
 def read(text: str, name: str = "run") -> Scale:
@@ -113,8 +128,10 @@
 
 def check(told: Scale, name: str = "run") -> None:
     """Raise ScaleError where a run is out of form."""
+
     def refuse(key, expected):
         raise ScaleError(f"{name}: scale.{key}: expected {expected}, found {getattr(told, key)}")
+
     for key, (least, most) in RANGES.items():
         if not least <= getattr(told, key) <= most:
             refuse(key, f"{least:g} to {most:g}")
@@ -142,33 +159,49 @@
 def estimate(told: Scale) -> float:
     """Megabytes of memory that a run will take, from what was measured of each part; on the high side."""
     parts, gateways = len(crowds(told)), told.hollow + told.real
-    agreed = (METHOD_MB * told.methods + MEMBER_MB * gateways) * gateways + ASKED_MB * gateways ** 2
-    return (EMPTY_MB * (parts + told.real + 4) + HOLLOW_MB * told.hollow + HOST_MB * told.hosts * told.real
-            + ROW_MB * told.hosts * (parts + 2) + LIST_MB * told.hosts * told.hollow * bool(told.restart_at)
-            + TIME_MB * told.list_changes * told.seconds * gateways + agreed * told.agreement)
-
-
-def fits(told: Scale, name: str = "run", memory: float | None = None, descriptors: int | None = None) -> None:
+    agreed = (METHOD_MB * told.methods + MEMBER_MB * gateways) * gateways + ASKED_MB * gateways**2
+    return (
+        EMPTY_MB * (parts + told.real + 4)
+        + HOLLOW_MB * told.hollow
+        + HOST_MB * told.hosts * told.real
+        + ROW_MB * told.hosts * (parts + 2)
+        + LIST_MB * told.hosts * told.hollow * bool(told.restart_at)
+        + TIME_MB * told.list_changes * told.seconds * gateways
+        + agreed * told.agreement
+    )
+
+
+def fits(
+    told: Scale, name: str = "run", memory: float | None = None, descriptors: int | None = None
+) -> None:
     """Raise ScaleError where a run would take more than its share of this machine: of its `memory` in megabytes, of
     processes, or of the `descriptors` that one process may hold."""
     if memory is None:
-        memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2 ** 20
+        memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2**20
     if descriptors is None:
         descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     parts, gateways = crowds(told), told.hollow + told.real
     if (needed := len(parts) + told.real + 4) > PROCESSES:
         raise ScaleError(f"{name}: expected at most {PROCESSES} processes, found {needed}")
     if (needed := estimate(told)) > SHARE * memory:
-        raise ScaleError(f"{name}: expected at most {SHARE * memory:.0f} MB, {SHARE:g} of the memory, found about "
-                         f"{needed:.0f}")
+        raise ScaleError(
+            f"{name}: expected at most {SHARE * memory:.0f} MB, {SHARE:g} of the memory, found about "
+            f"{needed:.0f}"
+        )
     needed = SPARE + max([gateways, 8 * gateways, *(HELD * len(part) for part in parts)])
     if needed > descriptors:
-        raise ScaleError(f"{name}: expected at most {descriptors} descriptors in a process (RLIMIT_NOFILE), found {needed}")
+        raise ScaleError(
+            f"{name}: expected at most {descriptors} descriptors in a process (RLIMIT_NOFILE), found {needed}"
+        )
 
 
 def settings(told: Scale, change: int = 0) -> dict:
     """The settings of a run, after so many changes: customers' plan has a quota that they stay below, and the counter."""
-    made = fleet.settings(max(1, told.hollow + told.real), more=[f"m{at}" for at in range(told.methods - 3)], quota=1000.0)
+    made = fleet.settings(
+        max(1, told.hollow + told.real),
+        more=[f"m{at}" for at in range(told.methods - 3)],
+        quota=1000.0,
+    )
     made["classes"][0]["giveUp"] += change * 1000
     return made
 
@@ -177,11 +210,19 @@
     """A role's figures over its processes."""
     rows = [one.spent(begin, end) for one in parties]
     up = [one for one in parties if one.meters and one.process.up]
-    role = {"number": sum(one.number for one in up), "rss_mb": sum(one.meters[-1]["rss"] for one in up) / 2 ** 20}
+    role = {
+        "number": sum(one.number for one in up),
+        "rss_mb": sum(one.meters[-1]["rss"] for one in up) / 2**20,
+    }
     role |= {word: sum(row[0][at] for row in rows) for at, word in enumerate(WORDS)}
     kinds = sorted({kind for row in rows for kind in row[1]})
-    role["by"] = {kind: {word: sum(row[1].get(kind, [0.0] * 4)[at] for row in rows) for at, word in enumerate(WORDS[1:])}
-                  for kind in kinds}
+    role["by"] = {
+        kind: {
+            word: sum(row[1].get(kind, [0.0] * 4)[at] for row in rows)
+            for at, word in enumerate(WORDS[1:])
+        }
+        for kind in kinds
+    }
     return role
 
 
@@ -189,8 +230,16 @@
     """What a role's processes spent since they began, in all."""
     lines = [one.meters[-1] for one in parties if one.meters]
     rows = [row for line in lines for row in line["by"].values()]
-    return dict(zip(WORDS, (sum(line["cpu"] for line in lines), *(sum(row[at] for row in rows) for at in range(4))),
-                    strict=True))
+    return dict(
+        zip(
+            WORDS,
+            (
+                sum(line["cpu"] for line in lines),
+                *(sum(row[at] for row in rows) for at in range(4)),
+            ),
+            strict=True,
+        )
+    )
 
 
 def median(values):
@@ -201,8 +250,11 @@
     """Of some changes, each as (when it was made, when each gateway had it): seconds until the first, the middle and the
     last one had it; the median change's, but the longest for the last one."""
     delays = [sorted(one - since for one in times) for since, times in changes if times]
-    return {"first_s": median([one[0] for one in delays]), "median_s": median([median(one) for one in delays]),
-            "last_s": max((one[-1] for one in delays), default=None)}
+    return {
+        "first_s": median([one[0] for one in delays]),
+        "median_s": median([median(one) for one in delays]),
+        "last_s": max((one[-1] for one in delays), default=None),
+    }
 
 
 def told_of(rig, begin, end):
@@ -211,8 +263,12 @@
     roles = {role: summed(rig.of(role), begin, end) for role in ROLES}
     up = [one for one in rig.of("hollow") if one.process.up and one.meters]
     if up:
-        roles["hollow"]["rss_mb_each"] = sum(one.meters[-1]["rss"] - one.empty for one in up) / 2 ** 20 / told.hollow
-        roles["hollow"]["turn_s"] = max(line.get("turn", 0.0) for one in up for line in one.meters if line["at"] >= begin)
+        roles["hollow"]["rss_mb_each"] = (
+            sum(one.meters[-1]["rss"] - one.empty for one in up) / 2**20 / told.hollow
+        )
+        roles["hollow"]["turn_s"] = max(
+            line.get("turn", 0.0) for one in up for line in one.meters if line["at"] >= begin
+        )
     lists = [(at, rig.arrivals.get(index, [])) for index, at in sorted(rig.changed.items())]
     done = [one for one in rig.proposed if one["outcome"] == "committed"]
     forces = [(one["since"], list(rig.generations.get(one["number"], {}).values())) for one in done]
@@ -221,39 +277,69 @@
 
     def total(lines, kind, at):
         return sum(line["by"].get(kind, [0] * 4)[at] for line in lines)
+
     tally = {}
     for line in lasts["hollow"]:
         for word, number in line.get("tally", {}).items():
             tally[word] = tally.get(word, 0) + number
-    sums = {"rpcs": sum(line.get("rpcs", 0) for line in lasts["hollow"]),
-            "answers": sum(line.get("answers", 0) for line in lasts["hollow"]), "tally": tally,
-            "adds": sum(line["adds"] for line in lasts["counter"]),
-            "discovery_calls": sum(line["calls"] for line in lasts["discovery"]),
-            "discovery_refused": sum(line["refused"] for line in lasts["discovery"]),
-            "counter_bytes": {"gateways": [total(gateways, "counter", 2), total(gateways, "counter", 3)],
-                              "counter": [total(lasts["counter"], "adds", 3), total(lasts["counter"], "adds", 2)]},
-            "discovery_bytes": {"gateways": [total(gateways, "discovery", 2), total(gateways, "discovery", 3)],
-                                "discovery": [total(lasts["discovery"], "discovery", 3),
-                                              total(lasts["discovery"], "discovery", 2)]}}
+    sums = {
+        "rpcs": sum(line.get("rpcs", 0) for line in lasts["hollow"]),
+        "answers": sum(line.get("answers", 0) for line in lasts["hollow"]),
+        "tally": tally,
+        "adds": sum(line["adds"] for line in lasts["counter"]),
+        "discovery_calls": sum(line["calls"] for line in lasts["discovery"]),
+        "discovery_refused": sum(line["refused"] for line in lasts["discovery"]),
+        "counter_bytes": {
+            "gateways": [total(gateways, "counter", 2), total(gateways, "counter", 3)],
+            "counter": [total(lasts["counter"], "adds", 3), total(lasts["counter"], "adds", 2)],
+        },
+        "discovery_bytes": {
+            "gateways": [total(gateways, "discovery", 2), total(gateways, "discovery", 3)],
+            "discovery": [
+                total(lasts["discovery"], "discovery", 3),
+                total(lasts["discovery"], "discovery", 2),
+            ],
+        },
+    }
     troubles = list(rig.troubles)
     if rig.longest > STOOD_STILL:
         troubles.append(f"the rig stood still for {rig.longest:.2f} s: this machine is too busy")
     if (turn := roles["hollow"].get("turn_s", 0.0)) > FENCE:
-        troubles.append(f"a process of hollow gateways stood still for {turn:.2f} s: fewer in one would do")
+        troubles.append(
+            f"a process of hollow gateways stood still for {turn:.2f} s: fewer in one would do"
+        )
     ready = sorted(rig.ready.values())
     report = {
-        "scale": msgspec.to_builtins(told), "seconds": end - begin, "roles": roles,
-        "list": {"changes": len(lists), "reached": sum(len(times) >= len(names) for _, times in lists), **reach(lists)},
-        "settings": {"changes": len(rig.proposed), "committed": len(done),
-                     "reached": sum(len(times) >= len(names) for _, times in forces), **reach(forces),
-                     "outcomes": [f"{one['outcome']}: {one['why']}"[:200] for one in rig.proposed]},
-        "ready_s": {"median": median(ready), "last": ready[-1] if ready else None}, "sums": sums,
+        "scale": msgspec.to_builtins(told),
+        "seconds": end - begin,
+        "roles": roles,
+        "list": {
+            "changes": len(lists),
+            "reached": sum(len(times) >= len(names) for _, times in lists),
+            **reach(lists),
+        },
+        "settings": {
+            "changes": len(rig.proposed),
+            "committed": len(done),
+            "reached": sum(len(times) >= len(names) for _, times in forces),
+            **reach(forces),
+            "outcomes": [f"{one['outcome']}: {one['why']}"[:200] for one in rig.proposed],
+        },
+        "ready_s": {"median": median(ready), "last": ready[-1] if ready else None},
+        "sums": sums,
         "start": rig.started,
-        "stood_still": sum(event["event"] == "stood_still" for one in rig.parties for event in one.events),
-        "void": "; ".join(troubles)}
+        "stood_still": sum(
+            event["event"] == "stood_still" for one in rig.parties for event in one.events
+        ),
+        "void": "; ".join(troubles),
+    }
     if told.restart_at:
-        report["restart"] = {"listed": len(rig.firsts), "ready": len(ready), "list_median_s": median(rig.firsts),
-                             "list_last_s": max(rig.firsts, default=None)}
+        report["restart"] = {
+            "listed": len(rig.firsts),
+            "ready": len(ready),
+            "list_median_s": median(rig.firsts),
+            "list_last_s": max(rig.firsts, default=None),
+        }
     return report
 
 
@@ -265,7 +351,10 @@
     rig, began = Rig(told, crowds(told), partial(settings, told)), time.time()
     try:
         rig.start()
-        rig.started = {"seconds": time.time() - began, **{role: spent_so_far(rig.of(role)) for role in ROLES}}
+        rig.started = {
+            "seconds": time.time() - began,
+            **{role: spent_so_far(rig.of(role)) for role in ROLES},
+        }
         begin, end = rig.run()
         rig.rest()
         return told_of(rig, begin, end)
@@ -289,34 +378,64 @@
 def show(report):
     from rich.console import Console
     from rich.table import Table
+
     table = Table(title=f"a second, of {report['seconds']:.1f} s")
-    for name in ("role", "number", "CPU s", "CPU ms each", "RSS MB", "messages in", "out", "kB in", "out", "B in each",
-                 "out each"):
+    for name in (
+        "role",
+        "number",
+        "CPU s",
+        "CPU ms each",
+        "RSS MB",
+        "messages in",
+        "out",
+        "kB in",
+        "out",
+        "B in each",
+        "out each",
+    ):
         table.add_column(name, justify="right")
     for name, role in report["roles"].items():
         each = max(1, role["number"])
-        table.add_row(name, str(role["number"]), f"{role['cpu_s']:.3f}", f"{role['cpu_s'] / each * 1e3:.2f}",
-                      f"{role['rss_mb']:.0f}", f"{role['messages_in']:.0f}", f"{role['messages_out']:.0f}",
-                      f"{role['bytes_in'] / 1e3:.1f}", f"{role['bytes_out'] / 1e3:.1f}", f"{role['bytes_in'] / each:.0f}",
-                      f"{role['bytes_out'] / each:.0f}")
+        table.add_row(
+            name,
+            str(role["number"]),
+            f"{role['cpu_s']:.3f}",
+            f"{role['cpu_s'] / each * 1e3:.2f}",
+            f"{role['rss_mb']:.0f}",
+            f"{role['messages_in']:.0f}",
+            f"{role['messages_out']:.0f}",
+            f"{role['bytes_in'] / 1e3:.1f}",
+            f"{role['bytes_out'] / 1e3:.1f}",
+            f"{role['bytes_in'] / each:.0f}",
+            f"{role['bytes_out'] / each:.0f}",
+        )
     Console(width=125).print(table)
     hollow = report["roles"]["hollow"]
     if "rss_mb_each" in hollow:
-        print(f"a hollow gateway holds {hollow['rss_mb_each']:.3f} MB; their longest turn took {hollow['turn_s']:.3f} s")
+        print(
+            f"a hollow gateway holds {hollow['rss_mb_each']:.3f} MB; their longest turn took {hollow['turn_s']:.3f} s"
+        )
     for what in ("list", "settings"):
         row = report[what]
         if row["changes"]:
-            print(f"{row['changes']} changes of the {what}"
-                  + (f", {row['committed']} committed" if what == "settings" else "")
-                  + f", {row['reached']} in force at all; in force at the first, the median and the last one after "
-                  + ", ".join(seconds(row[key]) for key in ("first_s", "median_s", "last_s")))
+            print(
+                f"{row['changes']} changes of the {what}"
+                + (f", {row['committed']} committed" if what == "settings" else "")
+                + f", {row['reached']} in force at all; in force at the first, the median and the last one after "
+                + ", ".join(seconds(row[key]) for key in ("first_s", "median_s", "last_s"))
+            )
     for one in report["settings"]["outcomes"]:
         print(f"  {one}")
-    print("ready after " + ", ".join(f"{seconds(took)} at the {one}" for one, took in report["ready_s"].items()))
+    print(
+        "ready after "
+        + ", ".join(f"{seconds(took)} at the {one}" for one, took in report["ready_s"].items())
+    )
     if "restart" in report:
         row = report["restart"]
-        print(f"begun anew: {row['listed']} have the list after {seconds(row['list_median_s'])} at the median, "
-              f"{seconds(row['list_last_s'])} at the last")
+        print(
+            f"begun anew: {row['listed']} have the list after {seconds(row['list_median_s'])} at the median, "
+            f"{seconds(row['list_last_s'])} at the last"
+        )
     if report["void"]:
         print(f"void: {report['void']}")
 
--- a/petrellane/lab/services.py
+++ b/petrellane/lab/services.py
@@ -13,9 +13,9 @@
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
 
-KEPT = 20_000    # changes remembered; whoever asks from before gets the list whole
+KEPT = 20_000  # changes remembered; whoever asks from before gets the list whole
 BACKLOG = 4096
-LINES = 100_000    # log lines that wait for the rig
+LINES = 100_000  # log lines that wait for the rig
 
 
 class Words:
@@ -28,7 +28,7 @@
 
     def read(self, events):
         data = os.read(self.descriptor, 4096)
-        if not data:    # the rig is gone
+        if not data:  # the rig is gone
             os._exit(1)
         *lines, self.buffer = (self.buffer + data).split(b"\n")
         for line in lines:
@@ -44,8 +44,10 @@
         super().__init__(scheduler, None)
         self.rows, self.index = {row["name"]: row for row in rows}, len(rows)
         self.rate = rate or float("inf")
-        self.names = deque(maxlen=KEPT)    # those changed, in order; the last one is of the newest index
-        self.made = {}    # from which index -> the bytes of the answer, for the list as it is
+        self.names = deque(
+            maxlen=KEPT
+        )  # those changed, in order; the last one is of the newest index
+        self.made = {}  # from which index -> the bytes of the answer, for the list as it is
 
     def change(self, name, state):
         """Another state of a host, told to all who watch at the end of this turn."""
@@ -62,12 +64,21 @@
         if since is not None and not self.index - len(self.names) <= since <= self.index:
             since = None
         if since not in self.made:
-            new = list(self.names)[len(self.names) - (self.index - since):] if since is not None else self.rows
-            told = {"index": self.index, "snapshot": since is None,
-                    "endpoints": [self.rows[name] for name in dict.fromkeys(new)]}
+            new = (
+                list(self.names)[len(self.names) - (self.index - since) :]
+                if since is not None
+                else self.rows
+            )
+            told = {
+                "index": self.index,
+                "snapshot": since is None,
+                "endpoints": [self.rows[name] for name in dict.fromkeys(new)],
+            }
             body = orjson.dumps(told)
-            self.made[since] = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b" % (
-                len(body), body)
+            self.made[since] = (
+                b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b"
+                % (len(body), body)
+            )
         return self.made[since]
 
     def serve(self, stream, door):
@@ -75,19 +86,23 @@
             while (end := stream.buffer.find(b"\r\n\r\n")) < 0:
                 stream.fill()
             words = bytes(stream.buffer[:end]).split(b" ")[1].decode()
-            del stream.buffer[:end + 4]
+            del stream.buffer[: end + 4]
             self.calls += 1
             if self.overbooked():
                 self.refused += 1
                 stream.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                 return
-            asked = dict(part.split("=", 1) for part in words.partition("?")[2].split("&") if "=" in part)
+            asked = dict(
+                part.split("=", 1) for part in words.partition("?")[2].split("&") if "=" in part
+            )
             since = int(asked["from"]) if "from" in asked else None
             if since == self.index and (hold := min(60.0, int(asked.get("hold_ms", 0)) / 1e3)) > 0:
-                self.watches[stream] = stream.reader = greenlet.getcurrent()    # hears of an end, else the poll spins
+                self.watches[stream] = stream.reader = (
+                    greenlet.getcurrent()
+                )  # hears of an end, else the poll spins
                 woken, stream.reader = self.scheduler.wait(hold), None
                 if self.watches.pop(stream, None) and woken:
-                    continue    # no news, but an end
+                    continue  # no news, but an end
             stream.write(self.body(since))
 
 
@@ -95,7 +110,13 @@
     """Hosts that drain and come back, so many times a second, from `begin` on until `quiet`."""
 
     def __init__(self, scheduler, log, registry, rate, seed):
-        self.scheduler, self.log, self.registry, self.rate, self.on = scheduler, log, registry, rate, False
+        self.scheduler, self.log, self.registry, self.rate, self.on = (
+            scheduler,
+            log,
+            registry,
+            rate,
+            False,
+        )
         self.random = random.Random(f"changes {seed}")
         self.names = list(registry.rows)
 
@@ -112,7 +133,9 @@
             return
         self.scheduler.after(1 / self.rate, self.one)
         name = self.random.choice(self.names)
-        state = "terminating" if self.registry.rows[name]["status"] == "in_service" else "in_service"
+        state = (
+            "terminating" if self.registry.rows[name]["status"] == "in_service" else "in_service"
+        )
         self.registry.change(name, state)
         self.log.event("changed", index=self.registry.index)
 
@@ -134,9 +157,13 @@
         listener = registry.door("all", address).listener
         changes = Changes(scheduler, log, registry, told["changes"], told["seed"])
         heard = {"begin": changes.begin, "quiet": changes.quiet}
-        meter.more = lambda: {"calls": registry.calls, "refused": registry.refused, "index": registry.index,
-                              "watches": len(registry.watches)}
-    listener.listen(BACKLOG)    # many come at once
+        meter.more = lambda: {
+            "calls": registry.calls,
+            "refused": registry.refused,
+            "index": registry.index,
+            "watches": len(registry.watches),
+        }
+    listener.listen(BACKLOG)  # many come at once
     Words(scheduler, told["words"], heard)
     log.event("started")
     scheduler.run()
--- a/petrellane/lab/skewed.py
+++ b/petrellane/lab/skewed.py
@@ -8,6 +8,7 @@
     true, off = time.time, float(os.environ.get("LAB_SKEW", "0"))
     time.time = lambda: true() + off
     from petrellane.cli import app
+
     app()
 
 
--- a/petrellane/lab/slopes.py
+++ b/petrellane/lab/slopes.py
@@ -23,12 +23,13 @@
 from typing import NamedTuple
 
 LEAST_POINTS = 4
-NEAR = 0.2     # of what was found: what a line may miss a point by; of what was stated: how far off a prediction may be
-FLOOR = 0.01   # of the largest median: what a point counts as at least, where shares of it are taken
+NEAR = 0.2  # of what was found: what a line may miss a point by; of what was stated: how far off a prediction may be
+FLOOR = 0.01  # of the largest median: what a point counts as at least, where shares of it are taken
 
 
 class Point(NamedTuple):
     """A figure at one value of the size: the median, least and most of so many runs."""
+
     value: float
     median: float
     least: float
@@ -38,6 +39,7 @@
 
 class Fit(NamedTuple):
     """A line, its slope's least and most over the runs apart, and whether it is one; the note is empty or says more."""
+
     intercept: float
     slope: float
     spread: tuple[float, float]
@@ -55,8 +57,10 @@
     by_value = defaultdict(list)
     for value, _, figure in found:
         by_value[value].append(figure)
-    return tuple(Point(value, statistics.median(figures), min(figures), max(figures), len(figures))
-                 for value, figures in sorted(by_value.items()))
+    return tuple(
+        Point(value, statistics.median(figures), min(figures), max(figures), len(figures))
+        for value, figures in sorted(by_value.items())
+    )
 
 
 def weighed(figures: Sequence[float]) -> list[float]:
@@ -69,14 +73,25 @@
     """Intercept and slope through (value, figure), by least squares of the error relative to the figure. Raises ValueError
     where the rows have fewer than two values of the size."""
     if len({value for value, _ in rows}) < 2:
-        raise ValueError(f"expected two values of the size or more, found {len({value for value, _ in rows})}")
-    weights = [1 / one ** 2 for one in weighed([figure for _, figure in rows])]
+        raise ValueError(
+            f"expected two values of the size or more, found {len({value for value, _ in rows})}"
+        )
+    weights = [1 / one**2 for one in weighed([figure for _, figure in rows])]
     total = math.fsum(weights)
-    middle = math.fsum(weight * value for weight, (value, _) in zip(weights, rows, strict=True)) / total
-    mean = math.fsum(weight * figure for weight, (_, figure) in zip(weights, rows, strict=True)) / total
-    across = math.fsum(weight * (value - middle) ** 2 for weight, (value, _) in zip(weights, rows, strict=True))
-    along = math.fsum(weight * (value - middle) * (figure - mean) for weight, (value, figure) in
-                      zip(weights, rows, strict=True))
+    middle = (
+        math.fsum(weight * value for weight, (value, _) in zip(weights, rows, strict=True)) / total
+    )
+    mean = (
+        math.fsum(weight * figure for weight, (_, figure) in zip(weights, rows, strict=True))
+        / total
+    )
+    across = math.fsum(
+        weight * (value - middle) ** 2 for weight, (value, _) in zip(weights, rows, strict=True)
+    )
+    along = math.fsum(
+        weight * (value - middle) * (figure - mean)
+        for weight, (value, figure) in zip(weights, rows, strict=True)
+    )
     return mean - along / across * middle, along / across
 
 
@@ -85,8 +100,9 @@
     or a figure has no logarithm."""
     if len(rows) < 2 or any(value <= 0 or figure <= 0 for value, figure in rows):
         return None
-    return statistics.linear_regression(*zip(*((math.log(value), math.log(figure)) for value, figure in rows),
-                                             strict=True)).slope
+    return statistics.linear_regression(
+        *zip(*((math.log(value), math.log(figure)) for value, figure in rows), strict=True)
+    ).slope
 
 
 def fit(found: Iterable[tuple[float, int, float]]) -> Fit:
@@ -120,7 +136,13 @@
     """By what share of it the median found is off what was stated, and whether that is near enough. What was stated as 0 is
     off by infinity, unless 0 was found."""
     middle = statistics.median(found)
-    off = (middle - stated) / abs(stated) if stated else math.copysign(math.inf, middle) if middle else 0.0
+    off = (
+        (middle - stated) / abs(stated)
+        if stated
+        else math.copysign(math.inf, middle)
+        if middle
+        else 0.0
+    )
     return off, abs(off) <= NEAR
 
 
--- a/petrellane/lab/standins.py
+++ b/petrellane/lab/standins.py
@@ -15,7 +15,7 @@
 
 LIMITS = Limits(1 << 16, 1.0, 1.0, 64, 1.0)
 NULLS = b"$-1\r\n$-1\r\n"
-KEYS = 20_000    # keys remembered
+KEYS = 20_000  # keys remembered
 
 
 def peer_of(sock):
@@ -63,7 +63,7 @@
         while True:
             while found := resp.command(stream.buffer, 0, LIMITS):
                 parts = [bytes(stream.buffer[slice(*span)]) for span in found[0]]
-                del stream.buffer[:found[1]]
+                del stream.buffer[: found[1]]
                 yield parts
             stream.fill()
 
@@ -75,7 +75,7 @@
             self.listener = None
         for stream in list(self.streams):
             stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-            stream.release()    # a close would send an end in order before
+            stream.release()  # a close would send an end in order before
 
     def up(self):
         """Listen again, at the same address."""
@@ -91,23 +91,52 @@
     """A host: `slots` RPCs are worked on at a time, `queue` wait. A method's work is drawn around its mean; a host that has
     just started does less. It fails a `share` of what it takes, is `slow` by a factor, `silent`, or drains."""
 
-    def __init__(self, scheduler, name, works, records, seed, memory, *, slots=8, queue=32, cold=0.0,
-                 cold_from=1.0, zone="z", address=("127.0.0.1", 0)):
+    def __init__(
+        self,
+        scheduler,
+        name,
+        works,
+        records,
+        seed,
+        memory,
+        *,
+        slots=8,
+        queue=32,
+        cold=0.0,
+        cold_from=1.0,
+        zone="z",
+        address=("127.0.0.1", 0),
+    ):
         super().__init__(scheduler, address)
         self.name, self.works, self.records, self.zone = name, works, records, zone
-        self.memory = memory    # keys that have run, which the hosts of a group share: a repeat has no effect
+        self.memory = (
+            memory  # keys that have run, which the hosts of a group share: a repeat has no effect
+        )
         self.random = random.Random(f"{seed} {name}")
         self.slots, self.queue, self.cold, self.cold_from = slots, queue, cold, cold_from
-        self.share, self.slow, self.silent, self.draining, self.started = 0.0, 1.0, False, False, 0.0
+        self.share, self.slow, self.silent, self.draining, self.started = (
+            0.0,
+            1.0,
+            False,
+            False,
+            0.0,
+        )
         self.busy, self.waiting, self.out, self.ran = 0, deque(), {}, 0
-        self.given_up, self.moved = set(), lambda: None    # peers whose gateway has hung up; told of each end and start
-        self.carried = {}    # peer -> when a relay last read what has come from there
+        self.given_up, self.moved = (
+            set(),
+            lambda: None,
+        )  # peers whose gateway has hung up; told of each end and start
+        self.carried = {}  # peer -> when a relay last read what has come from there
 
     def warmth(self):
         """The part of its speed that a host has by now."""
         if not (self.started and self.cold):
             return 1.0
-        return min(1.0, self.cold_from + (1 - self.cold_from) * (self.scheduler.now() - self.started) / self.cold)
+        return min(
+            1.0,
+            self.cold_from
+            + (1 - self.cold_from) * (self.scheduler.now() - self.started) / self.cold,
+        )
 
     def serve(self, stream):
         for parts in self.commands(stream):
@@ -141,12 +170,14 @@
         while self.waiting and self.busy < self.slots and not self.silent:
             stream, call, work = self.waiting.popleft()
             self.busy += 1
-            self.scheduler.after(work * self.slow / self.warmth(),
-                                 lambda stream=stream, call=call: self.done(stream, call))
+            self.scheduler.after(
+                work * self.slow / self.warmth(),
+                lambda stream=stream, call=call: self.done(stream, call),
+            )
 
     def done(self, stream, call):
         self.busy -= 1
-        if self.listener is not None:    # a host that has died does no more
+        if self.listener is not None:  # a host that has died does no more
             fails = self.random.random() < self.share
             if not fails:
                 self.ran += 1
@@ -154,13 +185,17 @@
                     self.memory[call.key] = None
                     self.records.ran(call)
                 if len(self.memory) > KEYS:
-                    for key in list(self.memory)[:KEYS // 2]:
+                    for key in list(self.memory)[: KEYS // 2]:
                         del self.memory[key]
             if call in self.out.get(stream, ()) and not self.silent:
                 self.out[stream].remove(call)
                 self.records.ended(call, "error" if fails else "ok")
                 value = call.rpc.encode()
-                stream.write(b"-ERR failed\r\n" if fails else b"*3\r\n$%d\r\n%b\r\n%b" % (len(value), value, NULLS))
+                stream.write(
+                    b"-ERR failed\r\n"
+                    if fails
+                    else b"*3\r\n$%d\r\n%b\r\n%b" % (len(value), value, NULLS)
+                )
         self.work()
 
     def gone(self, stream):
@@ -261,7 +296,7 @@
             sock.close()
         if self.trouble in ("unaccepted", "full"):
             for sock in accepted(self.listener, 256, lambda trouble: None):
-                self.crowd.append(sock)    # open and silent, as their callers found them
+                self.crowd.append(sock)  # open and silent, as their callers found them
         if self.trouble == "unaccepted":
             self.scheduler.register(self.listener.fileno(), select.POLLIN, self.accept)
         if self.trouble == "full":
@@ -293,8 +328,15 @@
         self.scheduler, self.records, self.seen_by = scheduler, records, seen_by
         self.index, self.rows, self.watches, self.doors = 1, {}, {}, {}
         self.changed_at, self.notice, self.away, self.calls = {}, 0.0, False, 0
-        self.rate, self.served, self.refused = float("inf"), deque(), 0    # times at which calls were served lately
-        self.changes, self.heard = deque(maxlen=1000), {}    # (index, host, status, since); gateway -> index
+        self.rate, self.served, self.refused = (
+            float("inf"),
+            deque(),
+            0,
+        )  # times at which calls were served lately
+        self.changes, self.heard = (
+            deque(maxlen=1000),
+            {},
+        )  # (index, host, status, since); gateway -> index
 
     def door(self, gateway, address=("127.0.0.1", 0)):
         """Where this gateway is to ask."""
@@ -305,8 +347,16 @@
     def put(self, name, address, state="in_service", zone="z", since=0.0, pod=1):
         """List a host, or what has changed of it."""
         self.index += 1
-        self.rows[name] = {"name": name, "address": address, "zone": zone, "type": "k", "group": pod, "status": state,
-                           "weight": 1.0, "since_ms": int(since * 1e3)}
+        self.rows[name] = {
+            "name": name,
+            "address": address,
+            "zone": zone,
+            "type": "k",
+            "group": pod,
+            "status": state,
+            "weight": 1.0,
+            "since_ms": int(since * 1e3),
+        }
         self.changed_at[name] = self.index
         self.changes.append((self.index, name, state, since))
         self.scheduler.after(self.notice, self.tell)
@@ -317,7 +367,7 @@
             while (end := stream.buffer.find(b"\r\n\r\n")) < 0:
                 stream.fill()
             words = bytes(stream.buffer[:end]).split(b" ")[1].decode()
-            del stream.buffer[:end + 4]
+            del stream.buffer[: end + 4]
             self.calls += 1
             if door.trouble == "silent":
                 continue
@@ -328,7 +378,9 @@
                 self.refused += 1
                 stream.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                 return
-            asked = dict(part.split("=", 1) for part in words.partition("?")[2].split("&") if "=" in part)
+            asked = dict(
+                part.split("=", 1) for part in words.partition("?")[2].split("&") if "=" in part
+            )
             if "from" not in asked:
                 self.answer(stream, gateway, True, list(self.rows.values()))
                 continue
@@ -354,10 +406,16 @@
 
     def has_heard(self, gateway, index):
         """It asks on from this index: so it knows of all changes up to there."""
-        before, self.heard[gateway] = self.heard.get(gateway, 0), max(index, self.heard.get(gateway, 0))
+        before, self.heard[gateway] = (
+            self.heard.get(gateway, 0),
+            max(index, self.heard.get(gateway, 0)),
+        )
         for at, host, status, since in self.changes:
             if before < at <= index:
-                state, since = referee.READY if status == "in_service" else status, since and since - self.records.began
+                state, since = (
+                    referee.READY if status == "in_service" else status,
+                    since and since - self.records.began,
+                )
                 self.records.take(referee.Told(self.records.now(), gateway, host, state, since))
 
     def forget(self, gateway):
@@ -382,7 +440,11 @@
             return
         rows = [self.seen_by(gateway, row) for row in rows]
         body = orjson.dumps({"index": self.index, "snapshot": whole, "endpoints": rows})
-        stream.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body), body)
+        stream.write(
+            b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
+            % len(body),
+            body,
+        )
 
     def close(self):
         for door in self.doors.values():
--- a/petrellane/model/__init__.py
+++ b/petrellane/model/__init__.py
@@ -4,4 +4,4 @@
 for a broken rule and cuts down what it finds, `timeline` prints a run for a person.
 """
 
-VERSION = 1    # a scenario is replayed only on the version that it was written for
+VERSION = 1  # a scenario is replayed only on the version that it was written for
--- a/petrellane/model/baselines.py
+++ b/petrellane/model/baselines.py
@@ -23,6 +23,7 @@
 
 class Baseline:
     """What all have in common; `pick` is their own. `node` is the model's gateway: its number, and what it could see."""
+
     sees_node = True
 
     def __init__(self, *, seed, node, may_cancel=True, **settings):
@@ -40,7 +41,9 @@
             if row.state == api.READY:
                 self.ready.append(row.host)
                 self.out.setdefault(row.host, 0)
-        self.ready.sort(key=lambda host: int(host.address[1:]))    # the list's order, the same everywhere
+        self.ready.sort(
+            key=lambda host: int(host.address[1:])
+        )  # the list's order, the same everywhere
         self.renewed()
         return []
 
@@ -74,7 +77,9 @@
         if proven and len(rpc.call_outs) < rpc.method.call_outs and rpc.deadline > now:
             return self.place(now, rpc)
         rpc.ended = True
-        ran = any(one.outcome not in (api.FULL, api.UNREACHABLE, api.NEVER_SENT) for one in rpc.call_outs)
+        ran = any(
+            one.outcome not in (api.FULL, api.UNREACHABLE, api.NEVER_SENT) for one in rpc.call_outs
+        )
         safe = rpc.method.effect == api.IDEMPOTENT or not ran
         return [api.PushBack(rpc, 0.0, "given up") if safe else api.Abort(rpc)]
 
@@ -104,7 +109,9 @@
     place_in = None
 
     def pick(self, among, now):
-        self.place_in = self.random.randrange(1 << 20) if self.place_in is None else self.place_in + 1
+        self.place_in = (
+            self.random.randrange(1 << 20) if self.place_in is None else self.place_in + 1
+        )
         return among[self.place_in % len(among)]
 
 
@@ -121,7 +128,7 @@
 
 
 class Subset(TwoChoices):
-    SIZE = 20    # hosts of a set: the figure that the descriptions name as usual
+    SIZE = 20  # hosts of a set: the figure that the descriptions name as usual
 
     def renewed(self):
         self.set_of = dict.fromkeys(self.subset(), 1.0)
@@ -132,7 +139,7 @@
         turn, piece = divmod(self.node.number, pieces)
         order = list(self.ready)
         random.Random(f"round {turn}").shuffle(order)
-        return order[piece * size:(piece + 1) * size]
+        return order[piece * size : (piece + 1) * size]
 
     def among(self, rpc):
         hosts = [host for host in self.set_of if host.state == api.READY]
@@ -152,7 +159,9 @@
     def subset(self):
         ring = sorted(self.ready, key=lambda host: place_of(int(host.address[1:])))
         mine = place_of(self.node.number)
-        first = next((at for at, host in enumerate(ring) if place_of(int(host.address[1:])) >= mine), 0)
+        first = next(
+            (at for at, host in enumerate(ring) if place_of(int(host.address[1:])) >= mine), 0
+        )
         return [ring[(first + step) % len(ring)] for step in range(min(self.SIZE, len(ring)))]
 
 
@@ -162,8 +171,12 @@
         width = max(1 / gateways, min(1.0, self.SIZE / hosts if hosts else 1.0))
         begin, self.set_of = self.node.number / gateways, {}
         for at, host in enumerate(self.ready):
-            here = sum(max(0.0, min(begin + width, (at + 1) / hosts + turn) - max(begin, at / hosts + turn))
-                       for turn in (0, 1))
+            here = sum(
+                max(
+                    0.0, min(begin + width, (at + 1) / hosts + turn) - max(begin, at / hosts + turn)
+                )
+                for turn in (0, 1)
+            )
             if here > 0:
                 self.set_of[host] = here * hosts
 
@@ -195,11 +208,15 @@
 
 
 class ReportedLoad(Baseline):
-    POOL, USES, OLD = 16, 3, 1.0    # words kept, times that one is used, seconds after which it is dropped
+    POOL, USES, OLD = (
+        16,
+        3,
+        1.0,
+    )  # words kept, times that one is used, seconds after which it is dropped
 
     def __init__(self, **words):
         super().__init__(**words)
-        self.words = []    # [host, queue, uses left, when]
+        self.words = []  # [host, queue, uses left, when]
 
     def pick(self, among, now):
         self.words = [word for word in self.words if now - word[3] < self.OLD and word[2] > 0]
@@ -212,7 +229,10 @@
 
     def heard(self, host, outcome, now):
         if outcome == api.OK:
-            self.words = [*self.words[-self.POOL + 1:], [host, queue_at(self.node, host), self.USES, now]]
+            self.words = [
+                *self.words[-self.POOL + 1 :],
+                [host, queue_at(self.node, host), self.USES, now],
+            ]
 
 
 class SeesAll(Baseline):
@@ -220,6 +240,15 @@
         return min(among, key=lambda host: (queue_at(self.node, host), self.random.random()))
 
 
-BASELINES = {"uniform": Uniform, "round robin": RoundRobin, "two choices": TwoChoices,
-             "least outstanding": LeastOutstanding, "subset": Subset, "ring subset": RingSubset, "aperture": Aperture,
-             "local queue": LocalQueue, "reported load": ReportedLoad, "sees all": SeesAll}
+BASELINES = {
+    "uniform": Uniform,
+    "round robin": RoundRobin,
+    "two choices": TwoChoices,
+    "least outstanding": LeastOutstanding,
+    "subset": Subset,
+    "ring subset": RingSubset,
+    "aperture": Aperture,
+    "local queue": LocalQueue,
+    "reported load": ReportedLoad,
+    "sees all": SeesAll,
+}
--- a/petrellane/model/clients.py
+++ b/petrellane/model/clients.py
@@ -7,7 +7,20 @@
 
 class Call:
     """What one client wants done: one key, one amount of work, up to so many tries."""
-    __slots__ = ("customer", "method", "units", "work", "key", "began", "until", "tries", "answer", "inside", "source")
+
+    __slots__ = (
+        "customer",
+        "method",
+        "units",
+        "work",
+        "key",
+        "began",
+        "until",
+        "tries",
+        "answer",
+        "inside",
+        "source",
+    )
 
     def __init__(self, source, method, units, work, key, began):
         self.source, self.customer, self.method, self.units = source, source.customer, method, units
@@ -17,6 +30,7 @@
 
 class Try:
     """One RPC of a call, at one gateway."""
+
     __slots__ = ("call", "rpc", "number", "node", "deadline", "patience", "over")
 
     def __init__(self, call, rpc, node, patience, now):
@@ -58,7 +72,9 @@
         """Ask so many times faster than until now; the call that would have come next is drawn anew."""
         self.flood, self.chain = self.flood * times, self.chain + 1
         if self.customer.rate:
-            self.fleet.heap.after(self.rng.expovariate(self.customer.rate * self.flood), self.ask, self.chain)
+            self.fleet.heap.after(
+                self.rng.expovariate(self.customer.rate * self.flood), self.ask, self.chain
+            )
 
     def ask(self, chain):
         """A new call, and the next one's time."""
@@ -68,16 +84,27 @@
         told = rng.choices(fleet.methods_told, self.shares)[0]
         units = rng.randint(1, max(1, self.customer.units))
         self.count += 1
-        work = told.work * (rng.expovariate(1.0) if fleet.world.exponential else rng.uniform(0.5, 1.5))
-        call = Call(self, fleet.methods[told.name], units, work * (0.5 + units / 2),
-                    (self.customer.name, self.count), fleet.heap.now)
+        work = told.work * (
+            rng.expovariate(1.0) if fleet.world.exponential else rng.uniform(0.5, 1.5)
+        )
+        call = Call(
+            self,
+            fleet.methods[told.name],
+            units,
+            work * (0.5 + units / 2),
+            (self.customer.name, self.count),
+            fleet.heap.now,
+        )
         fleet.figures.asked(call)
         self.send(call)
         fleet.heap.after(rng.expovariate(self.customer.rate * self.flood), self.ask, chain)
 
     def pick(self):
         """A gateway of the customer's set, as the front deals them out: the dead ones it knows of left out."""
-        set_of = [self.fleet.nodes[(self.customer.first + at) % len(self.fleet.nodes)] for at in range(self.spread)]
+        set_of = [
+            self.fleet.nodes[(self.customer.first + at) % len(self.fleet.nodes)]
+            for at in range(self.spread)
+        ]
         up = [node for node in set_of if self.fleet.front_sees(node)]
         if not up:
             return None
@@ -109,7 +136,11 @@
             return
         node.taken(one)
         early = self.rng.random() < 0.01
-        gives_up = one.deadline + 1.2 * fleet.answer_slack if not early else one.deadline * self.rng.random()
+        gives_up = (
+            one.deadline + 1.2 * fleet.answer_slack
+            if not early
+            else one.deadline * self.rng.random()
+        )
         fleet.heap.at(gives_up, self.leave, one, node.life)
 
     def leave(self, one, life):
@@ -122,7 +153,11 @@
         call.answer = answer
         self.fleet.figures.answered(call, answer)
         method = call.method
-        repeats = method.effect == api.IDEMPOTENT or method.effect == api.DEDUPLICATED and method.key_scope == "all"
+        repeats = (
+            method.effect == api.IDEMPOTENT
+            or method.effect == api.DEDUPLICATED
+            and method.key_scope == "all"
+        )
         if answer == PUSHED_BACK or answer == ABORTED and repeats:
             self.again(call, max(0.02, wait), False)
 
@@ -162,5 +197,8 @@
 
     def summary(self) -> dict:
         """The ok share of the utility asked inside quotas, units served beyond them as a share, and the answers."""
-        return {"ok share": self.served / self.offered if self.offered else 1.0,
-                "beyond quota": self.beyond / self.used if self.used else 0.0, **self.answers}
+        return {
+            "ok share": self.served / self.offered if self.offered else 1.0,
+            "beyond quota": self.beyond / self.used if self.used else 0.0,
+            **self.answers,
+        }
--- a/petrellane/model/command.py
+++ b/petrellane/model/command.py
@@ -48,17 +48,23 @@
     latest = hunting.Tally()
     try:
         with Progress(seeds) as progress:
+
             def told(tally):
                 nonlocal latest
                 latest = tally
                 progress.told(tally)
+
             latest = hunting.hunt(first, seeds, jobs, enough, told)
     except KeyboardInterrupt:
         print("interrupted; what follows is what was seen", file=sys.stderr)
     share = latest.ok / max(1, latest.runs)
-    print(f"{latest.runs} runs from seed {first}; ok share of the utility inside quotas {share:.3f}")
+    print(
+        f"{latest.runs} runs from seed {first}; ok share of the utility inside quotas {share:.3f}"
+    )
     for rule in RULES:
-        print(f"  {rule:9} nearest {latest.nearest[rule]:.2f}  runs by distance: {spread(latest.spread[rule])}")
+        print(
+            f"  {rule:9} nearest {latest.nearest[rule]:.2f}  runs by distance: {spread(latest.spread[rule])}"
+        )
     for found in latest.found[:enough]:
         tell(found, pathlib.Path(out))
     if not latest.found:
@@ -69,7 +75,10 @@
 def spread(bins: list[int]) -> str:
     """How many runs came how near, in fifths of the way; the last figure is at the rule or past it."""
     fifth = hunting.BINS // 5
-    return " ".join(str(sum(bins[at:at + fifth])) for at in range(0, hunting.BINS, fifth)) + f" | {bins[-1]}"
+    return (
+        " ".join(str(sum(bins[at : at + fifth])) for at in range(0, hunting.BINS, fifth))
+        + f" | {bins[-1]}"
+    )
 
 
 def tell(found, folder):
@@ -78,10 +87,17 @@
     small = hunting.cut_down(found.scenario, rule)
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{rule}-{found.name.replace(' ', '-')}.ndjson"
-    path.write_text(write(small, f"Breaks the rule `{rule}`; cut down from {found.name}. "
-                                 "What guards against it: (to be written)"))
+    path.write_text(
+        write(
+            small,
+            f"Breaks the rule `{rule}`; cut down from {found.name}. "
+            "What guards against it: (to be written)",
+        )
+    )
     run = Fleet(small, keep=True).play()
-    print(f"{found.name}: {verdict(run)}\n  written to {path}; petrellane replay {path} plays it again")
+    print(
+        f"{found.name}: {verdict(run)}\n  written to {path}; petrellane replay {path} plays it again"
+    )
     print("\n".join(timeline(run)))
 
 
@@ -103,11 +119,17 @@
         sources.write(records, run.records, scenario.world.length)
     print("\n".join(timeline(run)))
     print(verdict(run))
-    print(", ".join(f"{name} {value:.3f}" if isinstance(value, float) else f"{name} {value}"
-                    for name, value in run.figures.items()))
+    print(
+        ", ".join(
+            f"{name} {value:.3f}" if isinstance(value, float) else f"{name} {value}"
+            for name, value in run.figures.items()
+        )
+    )
     expected = scenario.expect.broken if scenario.expect else []
     if run.broken != sorted(expected):
-        print(f"expected {', '.join(expected) or 'no rule'} to be broken, found {', '.join(run.broken) or 'none'}",
-              file=sys.stderr)
+        print(
+            f"expected {', '.join(expected) or 'no rule'} to be broken, found {', '.join(run.broken) or 'none'}",
+            file=sys.stderr,
+        )
         return 1
     return 0
--- a/petrellane/model/counter.py
+++ b/petrellane/model/counter.py
@@ -6,15 +6,15 @@
 from petrellane.model.heap import chance
 from petrellane.model.network import Network
 
-KEEP = 5.0    # seconds of changes that can be rolled back
+KEEP = 5.0  # seconds of changes that can be rolled back
 
 
 class Copy:
     """The numbers by name, with what is needed to go back to an older state."""
 
     def __init__(self, names=None):
-        self.names = dict(names or {})    # name -> (total, dies at)
-        self.changes = deque()            # (at, name, what it was)
+        self.names = dict(names or {})  # name -> (total, dies at)
+        self.changes = deque()  # (at, name, what it was)
 
     def add(self, now, name, amount, ttl):
         total, dies = self.names.get(name, (0.0, -1.0))
@@ -54,6 +54,7 @@
             if not state[0]:
                 state[0] = True
                 node.event(life, node.counted, add, outcome, total)
+
         life = node.life
         delay = self.fleet.network.delay(node.zone, Network.COUNTER, node.rng)
         heap.after(self.fleet.world.counter_timeout, hear, api.LATE, 0.0)
@@ -75,7 +76,7 @@
 
     def serve(self, node, add, hear):
         if self.silent and self.rng.random() < 0.5:
-            return    # half of what a silent counter takes is never added
+            return  # half of what a silent counter takes is never added
         copy = self.copies[node.number % len(self.copies)]
         total = copy.add(self.fleet.heap.now, add.name, add.amount, add.ttl)
         if not self.silent:
--- a/petrellane/model/discovery.py
+++ b/petrellane/model/discovery.py
@@ -7,7 +7,9 @@
 from petrellane.model.heap import chance
 from petrellane.operation.backoff import FAILED, SILENT, TURNED_AWAY, Backoff
 
-TIMES = dict(most=5.0, at_first=5.0, hold=3.8, grace=1.0, silent=2.0, first=0.1)    # as petrellane/net/limits.py has them
+TIMES = dict(
+    most=5.0, at_first=5.0, hold=3.8, grace=1.0, silent=2.0, first=0.1
+)  # as petrellane/net/limits.py has them
 
 
 class Discovery:
@@ -16,11 +18,21 @@
     def __init__(self, fleet):
         self.fleet, self.rng, self.late = fleet, chance(fleet.world.seed, "discovery"), 0.0
         self.rows = {machine: (machine, api.READY, None) for machine in fleet.machines}
-        self.before = dict(self.rows)    # as it was up to a second ago: what a gateway that starts holds
-        self.next = {}                   # node -> when its last word reaches it
-        self.trouble, self.rate, self.served = Counter(), [], deque()    # kinds that are on; limits; calls lately
-        self.index, self.changed, self.callers = 0, {}, None    # callers: node -> its calls, from the first trouble on
-        self.calls, self.refused = Counter(), Counter()         # by second
+        self.before = dict(
+            self.rows
+        )  # as it was up to a second ago: what a gateway that starts holds
+        self.next = {}  # node -> when its last word reaches it
+        self.trouble, self.rate, self.served = (
+            Counter(),
+            [],
+            deque(),
+        )  # kinds that are on; limits; calls lately
+        self.index, self.changed, self.callers = (
+            0,
+            {},
+            None,
+        )  # callers: node -> its calls, from the first trouble on
+        self.calls, self.refused = Counter(), Counter()  # by second
 
     def stale(self):
         """The list that a gateway has kept from before its start."""
@@ -40,16 +52,23 @@
 
     def noticed(self, machine, state, times=1.0):
         """Discovery learns within the world's notice, if it is still so then."""
-        self.fleet.heap.after(self.rng.random() * self.fleet.world.notice * times, self.look, machine, state)
+        self.fleet.heap.after(
+            self.rng.random() * self.fleet.world.notice * times, self.look, machine, state
+        )
 
     def look(self, machine, state):
         up = machine.alive and not machine.silent
-        if up == (state == api.READY) and (self.rows[machine][1], self.rows[machine][2]) != (state, machine.up_since):
+        if up == (state == api.READY) and (self.rows[machine][1], self.rows[machine][2]) != (
+            state,
+            machine.up_since,
+        ):
             self.told(machine, state)
 
     def tell(self, node, full, rows):
-        at = max(self.fleet.heap.now + 0.02 + 0.4 * self.rng.random() + self.late * self.rng.random(),
-                 self.next.get(node, 0.0))
+        at = max(
+            self.fleet.heap.now + 0.02 + 0.4 * self.rng.random() + self.late * self.rng.random(),
+            self.next.get(node, 0.0),
+        )
         self.next[node] = at
         self.fleet.heap.at(at, node.event, node.life, node.listed, full, rows)
 
@@ -72,7 +91,7 @@
         if self.callers is None:
             self.callers = {node: Caller(self, node, self.index) for node in self.fleet.living()}
             for caller in self.callers.values():
-                caller.begin()    # the watch that it has
+                caller.begin()  # the watch that it has
         self.trouble[kind] += 1
         if rate:
             self.rate.append(rate)
@@ -83,6 +102,7 @@
             self.trouble[kind] -= 1
             if rate:
                 self.rate.remove(rate)
+
         return end
 
     def turns_away(self):
@@ -102,7 +122,9 @@
     def __init__(self, discovery, node, version=None):
         self.discovery, self.node, self.life, self.version = discovery, node, node.life, version
         self.heap, self.number, self.watching = discovery.fleet.heap, 0, False
-        self.backoff = Backoff(chance(discovery.fleet.world.seed, "calls", node.name, node.life).random, **TIMES)
+        self.backoff = Backoff(
+            chance(discovery.fleet.world.seed, "calls", node.name, node.life).random, **TIMES
+        )
 
     def begin(self):
         self.number += 1
@@ -113,7 +135,9 @@
     def after(self, seconds, call, *words):
         """Later, unless this call is over by then."""
         number = self.number
-        self.heap.after(seconds, lambda: number == self.number and self.life == self.node.life and call(*words))
+        self.heap.after(
+            seconds, lambda: number == self.number and self.life == self.node.life and call(*words)
+        )
 
     def call(self):
         """One call, which arrives at once; it is answered when there is something to tell, or its hold is over."""
@@ -138,8 +162,15 @@
         discovery = self.discovery
         if not self.watching or self.version == discovery.index or self.life != self.node.life:
             return
-        rows = discovery.whole() if self.version is None else [
-            row for machine, row in discovery.rows.items() if discovery.changed.get(machine, 0) > self.version]
+        rows = (
+            discovery.whole()
+            if self.version is None
+            else [
+                row
+                for machine, row in discovery.rows.items()
+                if discovery.changed.get(machine, 0) > self.version
+            ]
+        )
         discovery.tell(self.node, self.version is None, rows)
         self.version = discovery.index
         self.over(True)
@@ -150,7 +181,9 @@
     def over(self, news):
         self.number, self.watching = self.number + 1, False
         self.backoff.told(news)
-        self.after(2 * self.discovery.fleet.world.latency, self.call)    # the answer, and the call behind it
+        self.after(
+            2 * self.discovery.fleet.world.latency, self.call
+        )  # the answer, and the call behind it
 
     def fails(self, outcome):
         self.number, self.watching = self.number + 1, False
--- a/petrellane/model/draw.py
+++ b/petrellane/model/draw.py
@@ -7,10 +7,20 @@
 from petrellane.model.heap import chance
 from petrellane.model.scenario import FAULTS, Customer, Fault, Method, Plan, Scenario, World
 
-SIZES = {"gateways killed": (0.3, 1.0), "host slow": (2.0, 12.0), "host fails": (0.3, 1.0), "hosts drain": (0.3, 0.99),
-         "answers lost": (0.1, 0.9), "messages late": (0.02, 0.5), "counter slow": (2.0, 40.0),
-         "counter forgets": (0.3, 1.0), "counter rolled back": (0.2, 4.0), "list late": (0.5, 3.0), "flood": (2.0, 8.0),
-         "gateway followed": (0.0, 1.0)}
+SIZES = {
+    "gateways killed": (0.3, 1.0),
+    "host slow": (2.0, 12.0),
+    "host fails": (0.3, 1.0),
+    "hosts drain": (0.3, 0.99),
+    "answers lost": (0.1, 0.9),
+    "messages late": (0.02, 0.5),
+    "counter slow": (2.0, 40.0),
+    "counter forgets": (0.3, 1.0),
+    "counter rolled back": (0.2, 4.0),
+    "list late": (0.5, 3.0),
+    "flood": (2.0, 8.0),
+    "gateway followed": (0.0, 1.0),
+}
 
 
 def fault_at(rng, scenario, earlier):
@@ -19,7 +29,9 @@
     kind = rng.random()
     if earlier and kind < 0.45:
         other = rng.choice(earlier)
-        return max(0.0, other.at + rng.choice((0.0, 0.5, 1.0)) * other.length + rng.uniform(-0.3, 0.3))
+        return max(
+            0.0, other.at + rng.choice((0.0, 0.5, 1.0)) * other.length + rng.uniform(-0.3, 0.3)
+        )
     if kind < 0.65:
         plan = rng.choice(scenario.plans)
         window = plan.store / plan.rate if plan.rate else 1.0
@@ -32,28 +44,86 @@
     """One fault, near the others as often as not."""
     least, most = FAULTS[what][2]
     size = rng.uniform(*SIZES[what]) if what in SIZES else 0.0
-    return Fault(what, round(fault_at(rng, scenario, earlier), 3), round(rng.uniform(least, most), 3),
-                 rng.randrange(64), round(size, 3))
+    return Fault(
+        what,
+        round(fault_at(rng, scenario, earlier), 3),
+        round(rng.uniform(least, most), 3),
+        rng.randrange(64),
+        round(size, 3),
+    )
 
 
-DRAWN = tuple(what for what in FAULTS if what != "gateway followed" and not what.startswith("discovery"))
+DRAWN = tuple(
+    what for what in FAULTS if what != "gateway followed" and not what.startswith("discovery")
+)
 # by `draw`, whose seeds stay what they were; a gateway that is followed is added by `followed`
-THEMES = {    # what a scenario is mostly about: (faults that it draws from, or all; how many)
+THEMES = {  # what a scenario is mostly about: (faults that it draws from, or all; how many)
     "any": (DRAWN, (1, 2, 2, 3, 3, 4)),
-    "ceilings": (("counter forgets", "counter replaced", "counter replaced", "counter rolled back", "counter split",
-                  "counter silent", "counter refuses", "counter cut", "counter slow", "zone cut", "gateway killed",
-                  "gateways killed", "gateway paused", "gateway twice", "flood"), (2, 3, 4)),
-    "lives": (("gateways killed", "gateways killed", "gateway twice", "gateway killed", "counter replaced",
-               "counter cut"), (3, 4, 5)),
-    "cold": (("host killed", "hosts drain", "host drains", "zone restarts", "host hangs", "flood", "gateways killed",
-              "list late", "zone cut"), (1, 2, 3)),
-    "effects": (("answers lost", "messages late", "host hangs", "host vanished", "host killed", "zone deaf", "zone cut",
-                 "host slow", "gateway paused", "list late"), (1, 2, 3)),
+    "ceilings": (
+        (
+            "counter forgets",
+            "counter replaced",
+            "counter replaced",
+            "counter rolled back",
+            "counter split",
+            "counter silent",
+            "counter refuses",
+            "counter cut",
+            "counter slow",
+            "zone cut",
+            "gateway killed",
+            "gateways killed",
+            "gateway paused",
+            "gateway twice",
+            "flood",
+        ),
+        (2, 3, 4),
+    ),
+    "lives": (
+        (
+            "gateways killed",
+            "gateways killed",
+            "gateway twice",
+            "gateway killed",
+            "counter replaced",
+            "counter cut",
+        ),
+        (3, 4, 5),
+    ),
+    "cold": (
+        (
+            "host killed",
+            "hosts drain",
+            "host drains",
+            "zone restarts",
+            "host hangs",
+            "flood",
+            "gateways killed",
+            "list late",
+            "zone cut",
+        ),
+        (1, 2, 3),
+    ),
+    "effects": (
+        (
+            "answers lost",
+            "messages late",
+            "host hangs",
+            "host vanished",
+            "host killed",
+            "zone deaf",
+            "zone cut",
+            "host slow",
+            "gateway paused",
+            "list late",
+        ),
+        (1, 2, 3),
+    ),
 }
 
-HOT = ("ceilings", "lives")    # themes in which the customer with the ceiling asks for more than it
+HOT = ("ceilings", "lives")  # themes in which the customer with the ceiling asks for more than it
 
-LEAST = 10.0    # work of one RPC that a host does in a second at least: of a few large ones no share can be told
+LEAST = 10.0  # work of one RPC that a host does in a second at least: of a few large ones no share can be told
 
 
 def draw_plans(rng):
@@ -61,10 +131,19 @@
     rate = rng.uniform(3.0, 8.0)
     store, ceiling = rate * rng.uniform(0.5, 2.5), rng.uniform(1.1, 2.2)
     burst = store * ceiling
-    return (Plan("small", round(rng.uniform(1.0, 4.0), 2), round(rng.uniform(3.0, 9.0), 2), price=0.8),
-            Plan("chain", round(rate, 2), round(store, 2), round(rate * ceiling, 2), round(burst, 2),
-                 round(max(3.0, 0.1 * burst), 2), price=1.8),
-            Plan("open", 0.0, 0.0, max_out=rng.choice((0, 0, 3))))
+    return (
+        Plan("small", round(rng.uniform(1.0, 4.0), 2), round(rng.uniform(3.0, 9.0), 2), price=0.8),
+        Plan(
+            "chain",
+            round(rate, 2),
+            round(store, 2),
+            round(rate * ceiling, 2),
+            round(burst, 2),
+            round(max(3.0, 0.1 * burst), 2),
+            price=1.8,
+        ),
+        Plan("open", 0.0, 0.0, max_out=rng.choice((0, 0, 3))),
+    )
 
 
 def draw_customers(rng, theme, plans, gateways):
@@ -78,11 +157,18 @@
             plan, rate = plans[2], rng.uniform(20.0, 40.0)
         else:
             rate = (plan.rate or 5.0) * rng.choice((0.4, 0.8, 1.5))
-        customers.append(Customer(
-            f"c{number}", plan.name, round(min(40.0, max(0.5, rate)), 2), rng.randrange(gateways),
-            rng.randint(1, gateways) if number else gateways, 3 if plan.ceiling_rate else rng.choice((1, 2)),
-            rng.choice((0.0, 0.5, 0.95) if theme not in HOT else (0.0, 0.0, 0.7)),
-            rng.choice((0.0, 0.0, 1.0, 2.0) if theme not in HOT else (0.0, 0.3, 1.0))))
+        customers.append(
+            Customer(
+                f"c{number}",
+                plan.name,
+                round(min(40.0, max(0.5, rate)), 2),
+                rng.randrange(gateways),
+                rng.randint(1, gateways) if number else gateways,
+                3 if plan.ceiling_rate else rng.choice((1, 2)),
+                rng.choice((0.0, 0.5, 0.95) if theme not in HOT else (0.0, 0.0, 0.7)),
+                rng.choice((0.0, 0.0, 1.0, 2.0) if theme not in HOT else (0.0, 0.3, 1.0)),
+            )
+        )
     return tuple(customers)
 
 
@@ -97,22 +183,51 @@
     customers = draw_customers(rng, theme, plans, gateways)
     methods = (
         Method("look", IDEMPOTENT, 0.5, round(work, 4), 0.5, rng.choice((1.0, 2.0))),
-        Method("lodge", DEDUPLICATED, 0.3, round(2 * work, 4), 0.8, 2.0, rng.choice(("all", "zone", "cell")),
-               rng.choice((0.8, 1.5, 2.5)), 3.0, 0.2),
-        Method("post", NON_IDEMPOTENT, 0.2, round(2 * work, 4), 0.8, 2.0, utility=3.0, late_utility=0.5))
-    busy = 1.5 * work * 1.5 * sum(customer.rate for customer in customers)    # cores, all that is asked being served
+        Method(
+            "lodge",
+            DEDUPLICATED,
+            0.3,
+            round(2 * work, 4),
+            0.8,
+            2.0,
+            rng.choice(("all", "zone", "cell")),
+            rng.choice((0.8, 1.5, 2.5)),
+            3.0,
+            0.2,
+        ),
+        Method(
+            "post", NON_IDEMPOTENT, 0.2, round(2 * work, 4), 0.8, 2.0, utility=3.0, late_utility=0.5
+        ),
+    )
+    busy = (
+        1.5 * work * 1.5 * sum(customer.rate for customer in customers)
+    )  # cores, all that is asked being served
     load = rng.choice((0.3, 0.6, 0.8, 1.2) if theme not in HOT else (0.2, 0.4))
     world = World(
-        VERSION, rng.getrandbits(32), round(rng.uniform(5.0, 9.0), 2), gateways, hosts, rng.choice((1, 2, 3)),
-        rng.choice((1, 2, 3)), cores=round(max(LEAST * work, busy / hosts / load), 4),
-        slots=rng.choice((4, 8)), queue=rng.choice((4, 16, 40)), cancel=rng.random() < 0.5,
-        latency=rng.choice((0.0005, 0.002, 0.005)), skew=rng.choice((0.0, 0.05, 0.5)), notice=rng.uniform(0.2, 2.5),
+        VERSION,
+        rng.getrandbits(32),
+        round(rng.uniform(5.0, 9.0), 2),
+        gateways,
+        hosts,
+        rng.choice((1, 2, 3)),
+        rng.choice((1, 2, 3)),
+        cores=round(max(LEAST * work, busy / hosts / load), 4),
+        slots=rng.choice((4, 8)),
+        queue=rng.choice((4, 16, 40)),
+        cancel=rng.random() < 0.5,
+        latency=rng.choice((0.0005, 0.002, 0.005)),
+        skew=rng.choice((0.0, 0.05, 0.5)),
+        notice=rng.uniform(0.2, 2.5),
         retries=rng.choice((0, 1, 2)),
         patience=rng.choice((0.02, 0.4, 1.0, 1.0)) if theme not in HOT else 1.0,
-        counter_parts=rng.choice((1, 2)), counter_per_s=rng.choice((150.0, 1500.0)),
+        counter_parts=rng.choice((1, 2)),
+        counter_per_s=rng.choice((150.0, 1500.0)),
         counter_timeout=rng.choice((0.03, 0.08)),
-        cold=rng.uniform(3.0, 8.0), cold_from=rng.uniform(0.15, 0.5), max_call_outs=rng.choice((2, 4)),
-        may_cancel=rng.random() < 0.7)
+        cold=rng.uniform(3.0, 8.0),
+        cold_from=rng.uniform(0.15, 0.5),
+        max_call_outs=rng.choice((2, 4)),
+        may_cancel=rng.random() < 0.7,
+    )
     scenario = Scenario(world, plans, methods, customers)
     among, numbers = THEMES[theme]
     faults = []
@@ -138,17 +253,27 @@
         faults.append(draw_fault(rng, scenario, faults, rng.choice(DRAWN)))
     elif kind < 0.4:
         at = rng.randrange(len(faults))
-        faults[at] = draw_fault(rng, scenario, faults[:at] + faults[at + 1:], rng.choice(DRAWN))
+        faults[at] = draw_fault(rng, scenario, faults[:at] + faults[at + 1 :], rng.choice(DRAWN))
     elif kind < 0.8:
         at = rng.randrange(len(faults))
         faults[at] = msgspec.structs.replace(
-            faults[at], at=round(max(0.0, faults[at].at + rng.gauss(0.0, 0.4)), 3),
+            faults[at],
+            at=round(max(0.0, faults[at].at + rng.gauss(0.0, 0.4)), 3),
             length=round(min(10.0, faults[at].length * rng.uniform(0.6, 1.6)), 3),
-            size=round(min(SIZES.get(faults[at].what, (0.0, 0.0))[1], faults[at].size * rng.uniform(0.8, 1.25)), 3))
+            size=round(
+                min(
+                    SIZES.get(faults[at].what, (0.0, 0.0))[1],
+                    faults[at].size * rng.uniform(0.8, 1.25),
+                ),
+                3,
+            ),
+        )
     else:
         at = rng.randrange(len(scenario.customers))
         customers = list(scenario.customers)
-        customers[at] = msgspec.structs.replace(customers[at], rate=round(min(40.0, customers[at].rate * 1.5), 2))
+        customers[at] = msgspec.structs.replace(
+            customers[at], rate=round(min(40.0, customers[at].rate * 1.5), 2)
+        )
         scenario = scenario.but(customers=tuple(customers))
     world = msgspec.structs.replace(scenario.world, seed=rng.getrandbits(32))
     return scenario.but(world=world, faults=tuple(faults))
--- a/petrellane/model/faults.py
+++ b/petrellane/model/faults.py
@@ -5,7 +5,7 @@
 from petrellane.model.network import Network
 from petrellane.model.scenario import FAULTS
 
-AGAIN = 0.3    # seconds between the times that a counter loses what it had, while it does so
+AGAIN = 0.3  # seconds between the times that a counter loses what it had, while it does so
 
 
 class Faults:
@@ -69,7 +69,11 @@
     def gateway_followed(self, fault, rng):
         """Another process takes over what this one gives up. In the first third of sizes all goes well; in the second
         what was given is lost, and the old process goes on; in the last the new one dies when the fault ends."""
-        number, clean, lost = fault.whom % len(self.fleet.nodes), fault.size < 1 / 3, fault.size < 2 / 3
+        number, clean, lost = (
+            fault.whom % len(self.fleet.nodes),
+            fault.size < 1 / 3,
+            fault.size < 2 / 3,
+        )
         old = self.fleet.nodes[number]
         if not old.alive or old.paused:
             return None
@@ -83,6 +87,7 @@
             if not clean and self.fleet.nodes[number] is new:
                 new.kill()
                 self.fleet.unfollow(old, new)
+
         return ends
 
     # hosts
@@ -95,6 +100,7 @@
         def back():
             machine.start()
             self.fleet.discovery.noticed(machine, api.READY)
+
         return back
 
     def host_vanished(self, fault, rng):
@@ -106,6 +112,7 @@
         def back():
             machine.silent = False
             self.fleet.discovery.noticed(machine, api.READY)
+
         return back
 
     def host_hangs(self, fault, rng):
@@ -115,6 +122,7 @@
         def back():
             machine.hanging = False
             machine.begin()
+
         return back
 
     def host_slow(self, fault, rng):
@@ -124,6 +132,7 @@
 
         def back():
             machine.slow /= times
+
         return back
 
     def host_fails(self, fault, rng):
@@ -132,6 +141,7 @@
 
         def back():
             machine.failing = before
+
         return back
 
     def drain(self, machine):
@@ -146,6 +156,7 @@
         def restart():
             machine.start()
             self.fleet.discovery.told(machine, api.READY)
+
         return back
 
     def host_drains(self, fault, rng):
@@ -156,8 +167,11 @@
         return lambda: [end() for end in ends]
 
     def zone_restarts(self, fault, rng):
-        machines = [machine for machine in self.fleet.machines
-                    if machine.zone == fault.whom % self.fleet.world.zones]
+        machines = [
+            machine
+            for machine in self.fleet.machines
+            if machine.zone == fault.whom % self.fleet.world.zones
+        ]
         for machine in machines:
             machine.kill()
             self.fleet.discovery.noticed(machine, api.GONE)
@@ -166,6 +180,7 @@
             for machine in machines:
                 machine.start()
                 self.fleet.discovery.noticed(machine, api.READY)
+
         return back
 
     def answers_lost(self, fault, rng):
@@ -173,6 +188,7 @@
 
         def back():
             self.fleet.answers_lost = before
+
         return back
 
     # the network
@@ -182,6 +198,7 @@
 
         def back():
             self.fleet.network.late = max(0.0, self.fleet.network.late - fault.size)
+
         return back
 
     def links(self, pairs):
@@ -218,6 +235,7 @@
 
         def back():
             counter.slow /= times
+
         return back
 
     def counter_silent(self, fault, rng):
@@ -226,6 +244,7 @@
 
         def back():
             counter.silent -= 1
+
         return back
 
     def counter_refuses(self, fault, rng):
@@ -234,6 +253,7 @@
 
         def back():
             counter.refusing -= 1
+
         return back
 
     def often(self, fault, call, *words):
@@ -244,6 +264,7 @@
             call(*words)
             if self.fleet.heap.now + AGAIN <= until:
                 self.fleet.heap.after(AGAIN, now)
+
         now()
         return lambda: None
 
@@ -267,6 +288,7 @@
 
         def back():
             self.fleet.discovery.late = max(0.0, self.fleet.discovery.late - fault.size)
+
         return back
 
     def discovery_refused(self, fault, rng):
