--- a/petrellane/model/fleet.py
+++ b/petrellane/model/fleet.py
@@ -17,13 +17,14 @@
 from petrellane.model.scenario import Scenario
 from petrellane.referee import Ceiling, MethodRule, Referee, Remains, Terms, Verdict
 
-ANSWER_SLACK = 0.05    # seconds past a deadline that an answer may come
-OVER = 4.0             # seconds after the last deadline in which all has to come to rest
+ANSWER_SLACK = 0.05  # seconds past a deadline that an answer may come
+OVER = 4.0  # seconds after the last deadline in which all has to come to rest
 
 
 @dataclass
 class Run:
     """What came of a scenario: the verdict, the clients' figures, and the records when they were kept."""
+
     scenario: Scenario
     verdict: Verdict
     figures: dict
@@ -37,13 +38,30 @@
 
 
 def api_method(told, call_outs: int) -> api.Method:
-    return api.Method(told.name, told.soft_deadline, told.deadline, told.effect, told.scope, told.window,
-                      told.utility, told.late_utility, call_outs=call_outs)
+    return api.Method(
+        told.name,
+        told.soft_deadline,
+        told.deadline,
+        told.effect,
+        told.scope,
+        told.window,
+        told.utility,
+        told.late_utility,
+        call_outs=call_outs,
+    )
 
 
 def api_plan(told) -> api.Plan:
-    return api.Plan(told.name, told.rate, told.store, told.ceiling_rate, told.ceiling_burst, told.ceiling_slack,
-                    told.max_out, told.price)
+    return api.Plan(
+        told.name,
+        told.rate,
+        told.store,
+        told.ceiling_rate,
+        told.ceiling_burst,
+        told.ceiling_slack,
+        told.max_out,
+        told.price,
+    )
 
 
 class Fleet:
@@ -51,7 +69,12 @@
 
     def __init__(self, scenario: Scenario, module: Any = Gateway, keep: bool = False):
         world = self.world = scenario.world
-        self.scenario, self.module, self.heap, self.network = scenario, module, Heap(), Network(world)
+        self.scenario, self.module, self.heap, self.network = (
+            scenario,
+            module,
+            Heap(),
+            Network(world),
+        )
         self.answer_slack, self.answers_lost, self.worked = ANSWER_SLACK, 0.0, 0.0
         self.methods_told = scenario.methods
         self.methods = {one.name: api_method(one, world.max_call_outs) for one in scenario.methods}
@@ -59,9 +82,15 @@
         self.records, self.trace, self.ids = ([], [], {}) if keep else (None, None, {})
         self.keys, self.rng = {}, chance(world.seed, "front")
         self.settings = dict(
-            counter=True, counter_timeout=world.counter_timeout, may_cancel=world.may_cancel,
-            max_wait=world.max_wait, cold=world.cold, cold_from=world.cold_from,
-            cross_zone=0.0, must_ask=False)
+            counter=True,
+            counter_timeout=world.counter_timeout,
+            may_cancel=world.may_cancel,
+            max_wait=world.max_wait,
+            cold=world.cold,
+            cold_from=world.cold_from,
+            cross_zone=0.0,
+            must_ask=False,
+        )
         self.machines = [Machine(self, number) for number in range(world.hosts)]
         self.machines_by_name = {machine.name: machine for machine in self.machines}
         self.referee = Referee(self.terms())
@@ -76,16 +105,31 @@
         """The rules of this scenario. Two processes under one name may pass a ceiling by what the second one's share
         fills in while both serve: that much is allowed for, at a share of one, and no more."""
         world = self.world
-        beside = sum(fault.length for fault in self.scenario.faults if fault.what == "gateway twice")
+        beside = sum(
+            fault.length for fault in self.scenario.faults if fault.what == "gateway twice"
+        )
         return Terms(
-            methods={one.name: MethodRule(one.effect, one.scope, one.window) for one in self.methods_told},
-            ceilings={one.name: Ceiling(one.ceiling_rate, one.ceiling_burst,
-                                       one.ceiling_slack + one.ceiling_rate * beside)
-                      for one in self.scenario.plans if one.ceiling_rate},
+            methods={
+                one.name: MethodRule(one.effect, one.scope, one.window) for one in self.methods_told
+            },
+            ceilings={
+                one.name: Ceiling(
+                    one.ceiling_rate,
+                    one.ceiling_burst,
+                    one.ceiling_slack + one.ceiling_rate * beside,
+                )
+                for one in self.scenario.plans
+                if one.ceiling_rate
+            },
             groups={machine.name: (machine.pod, machine.zone) for machine in self.machines},
-            answer_slack=self.answer_slack, drain_grace=world.drain_grace, cold=world.cold,
-            cold_from=world.cold_from, multiple=world.multiple, overload_for=world.overload_for,
-            mean_work=self.scenario.mean_work())
+            answer_slack=self.answer_slack,
+            drain_grace=world.drain_grace,
+            cold=world.cold,
+            cold_from=world.cold_from,
+            multiple=world.multiple,
+            overload_for=world.overload_for,
+            mean_work=self.scenario.mean_work(),
+        )
 
     def note(self, record):
         """Hand a record to the referee, and keep it where a person will read the run."""
@@ -126,7 +170,12 @@
 
     def unfollow(self, old, new):
         """It is gone again: the one before takes its place."""
-        self.twins[new.name], self.nodes[old.number], new.leaving, old.leaving = new, old, True, False
+        self.twins[new.name], self.nodes[old.number], new.leaving, old.leaving = (
+            new,
+            old,
+            True,
+            False,
+        )
         self.twins.pop(old.name, None)
         if old.alive:
             old.resumed()
@@ -135,8 +184,11 @@
 
     def twin(self, node, rng):
         """The gateway, or with even odds a second process under its name."""
-        twins = [twin for twin in self.twins.values()
-                 if twin.alive and twin.number == node.number and not twin.leaving]
+        twins = [
+            twin
+            for twin in self.twins.values()
+            if twin.alive and twin.number == node.number and not twin.leaving
+        ]
         return rng.choice([node, *twins]) if twins else node
 
     # the run
@@ -145,21 +197,33 @@
         """Play the scenario to its end, until all has come to rest, and judge it."""
         for node in self.nodes:
             node.start()
-        last = max([self.world.length, *(fault.at + fault.length + 0.5 for fault in self.scenario.faults)])
+        last = max(
+            [self.world.length, *(fault.at + fault.length + 0.5 for fault in self.scenario.faults)]
+        )
         end = last + max(method.deadline for method in self.scenario.methods) + OVER
         self.heap.run(end)
         for node in self.living() if not getattr(self.module, "sees_node", False) else ():
             for kind, count in remains(node).items():
                 self.note(Remains(end, node.name, kind, count))
-        return Run(self.scenario, self.referee.close(end), self.figures.summary(), self.records, self.trace)
+        return Run(
+            self.scenario, self.referee.close(end), self.figures.summary(), self.records, self.trace
+        )
 
 
 def remains(node) -> dict[str, int]:
     """How many RPCs and call-outs a gateway still reaches, from the module down, and its open ones."""
-    found, seen, look = {"open RPCs": len(node.open), "attempts": len(node.attempts)}, set(), [node.gateway]
+    found, seen, look = (
+        {"open RPCs": len(node.open), "attempts": len(node.attempts)},
+        set(),
+        [node.gateway],
+    )
     while look:
         thing = look.pop()
-        if id(thing) in seen or isinstance(thing, (type, str, float, int)) or type(thing).__name__ == "module":
+        if (
+            id(thing) in seen
+            or isinstance(thing, (type, str, float, int))
+            or type(thing).__name__ == "module"
+        ):
             continue
         seen.add(id(thing))
         if isinstance(thing, (api.Rpc, api.CallOut)):
@@ -167,5 +231,7 @@
             found[name] = found.get(name, 0) + 1
         elif callable(thing) and not hasattr(thing, "__self__"):
             continue
-        look += [one for one in gc.get_referents(thing) if not isinstance(one, (float, int, str, type))]
+        look += [
+            one for one in gc.get_referents(thing) if not isinstance(one, (float, int, str, type))
+        ]
     return found
--- a/petrellane/model/hosts.py
+++ b/petrellane/model/hosts.py
@@ -9,7 +9,19 @@
 
 class Attempt:
     """One call-out on its way: the gateway's side ends it once, the host's side may go on for longer."""
-    __slots__ = ("node", "call_out", "call", "rpc", "number", "life", "left", "done", "given_up", "host")
+
+    __slots__ = (
+        "node",
+        "call_out",
+        "call",
+        "rpc",
+        "number",
+        "life",
+        "left",
+        "done",
+        "given_up",
+        "host",
+    )
 
     def __init__(self, node, call_out, call, rpc, host):
         self.node, self.call_out, self.call, self.rpc, self.host = node, call_out, call, rpc, host
@@ -55,15 +67,21 @@
             self.reply(attempt, api.UNREACHABLE)
             return
         now, world = self.fleet.heap.now, self.fleet.world
-        self.fleet.note(Received(now, attempt.node.name, attempt.rpc, attempt.number, self.name, attempt.call.work))
+        self.fleet.note(
+            Received(
+                now, attempt.node.name, attempt.rpc, attempt.number, self.name, attempt.call.work
+            )
+        )
         memory = self.memory(attempt)
         if memory is not None and memory.get(attempt.call.key, -1.0) >= now:
-            self.fleet.heap.after(0.001, self.reply, attempt, api.OK)    # its first run's answer, no second run
+            self.fleet.heap.after(
+                0.001, self.reply, attempt, api.OK
+            )  # its first run's answer, no second run
             return
         if len(self.waiting) >= world.queue:
             self.reply(attempt, api.FULL)
             return
-        if memory is not None:    # kept a little longer than it is promised
+        if memory is not None:  # kept a little longer than it is promised
             memory[attempt.call.key] = now + attempt.call.method.key_window + 1.0
         self.waiting.append(attempt)
         self.begin()
@@ -83,7 +101,7 @@
     def finish(self, attempt, life):
         if life != self.life:
             return
-        if self.hanging:    # it stands still with all that it has
+        if self.hanging:  # it stands still with all that it has
             self.running.pop(attempt, None)
             self.waiting.appendleft(attempt)
             return
@@ -99,7 +117,11 @@
 
     def reply(self, attempt, outcome):
         """The gateway hears, unless a link is cut or the host is silent."""
-        delay = None if self.silent else self.fleet.network.delay(self.zone, attempt.node.zone, self.rng)
+        delay = (
+            None
+            if self.silent
+            else self.fleet.network.delay(self.zone, attempt.node.zone, self.rng)
+        )
         if delay is not None:
             self.fleet.heap.after(delay, attempt.node.outcome, attempt, outcome)
 
--- a/petrellane/model/network.py
+++ b/petrellane/model/network.py
@@ -19,6 +19,9 @@
             ends = [{place, 0 if place == self.COUNTER else place} for place in (sender, receiver)]
             if any(self.cuts.get((a, b), 0) > 0 for a in ends[0] for b in ends[1]):
                 return None
-        across = 1 + ((0 if sender == self.COUNTER else sender) != (0 if receiver == self.COUNTER else receiver))
+        across = 1 + (
+            (0 if sender == self.COUNTER else sender)
+            != (0 if receiver == self.COUNTER else receiver)
+        )
         extra = self.late * rng.random() ** 3 if self.late else 0.0
         return self.world.latency * across * (1 + self.world.jitter * rng.random()) + extra
--- a/petrellane/model/nodes.py
+++ b/petrellane/model/nodes.py
@@ -6,9 +6,20 @@
 from petrellane.model.heap import chance
 from petrellane.model.hosts import Attempt
 from petrellane.operation import succession
-from petrellane.referee import ABORTED, OK, PUSHED_BACK, Answered, Ended, Left, Life, Sent, Taken, Told
-
-EPOCH = 1000.0    # what a clock without error shows when the run begins; 0 would read as `long ago`
+from petrellane.referee import (
+    ABORTED,
+    OK,
+    PUSHED_BACK,
+    Answered,
+    Ended,
+    Left,
+    Life,
+    Sent,
+    Taken,
+    Told,
+)
+
+EPOCH = 1000.0  # what a clock without error shows when the run begins; 0 would read as `long ago`
 
 
 class Node:
@@ -22,11 +33,25 @@
         self.offset = EPOCH + world.skew * (2 * self.rng.random() - 1)
         self.life, self.alive, self.paused, self.gateway = 0, False, False, None
         self.queue, self.open, self.attempts, self.hosts, self.seen = [], {}, {}, {}, set()
-        self.leaving, self.heir, self.taker = False, None, None    # another process has its place, and goes on with it
-        self.customers, self.stood = {}, None    # since when it had stood still, while it reads what came meanwhile
-        self.carriers = {api.CallOut: self.call_out, api.PushBack: self.push_back, api.Abort: self.abort,
-                         api.Cancel: self.cancel, api.Add: self.add, api.Wake: self.wake,
-                         api.Log: self.log, api.Subscribe: self.subscribe}
+        self.leaving, self.heir, self.taker = (
+            False,
+            None,
+            None,
+        )  # another process has its place, and goes on with it
+        self.customers, self.stood = (
+            {},
+            None,
+        )  # since when it had stood still, while it reads what came meanwhile
+        self.carriers = {
+            api.CallOut: self.call_out,
+            api.PushBack: self.push_back,
+            api.Abort: self.abort,
+            api.Cancel: self.cancel,
+            api.Add: self.add,
+            api.Wake: self.wake,
+            api.Log: self.log,
+            api.Subscribe: self.subscribe,
+        }
 
     def clock(self):
         return self.fleet.heap.now + self.offset
@@ -44,7 +69,9 @@
         self.queue, self.open, self.attempts, self.hosts, self.seen = [], {}, {}, {}, set()
         self.customers, self.stood = {}, None
         more = {"node": self} if getattr(self.fleet.module, "sees_node", False) else {}
-        self.gateway = self.fleet.module(seed=self.rng.getrandbits(60), zone=f"z{self.zone}", **self.fleet.settings, **more)
+        self.gateway = self.fleet.module(
+            seed=self.rng.getrandbits(60), zone=f"z{self.zone}", **self.fleet.settings, **more
+        )
         self.note(Life, "started")
         self.carry(self.gateway.started(self.clock()))
         self.listed(True, self.fleet.discovery.stale())
@@ -82,6 +109,7 @@
 
         def customer(name, plan, first, spread):
             return self.customers.setdefault(name, api.Customer(name, plans[plan], first, spread))
+
         succession.taken(self.gateway, self.clock(), self.taker.rows, customer)
 
     def settled(self, name):
@@ -123,14 +151,19 @@
                 host = self.hosts[machine.name] = api.Host(machine.name)
             named.add(machine.name)
             since = 0.0 if up_since is None else up_since + EPOCH
-            listings.append(api.Listing(host, f"z{machine.zone}", "", machine.pod, state, 1.0, since))
+            listings.append(
+                api.Listing(host, f"z{machine.zone}", "", machine.pod, state, 1.0, since)
+            )
             self.note(Told, machine.name, state, 0.0 if up_since is None else up_since)
         if full:
             for name in self.hosts.keys() - named:
                 self.note(Told, name, api.GONE, 0.0)
         self.carry(self.gateway.listed(self.clock(), full, listings))
-        self.hosts = {name: host for name, host in self.hosts.items()
-                      if host.state != api.GONE and (name in named or not full)}
+        self.hosts = {
+            name: host
+            for name, host in self.hosts.items()
+            if host.state != api.GONE and (name in named or not full)
+        }
 
     def place(self, one):
         """An RPC; its patience counts from now or, as the gateway can't know when it came, from when it last looked."""
@@ -139,19 +172,37 @@
         if customer is None:
             told = call.customer
             customer = self.customers[told.name] = api.Customer(
-                told.name, self.fleet.plans[told.plan], told.first, min(told.spread, self.fleet.world.gateways))
+                told.name,
+                self.fleet.plans[told.plan],
+                told.first,
+                min(told.spread, self.fleet.world.gateways),
+            )
         now = self.clock()
         came = now if self.stood is None else self.stood
-        rpc = api.Rpc(call.method, customer, float(call.units), came + one.patience, came, resent=one.number > 0,
-                      write=call.method.effect != api.IDEMPOTENT)
+        rpc = api.Rpc(
+            call.method,
+            customer,
+            float(call.units),
+            came + one.patience,
+            came,
+            resent=one.number > 0,
+            write=call.method.effect != api.IDEMPOTENT,
+        )
         self.open[rpc] = one
         self.carry(self.gateway.place(now, rpc))
 
     def taken(self, one):
         """The last byte of an RPC is here; a process that stands still has it all the same."""
         call = one.call
-        self.note(Taken, one.rpc, call.customer.name, call.customer.plan, call.method.name, float(call.units),
-                  one.deadline)
+        self.note(
+            Taken,
+            one.rpc,
+            call.customer.name,
+            call.customer.plan,
+            call.method.name,
+            float(call.units),
+            one.deadline,
+        )
         self.event(self.life, self.place, one)
 
     def leave(self, one):
@@ -175,14 +226,27 @@
         self.note(Ended, attempt.rpc, attempt.number, outcome)
         if outcome == api.OK:
             self.finish(rpc, OK)
-        self.carry(self.gateway.again(now, attempt.call_out, outcome, over=rpc not in self.open,
-                                      took=max(1e-6, now - attempt.call_out.sent)))
+        self.carry(
+            self.gateway.again(
+                now,
+                attempt.call_out,
+                outcome,
+                over=rpc not in self.open,
+                took=max(1e-6, now - attempt.call_out.sent),
+            )
+        )
 
     def counted(self, add, outcome, total):
         if self.fleet.trace is not None and add.lease is not None:
             told = f"a total of {total:g}" if outcome == api.OK else outcome
-            self.fleet.trace.append((self.fleet.heap.now, self.name, f"asked for {add.amount:g} units of "
-                                     f"{add.lease.customer.name} in window {add.window}: {told}"))
+            self.fleet.trace.append(
+                (
+                    self.fleet.heap.now,
+                    self.name,
+                    f"asked for {add.amount:g} units of "
+                    f"{add.lease.customer.name} in window {add.window}: {told}",
+                )
+            )
         self.carry(self.gateway.counted(self.clock(), add, outcome, total))
 
     def woken(self, about):
@@ -197,7 +261,7 @@
     def finish(self, rpc, answer, wait=0.0):
         one = self.open.pop(rpc, None)
         if one is None:
-            if answer != OK:    # the module has ended what was over
+            if answer != OK:  # the module has ended what was over
                 self.note(Answered, self.fleet.ids.get(rpc, "unknown"), answer)
             return
         self.note(Answered, one.rpc, answer)
@@ -246,7 +310,9 @@
     def cancel(self, step):
         for attempt in self.attempts:
             if attempt.call_out is step.call_out:
-                attempt.given_up = True    # at times others stand on its connection, and it is told later
+                attempt.given_up = (
+                    True  # at times others stand on its connection, and it is told later
+                )
                 late = 0.05 if self.rng.random() < 0.1 else 0.0
                 self.fleet.heap.after(late, self.outcome, attempt, api.CANCELLED)
 
--- a/petrellane/model/quotas.py
+++ b/petrellane/model/quotas.py
@@ -16,7 +16,7 @@
     """One true store for each customer, over all gateways; times are seconds of the run."""
 
     def __init__(self):
-        self.levels = {}    # customer's name -> (level, at)
+        self.levels = {}  # customer's name -> (level, at)
 
     def level(self, name, plan, now):
         level, at = self.levels.get(name, (plan.store, now))
@@ -32,7 +32,11 @@
 
 class Late(TwoChoices):
     """Lets in what the true store, as it was `late` seconds ago, holds, less what this gateway has let in since."""
-    late, past = 0.25, None    # the true stores and what they were are shared by all gateways of a run
+
+    late, past = (
+        0.25,
+        None,
+    )  # the true stores and what they were are shared by all gateways of a run
 
     def __init__(self, *, seed, node, **settings):
         super().__init__(seed=seed, node=node, **settings)
@@ -44,7 +48,11 @@
         while own and own[0][0] <= now - self.late:
             own.popleft()
         seen = self.past.seen(name, plan, now - self.late)
-        if plan.rate and min(plan.store, seen + plan.rate * self.late) - sum(units for _, units in own) < rpc.units:
+        if (
+            plan.rate
+            and min(plan.store, seen + plan.rate * self.late) - sum(units for _, units in own)
+            < rpc.units
+        ):
             rpc.ended = True
             return [api.PushBack(rpc, 0.0, "credit")]
         steps = super().place(now, rpc)
@@ -69,7 +77,9 @@
 
     def seen(self, name, plan, at):
         """The level at a time up to `late` ago."""
-        level, since = next((one for one in reversed(self.before.get(name, ())) if one[1] <= at), (plan.store, at))
+        level, since = next(
+            (one for one in reversed(self.before.get(name, ())) if one[1] <= at), (plan.store, at)
+        )
         return min(plan.store, level + plan.rate * (at - since))
 
 
@@ -80,7 +90,10 @@
 
 def spent(scenario: Scenario, records: list) -> dict:
     """By plan, and in all: units sent, units beyond, and the cost of these by the definition, at an over_cost of 1."""
-    plans, prices = {plan.name: plan for plan in scenario.plans}, {one.name: one.utility for one in scenario.methods}
+    plans, prices = (
+        {plan.name: plan for plan in scenario.plans},
+        {one.name: one.utility for one in scenario.methods},
+    )
     sent, asked, rpcs, first = Stores(), Stores(), {}, set()
     found = {name: Counter() for name in (*plans, "all")}
     for record in sorted(records, key=lambda one: one.at):
@@ -101,6 +114,12 @@
                 found[name]["sent"] += told.units
                 found[name]["beyond"] += told.units * (not inside)
                 found[name]["price"] += told.units * prices[told.method] * plan.price * (not inside)
-    return {name: {"asked": one["asked"], "sent": one["sent"], "beyond": one["beyond"],
-                   "cost": one["price"] / one["asked inside"] if one["asked inside"] else 0.0}
-            for name, one in found.items()}
+    return {
+        name: {
+            "asked": one["asked"],
+            "sent": one["sent"],
+            "beyond": one["beyond"],
+            "cost": one["price"] / one["asked inside"] if one["asked inside"] else 0.0,
+        }
+        for name, one in found.items()
+    }
--- a/petrellane/model/scenario.py
+++ b/petrellane/model/scenario.py
@@ -16,31 +16,34 @@
     """A scenario that is out of form or of another version; the text is one line with file and line."""
 
 
-class Part(msgspec.Struct, tag_field="kind", forbid_unknown_fields=True, omit_defaults=True, frozen=True):
+class Part(
+    msgspec.Struct, tag_field="kind", forbid_unknown_fields=True, omit_defaults=True, frozen=True
+):
     """One line of a scenario file."""
 
 
 class World(Part, tag="world"):
     """Sizes and figures of the fleet; `seed` is all the chance there is."""
+
     model: int
     seed: int
     length: float = 10.0
     gateways: int = 3
     hosts: int = 6
     zones: int = 2
-    pod: int = 3                    # hosts of a zone that share a memory of keys
-    cores: float = 2.0              # of each host; work is core seconds
-    slots: int = 8                  # RPCs that a host works on at once
-    queue: int = 16                 # and that wait there
-    cancel: bool = False            # whether given-up work stops
-    latency: float = 0.001          # one way within a zone, and twice that across
-    jitter: float = 0.5             # a message takes up to so much longer, as a share
-    standing: float = 0.7           # share of call-outs that find a connection that stands
-    skew: float = 0.0               # clocks of gateways differ by up to this
-    notice: float = 1.0             # the front and discovery notice a death up to so late
-    exponential: bool = False       # work is drawn so, not evenly around its mean
-    retries: int = 1                # of a client
-    patience: float = 1.0           # share of the deadline that a client waits for one try
+    pod: int = 3  # hosts of a zone that share a memory of keys
+    cores: float = 2.0  # of each host; work is core seconds
+    slots: int = 8  # RPCs that a host works on at once
+    queue: int = 16  # and that wait there
+    cancel: bool = False  # whether given-up work stops
+    latency: float = 0.001  # one way within a zone, and twice that across
+    jitter: float = 0.5  # a message takes up to so much longer, as a share
+    standing: float = 0.7  # share of call-outs that find a connection that stands
+    skew: float = 0.0  # clocks of gateways differ by up to this
+    notice: float = 1.0  # the front and discovery notice a death up to so late
+    exponential: bool = False  # work is drawn so, not evenly around its mean
+    retries: int = 1  # of a client
+    patience: float = 1.0  # share of the deadline that a client waits for one try
     counter_parts: int = 1
     counter_per_s: float = 1500.0
     counter_timeout: float = 0.05
@@ -56,6 +59,7 @@
 
 class Plan(Part, tag="plan"):
     """One plan; a ceiling_rate of 0 means no ceiling."""
+
     name: str
     rate: float
     store: float
@@ -68,6 +72,7 @@
 
 class Method(Part, tag="method"):
     """One method: its share of the RPCs and the mean work, in core seconds."""
+
     name: str
     effect: str
     share: float = 1.0
@@ -82,18 +87,20 @@
 
 class Customer(Part, tag="customer"):
     """One customer: RPCs a second, and how they come in at the `spread` gateways from `first` on."""
+
     name: str
     plan: str
     rate: float
     first: int = 0
     spread: int = 1
-    units: int = 1                  # the most units of an RPC
-    skew: float = 0.0               # 0: evenly, 1: all at one gateway
-    moves: float = 0.0              # seconds until that is another one; 0: never
+    units: int = 1  # the most units of an RPC
+    skew: float = 0.0  # 0: evenly, 1: all at one gateway
+    moves: float = 0.0  # seconds until that is another one; 0: never
 
 
 class Fault(Part, tag="fault"):
     """Something that goes wrong from `at` on, for `length`. What `whom` and `size` mean is told beside each in `FAULTS`."""
+
     what: str
     at: float
     length: float = 0.0
@@ -103,10 +110,11 @@
 
 class Expect(Part, tag="expect"):
     """What a replay is to show: the rules that are broken, none when empty."""
+
     broken: list[str] = []
 
 
-FAULTS = {    # name: (what `whom` counts, what `size` is, least and most length)
+FAULTS = {  # name: (what `whom` counts, what `size` is, least and most length)
     "gateway killed": ("gateways", "", (0.0, 4.0)),
     "gateway paused": ("gateways", "", (0.2, 10.0)),
     "gateway twice": ("gateways", "", (0.3, 2.0)),
@@ -145,6 +153,7 @@
 
 class Scenario(msgspec.Struct, frozen=True):
     """A whole run, ready to be played."""
+
     world: World
     plans: tuple[Plan, ...]
     methods: tuple[Method, ...]
@@ -156,8 +165,13 @@
         """Core seconds of an RPC, over all that clients ask: by methods' shares, and by units (1 to a customer's most)."""
         shares = sum(method.share for method in self.methods)
         rates = sum(customer.rate for customer in self.customers) or 1.0
-        units = sum(customer.rate * (1 + max(1, customer.units)) / 2 for customer in self.customers) / rates
-        return sum(method.share * method.work for method in self.methods) / shares * (0.5 + units / 2)
+        units = (
+            sum(customer.rate * (1 + max(1, customer.units)) / 2 for customer in self.customers)
+            / rates
+        )
+        return (
+            sum(method.share * method.work for method in self.methods) / shares * (0.5 + units / 2)
+        )
 
     def but(self, **changes) -> "Scenario":
         """The same with some of its parts changed."""
@@ -177,11 +191,17 @@
     """What is wrong with one line, given the names that stand before it; None when nothing is."""
     if wrong := finite(line):
         return f"{wrong}: expected a number from 0, found {getattr(line, wrong)}"
-    if isinstance(line, World) and not (line.gateways and line.hosts and line.zones and line.cores and line.pod):
+    if isinstance(line, World) and not (
+        line.gateways and line.hosts and line.zones and line.cores and line.pod
+    ):
         return "gateways, hosts, zones, pod and cores: expected a number from 1, found 0"
     if isinstance(line, Plan) and bool(line.ceiling_rate) != bool(line.ceiling_burst):
         return f"ceiling_rate and ceiling_burst: expected both or none, found {line.ceiling_rate} and {line.ceiling_burst}"
-    if isinstance(line, Method) and line.effect not in ("idempotent", "deduplicated", "non-idempotent"):
+    if isinstance(line, Method) and line.effect not in (
+        "idempotent",
+        "deduplicated",
+        "non-idempotent",
+    ):
         return f"effect: expected idempotent, deduplicated or non-idempotent, found {line.effect}"
     if isinstance(line, Customer) and line.plan not in names:
         return f"plan: expected one that stands before it, found {line.plan}"
@@ -208,8 +228,10 @@
         if isinstance(line, World) != (not lines):
             raise ScenarioError(f"{name}:{number}: expected one world, as the first object")
         if isinstance(line, World) and line.model != VERSION:
-            raise ScenarioError(f"{name}:{number}: model: expected version {VERSION}, found {line.model}: "
-                                "a run of another version would be another run")
+            raise ScenarioError(
+                f"{name}:{number}: model: expected version {VERSION}, found {line.model}: "
+                "a run of another version would be another run"
+            )
         if isinstance(line, Plan):
             names.add(line.name)
         lines.append(line)
@@ -218,15 +240,26 @@
 
     def of(kind):
         return tuple(line for line in lines if isinstance(line, kind))
+
     for kind, word in ((Plan, "plan"), (Method, "method"), (Customer, "customer")):
         if not of(kind):
-            raise ScenarioError(f"{name}:{len(text.splitlines())}: expected at least one {word}, found none")
-    return Scenario(lines[0], of(Plan), of(Method), of(Customer), of(Fault), (of(Expect) or (None,))[0])
+            raise ScenarioError(
+                f"{name}:{len(text.splitlines())}: expected at least one {word}, found none"
+            )
+    return Scenario(
+        lines[0], of(Plan), of(Method), of(Customer), of(Fault), (of(Expect) or (None,))[0]
+    )
 
 
 def write(scenario: Scenario, comment: str = "") -> str:
     """The text of a file that `read` takes, with a comment before it."""
     lines = [f"# {line}".rstrip() for line in comment.splitlines()]
-    parts = [scenario.world, *scenario.plans, *scenario.methods, *scenario.customers, *scenario.faults]
+    parts = [
+        scenario.world,
+        *scenario.plans,
+        *scenario.methods,
+        *scenario.customers,
+        *scenario.faults,
+    ]
     parts += [scenario.expect] if scenario.expect else []
     return "\n".join(lines + [msgspec.json.encode(part).decode() for part in parts]) + "\n"
--- a/petrellane/model/timeline.py
+++ b/petrellane/model/timeline.py
@@ -1,17 +1,31 @@
 """A run as a person reads it: who knew what, when, around what was broken."""
 
 from petrellane.model.fleet import Run
-from petrellane.referee import Answered, Ended, Left, Life, Ran, Received, Remains, Sent, Taken, Told, Up
+from petrellane.referee import (
+    Answered,
+    Ended,
+    Left,
+    Life,
+    Ran,
+    Received,
+    Remains,
+    Sent,
+    Taken,
+    Told,
+    Up,
+)
 
-SPAN = 2.0     # seconds before the first break that are told in full
-MOST = 120     # lines told; what is left out is counted
+SPAN = 2.0  # seconds before the first break that are told in full
+MOST = 120  # lines told; what is left out is counted
 
 
 def words(record) -> str:
     """One record in words, without its time and its party."""
     if isinstance(record, Taken):
-        return (f"takes {record.rpc} ({record.method}, {record.units:g} units of {record.customer}, "
-                f"until {record.deadline:.3f})")
+        return (
+            f"takes {record.rpc} ({record.method}, {record.units:g} units of {record.customer}, "
+            f"until {record.deadline:.3f})"
+        )
     if isinstance(record, Sent):
         return f"sends {record.rpc} to {record.host}, call-out {record.number}"
     if isinstance(record, Ended):
@@ -25,8 +39,9 @@
     if isinstance(record, Left):
         return f"sees the client of {record.rpc} leave"
     if isinstance(record, Told):
-        return f"is told that {record.host} is {record.state}" + (f", up since {record.up_since:.3f}"
-                                                                 if record.up_since else "")
+        return f"is told that {record.host} is {record.state}" + (
+            f", up since {record.up_since:.3f}" if record.up_since else ""
+        )
     if isinstance(record, Up):
         return "starts cold"
     if isinstance(record, Remains):
@@ -49,23 +64,39 @@
 
 def timeline(run: Run) -> list[str]:
     """The lines: faults and changes of mode all along, and what concerns the first break of each rule in full."""
-    broken = {one.rule: one for one in reversed(run.verdict.broken)}    # the first of each
+    broken = {one.rule: one for one in reversed(run.verdict.broken)}  # the first of each
     rpcs = {rpc for one in broken.values() for rpc in one.rpcs}
     records = run.records or []
     hosts = {record.host for record in records if isinstance(record, Sent) and record.rpc in rpcs}
-    mine = {record.customer for record in records if isinstance(record, Taken) and record.rpc in rpcs}
-    customers = {record.rpc for record in records if isinstance(record, Taken) and record.customer in mine}
+    mine = {
+        record.customer for record in records if isinstance(record, Taken) and record.rpc in rpcs
+    }
+    customers = {
+        record.rpc for record in records if isinstance(record, Taken) and record.customer in mine
+    }
     start = min((one.at for one in broken.values()), default=0.0) - SPAN
-    told = [(at, who, text) for at, who, text in run.trace or [] if "asked for" not in text or (
-        at >= start and any(f" of {customer} " in text for customer in mine))]
+    told = [
+        (at, who, text)
+        for at, who, text in run.trace or []
+        if "asked for" not in text
+        or (at >= start and any(f" of {customer} " in text for customer in mine))
+    ]
     for record in records:
-        if isinstance(record, (Life, Up)) or start <= record.at and concerns(record, rpcs, hosts, customers):
-            who = getattr(record, "gateway", None) if not isinstance(record, (Received, Ran, Up)) else record.host
+        if (
+            isinstance(record, (Life, Up))
+            or start <= record.at
+            and concerns(record, rpcs, hosts, customers)
+        ):
+            who = (
+                getattr(record, "gateway", None)
+                if not isinstance(record, (Received, Ran, Up))
+                else record.host
+            )
             told.append((record.at, who, words(record)))
     told += [(one.at, "REFEREE", f"{one.rule}: {one.text}") for one in broken.values()]
     told.sort(key=lambda entry: entry[0])
     left = len(told) - MOST
-    if left > 0:    # the last ones tell how it came about
+    if left > 0:  # the last ones tell how it came about
         told = told[-MOST:]
     lines = [f"{at:9.3f}  {who or '':8}  {text}" for at, who, text in told]
     return ([f"{'':9}  ({left} earlier lines left out)"] if left > 0 else []) + lines
@@ -74,6 +105,8 @@
 def verdict(run: Run) -> str:
     """One line: what was broken, or how near the run came to each rule."""
     if run.verdict.counts:
-        return "broken: " + ", ".join(f"{rule} {count} times" for rule, count in sorted(run.verdict.counts.items()))
+        return "broken: " + ", ".join(
+            f"{rule} {count} times" for rule, count in sorted(run.verdict.counts.items())
+        )
     near = ", ".join(f"{rule} {distance:.2f}" for rule, distance in run.verdict.nearest.items())
     return f"no rule broken; nearest (1 is at the rule): {near}"
--- a/petrellane/net/http.py
+++ b/petrellane/net/http.py
@@ -12,8 +12,10 @@
 def post(path, host, fields, body):
     """A call with a JSON body, after which the connection ends."""
     more = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
-    return (f"POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n"
-            f"{more}Connection: close\r\n\r\n").encode() + body
+    return (
+        f"POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n"
+        f"{more}Connection: close\r\n\r\n"
+    ).encode() + body
 
 
 def head(buffer, limits):
@@ -65,7 +67,8 @@
 def lasts(fields):
     """Whether the connection goes on after the answer with these fields."""
     return fields.get(b"connection", b"").lower() != b"close" and not fields.keys().isdisjoint(
-        (b"content-length", b"transfer-encoding"))
+        (b"content-length", b"transfer-encoding")
+    )
 
 
 def rest(stream, limits, until):
@@ -102,8 +105,8 @@
             raise Malformed("bad chunk") from None
         if length < 0 or len(data) + length > limits.list_size:
             raise Malformed("list too long")
-        del stream.buffer[:end + 2]
-        chunk = take(stream, length + 2, until)    # the last one stands for an empty trailer as well
+        del stream.buffer[: end + 2]
+        chunk = take(stream, length + 2, until)  # the last one stands for an empty trailer as well
         if not length:
             return bytes(data)
         data += chunk[:-2]
--- a/petrellane/net/log.py
+++ b/petrellane/net/log.py
@@ -8,7 +8,6 @@
 
 
 class Logger:
-
     def __init__(self, descriptor, name, clock, most):
         self.descriptor, self.name, self.clock, self.most = descriptor, name, clock, most
         self.waiting, self.dropped = deque(), 0
@@ -28,8 +27,11 @@
 
     def fault(self, error):
         """Log an exception that nothing else caught."""
-        self.event("fault", error=f"{type(error).__name__}: {error}",
-                   trace="".join(traceback.format_exception(error)[-4:]))
+        self.event(
+            "fault",
+            error=f"{type(error).__name__}: {error}",
+            trace="".join(traceback.format_exception(error)[-4:]),
+        )
 
     def flush(self):
         """Write what the descriptor takes; the rest goes with a later event or the next look round."""
@@ -38,7 +40,7 @@
                 taken = os.write(self.descriptor, self.waiting[0])
             except BlockingIOError:
                 return
-            except OSError:    # nobody reads the log
+            except OSError:  # nobody reads the log
                 self.waiting.clear()
                 return
             line = self.waiting.popleft()
--- a/petrellane/net/resp.py
+++ b/petrellane/net/resp.py
@@ -1,7 +1,6 @@
 """RESP2, parsed in place: what a parser gives are the spans of the parts in the buffer it was shown."""
 
-
-BODY = 4    # the part of a command that may be long
+BODY = 4  # the part of a command that may be long
 
 
 class Malformed(Exception):
@@ -18,7 +17,7 @@
 
 def whole(buffer, at, end):
     """The number between the type byte at `at` and the line's end."""
-    digits = bytes(buffer[at + 1:end])
+    digits = bytes(buffer[at + 1 : end])
     if not digits.lstrip(b"-").isdigit() or len(digits) > 12:
         raise Malformed("bad number")
     try:
@@ -41,7 +40,7 @@
     start, stop = end + 2, end + 2 + length
     if len(buffer) < stop + 2:
         return None
-    if buffer[stop:stop + 2] != b"\r\n":
+    if buffer[stop : stop + 2] != b"\r\n":
         raise Malformed("bulk string of another length")
     return (start, stop), stop + 2
 
@@ -115,15 +114,25 @@
 def long_answer(buffer, limits):
     """The number of parts, the length of the first and where it begins, of an answer that begins with a value longer
     than a short one; None for any other, and while that can't be told."""
-    if buffer[:1] != b"*" or (end := line(buffer, 0, limits)) < 0 or buffer[end + 2:end + 3] != b"$":
+    if (
+        buffer[:1] != b"*"
+        or (end := line(buffer, 0, limits)) < 0
+        or buffer[end + 2 : end + 3] != b"$"
+    ):
         return None
     stop = line(buffer, end + 2, limits)
     if stop < 0:
         return None
     count, length = whole(buffer, 0, end), whole(buffer, end + 2, stop)
-    return (count, length, stop + 2) if 1 <= count <= limits.parts and limits.value < length <= limits.long else None
+    return (
+        (count, length, stop + 2)
+        if 1 <= count <= limits.parts and limits.value < length <= limits.long
+        else None
+    )
 
 
 def words(*parts):
     """A command from its parts."""
-    return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
+    return b"*%d\r\n" % len(parts) + b"".join(
+        b"$%d\r\n%b\r\n" % (len(part), part) for part in parts
+    )
--- a/petrellane/net/scheduler.py
+++ b/petrellane/net/scheduler.py
@@ -11,6 +11,7 @@
 
 class Timer:
     """A call that is due at some time; cancelling it is all that can be done to it."""
+
     __slots__ = ("call",)
 
     def __init__(self, call):
@@ -25,19 +26,22 @@
     to the call that was registered with it. A greenlet that waits is resumed by such a call or by a timer."""
 
     def __init__(self, monotonic=time.monotonic, still=0.05):
-        self.fault = print               # told of exceptions that nothing else caught
+        self.fault = print  # told of exceptions that nothing else caught
         self.monotonic = monotonic
         self.hub = greenlet.getcurrent()
         self.poll = select.poll()
-        self.calls = {}                  # descriptor -> what to call with its events
-        self.urgent = set()              # descriptors whose events go first in a turn
+        self.calls = {}  # descriptor -> what to call with its events
+        self.urgent = set()  # descriptors whose events go first in a turn
         self.timers, self.order = [], itertools.count()
-        self.ready = []                  # calls for the end of this turn
+        self.ready = []  # calls for the end of this turn
         self.running = False
         self.offset = time.time() - monotonic()
-        self.still, self.looked = still, monotonic()    # seconds that count as standing still; the last look
+        self.still, self.looked = (
+            still,
+            monotonic(),
+        )  # seconds that count as standing still; the last look
         self.came = self.looked
-        self.longest = 0.0               # seconds that a turn has taken at most, its poll apart
+        self.longest = 0.0  # seconds that a turn has taken at most, its poll apart
 
     def now(self):
         """Unix time, anchored once and stepped by the monotonic clock."""
@@ -106,9 +110,13 @@
         if began - self.looked > self.still:
             self.came = self.looked
         else:
-            self.came = began if most is not None and now - began > most / 1e3 + self.still else math.inf
+            self.came = (
+                began if most is not None and now - began > most / 1e3 + self.still else math.inf
+            )
         self.looked = now
-        if self.urgent or any(events & select.POLLRDHUP for _, events in ready):    # who has left is owed nothing more
+        if self.urgent or any(
+            events & select.POLLRDHUP for _, events in ready
+        ):  # who has left is owed nothing more
             ready.sort(key=lambda one: (not one[1] & select.POLLRDHUP, one[0] not in self.urgent))
         for descriptor, events in ready:
             call = self.calls.get(descriptor)
@@ -146,5 +154,5 @@
     def attempt(self, call, words):
         try:
             call(*words)
-        except Exception as error:    # one peer's trouble is not the others'
+        except Exception as error:  # one peer's trouble is not the others'
             self.fault(error)
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -10,7 +10,7 @@
 
 READ = select.POLLIN
 WRITE = select.POLLOUT
-LEFT = select.POLLRDHUP    # the peer sends no more, told also while there is more to read
+LEFT = select.POLLRDHUP  # the peer sends no more, told also while there is more to read
 
 
 def listening(address, backlog):
@@ -58,16 +58,18 @@
     def __init__(self, scheduler, limits, sock, urgent=False, leaves=False):
         self.scheduler, self.limits, self.sock = scheduler, limits, sock
         self.always = LEFT if leaves else 0
-        self.buffer = bytearray()        # read and not yet consumed
-        self.unsent = deque()            # to be written
-        self.queued = self.sent = 0      # bytes handed over for writing, and written, in all
+        self.buffer = bytearray()  # read and not yet consumed
+        self.unsent = deque()  # to be written
+        self.queued = self.sent = 0  # bytes handed over for writing, and written, in all
         self.reader, self.dialing, self.broken = None, False, None
-        self.unread = False    # broken as it was written to: what came before is still there
-        self.relief = None   # told when bytes have been written
-        self.in_row = 0      # reads since it last had nothing
-        self.deserted = None    # told when it breaks while nobody reads, as who does waits for something else
-        self.held = False    # nothing is read for a while, however much comes
-        self.finishing = False    # our sending ends once all is written
+        self.unread = False  # broken as it was written to: what came before is still there
+        self.relief = None  # told when bytes have been written
+        self.in_row = 0  # reads since it last had nothing
+        self.deserted = (
+            None  # told when it breaks while nobody reads, as who does waits for something else
+        )
+        self.held = False  # nothing is read for a while, however much comes
+        self.finishing = False  # our sending ends once all is written
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -101,7 +103,7 @@
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
             raise OSError(error, "no connection")
-        self.sock.getpeername()    # raises where it is not up after all
+        self.sock.getpeername()  # raises where it is not up after all
         self.watch(READ)
 
     def watch(self, events):
@@ -152,7 +154,9 @@
                 if not in_time:
                     raise TimeoutError("nothing came in time")
                 continue
-            if not data:    # where a write has found a reset, reading on finds an end, which it is not
+            if (
+                not data
+            ):  # where a write has found a reset, reading on finds an end, which it is not
                 raise self.broken or Ended("ended by the peer")
             self.buffer += data
             self.in_row += 1
@@ -167,7 +171,7 @@
             self.fail("the peer reads nothing")
             return
         for piece in pieces:
-            if len(piece):    # an empty one would never be gone: the socket takes nothing of it
+            if len(piece):  # an empty one would never be gone: the socket takes nothing of it
                 self.unsent.append(memoryview(piece))
                 self.queued += len(piece)
         if not self.dialing and not self.events & WRITE:
@@ -204,7 +208,7 @@
         """Let the kernel hold no more of a long value than we would: it counts as ours, and grows to megabytes."""
         try:
             self.sock.setsockopt(socket.SOL_SOCKET, option, self.limits.window)
-        except OSError:    # it is over, which its reader learns
+        except OSError:  # it is over, which its reader learns
             pass
 
     def detach(self):
@@ -255,7 +259,7 @@
     def shut(self):
         try:
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError:    # it is over, or was never up
+        except OSError:  # it is over, or was never up
             pass
 
     def close(self):
@@ -269,7 +273,7 @@
             for _ in range(self.limits.passed_over):
                 if not self.sock.recv(self.limits.receive):
                     break
-        except OSError:    # nothing more has come
+        except OSError:  # nothing more has come
             pass
         self.release()
 
--- a/petrellane/operation/backoff.py
+++ b/petrellane/operation/backoff.py
@@ -11,7 +11,10 @@
 """
 
 SILENT, FAILED, TURNED_AWAY = "silent", "failed", "turned away"
-SPREAD, SPACED = 0.2, 0.8    # a draw is from this part of its range up: to spread a crowd, and once it is spread
+SPREAD, SPACED = (
+    0.2,
+    0.8,
+)  # a draw is from this part of its range up: to spread a crowd, and once it is spread
 
 
 class Backoff:
@@ -22,13 +25,17 @@
 
     def __init__(self, random, most, at_first, hold, grace, silent, first):
         if max(hold + grace, silent) + 1.5 * first > most or silent + 1.5 * first > at_first:
-            raise ValueError(f"expected calls of {hold} + {grace} and {silent} s that leave room for a pause of "
-                             f"{1.5 * first} within {most} and {at_first} s")
+            raise ValueError(
+                f"expected calls of {hold} + {grace} and {silent} s that leave room for a pause of "
+                f"{1.5 * first} within {most} and {at_first} s"
+            )
         self.random, self.most, self.between = random, most, at_first
         self.longest, self.grace, self.silent, self.first = hold, grace, silent, first
-        self.away = False         # the last call brought no list
-        self.proof = False        # the next call waits for no news: an answer to it proves that discovery is there
-        self.spread = False       # we have drawn a time of our own since all others met what we met
+        self.away = False  # the last call brought no list
+        self.proof = (
+            False  # the next call waits for no news: an answer to it proves that discovery is there
+        )
+        self.spread = False  # we have drawn a time of our own since all others met what we met
         self.size = first
         self.began = self.held = self.until = 0.0
 
@@ -56,7 +63,9 @@
 
         What follows silence or a failure waits for no news, so that discovery that is silent is told from one that has
         none. One that was turned away knows that it is there, and a call to prove it is one more to be turned away."""
-        size = {SILENT: self.first, FAILED: self.size, TURNED_AWAY: self.most}[outcome]    # silence was a pause itself
+        size = {SILENT: self.first, FAILED: self.size, TURNED_AWAY: self.most}[
+            outcome
+        ]  # silence was a pause itself
         self.size = self.first if outcome == SILENT else min(2 * size, self.most)
         self.spread = self.spread and self.away
         self.away, self.proof = True, outcome != TURNED_AWAY
--- a/petrellane/operation/calls.py
+++ b/petrellane/operation/calls.py
@@ -3,17 +3,33 @@
 import orjson
 
 PATHS = {b"/-/ready": b"GET", b"/-/drain": b"POST", b"/-/resume": b"POST"}
-REASONS = {200: "OK", 400: "Bad Request", 401: "Unauthorized", 404: "Not Found", 405: "Method Not Allowed",
-           408: "Request Timeout", 409: "Conflict", 411: "Length Required", 413: "Content Too Large",
-           422: "Unprocessable Content", 431: "Request Header Fields Too Large", 503: "Service Unavailable",
-           507: "Insufficient Storage"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    401: "Unauthorized",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    411: "Length Required",
+    413: "Content Too Large",
+    422: "Unprocessable Content",
+    431: "Request Header Fields Too Large",
+    503: "Service Unavailable",
+    507: "Insufficient Storage",
+}
 
 
 def understood(head, paths=PATHS):
     """The path of a request whose head is given up to its empty line, and 0; or None and the status that refuses it."""
     first, *fields = head.split(b"\r\n")
     words = first.split(b" ")
-    if len(words) != 3 or not words[0].isalpha() or not words[1].startswith(b"/") or words[2][:7] != b"HTTP/1.":
+    if (
+        len(words) != 3
+        or not words[0].isalpha()
+        or not words[1].startswith(b"/")
+        or words[2][:7] != b"HTTP/1."
+    ):
         return None, 400
     if any(b":" not in field or field[:1] in b" \t:" for field in fields):
         return None, 400
@@ -54,5 +70,7 @@
 def whole(status, body, fields):
     """The bytes of an answer with a JSON body, after which the connection ends."""
     more = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
-    return (f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n"
-            f"{more}Connection: close\r\n\r\n").encode() + body
+    return (
+        f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n"
+        f"{more}Connection: close\r\n\r\n"
+    ).encode() + body
--- a/petrellane/operation/handover.py
+++ b/petrellane/operation/handover.py
@@ -26,13 +26,24 @@
     """One connection between two processes. `told` hears of each message, `broken` of the end, once."""
 
     def __init__(self, scheduler, limits, sock, told, broken):
-        self.scheduler, self.limits, self.sock, self.told, self.broken = scheduler, limits, sock, told, broken
-        self.waiting = deque()    # (packet, descriptors) that the socket did not take yet
+        self.scheduler, self.limits, self.sock, self.told, self.broken = (
+            scheduler,
+            limits,
+            sock,
+            told,
+            broken,
+        )
+        self.waiting = deque()  # (packet, descriptors) that the socket did not take yet
         sock.setblocking(False)
         scheduler.register(sock.fileno(), select.POLLIN, self.on_events, urgent=True)
 
     def send(self, message, data=b"", descriptor=None):
-        self.waiting.append((orjson.dumps(message) + b"\n" + bytes(data), [] if descriptor is None else [descriptor]))
+        self.waiting.append(
+            (
+                orjson.dumps(message) + b"\n" + bytes(data),
+                [] if descriptor is None else [descriptor],
+            )
+        )
         self.flush()
 
     def flush(self):
@@ -47,7 +58,9 @@
             self.scheduler.soon(self.close)
             return
         if self.sock.fileno() >= 0:
-            self.scheduler.modify(self.sock.fileno(), select.POLLIN | (select.POLLOUT if self.waiting else 0))
+            self.scheduler.modify(
+                self.sock.fileno(), select.POLLIN | (select.POLLOUT if self.waiting else 0)
+            )
 
     def on_events(self, events):
         if events & select.POLLOUT:
@@ -65,7 +78,7 @@
                 message = orjson.loads(text)
                 if not isinstance(message, dict) or flags & socket.MSG_TRUNC:
                     raise ValueError("no message")
-            except ValueError:    # the end is an empty packet
+            except ValueError:  # the end is an empty packet
                 for thing in things:
                     thing.close()
                 self.close()
@@ -87,11 +100,18 @@
 
     def __init__(self, scheduler, limits, log, name, give, heir, taken, adopt, settled, beside):
         self.scheduler, self.limits, self.log = scheduler, limits, log
-        self.give, self.heir, self.taken, self.adopt, self.settled, self.beside = give, heir, taken, adopt, settled, beside
+        self.give, self.heir, self.taken, self.adopt, self.settled, self.beside = (
+            give,
+            heir,
+            taken,
+            adopt,
+            settled,
+            beside,
+        )
         self.folder, self.name = None, file_name(name)
         self.listener, self.successor, self.giver, self.links = None, None, None, {}
         self.link, self.taker, self.begin = None, None, None
-        self.generation = None    # what the process before remembers of agreement, where it said so
+        self.generation = None  # what the process before remembers of agreement, where it said so
 
     def path(self):
         """Where the socket is. Paths of sockets are short, those of folders are not: it is named from the folder's
@@ -109,7 +129,7 @@
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
             sock.connect(self.path())
-        except OSError:    # there is none, or it is gone and has left its file, or no descriptor is left to ask with
+        except OSError:  # there is none, or it is gone and has left its file, or no descriptor is left to ask with
             if sock:
                 sock.close()
             self.scheduler.soon(self.begun, "none before")
@@ -120,7 +140,9 @@
 
     def heard(self, link, message, data, sock):
         """The process before says something."""
-        answer, ours, dropped = self.taker.told(message, (sock, data, bool(message.get("asked"))) if sock else None)
+        answer, ours, dropped = self.taker.told(
+            message, (sock, data, bool(message.get("asked"))) if sock else None
+        )
         if answer:
             link.send(answer)
         if ours:
@@ -137,7 +159,7 @@
             link.close()
 
     def late(self):
-        if self.begin:    # it stands still: what it gives from now on is nobody's
+        if self.begin:  # it stands still: what it gives from now on is nobody's
             self.link.close()
 
     def lost(self, link):
@@ -173,8 +195,10 @@
             os.chmod(path, 0o600)
             self.listener.listen(4)
             os.rename(path, self.path())
-        except OSError as trouble:    # nobody can follow without a loss; all else goes on
-            self.log.event("no_hand_over", folder=os.environ.get("TMPDIR") or "/tmp", error=str(trouble))
+        except OSError as trouble:  # nobody can follow without a loss; all else goes on
+            self.log.event(
+                "no_hand_over", folder=os.environ.get("TMPDIR") or "/tmp", error=str(trouble)
+            )
             if self.listener:
                 self.listener.close()
                 self.listener = None
@@ -187,7 +211,7 @@
 
     def called(self, events):
         for sock in accepted(self.listener, 1, self.short):
-            if len(self.links) >= self.limits.callers:    # whoever says nothing makes room
+            if len(self.links) >= self.limits.callers:  # whoever says nothing makes room
                 next(link for link in self.links if link is not self.successor).close()
             self.links[Link(self.scheduler, self.limits, sock, self.asked, self.left)] = None
 
@@ -231,7 +255,9 @@
         """Offer a connection with what was read from it; `done` hears, once, whether it is another's now."""
         number = self.giver.offer(done)
         self.successor.send({"client": number, "asked": asked}, data, sock.fileno())
-        self.scheduler.after(self.limits.take_back, partial(self.take_back, self.giver, number, done))
+        self.scheduler.after(
+            self.limits.take_back, partial(self.take_back, self.giver, number, done)
+        )
 
     @staticmethod
     def take_back(giver, number, done):
--- a/petrellane/operation/management.py
+++ b/petrellane/operation/management.py
@@ -20,7 +20,7 @@
         self.changed, self.make_way = changed, make_way
         self.callers, self.answered, self.listener = {}, {}, None
         self.attending = False
-        self.handlers = {}    # path -> what answers (fields, body) with a status, a body and fields
+        self.handlers = {}  # path -> what answers (fields, body) with a status, a body and fields
 
     def listen(self, address):
         """Listen at an address; raises OSError where that can't be."""
@@ -52,7 +52,10 @@
 
     def accept(self, events=0):
         for sock in accepted(self.listener, self.limits.accepts, self.short):
-            for streams in (self.answered, self.callers):    # whoever has its answer makes room before one that is half way
+            for streams in (
+                self.answered,
+                self.callers,
+            ):  # whoever has its answer makes room before one that is half way
                 if streams and len(self.callers) + len(self.answered) >= self.limits.callers:
                     first = next(iter(streams))
                     del streams[first]
@@ -66,10 +69,12 @@
         until = self.scheduler.now() + self.limits.call
         try:
             stream.write(self.heard(stream, until))
-            self.callers.pop(stream, None)    # it is no longer half way
+            self.callers.pop(stream, None)  # it is no longer half way
             self.answered[stream] = None
             stream.finish()
-            until = self.scheduler.now() + (self.limits.call if stream.unsent else self.limits.linger)
+            until = self.scheduler.now() + (
+                self.limits.call if stream.unsent else self.limits.linger
+            )
             while (left := until - self.scheduler.now()) > 0:
                 stream.buffer.clear()
                 stream.fill(left)
@@ -88,7 +93,9 @@
                     return calls.answer(431, self.service.told)
                 stream.fill(max(0.0, until - self.scheduler.now()))
             head = bytes(stream.buffer[:end])
-            path, status = calls.understood(head, calls.PATHS | dict.fromkeys(self.handlers, b"POST"))
+            path, status = calls.understood(
+                head, calls.PATHS | dict.fromkeys(self.handlers, b"POST")
+            )
             if path in self.handlers:
                 return self.at_desk(stream, path, calls.fields_of(head), end + 4, until)
         except TimeoutError:
@@ -107,4 +114,6 @@
             return calls.answer(status, self.service.told)
         while len(stream.buffer) < start + length:
             stream.fill(max(0.0, until - self.scheduler.now()))
-        return calls.whole(*self.handlers[path](fields, bytes(stream.buffer[start:start + length])))
+        return calls.whole(
+            *self.handlers[path](fields, bytes(stream.buffer[start : start + length]))
+        )
--- a/petrellane/operation/states.py
+++ b/petrellane/operation/states.py
@@ -10,7 +10,13 @@
 
 import math
 
-STARTING, SERVING, DRAINING, DRAINED, ENDING = "starting", "serving", "draining", "drained", "ending"
+STARTING, SERVING, DRAINING, DRAINED, ENDING = (
+    "starting",
+    "serving",
+    "draining",
+    "drained",
+    "ending",
+)
 
 
 class Service:
@@ -23,7 +29,7 @@
         self.change_over, self.last_command = change_over, last_command
         self.kill_after, self.kill_longest = kill_after, kill_longest
         self.state, self.since = STARTING, 0.0
-        self.followed = False    # another process takes the clients, and gets those that are here
+        self.followed = False  # another process takes the clients, and gets those that are here
 
     @property
     def told(self):
@@ -83,4 +89,8 @@
 
     def answers_by(self, longest):
         """When all that is open has its answer at last, given the longest deadline; never, unless we end."""
-        return self.since + min(longest, self.kill_longest) + self.kill_after if self.state == ENDING else math.inf
+        return (
+            self.since + min(longest, self.kill_longest) + self.kill_after
+            if self.state == ENDING
+            else math.inf
+        )
--- a/petrellane/operation/succession.py
+++ b/petrellane/operation/succession.py
@@ -10,7 +10,7 @@
 from collections import Counter
 
 VERSION = 1
-CHUNK = 100    # leases in one message
+CHUNK = 100  # leases in one message
 BESIDE = 10.0  # seconds after which a process that was followed is gone: told to end within 6, killed 3.7 later
 
 
@@ -27,15 +27,30 @@
 def given(gateway, now, generation=None):
     """The messages that tell all leases of a module's gateway, which gives them up; the last one says so. The first tells
     which settings are agreed on, where any are; a build that does not know that word passes it over."""
-    rows = [{"customer": customer.name, "plan": customer.plan.name, "first": customer.first, "spread": customer.spread,
-             "lease": finite(lease.given(now))} for customer, lease in gateway.leases.leases.items()]
+    rows = [
+        {
+            "customer": customer.name,
+            "plan": customer.plan.name,
+            "first": customer.first,
+            "spread": customer.spread,
+            "lease": finite(lease.given(now)),
+        }
+        for customer, lease in gateway.leases.leases.items()
+    ]
     first = [{"generation": generation}] if generation else []
-    return first + [{"leases": rows[at:at + CHUNK]} for at in range(0, len(rows), CHUNK)] + [{"given": len(rows)}]
+    return (
+        first
+        + [{"leases": rows[at : at + CHUNK]} for at in range(0, len(rows), CHUNK)]
+        + [{"given": len(rows)}]
+    )
 
 
 def finite(told):
     """The same with 0 for what has no end: where a plan has no quota, credit is never looked at."""
-    return {name: 0.0 if isinstance(value, float) and not math.isfinite(value) else value for name, value in told.items()}
+    return {
+        name: 0.0 if isinstance(value, float) and not math.isfinite(value) else value
+        for name, value in told.items()
+    }
 
 
 def taken(gateway, now, rows, customer_of):
@@ -44,7 +59,9 @@
     number = 0
     for row in rows:
         try:
-            customer = customer_of(row["customer"], row["plan"], int(row["first"]), int(row["spread"]))
+            customer = customer_of(
+                row["customer"], row["plan"], int(row["first"]), int(row["spread"])
+            )
             if customer:
                 gateway.leases.of(customer, now).taken(row["lease"])
                 number += 1
--- a/petrellane/referee.py
+++ b/petrellane/referee.py
@@ -29,8 +29,17 @@
 
 OK, PUSHED_BACK, ABORTED = "ok", "pushed back", "aborted"
 IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT = "idempotent", "deduplicated", "non-idempotent"
-PROVEN = frozenset(("full", "unreachable", "never-sent"))    # outcomes that prove that a call-out never ran
-LOST, TWICE, DRAINS, COLD, CEILINGS, FORGOTTEN = "lost", "twice", "drains", "cold", "ceilings", "forgotten"
+PROVEN = frozenset(
+    ("full", "unreachable", "never-sent")
+)  # outcomes that prove that a call-out never ran
+LOST, TWICE, DRAINS, COLD, CEILINGS, FORGOTTEN = (
+    "lost",
+    "twice",
+    "drains",
+    "cold",
+    "ceilings",
+    "forgotten",
+)
 AGREED = "agreed"
 RULES = (LOST, TWICE, DRAINS, COLD, CEILINGS)
 READY = "ready"
@@ -38,6 +47,7 @@
 
 class Taken(NamedTuple):
     """A gateway has read the last byte of an RPC; `deadline` is when its client gives up."""
+
     at: float
     gateway: Any
     rpc: Any
@@ -50,6 +60,7 @@
 
 class Sent(NamedTuple):
     """A call-out has left; `number` counts those of its RPC from 0."""
+
     at: float
     gateway: Any
     rpc: Any
@@ -59,6 +70,7 @@
 
 class Ended(NamedTuple):
     """The gateway's side of a call-out's connection saw this outcome (the interface's names)."""
+
     at: float
     gateway: Any
     rpc: Any
@@ -68,6 +80,7 @@
 
 class Received(NamedTuple):
     """A call-out's last byte reached its host, which may turn it away; `work` in core seconds."""
+
     at: float
     gateway: Any
     rpc: Any
@@ -78,6 +91,7 @@
 
 class Ran(NamedTuple):
     """The host did the RPC's work, with its effect."""
+
     at: float
     rpc: Any
     host: Any
@@ -85,6 +99,7 @@
 
 class Answered(NamedTuple):
     """The RPC's client has the last byte of a final answer: OK, PUSHED_BACK or ABORTED."""
+
     at: float
     gateway: Any
     rpc: Any
@@ -93,6 +108,7 @@
 
 class Left(NamedTuple):
     """The client has gone, and the gateway can see it."""
+
     at: float
     gateway: Any
     rpc: Any
@@ -100,6 +116,7 @@
 
 class Told(NamedTuple):
     """The host list has told a gateway of a host's state, and of when it last started (0: long ago)."""
+
     at: float
     gateway: Any
     host: Any
@@ -109,6 +126,7 @@
 
 class Life(NamedTuple):
     """A gateway has `started`, been `killed`, been `paused` or `resumed`."""
+
     at: float
     gateway: Any
     event: str
@@ -116,6 +134,7 @@
 
 class Up(NamedTuple):
     """A host has started cold: it does `capacity` core seconds a second when warm."""
+
     at: float
     host: Any
     capacity: float
@@ -123,6 +142,7 @@
 
 class Remains(NamedTuple):
     """A gateway still holds so many things of a kind that are over."""
+
     at: float
     gateway: Any
     kind: str
@@ -131,6 +151,7 @@
 
 class Admitted(NamedTuple):
     """An RPC that its client sent at `since` has been admitted, as only the generation `number` allows."""
+
     at: float
     gateway: Any
     rpc: Any
@@ -140,6 +161,7 @@
 
 class Decided(NamedTuple):
     """What became of a generation: whether it was ever to be in force."""
+
     at: float
     number: int
     committed: bool
@@ -147,6 +169,7 @@
 
 class Broken(NamedTuple):
     """One break of a rule: how it shows, in one line, and the RPCs that it is about."""
+
     rule: str
     at: float
     text: str
@@ -156,6 +179,7 @@
 @dataclass(frozen=True)
 class MethodRule:
     """What the rules need to know of a method; `group` gives a host's group that discards repeats, `window` seconds."""
+
     effect: str = NON_IDEMPOTENT
     scope: str = ""
     window: float = 0.0
@@ -164,6 +188,7 @@
 @dataclass(frozen=True)
 class Ceiling:
     """A plan's hard ceiling: units a second, units at once, and the units of slack."""
+
     rate: float
     burst: float
     slack: float
@@ -172,6 +197,7 @@
 @dataclass(frozen=True)
 class Terms:
     """The figures of the rules, in seconds; `groups` maps a host to its (pod, zone)."""
+
     methods: dict[str, MethodRule]
     ceilings: dict[str, Ceiling]
     groups: dict[Any, tuple]
@@ -181,9 +207,13 @@
     cold_from: float = 0.25
     multiple: float = 2.0
     overload_for: float = 1.5
-    mean_work: float = 0.0    # core seconds of an RPC, over all that clients ask; 0: over what is in the span
-    agreed: float = 0.5    # after an admission under a generation, for what comes under an earlier one
-    most_breaks: int = 20    # breaks kept of each rule; more are counted
+    mean_work: float = (
+        0.0  # core seconds of an RPC, over all that clients ask; 0: over what is in the span
+    )
+    agreed: float = (
+        0.5  # after an admission under a generation, for what comes under an earlier one
+    )
+    most_breaks: int = 20  # breaks kept of each rule; more are counted
 
     def cold_calls(self, age: float, capacity: float, mean: float) -> float:
         """RPCs of mean work, in core seconds, that a host of this age (seconds) bears in a span: N + 2 x root of N + 2."""
@@ -195,6 +225,7 @@
 @dataclass
 class Verdict:
     """What was broken, how often by rule, and the nearest distance to each rule (1: at the rule, 0: never close)."""
+
     broken: list[Broken]
     counts: dict[str, int]
     nearest: dict[str, float]
@@ -210,6 +241,7 @@
 @dataclass(slots=True)
 class Open:
     """An RPC that has been taken; kept until it is over and no call-out of it is out."""
+
     taken: Taken
     due: float
     answers: int = 0
@@ -222,7 +254,7 @@
 class ColdHost:
     up: float
     capacity: float
-    loads: deque = field(default_factory=deque)    # (at, work, told) within the span
+    loads: deque = field(default_factory=deque)  # (at, work, told) within the span
     down: bool = False
 
 
@@ -233,13 +265,29 @@
         self.terms = terms
         self.open, self.by_gateway = {}, {}
         self.paused, self.told, self.cold, self.stores = {}, {}, {}, {}
-        self.runs = {}    # RPC -> (effect, where it ran), for those that must not run twice; kept to the end
-        self.admitted, self.decided, self.latest = {}, {}, (0, 0.0)    # by generation: the first; and the latest of all
+        self.runs = {}  # RPC -> (effect, where it ran), for those that must not run twice; kept to the end
+        self.admitted, self.decided, self.latest = (
+            {},
+            {},
+            (0, 0.0),
+        )  # by generation: the first; and the latest of all
         self.broken, self.counts = [], {}
         self.nearest = dict.fromkeys(RULES, 0.0)
-        self.hear = {Taken: self.taken, Sent: self.sent, Ended: self.ended, Received: self.received, Ran: self.ran,
-                     Answered: self.answered, Left: self.left, Told: self.hears, Life: self.life, Up: self.up,
-                     Remains: self.remains, Admitted: self.admits, Decided: self.decides}
+        self.hear = {
+            Taken: self.taken,
+            Sent: self.sent,
+            Ended: self.ended,
+            Received: self.received,
+            Ran: self.ran,
+            Answered: self.answered,
+            Left: self.left,
+            Told: self.hears,
+            Life: self.life,
+            Up: self.up,
+            Remains: self.remains,
+            Admitted: self.admits,
+            Decided: self.decides,
+        }
 
     def take(self, record) -> None:
         """Judge one record."""
@@ -270,20 +318,32 @@
     def answered(self, told):
         seen = self.open.get(told.rpc)
         if seen is None or seen.answers:
-            self.breaks(LOST, told.at, f"RPC {told.rpc} has a second final answer, {told.answer}", told.rpc)
+            self.breaks(
+                LOST, told.at, f"RPC {told.rpc} has a second final answer, {told.answer}", told.rpc
+            )
             return
         seen.answers, seen.over = 1, True
         if seen.owed and told.at > seen.due:
             late = told.at - seen.due
-            self.breaks(LOST, told.at, f"RPC {told.rpc} was answered {late:.3f} s past deadline and slack", told.rpc)
+            self.breaks(
+                LOST,
+                told.at,
+                f"RPC {told.rpc} was answered {late:.3f} s past deadline and slack",
+                told.rpc,
+            )
         elif seen.owed:
             self.near(LOST, (told.at - seen.taken.at) / max(1e-9, seen.due - seen.taken.at))
         if told.answer == PUSHED_BACK:
             rule, maybe = self.terms.methods[seen.taken.method], self.may_have_run(seen)
             safe = rule.effect == IDEMPOTENT or rule.effect == DEDUPLICATED and rule.scope == "all"
             if maybe and not safe:
-                self.breaks(TWICE, told.at, f"RPC {told.rpc} ({rule.effect}) was pushed back though a call-out at "
-                                            f"{maybe[0].host} may have run", told.rpc)
+                self.breaks(
+                    TWICE,
+                    told.at,
+                    f"RPC {told.rpc} ({rule.effect}) was pushed back though a call-out at "
+                    f"{maybe[0].host} may have run",
+                    told.rpc,
+                )
         self.forget(seen)
 
     def left(self, told):
@@ -296,7 +356,11 @@
 
     def forget(self, seen):
         """An RPC is kept while a call-out of it is out, or an answer owed."""
-        if seen.over and (seen.answers or not seen.owed) and all(one.outcome for one in seen.call_outs.values()):
+        if (
+            seen.over
+            and (seen.answers or not seen.owed)
+            and all(one.outcome for one in seen.call_outs.values())
+        ):
             self.open.pop(seen.taken.rpc, None)
             self.by_gateway.get(seen.taken.gateway, {}).pop(seen.taken.rpc, None)
 
@@ -309,16 +373,31 @@
             late = told.at - since
             self.near(DRAINS, late / self.terms.drain_grace)
             if late > self.terms.drain_grace:
-                self.breaks(DRAINS, told.at, f"{told.gateway} sent RPC {told.rpc} to {told.host} {late:.3f} s after it "
-                                             f"was told that it is {state}", told.rpc)
+                self.breaks(
+                    DRAINS,
+                    told.at,
+                    f"{told.gateway} sent RPC {told.rpc} to {told.host} {late:.3f} s after it "
+                    f"was told that it is {state}",
+                    told.rpc,
+                )
         seen = self.open.get(told.rpc)
         if seen is None or seen.over:
-            self.breaks(LOST, told.at, f"{told.gateway} sent RPC {told.rpc} to {told.host} after its end", told.rpc)
+            self.breaks(
+                LOST,
+                told.at,
+                f"{told.gateway} sent RPC {told.rpc} to {told.host} after its end",
+                told.rpc,
+            )
             return
         if told.number == 0:
             self.draw(seen.taken, told.at)
         elif any(not one.outcome for one in seen.call_outs.values()):
-            self.breaks(TWICE, told.at, f"RPC {told.rpc} went to {told.host} while an earlier call-out is out", told.rpc)
+            self.breaks(
+                TWICE,
+                told.at,
+                f"RPC {told.rpc} went to {told.host} while an earlier call-out is out",
+                told.rpc,
+            )
         elif maybe := self.may_have_run(seen):
             self.again(seen, maybe[0], told)
         seen.call_outs[told.number] = CallOutSeen(told.at, told.host)
@@ -327,17 +406,33 @@
         """A further call-out, though an earlier one may have run."""
         rule = self.terms.methods[seen.taken.method]
         if rule.effect == NON_IDEMPOTENT:
-            self.breaks(TWICE, told.at, f"RPC {told.rpc} (non-idempotent) went to {told.host} though a call-out at "
-                                        f"{first.host} may have run ({first.outcome})", told.rpc)
+            self.breaks(
+                TWICE,
+                told.at,
+                f"RPC {told.rpc} (non-idempotent) went to {told.host} though a call-out at "
+                f"{first.host} may have run ({first.outcome})",
+                told.rpc,
+            )
         elif rule.effect == DEDUPLICATED:
             age = told.at - first.sent
             pod, zone = self.terms.groups[first.host]
             here = self.terms.groups[told.host]
-            inside = rule.scope == "all" or zone == here[1] and (rule.scope == "zone" or pod == here[0])
+            inside = (
+                rule.scope == "all" or zone == here[1] and (rule.scope == "zone" or pod == here[0])
+            )
             self.near(TWICE, age / max(1e-9, rule.window))
             if age > rule.window or not inside:
-                why = f"{age:.3f} s after the first" if inside else f"outside the {rule.scope} of {first.host}"
-                self.breaks(TWICE, told.at, f"RPC {told.rpc} (deduplicated) went to {told.host} {why}", told.rpc)
+                why = (
+                    f"{age:.3f} s after the first"
+                    if inside
+                    else f"outside the {rule.scope} of {first.host}"
+                )
+                self.breaks(
+                    TWICE,
+                    told.at,
+                    f"RPC {told.rpc} (deduplicated) went to {told.host} {why}",
+                    told.rpc,
+                )
 
     def ended(self, told):
         seen = self.open.get(told.rpc)
@@ -350,7 +445,12 @@
         if effect != IDEMPOTENT:
             self.runs[told.rpc] = effect, told.host
             if before is not None:
-                self.breaks(TWICE, told.at, f"RPC {told.rpc} ({effect}) ran at {before} and at {told.host}", told.rpc)
+                self.breaks(
+                    TWICE,
+                    told.at,
+                    f"RPC {told.rpc} ({effect}) ran at {before} and at {told.host}",
+                    told.rpc,
+                )
 
     # customers
 
@@ -364,15 +464,20 @@
         self.stores[taken.customer] = level, max(at, since)
         self.near(CEILINGS, (ceiling.burst - level) / (ceiling.burst + ceiling.slack))
         if level < -ceiling.slack - 1e-6:
-            self.breaks(CEILINGS, at, f"customer {taken.customer} is {-level - ceiling.slack:.2f} units past its "
-                                      f"ceiling and slack with RPC {taken.rpc} at {taken.gateway}", taken.rpc)
+            self.breaks(
+                CEILINGS,
+                at,
+                f"customer {taken.customer} is {-level - ceiling.slack:.2f} units past its "
+                f"ceiling and slack with RPC {taken.rpc} at {taken.gateway}",
+                taken.rpc,
+            )
 
     # hosts
 
     def hears(self, told):
         state, since, _ = self.told.get((told.gateway, told.host), (READY, told.at, 0.0))
         if told.state == READY or state == READY:
-            since = told.at    # drained first and gone later: the grace runs from the first word
+            since = told.at  # drained first and gone later: the grace runs from the first word
         self.told[told.gateway, told.host] = told.state, since, told.up_since
 
     def up(self, told):
@@ -390,7 +495,10 @@
         cold.loads.append((told.at, told.work, knows))
         while cold.loads and cold.loads[0][0] <= told.at - terms.overload_for:
             cold.loads.popleft()
-        work, informed = sum(load[1] for load in cold.loads), sum(load[1] for load in cold.loads if load[2])
+        work, informed = (
+            sum(load[1] for load in cold.loads),
+            sum(load[1] for load in cold.loads if load[2]),
+        )
         if informed * 3 < work * 2:
             return
         mean = terms.mean_work or work / len(cold.loads)
@@ -398,8 +506,13 @@
         self.near(COLD, calls / most)
         if calls > most:
             cold.down = True
-            self.breaks(COLD, told.at, f"{told.host}, up for {told.at - cold.up:.2f} s, had {calls:.1f} RPCs of mean "
-                                       f"work in {terms.overload_for:g} s, {most:.1f} at most", told.rpc)
+            self.breaks(
+                COLD,
+                told.at,
+                f"{told.host}, up for {told.at - cold.up:.2f} s, had {calls:.1f} RPCs of mean "
+                f"work in {terms.overload_for:g} s, {most:.1f} at most",
+                told.rpc,
+            )
 
     # settings
 
@@ -408,8 +521,13 @@
         if told.number > latest:
             self.latest = told.number, told.at
         elif told.number < latest and told.since > since + self.terms.agreed:
-            self.breaks(AGREED, told.at, f"{told.gateway} admitted RPC {told.rpc}, which came {told.since - since:.3f} s "
-                                         f"after generation {latest} was in force, under generation {told.number}", told.rpc)
+            self.breaks(
+                AGREED,
+                told.at,
+                f"{told.gateway} admitted RPC {told.rpc}, which came {told.since - since:.3f} s "
+                f"after generation {latest} was in force, under generation {told.number}",
+                told.rpc,
+            )
         self.admitted.setdefault(told.number, told)
 
     def decides(self, told):
@@ -431,20 +549,38 @@
             for rpc in mine:
                 self.open.pop(rpc, None)
             self.by_gateway.pop(told.gateway, None)
-            self.told = {pair: told_of for pair, told_of in self.told.items() if pair[0] != told.gateway}
+            self.told = {
+                pair: told_of for pair, told_of in self.told.items() if pair[0] != told.gateway
+            }
 
     def remains(self, told):
         if told.count:
-            self.breaks(FORGOTTEN, told.at, f"{told.gateway} still holds {told.count} {told.kind} that are over")
+            self.breaks(
+                FORGOTTEN,
+                told.at,
+                f"{told.gateway} still holds {told.count} {told.kind} that are over",
+            )
 
     def close(self, at: float) -> Verdict:
         """The verdict; `at` is the time up to which everything was recorded."""
         for seen in list(self.open.values()):
-            if seen.owed and not seen.answers and at > seen.due and seen.taken.gateway not in self.paused:
+            if (
+                seen.owed
+                and not seen.answers
+                and at > seen.due
+                and seen.taken.gateway not in self.paused
+            ):
                 rpc, gateway = seen.taken.rpc, seen.taken.gateway
-                self.breaks(LOST, seen.due, f"{gateway} took RPC {rpc} and gave no final answer", rpc)
+                self.breaks(
+                    LOST, seen.due, f"{gateway} took RPC {rpc} and gave no final answer", rpc
+                )
         for number, first in self.admitted.items():
             if not self.decided.get(number, True):
-                self.breaks(AGREED, first.at, f"{first.gateway} admitted RPC {first.rpc} under generation {number}, which "
-                                              "was never in force", first.rpc)
+                self.breaks(
+                    AGREED,
+                    first.at,
+                    f"{first.gateway} admitted RPC {first.rpc} under generation {number}, which "
+                    "was never in force",
+                    first.rpc,
+                )
         return Verdict(self.broken, dict(self.counts), dict(self.nearest))
--- a/petrellane/spread/figures.py
+++ b/petrellane/spread/figures.py
@@ -26,11 +26,11 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-SPANS = (1.0, 5.0, 30.0)    # seconds over which peak and trough are told
-IDLE = 5.0                  # seconds without a call-out that make a host idle
-DUE = 1.0                   # call-outs a second that were due to it then
-SLOT = 1.0                  # seconds of a slot, for herd and swing
-DRAWS = 300_000             # draws made for what chance gives, at most, of one span
+SPANS = (1.0, 5.0, 30.0)  # seconds over which peak and trough are told
+IDLE = 5.0  # seconds without a call-out that make a host idle
+DUE = 1.0  # call-outs a second that were due to it then
+SLOT = 1.0  # seconds of a slot, for herd and swing
+DRAWS = 300_000  # draws made for what chance gives, at most, of one span
 SHUFFLES = 19
 
 
@@ -38,6 +38,7 @@
 class Told:
     """What the figures are made of. `sent` holds (at, gateway, host, number), `ready` maps a host to its times of being
     ready, as (since, until, capacity); `since` and `until` bound what is looked at. Seconds of one clock."""
+
     since: float
     until: float
     sent: list = field(default_factory=list)
@@ -46,6 +47,7 @@
 
 class Span(NamedTuple):
     """Peak and trough of a span of so many seconds: means over windows and the worst; the same by chance."""
+
     seconds: float
     windows: int
     peak: float
@@ -63,6 +65,7 @@
 
 class Idle(NamedTuple):
     """A host that got nothing from `since` for so many seconds, and what was due to it."""
+
     host: Any
     since: float
     seconds: float
@@ -71,6 +74,7 @@
 
 class Figures(NamedTuple):
     """All figures of one run. `herd_by_chance` bounds what a herd of none shows; `period` is None where nothing swings."""
+
     call_outs: int
     gateways: int
     hosts: int
@@ -84,8 +88,12 @@
 
 def capacities(told: Told, since: float, until: float) -> dict:
     """The capacity of each host that was ready in all of a time."""
-    return {host: size for host, times in told.ready.items() for start, end, size in times
-            if start <= since and end >= until and size > 0}
+    return {
+        host: size
+        for host, times in told.ready.items()
+        for start, end, size in times
+        if start <= since and end >= until and size > 0
+    }
 
 
 def windows(told: Told, seconds: float, step: float | None = None):
@@ -95,7 +103,9 @@
     while at + seconds <= told.until + 1e-9:
         sizes = capacities(told, at, at + seconds)
         counts = Counter()
-        for _, _, host, number in sent[bisect_right(times, at - 1e-12):bisect_right(times, at + seconds - 1e-12)]:
+        for _, _, host, number in sent[
+            bisect_right(times, at - 1e-12) : bisect_right(times, at + seconds - 1e-12)
+        ]:
             counts[host] += number if host in sizes else 0
         total, size = sum(counts.values()), sum(sizes.values())
         if total and len(sizes) > 1:
@@ -116,9 +126,22 @@
         return None
     chance, found = random.Random(f"{seed} {seconds}"), [extremes(row) for row in rows]
     total = sum(sum(count for count, _ in row.values()) for row in rows)
-    drawn = [extremes(draw(row, chance)) for row in rows for _ in range(max(1, min(40, int(DRAWS / max(1, total)))))]
+    drawn = [
+        extremes(draw(row, chance))
+        for row in rows
+        for _ in range(max(1, min(40, int(DRAWS / max(1, total)))))
+    ]
     (peaks, troughs), (most, least) = zip(*found, strict=True), zip(*drawn, strict=True)
-    return Span(seconds, len(rows), mean(peaks), mean(troughs), max(peaks), min(troughs), mean(most), mean(least))
+    return Span(
+        seconds,
+        len(rows),
+        mean(peaks),
+        mean(troughs),
+        max(peaks),
+        min(troughs),
+        mean(most),
+        mean(least),
+    )
 
 
 def draw(row, chance):
@@ -152,7 +175,9 @@
     for host, times in told.ready.items():
         for since, until, capacity in times:
             marks = [max(since, told.since), *by_host[host], min(until, told.until)]
-            marks = sorted(mark for mark in marks if max(since, told.since) <= mark <= min(until, told.until))
+            marks = sorted(
+                mark for mark in marks if max(since, told.since) <= mark <= min(until, told.until)
+            )
             for begin, end in zip(marks, marks[1:], strict=False):
                 if end - begin < seconds:
                     continue
@@ -182,12 +207,17 @@
     """How much gateways move together, and the most that nineteen shuffles of a herd of none show."""
     table, length = slots(told, seconds)
     always = capacities(told, told.since, told.since + length * seconds)
-    moves = {}    # gateway -> {host: what was sent beyond its usual share of the slot}
+    moves = {}  # gateway -> {host: what was sent beyond its usual share of the slot}
     for gateway, rows in table.items():
         totals = [sum(column) for column in zip(*rows.values(), strict=True)]
         whole = sum(totals)
-        moves[gateway] = {host: [count - total * sum(row) / whole for count, total in zip(row, totals, strict=True)]
-                          for host, row in rows.items() if host in always}
+        moves[gateway] = {
+            host: [
+                count - total * sum(row) / whole for count, total in zip(row, totals, strict=True)
+            ]
+            for host, row in rows.items()
+            if host in always
+        }
     if length < 3 or not moves:
         return 0.0, 0.0
     chance, orders = random.Random(f"{seed} herd"), {}
@@ -209,7 +239,11 @@
             for at, value in enumerate(row if order is None else map(row.__getitem__, order)):
                 total[at] += value
             alone[host] += variance(row)
-    return mean(variance(sums[host]) / alone[host] for host in sums if alone[host] > 0) - 1 if any(alone.values()) else 0.0
+    return (
+        mean(variance(sums[host]) / alone[host] for host in sums if alone[host] > 0) - 1
+        if any(alone.values())
+        else 0.0
+    )
 
 
 def swing(told: Told, seconds: float = SLOT) -> tuple[float | None, float]:
@@ -244,5 +278,14 @@
     moving, chance = herd(told, seed=seed)
     period, amplitude = swing(told)
     gateways = len({gateway for _, gateway, _, _ in told.sent})
-    return Figures(sum(one[3] for one in told.sent), gateways, len(told.ready), spans, tuple(idle(told)),
-                   moving, chance, period, amplitude)
+    return Figures(
+        sum(one[3] for one in told.sent),
+        gateways,
+        len(told.ready),
+        spans,
+        tuple(idle(told)),
+        moving,
+        chance,
+        period,
+        amplitude,
+    )
--- a/petrellane/spread/sources.py
+++ b/petrellane/spread/sources.py
@@ -27,7 +27,7 @@
 from petrellane.spread.figures import Told
 
 VERSION = 1
-MOST = 5    # troubles told by line; the rest is counted
+MOST = 5  # troubles told by line; the rest is counted
 STATES = {"ready", "draining", "gone"}
 
 
@@ -38,6 +38,7 @@
 @dataclass
 class Read:
     """What was read: what the figures need, the lines read and left out, and what is to be said of them, a line each."""
+
     told: Told
     lines: int = 0
     left_out: int = 0
@@ -52,12 +53,17 @@
 
 def write(path: str, records, end: float, capacities: dict | None = None) -> None:
     """Write a run's records where `read` finds them; other kinds of record are passed over. Raises OSError."""
-    rows = [{"records": VERSION}, *({"host": host, "capacity": size} for host, size in (capacities or {}).items())]
+    rows = [
+        {"records": VERSION},
+        *({"host": host, "capacity": size} for host, size in (capacities or {}).items()),
+    ]
     for one in records:
         if type(one) is referee.Sent:
             rows.append({"at": round(one.at, 6), "by": one.gateway, "sent": one.host})
         elif type(one) is referee.Told:
-            rows.append({"at": round(one.at, 6), "by": one.gateway, "told": one.host, "state": one.state})
+            rows.append(
+                {"at": round(one.at, 6), "by": one.gateway, "told": one.host, "state": one.state}
+            )
         elif type(one) is referee.Life and one.event == "killed":
             rows.append({"at": round(one.at, 6), "killed": one.gateway})
     pathlib.Path(path).write_bytes(b"\n".join(map(orjson.dumps, [*rows, {"end": end}])) + b"\n")
@@ -77,7 +83,9 @@
             if all(states.values()):
                 begun.setdefault(one.host, one.at)
             elif one.host in begun:
-                found.ready.setdefault(one.host, []).append((begun.pop(one.host), one.at, capacity(one.host)))
+                found.ready.setdefault(one.host, []).append(
+                    (begun.pop(one.host), one.at, capacity(one.host))
+                )
         elif type(one) is referee.Life and one.event == "killed":
             for states in knows.values():
                 states.pop(one.gateway, None)
@@ -92,7 +100,9 @@
     try:
         return logs(place, since, until) if place.is_dir() else record_file(place, since, until)
     except OSError as error:
-        raise SpreadError(f"{path}: expected a file of records or a folder of logs: {error.strerror}") from None
+        raise SpreadError(
+            f"{path}: expected a file of records or a folder of logs: {error.strerror}"
+        ) from None
 
 
 def objects(read, path):
@@ -102,24 +112,34 @@
             if not line.strip():
                 continue
             try:
-                found = orjson.loads(line[max(0, line.find(b"{")):])
+                found = orjson.loads(line[max(0, line.find(b"{")) :])
             except ValueError:
                 found = None
             if not isinstance(found, dict):
                 short = "" if line.endswith(b"\n") else ", the file is cut short there"
-                read.trouble(f"{path}:{number}", f"expected a JSON object, found {brief(line)}{short}")
+                read.trouble(
+                    f"{path}:{number}", f"expected a JSON object, found {brief(line)}{short}"
+                )
                 continue
             yield number, found
 
 
 def brief(value) -> str:
-    text = value.decode("utf-8", "replace").strip() if isinstance(value, bytes) else orjson.dumps(value).decode()
+    text = (
+        value.decode("utf-8", "replace").strip()
+        if isinstance(value, bytes)
+        else orjson.dumps(value).decode()
+    )
     return text[:40] + ("..." if len(text) > 40 else "")
 
 
 def number_in(row, key, least=0.0):
     value = row.get(key)
-    return float(value) if isinstance(value, (int, float)) and not isinstance(value, bool) and value >= least else None
+    return (
+        float(value)
+        if isinstance(value, (int, float)) and not isinstance(value, bool) and value >= least
+        else None
+    )
 
 
 def record_of(row):
@@ -145,7 +165,9 @@
     for number, row in objects(found, path):
         if number == 1 or found.lines == 0 and "records" in row:
             if row.get("records") != VERSION:
-                raise SpreadError(f"{path}:{number}: expected {{\"records\": {VERSION}}}, found {brief(row)}")
+                raise SpreadError(
+                    f'{path}:{number}: expected {{"records": {VERSION}}}, found {brief(row)}'
+                )
             found.lines += 1
             continue
         found.lines += 1
@@ -162,11 +184,17 @@
     if not records:
         raise SpreadError(f"{path}: expected records, found none")
     if end is None:
-        found.notes.append(f"{path}: expected {{\"end\": SECONDS}} last, found none: cut short, and told up to {latest:g} s")
+        found.notes.append(
+            f'{path}: expected {{"end": SECONDS}} last, found none: cut short, and told up to {latest:g} s'
+        )
     if back:
-        found.notes.append(f"{path}: {back} of {len(records)} records come out of order; they are told in the order of time")
+        found.notes.append(
+            f"{path}: {back} of {len(records)} records come out of order; they are told in the order of time"
+        )
     records.sort(key=lambda one: one.at)
-    found.told = of_records(records, since, until or end or latest, lambda host: sizes.get(host, 1.0))
+    found.told = of_records(
+        records, since, until or end or latest, lambda host: sizes.get(host, 1.0)
+    )
     return found
 
 
@@ -178,33 +206,53 @@
         for number, row in objects(found, path):
             found.lines += 1
             at = number_in(row, "at")
-            if at is None or not isinstance(row.get("gateway"), str) or not isinstance(row.get("event"), str):
-                found.trouble(f"{path}:{number}", f"expected an event with at, gateway and event, found {brief(row)}")
+            if (
+                at is None
+                or not isinstance(row.get("gateway"), str)
+                or not isinstance(row.get("event"), str)
+            ):
+                found.trouble(
+                    f"{path}:{number}",
+                    f"expected an event with at, gateway and event, found {brief(row)}",
+                )
                 continue
             if latest is not None and at < latest - 0.5:
-                found.notes.append(f"{path}:{number}: the clock of {row['gateway']} went back by {latest - at:.1f} s")
+                found.notes.append(
+                    f"{path}:{number}: the clock of {row['gateway']} went back by {latest - at:.1f} s"
+                )
             latest = at
             clocks.setdefault(row["gateway"], [at, at])[1] = at
             if row["event"] == "figures" and isinstance(row.get("to"), dict):
-                sent += [(at, row["gateway"], host, count) for host, count in row["to"].items() if isinstance(count, int)]
+                sent += [
+                    (at, row["gateway"], host, count)
+                    for host, count in row["to"].items()
+                    if isinstance(count, int)
+                ]
     if not clocks:
         raise SpreadError(f"{folder}: expected logs (*.log) with events, found none")
     if not sent:
-        raise SpreadError(f"{folder}: expected `figures` events with `to` (\"figures\": {{\"hosts\": true}} in the "
-                          "gateways' files), found none")
+        raise SpreadError(
+            f'{folder}: expected `figures` events with `to` ("figures": {{"hosts": true}} in the '
+            "gateways' files), found none"
+        )
     begin = min(first for first, _ in clocks.values())
     last = max(until for _, until in clocks.values()) - begin
     for name, (first, until_) in clocks.items():
         if first - begin > last / 2 or begin + last - until_ > last / 2:
-            found.notes.append(f"{name}: its log is of {first - begin:.1f} to {until_ - begin:.1f} s of {last:.1f}: it ran "
-                               "for less, or its clock differs")
+            found.notes.append(
+                f"{name}: its log is of {first - begin:.1f} to {until_ - begin:.1f} s of {last:.1f}: it ran "
+                "for less, or its clock differs"
+            )
     told, end = found.told, until or last
     for at, gateway, host, count in sorted(sent):
-        when = at - begin - 0.5    # the middle of the second that the line tells of
+        when = at - begin - 0.5  # the middle of the second that the line tells of
         first = told.ready.get(host, [(when, when, 1.0)])[0][0]
         told.ready[host] = [(min(first, when), when, 1.0)]
         if since <= when < end:
             told.sent.append((when, gateway, host, count))
     told.until = end
-    told.ready = {host: [(first - 0.5, last + 0.5, size)] for host, [(first, last, size)] in told.ready.items()}
+    told.ready = {
+        host: [(first - 0.5, last + 0.5, size)]
+        for host, [(first, last, size)] in told.ready.items()
+    }
     return found
--- a/tests/agreement/cases.py
+++ b/tests/agreement/cases.py
@@ -15,35 +15,73 @@
 from tests.agreement.planted import PLANTS, planted
 from tests.agreement.world import CONTENTS, NEW, OLD, OTHER, Fleet, explore, walk
 
-settings.register_profile("same", derandomize=True, deadline=None, suppress_health_check=[HealthCheck.too_slow])
+settings.register_profile(
+    "same", derandomize=True, deadline=None, suppress_health_check=[HealthCheck.too_slow]
+)
 settings.load_profile("same")
 number = some.integers(0, 5)
 method = some.fixed_dictionaries(
-    {"name": some.sampled_from("abc"), "effect": some.sampled_from(["pure", "token", "side_effect"])},
-    optional={"goalTime": number, "giveUp": number, "keyScope": some.sampled_from(["cell", "zone", "all", ""]),
-              "window": number, "worth": number, "streamed": some.booleans()})
+    {
+        "name": some.sampled_from("abc"),
+        "effect": some.sampled_from(["pure", "token", "side_effect"]),
+    },
+    optional={
+        "goalTime": number,
+        "giveUp": number,
+        "keyScope": some.sampled_from(["cell", "zone", "all", ""]),
+        "window": number,
+        "worth": number,
+        "streamed": some.booleans(),
+    },
+)
 plan = some.fixed_dictionaries(
     {"name": some.sampled_from("pqr")},
-    optional={key: number for key in (
-        "quotaRate", "storeSize", "ceilingRate", "ceilingBurst", "ceilingSlack", "maxOut", "pays")})
+    optional={
+        key: number
+        for key in (
+            "quotaRate",
+            "storeSize",
+            "ceilingRate",
+            "ceilingBurst",
+            "ceilingSlack",
+            "maxOut",
+            "pays",
+        )
+    },
+)
 some_settings = some.fixed_dictionaries(
-    {"classes": some.lists(method, max_size=3, unique_by=lambda row: row["name"]),
-     "contracts": some.lists(plan, max_size=3, unique_by=lambda row: row["name"])},
-    optional={"limits": some.fixed_dictionaries({}, optional={"maxAttempts": number, "mayCancel": some.booleans()}),
-              "replicasOfMe": number, "newer": number, "report": some.fixed_dictionaries(
-                  {"fields": some.lists(some.sampled_from("xyz"), unique=True)})})
+    {
+        "classes": some.lists(method, max_size=3, unique_by=lambda row: row["name"]),
+        "contracts": some.lists(plan, max_size=3, unique_by=lambda row: row["name"]),
+    },
+    optional={
+        "limits": some.fixed_dictionaries(
+            {}, optional={"maxAttempts": number, "mayCancel": some.booleans()}
+        ),
+        "replicasOfMe": number,
+        "newer": number,
+        "report": some.fixed_dictionaries(
+            {"fields": some.lists(some.sampled_from("xyz"), unique=True)}
+        ),
+    },
+)
 
 
 def drawn(seed):
     """A fleet, its chance and the length of its run, from a seed."""
     chance = random.Random(seed)
-    fleet = Fleet(chance.choice((1, 2, 3, 3, 4, 5)), chance.choice((("a",), ("a", "b"))), proposals=chance.choice((1, 2, 4)),
-                  crashes=chance.choice((0, 1, 3, 6)), faults=chance.choice((0, 3, 12)), lost=chance.random() < 0.3)
+    fleet = Fleet(
+        chance.choice((1, 2, 3, 3, 4, 5)),
+        chance.choice((("a",), ("a", "b"))),
+        proposals=chance.choice((1, 2, 4)),
+        crashes=chance.choice((0, 1, 3, 6)),
+        faults=chance.choice((0, 3, 12)),
+        lost=chance.random() < 0.3,
+    )
     return fleet, chance, chance.choice((20, 60, 150))
 
 
 class Policy(unittest.TestCase):
-
     @given(some_settings, some_settings, some_settings)
     def test_the_meet_is_a_greatest_lower_bound(self, one, other, third):
         both = policy.meet(one, other)
@@ -59,10 +97,14 @@
             methods = {row["name"]: row for row in told["classes"]}
             for row in met["classes"]:
                 there = methods[row["name"]]
-                self.assertEqual(row["effect"] == "pure", there["effect"] == "pure")    # the same command
-                self.assertFalse(row["effect"] == "side_effect" and there["effect"] == "token")    # its key is asked for
+                self.assertEqual(
+                    row["effect"] == "pure", there["effect"] == "pure"
+                )  # the same command
+                self.assertFalse(
+                    row["effect"] == "side_effect" and there["effect"] == "token"
+                )  # its key is asked for
                 self.assertLessEqual(row["giveUp"], there["giveUp"])
-                if there["effect"] == "side_effect":    # nothing that may have run goes again
+                if there["effect"] == "side_effect":  # nothing that may have run goes again
                     self.assertEqual((row["keyScope"], row["window"]), ("none", 0))
             plans = {row["name"]: row for row in told["contracts"]}
             for row in met["contracts"]:
@@ -84,25 +126,47 @@
         self.assertEqual(not policy.compared(one, other), policy.full(one) == policy.full(other))
 
     def test_words_of_a_change(self):
-        before = {"classes": [{"name": "look", "effect": "pure", "giveUp": 4_000_000}], "contracts": [
-            {"name": "sold", "ceilingRate": 40}]}
-        after = {"classes": [{"name": "post", "effect": "side_effect"}], "contracts": [{"name": "sold", "ceilingRate": 20}],
-                 "limits": {"maxAttempts": 2}}
-        self.assertEqual(policy.compared(before, after), [
-            "method look: gone", "method post: new, effect non-idempotent", "plan sold: ceiling 40 to 20",
-            "all: attempts 1 to 2"])
+        before = {
+            "classes": [{"name": "look", "effect": "pure", "giveUp": 4_000_000}],
+            "contracts": [{"name": "sold", "ceilingRate": 40}],
+        }
+        after = {
+            "classes": [{"name": "post", "effect": "side_effect"}],
+            "contracts": [{"name": "sold", "ceilingRate": 20}],
+            "limits": {"maxAttempts": 2},
+        }
+        self.assertEqual(
+            policy.compared(before, after),
+            [
+                "method look: gone",
+                "method post: new, effect non-idempotent",
+                "plan sold: ceiling 40 to 20",
+                "all: attempts 1 to 2",
+            ],
+        )
 
 
 class Members(unittest.TestCase):
-
     def state(self, *possible):
         names = ("g0", "g1", "g2")
-        made = [ballots.Generation(ballots.Ballot(at, ballots.Epoch(1, "a")), policy.digest(told), told, names)
-                for at, told in enumerate(CONTENTS)]
-        return member.State(made[0], ballots.Epoch(1, "a"), tuple(made[at] for at in possible)), made
+        made = [
+            ballots.Generation(
+                ballots.Ballot(at, ballots.Epoch(1, "a")), policy.digest(told), told, names
+            )
+            for at, told in enumerate(CONTENTS)
+        ]
+        return member.State(
+            made[0], ballots.Epoch(1, "a"), tuple(made[at] for at in possible)
+        ), made
 
     def hear(self, state, do, generation, epoch=(1, "a"), **more):
-        told = {"do": do, "epoch_of": list(epoch), "base": {"number": 0, "epoch": [1, "a"]}, **generation.told(), **more}
+        told = {
+            "do": do,
+            "epoch_of": list(epoch),
+            "base": {"number": 0, "epoch": [1, "a"]},
+            **generation.told(),
+            **more,
+        }
         return member.heard(state, told, lambda content: None)
 
     def test_a_late_commit_changes_nothing(self):
@@ -118,23 +182,50 @@
 
     def test_what_is_refused(self):
         state, made = self.state()
-        later = ballots.Generation(ballots.Ballot(1, ballots.Epoch(1, "a")), policy.digest(NEW), NEW)
+        later = ballots.Generation(
+            ballots.Ballot(1, ballots.Epoch(1, "a")), policy.digest(NEW), NEW
+        )
         denied, _ = self.hear(state, "deny", made[1])
         for cause, given_state, message in (
-                ("epoch", state, {"epoch": (0, "a")}), ("form", state, {"digest": "00"}), ("form", state, {"number": -1}),
-                ("form", state, {"content": 3}), ("behind", state, {"base": {"number": 1, "epoch": [1, "a"]}}),
-                ("past", denied, {}), ("form", state, {"do": "else"}), ("form", state, {"epoch_of": "x"})):
+            ("epoch", state, {"epoch": (0, "a")}),
+            ("form", state, {"digest": "00"}),
+            ("form", state, {"number": -1}),
+            ("form", state, {"content": 3}),
+            ("behind", state, {"base": {"number": 1, "epoch": [1, "a"]}}),
+            ("past", denied, {}),
+            ("form", state, {"do": "else"}),
+            ("form", state, {"epoch_of": "x"}),
+        ):
             with self.subTest(cause=cause, **message), self.assertRaises(member.Refusal) as found:
                 self.hear(given_state, message.pop("do", "prepare"), later, **message)
             self.assertEqual(found.exception.cause, cause)
         with self.assertRaises(member.Refusal) as found:
-            member.heard(state, {"do": "prepare", "epoch_of": [1, "a"], "base": {"number": 0, "epoch": [1, "a"]},
-                                 **later.told()}, lambda content: "settings.classes: wrong")
-        self.assertEqual((found.exception.status, found.exception.text), (422, "settings.classes: wrong"))
-
-    @given(some.dictionaries(some.sampled_from(["do", "epoch_of", "number", "epoch", "digest", "content", "base"]),
-                             some.one_of(some.none(), number, some.text(max_size=3), some.lists(number, max_size=2),
-                                         some.sampled_from(["prepare", "commit", "deny", "promise", "content", "state"]))))
+            member.heard(
+                state,
+                {
+                    "do": "prepare",
+                    "epoch_of": [1, "a"],
+                    "base": {"number": 0, "epoch": [1, "a"]},
+                    **later.told(),
+                },
+                lambda content: "settings.classes: wrong",
+            )
+        self.assertEqual(
+            (found.exception.status, found.exception.text), (422, "settings.classes: wrong")
+        )
+
+    @given(
+        some.dictionaries(
+            some.sampled_from(["do", "epoch_of", "number", "epoch", "digest", "content", "base"]),
+            some.one_of(
+                some.none(),
+                number,
+                some.text(max_size=3),
+                some.lists(number, max_size=2),
+                some.sampled_from(["prepare", "commit", "deny", "promise", "content", "state"]),
+            ),
+        )
+    )
     def test_any_message_has_an_answer(self, message):
         state, _ = self.state(1)
         try:
@@ -148,16 +239,16 @@
         self.assertFalse(standing.admits(0.1))
         standing.told("g1", 0)
         self.assertTrue(standing.admits(0.1))
-        self.assertFalse(standing.admits(0.1 + member.FENCE))    # seen before anything else is told
+        self.assertFalse(standing.admits(0.1 + member.FENCE))  # seen before anything else is told
         self.assertTrue(standing.look(0.1 + member.FENCE))
         self.assertFalse(standing.known)
-        standing.told("g1", 0)    # an answer to what was asked before
+        standing.told("g1", 0)  # an answer to what was asked before
         self.assertFalse(standing.known)
         standing.told("g1", standing.since)
         self.assertTrue(standing.known)
         standing.of(("g1", "g2"))
         standing.told("g2", standing.since)
-        self.assertFalse(standing.known)    # no member: nobody tells it of changes
+        self.assertFalse(standing.known)  # no member: nobody tells it of changes
 
 
 class Orders(unittest.TestCase):
@@ -211,7 +302,9 @@
 
 
 LargerFleets = Larger.TestCase
-LargerFleets.settings = settings(max_examples=60, stateful_step_count=60, derandomize=True, deadline=None)
+LargerFleets.settings = settings(
+    max_examples=60, stateful_step_count=60, derandomize=True, deadline=None
+)
 
 
 def found_by_a_seed(name):
@@ -222,6 +315,7 @@
                 if walk(fleet, chance, length):
                     return
         self.fail("nothing found it")
+
     return test
 
 
@@ -234,7 +328,6 @@
 
 
 class Leaders(unittest.TestCase):
-
     def lead(self, fleet, times=30):
         for _ in range(times):
             fleet.now += leader.LOOK / 2
@@ -255,7 +348,9 @@
         leads = fleet.leaders["a"]
         change = leads.propose(NEW, ("g2",), "staff", fleet.now)
         self.lead(fleet)
-        self.assertEqual((change.outcome, change.why), ("aborted", "g2 was counted out, and answers"))
+        self.assertEqual(
+            (change.outcome, change.why), ("aborted", "g2 was counted out, and answers")
+        )
 
     def test_one_that_is_counted_out_may_stand_still(self):
         """Nothing is decided without it before it would notice that it did."""
@@ -275,7 +370,9 @@
             with self.assertRaises(leader.NotNow):
                 leads.propose(NEW, without, "staff", fleet.now)
         first = leads.propose(NEW, (), "staff", fleet.now)
-        self.assertIs(leads.propose(dict(NEW), (), "staff", fleet.now), first)    # the same one twice is one
+        self.assertIs(
+            leads.propose(dict(NEW), (), "staff", fleet.now), first
+        )  # the same one twice is one
         with self.assertRaises(leader.NotNow):
             leads.propose(OTHER, (), "staff", fleet.now)
         self.lead(fleet)
@@ -287,10 +384,14 @@
         leads = fleet.leaders["a"]
         change = leads.propose(NEW, (), "staff", fleet.now)
         leads.journal.fails = "before"
-        with self.assertRaises(Exception):    # noqa: B017
+        with self.assertRaises(Exception):  # noqa: B017
             for name in fleet.members:
-                leads.heard(name, leads.message(name, fleet.now), fleet.members[name].hear(leads.message(name, fleet.now)),
-                            fleet.now)
+                leads.heard(
+                    name,
+                    leads.message(name, fleet.now),
+                    fleet.members[name].hear(leads.message(name, fleet.now)),
+                    fleet.now,
+                )
         self.assertEqual(change.outcome, "preparing")
         self.assertEqual(leads.in_force.content, OLD)
         leads.journal.fails = ""
@@ -298,9 +399,7 @@
         self.assertEqual(change.outcome, "committed")
 
 
-
 class Remembered(unittest.TestCase):
-
     def setUp(self):
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
@@ -346,11 +445,13 @@
     def test_the_journal_keeps_what_was_noted(self):
         kept = journal.Journal(self.path())
         kept.note({"kind": "epoch", "number": 1}, 5.0)
-        with self.assertRaises(journal.JournalError) as found:    # one process at a time
+        with self.assertRaises(journal.JournalError) as found:  # one process at a time
             journal.Journal(self.path())
         self.assertIn("another control process has it", str(found.exception))
         kept.close()
-        self.assertEqual(journal.Journal(self.path()).records(), [{"kind": "epoch", "number": 1, "at": 5.0}])
+        self.assertEqual(
+            journal.Journal(self.path()).records(), [{"kind": "epoch", "number": 1, "at": 5.0}]
+        )
 
     def test_a_journal_cut_at_any_byte_is_whole_or_refused(self):
         kept = journal.Journal(self.path())
@@ -363,7 +464,7 @@
                 file.write(whole[:length])
             try:
                 kept = journal.Journal(self.path())
-                self.assertIn(len(kept.records()), (0, 40))    # an empty file is a new journal
+                self.assertIn(len(kept.records()), (0, 40))  # an empty file is a new journal
                 kept.close()
             except journal.JournalError as error:
                 self.assertNotIn("\n", str(error))
@@ -375,22 +476,28 @@
         base.close()
         with self.assertRaises(journal.JournalError) as found:
             journal.Journal(self.path())
-        self.assertIn("expected a journal of version 1, found 7: start the build that wrote it", str(found.exception))
+        self.assertIn(
+            "expected a journal of version 1, found 7: start the build that wrote it",
+            str(found.exception),
+        )
 
 
 class Sealed(unittest.TestCase):
-
     def test_only_who_has_the_key_is_understood(self):
         body, own = seal.question(b"k" * 16, {"do": "state", "to": "g0"})
         self.assertEqual(seal.understood(b"k" * 16, "g0", own, body)["do"], "state")
-        for key, name, mark, text in ((b"j" * 16, "g0", own, body), (b"k" * 16, "g1", own, body),
-                                      (b"k" * 16, "g0", b"", body), (b"k" * 16, "g0", own, body[:-1] + b" }")):
+        for key, name, mark, text in (
+            (b"j" * 16, "g0", own, body),
+            (b"k" * 16, "g1", own, body),
+            (b"k" * 16, "g0", b"", body),
+            (b"k" * 16, "g0", own, body[:-1] + b" }"),
+        ):
             with self.assertRaises(seal.Unsealed):
                 seal.understood(key, name, mark, text)
         answer, mark = seal.answer(b"k" * 16, own, {"a": 1})
         self.assertEqual(seal.answered(b"k" * 16, own, mark, answer), {"a": 1})
         other = seal.question(b"k" * 16, {"do": "state", "to": "g0"})[1]
-        with self.assertRaises(seal.Unsealed):    # an answer to another question
+        with self.assertRaises(seal.Unsealed):  # an answer to another question
             seal.answered(b"k" * 16, other, mark, answer)
 
 
--- a/tests/agreement/orders.py
+++ b/tests/agreement/orders.py
@@ -11,11 +11,15 @@
 
 
 def main(words):
-    numbers = [int(word) for word in words] + [1, 1, 1, 1_000_000][len(words) - 2:]
+    numbers = [int(word) for word in words] + [1, 1, 1, 1_000_000][len(words) - 2 :]
     gateways, controls, crashes, faults, proposals, most = numbers
-    fleet = Fleet(gateways, ("a", "b", "c")[:controls], proposals=proposals, crashes=crashes, faults=faults)
+    fleet = Fleet(
+        gateways, ("a", "b", "c")[:controls], proposals=proposals, crashes=crashes, faults=faults
+    )
     states, found = explore(fleet, 999, most)
-    print(f"{states} states" + (", no end: more than were asked for" if states >= most else ", all"))
+    print(
+        f"{states} states" + (", no end: more than were asked for" if states >= most else ", all")
+    )
     if found:
         print(found[0], *found[1], sep="\n  ")
     return 1 if found else 0
--- a/tests/agreement/planted.py
+++ b/tests/agreement/planted.py
@@ -14,58 +14,72 @@
 
 def absent_at_once(refused):
     """A look that began before the last member had prepared counts as one after it."""
+
     def planted(self, name, message, now):
         refused(self, name, message | {"order": 1 << 60}, now)
+
     return planted
 
 
 def no_second_look(heard):
     """Absent members are not looked at again after the last has prepared."""
+
     def planted(self, name, message, answer, now):
         confirmed = set(self.change.confirmed) if self.change else set()
         heard(self, name, message, answer, now)
         if self.change:
             self.change.confirmed |= confirmed - {name}
             self.judge(now)
+
     return planted
 
 
 def silent_is_absent(silent):
     """A member that says nothing counts as down."""
+
     def planted(self, name, message, now, why=""):
         self.refused(name, message, now)
+
     return planted
 
 
 def commits_late(judge):
     """What is not settled in time is committed in place of given up."""
+
     def planted(self, now):
         if self.state == leader.LEADING and self.change and now - self.change.began >= leader.WAIT:
             self.decide(leader.COMMITTED, "", now)
         else:
             judge(self, now)
+
     return planted
 
 
 def denies_the_unknown(lead):
     """Whatever is not known to have been decided is denied."""
+
     def planted(self, now):
         with patch.object(leader.Leader, "may_be_decided", lambda self, ballot: False):
             lead(self, now)
+
     return planted
 
 
 def no_epochs(heard):
     """A gateway obeys any control process."""
+
     def planted(state, message, takes):
         return heard(state._replace(promised=ballots.NOBODY), message, takes)
+
     return planted
 
 
 def no_doubt_learnt(missing):
     """A gateway that starts learns what is in force, but not what is possible."""
+
     def planted(state, learnt):
         return missing(state, learnt._replace(possible=()))
+
     return planted
 
 
@@ -74,8 +88,6 @@
     return lambda members: 1
 
 
-
-
 def knows_at_once(enough):
     """A gateway that starts serves by what it remembers."""
     return lambda members, heard, self_known: True
@@ -83,12 +95,14 @@
 
 def one_too_few(enough):
     """A gateway that starts asks one other fewer than it has to."""
-    return lambda members, heard, self_known: enough(members, {*heard, *sorted(set(members) - set(heard))[:1]}, self_known)
+    return lambda members, heard, self_known: enough(
+        members, {*heard, *sorted(set(members) - set(heard))[:1]}, self_known
+    )
 
 
 def keeps_the_denied(denied):
     """What was denied stays possible."""
-    return lambda state, ballot: state._replace(denied=(*state.denied, ballot)[-member.KEPT:])
+    return lambda state, ballot: state._replace(denied=(*state.denied, ballot)[-member.KEPT :])
 
 
 PLANTS = {
--- a/tests/agreement/size.py
+++ b/tests/agreement/size.py
@@ -33,7 +33,7 @@
         first = Generation(member.FIRST, policy.digest(self.content), self.content, self.names)
         self.states = dict.fromkeys(self.names, member.State(first))
         self.leader, self.now = Leader("c", self.names, Nothing(), 0.0), 0.0
-        self.down, self.cut = set(), set()    # who refuses connections, and who is not reached
+        self.down, self.cut = set(), set()  # who refuses connections, and who is not reached
 
     def answered(self):
         """Messages to each member, and their answers, until none is due any; how many went."""
@@ -42,10 +42,16 @@
             while message := self.leader.next(name, self.now)[0]:
                 went += 1
                 if name in self.down or name in self.cut:
-                    (self.leader.refused if name in self.down else self.leader.silent)(name, message, self.now)
+                    (self.leader.refused if name in self.down else self.leader.silent)(
+                        name, message, self.now
+                    )
                     continue
-                told = eval(repr(message))    # as over a wire: nothing is the same object at the other side
-                self.states[name], answer = member.heard(self.states[name], told, lambda content: None)
+                told = eval(
+                    repr(message)
+                )  # as over a wire: nothing is the same object at the other side
+                self.states[name], answer = member.heard(
+                    self.states[name], told, lambda content: None
+                )
                 self.leader.heard(name, message, eval(repr(answer)), self.now)
         return went
 
@@ -71,7 +77,9 @@
             found = []
             total[0] += operations(lambda: found.append(call(*words)))
             return found[0]
+
         return made
+
     roster.leader.heard, roster.leader.next = counting(heard), counting(due)
     for step in (roster.seek, roster.change):
         total[0] = 0
@@ -81,20 +89,24 @@
 
 
 class Size(unittest.TestCase):
-
     def test_a_members_part_of_a_change_is_in_step_with_the_roster_at_most(self):
         (few, _, _), (many, roster, change) = cost(40), cost(160)
         self.assertEqual((roster.leader.state, change.outcome), (LEADING, COMMITTED))
         self.assertEqual({state.in_force.number for state in roster.states.values()}, {1})
-        for one, other in zip(few, many, strict=True):    # four times the members: up to four times for each
+        for one, other in zip(
+            few, many, strict=True
+        ):  # four times the members: up to four times for each
             self.assertLess(other, 4.4 * one)
 
     def test_a_tenth_down_and_a_region_cut_off_hold_a_change_up_until_the_cut_ends(self):
         roster = Roster(240)
         roster.seek()
-        roster.down, roster.cut = set(roster.names[::10]), set(roster.names[180:]) - set(roster.names[::10])
+        roster.down, roster.cut = (
+            set(roster.names[::10]),
+            set(roster.names[180:]) - set(roster.names[::10]),
+        )
         change = roster.leader.propose({"classes": [{"name": "m"}]}, (), "", roster.now)
-        for _ in range(40):    # four seconds
+        for _ in range(40):  # four seconds
             roster.now += 0.1
             roster.answered()
             roster.leader.judge(roster.now)
@@ -109,8 +121,10 @@
             roster.now += 0.1
             roster.answered()
         self.assertEqual((change.outcome, change.confirmed), (COMMITTED, roster.down))
-        self.assertEqual({roster.states[name].in_force.ballot for name in set(roster.names) - roster.down},
-                         {change.generation.ballot})
+        self.assertEqual(
+            {roster.states[name].in_force.ballot for name in set(roster.names) - roster.down},
+            {change.generation.ballot},
+        )
 
 
 CASES = [Size]
--- a/tests/agreement/world.py
+++ b/tests/agreement/world.py
@@ -35,7 +35,9 @@
 
     def __init__(self, name, members):
         self.name, self.members, self.up = name, members, True
-        self.state = member.State(ballots.Generation(member.FIRST, policy.digest(OLD), OLD, members))
+        self.state = member.State(
+            ballots.Generation(member.FIRST, policy.digest(OLD), OLD, members)
+        )
         self.standing = member.Standing(name, members, True, 0.0)
         self.standing.known = True
 
@@ -61,11 +63,19 @@
 
     def admits(self):
         """The ballots of which all allow what is admitted here; None where nothing is admitted."""
-        return {one.ballot for one in (self.state.in_force, *self.state.possible)} if (
-            self.up and self.standing.known) else None
+        return (
+            {one.ballot for one in (self.state.in_force, *self.state.possible)}
+            if (self.up and self.standing.known)
+            else None
+        )
 
     def key(self):
-        return self.state, self.up, self.standing.known, frozenset(self.standing.heard) if not self.standing.known else 0
+        return (
+            self.state,
+            self.up,
+            self.standing.known,
+            frozenset(self.standing.heard) if not self.standing.known else 0,
+        )
 
 
 class Fleet:
@@ -92,22 +102,42 @@
                 told.append(("time", control))
             if self.budget["crash"]:
                 told.append(("end", control))
-                told += [("end " + when, control) for when in ("before", "after")] if leads.change else []
-            told += [("look", control, name) for name, one in self.members.items()
-                     if not one.up and self.budget["fault"] and self.due(leads, name)]
+                told += (
+                    [("end " + when, control) for when in ("before", "after")]
+                    if leads.change
+                    else []
+                )
+            told += [
+                ("look", control, name)
+                for name, one in self.members.items()
+                if not one.up and self.budget["fault"] and self.due(leads, name)
+            ]
             if self.budget["fault"]:
                 for name in self.members:
                     if self.due(leads, name):
-                        told += [("unheard", control, name), ("unanswered", control, name), ("doubled", control, name)]
+                        told += [
+                            ("unheard", control, name),
+                            ("unanswered", control, name),
+                            ("doubled", control, name),
+                        ]
         for name, one in self.members.items():
             if one.up and self.budget["crash"]:
                 told.append(("crash", name))
             if not one.up:
                 told.append(("start", name))
             elif not one.standing.known or one.state.possible:
-                told += [("ask", name, other) for other, peer in self.members.items()
-                         if other != name and peer.up and (other not in one.standing.heard or one.state.possible)]
-        return told + [("late", at) for at in range(len(self.late))] + [("refused", at) for at in range(len(self.looks))]
+                told += [
+                    ("ask", name, other)
+                    for other, peer in self.members.items()
+                    if other != name
+                    and peer.up
+                    and (other not in one.standing.heard or one.state.possible)
+                ]
+        return (
+            told
+            + [("late", at) for at in range(len(self.late))]
+            + [("refused", at) for at in range(len(self.looks))]
+        )
 
     def due(self, leads, name):
         return leads.state != leader.DEPOSED and leads.due(name, self.now) is not None
@@ -126,7 +156,7 @@
             control, name, message = self.late.pop(who)
             if self.members[name].up:
                 self.members[name].hear(message)
-        elif what == "refused":    # the word of a machine that refused, when it is heard
+        elif what == "refused":  # the word of a machine that refused, when it is heard
             leads, name, message = self.looks.pop(who)
             try:
                 self.leaders[leads].refused(name, message, self.now)
@@ -137,13 +167,15 @@
             journal.fails = ""
             if self.budget["lose"] and len(journal.records) > 1:
                 self.budget["lose"], journal.records = 0, []
-            self.leaders[who] = leader.Leader(who, tuple(self.members), journal, self.now, list(journal.records))
+            self.leaders[who] = leader.Leader(
+                who, tuple(self.members), journal, self.now, list(journal.records)
+            )
         elif what == "end":
             self.budget["crash"] -= 1
             self.drop(who)
         elif what.startswith("end "):
             self.budget["crash"] -= 1
-            self.journals[who].fails = what[4:]    # it ends in its next write
+            self.journals[who].fails = what[4:]  # it ends in its next write
         else:
             try:
                 self.lead(what, who, *rest)
@@ -170,7 +202,7 @@
                 return
             if what == "unheard" or not one.up and what != "talk":
                 self.budget["fault"] -= 1
-                self.late.append((control, name, message))    # it may come yet
+                self.late.append((control, name, message))  # it may come yet
                 leads.silent(name, message, self.now)
             elif not one.up:
                 leads.refused(name, message, self.now)
@@ -186,24 +218,60 @@
 
     def broken(self):
         """What breaks the guarantee now, in a line; None where nothing does."""
-        admitting = {name: one.admits() for name, one in self.members.items() if one.admits() is not None}
+        admitting = {
+            name: one.admits() for name, one in self.members.items() if one.admits() is not None
+        }
         if admitting and not set.intersection(*admitting.values()):
             return "no generation allows all that is admitted: " + "; ".join(
-                f"{name} {sorted(told)}" for name, told in admitting.items())
+                f"{name} {sorted(told)}" for name, told in admitting.items()
+            )
         return None
 
     def key(self):
         """What this state is, but for what has no effect any more."""
-        leads = tuple((one and (one.state, one.epoch, one.in_force and one.in_force.ballot, one.change and (
-            one.change.generation.ballot, tuple(sorted(one.change.replies.items())), sorted(one.change.confirmed)),
-            sorted(one.seen.items()), sorted(one.promised), sorted(one.whole), sorted(one.unknown),
-            one.wanted and one.wanted[0], one.rises)) for one in self.leaders.values())
-        late = tuple((name, message["do"], message.get("number"), tuple(message["epoch_of"]))
-                     for _, name, message in self.late)
-        late += tuple((name, message["order"] > self.leaders[control].change.settled if self.leaders[control].change else 0)
-                      for control, name, message in self.looks)
-        return (tuple(repr(one.key()) for one in self.members.values()), repr(leads), late, tuple(self.budget.values()),
-                tuple((len(one.records), one.fails) for one in self.journals.values()))
+        leads = tuple(
+            (
+                one
+                and (
+                    one.state,
+                    one.epoch,
+                    one.in_force and one.in_force.ballot,
+                    one.change
+                    and (
+                        one.change.generation.ballot,
+                        tuple(sorted(one.change.replies.items())),
+                        sorted(one.change.confirmed),
+                    ),
+                    sorted(one.seen.items()),
+                    sorted(one.promised),
+                    sorted(one.whole),
+                    sorted(one.unknown),
+                    one.wanted and one.wanted[0],
+                    one.rises,
+                )
+            )
+            for one in self.leaders.values()
+        )
+        late = tuple(
+            (name, message["do"], message.get("number"), tuple(message["epoch_of"]))
+            for _, name, message in self.late
+        )
+        late += tuple(
+            (
+                name,
+                message["order"] > self.leaders[control].change.settled
+                if self.leaders[control].change
+                else 0,
+            )
+            for control, name, message in self.looks
+        )
+        return (
+            tuple(repr(one.key()) for one in self.members.values()),
+            repr(leads),
+            late,
+            tuple(self.budget.values()),
+            tuple((len(one.records), one.fails) for one in self.journals.values()),
+        )
 
     def mark(self):
         """The key, short enough to remember by the million."""
@@ -250,7 +318,7 @@
         self.take(("lead", first))
         for _ in range(40):
             self.now += leader.LOOK / 2
-            if self.leaders[first].state == leader.DEPOSED:    # staff start it again
+            if self.leaders[first].state == leader.DEPOSED:  # staff start it again
                 self.take(("lead", first))
             for name in self.members:
                 if self.due(self.leaders[first], name):
@@ -258,14 +326,20 @@
             self.leaders[first].judge(self.now)
             if wrong := self.broken():
                 return wrong
-        for one in self.members.values():    # whoever knows nothing yet asks once more
+        for one in self.members.values():  # whoever knows nothing yet asks once more
             for other in self.members.values() if one.admits() is None else ():
                 one.ask(other) if other is not one else None
-        states = {(one.state.in_force.ballot, len(one.state.possible)) for one in self.members.values()}
+        states = {
+            (one.state.in_force.ballot, len(one.state.possible)) for one in self.members.values()
+        }
         if len(states) != 1 or next(iter(states))[1]:
             leads = self.leaders[first]
             return f"not at one generation after a heal: {sorted(states)}, control {leads.state} {leads.epoch} {leads.why}"
-        return None if all(one.admits() for one in self.members.values()) else "a gateway stays out of service"
+        return (
+            None
+            if all(one.admits() for one in self.members.values())
+            else "a gateway stays out of service"
+        )
 
 
 def explore(fleet, depth, most, settle_every=7):
--- a/tests/choosing.py
+++ b/tests/choosing.py
@@ -18,27 +18,53 @@
 from petrellane.choice import Fleet, Gateway, mean
 from petrellane.hosts import Groups, Highest, Hosts, Starts
 
-SETTINGS = dict(zone="z1", counter=False, counter_timeout=0.05, may_cancel=True, max_wait=0.5, cold=10.0, cold_from=0.25,
-                cross_zone=0.5, must_ask=False)
+SETTINGS = dict(
+    zone="z1",
+    counter=False,
+    counter_timeout=0.05,
+    may_cancel=True,
+    max_wait=0.5,
+    cold=10.0,
+    cold_from=0.25,
+    cross_zone=0.5,
+    must_ask=False,
+)
 
 
 class PlainHosts(Hosts):
     """Warmth and readiness worked out host by host, each time anew."""
 
     def warmth(self, host, now):
-        share = max(0.0, now - host.up_since) / self.cold_for if host.up_since and self.cold_for else 1.0
+        share = (
+            max(0.0, now - host.up_since) / self.cold_for
+            if host.up_since and self.cold_for
+            else 1.0
+        )
         return min(1.0, self.cold_from + (1 - self.cold_from) * share)
 
     def cold_ones(self, now):
-        return sorted((host for host in self if host.state == api.READY and self.cold_for and self.cold_from < 1
-                       and host.up_since > now - self.cold_for), key=lambda host: host.up_since)
+        return sorted(
+            (
+                host
+                for host in self
+                if host.state == api.READY
+                and self.cold_for
+                and self.cold_from < 1
+                and host.up_since > now - self.cold_for
+            ),
+            key=lambda host: host.up_since,
+        )
 
     def cold(self, now):
-        super().cold(now)    # the index keeps pace, as draws from it are checked against the walk
+        super().cold(now)  # the index keeps pace, as draws from it are checked against the walk
         return sum(host.share * self.warmth(host, now) for host in self.cold_ones(now))
 
     def cold_at(self, lot, now):
-        sums = list(itertools.accumulate(host.share * self.warmth(host, now) for host in self.cold_ones(now)))
+        sums = list(
+            itertools.accumulate(
+                host.share * self.warmth(host, now) for host in self.cold_ones(now)
+            )
+        )
         return self.cold_ones(now)[min(bisect.bisect_right(sums, lot), len(sums) - 1)]
 
     def capacity(self, now):
@@ -50,7 +76,11 @@
         return super().some(sample, number)
 
     def some_warm(self, sample, number, scope):
-        fit = {host for host in self if host.state == api.READY and scope in (None, host.zone, host.pod)}
+        fit = {
+            host
+            for host in self
+            if host.state == api.READY and scope in (None, host.zone, host.pod)
+        }
         assert set(self.groups.of(scope)) == fit - set(self.cold_ones(self.told_at))
         return super().some_warm(sample, number, scope)
 
@@ -70,24 +100,39 @@
         if cold := self.hosts.cold(now):
             lot = self.random() * self.whole(now)
             host = self.hosts.cold_at(lot, now) if lot < cold else None
-            if host and host not in tried and scope in (None, host.zone, host.pod) and not self.is_outlier(
-                    self.hosts[host], method, now):
+            if (
+                host
+                and host not in tried
+                and scope in (None, host.zone, host.pod)
+                and not self.is_outlier(self.hosts[host], method, now)
+            ):
                 return host
         not_warm = set(self.hosts.cold_ones(now))
         for which in ("in use", "others"):
-            pool = self.in_use(now) if which == "in use" else self.hosts.some_warm(
-                self.sample, max(choice.IN_USE, len(self.used)), scope)
-            ready = [pair for pair in pool if pair[0] not in not_warm and scope in (None, pair[0].zone, pair[0].pod)]
+            pool = (
+                self.in_use(now)
+                if which == "in use"
+                else self.hosts.some_warm(self.sample, max(choice.IN_USE, len(self.used)), scope)
+            )
+            ready = [
+                pair
+                for pair in pool
+                if pair[0] not in not_warm and scope in (None, pair[0].zone, pair[0].pod)
+            ]
             ready = [pair for pair in ready if pair[0] not in tried] or ready
             if ready:
                 break
         fair = [pair for pair in ready if not self.is_outlier(pair[1], method, now)] or ready
-        lags = {host: self.lag(health.recent(None, now)[-8:], health.out, now) for host, health in fair}
+        lags = {
+            host: self.lag(health.recent(None, now)[-8:], health.out, now) for host, health in fair
+        }
         pool = [pair for pair in fair if lags[pair[0]] < choice.BEHIND]
         if not pool:
             return None
         usual = 1 + mean(len(health.out) / host.share for host, health in pool)
-        return self.choices(pool, [self.plain_room(*pair, method, now, usual, lags[pair[0]]) for pair in pool])[0][0]
+        return self.choices(
+            pool, [self.plain_room(*pair, method, now, usual, lags[pair[0]]) for pair in pool]
+        )[0][0]
 
     def plain_room(self, host, health, method, now, usual, lag):
         recent = health.recent(method.root, now)
@@ -100,32 +145,54 @@
 class Play:
     """One gateway with its own objects, which is told what a seed draws; `said` is all that it answered."""
 
-    METHODS = (("look", api.IDEMPOTENT, ""), ("lodge", api.DEDUPLICATED, "zone"), ("file", api.DEDUPLICATED, "pod"))
+    METHODS = (
+        ("look", api.IDEMPOTENT, ""),
+        ("lodge", api.DEDUPLICATED, "zone"),
+        ("file", api.DEDUPLICATED, "pod"),
+    )
 
     def __init__(self, seed, hosts, plain=False):
         self.gateway, self.now, self.said = Gateway(seed=seed, **SETTINGS), 1e6, []
         self.due, self.order = [], itertools.count()
         if plain:
-            self.gateway.fleet.__class__, self.gateway.fleet.hosts.__class__ = PlainFleet, PlainHosts
+            self.gateway.fleet.__class__, self.gateway.fleet.hosts.__class__ = (
+                PlainFleet,
+                PlainHosts,
+            )
         self.chance = random.Random(f"play {seed}")
-        self.methods = [api.Method(name, 0.5, 2.0, effect, scope, 1.5, late_utility=0.5)
-                        for name, effect, scope in self.METHODS]
+        self.methods = [
+            api.Method(name, 0.5, 2.0, effect, scope, 1.5, late_utility=0.5)
+            for name, effect, scope in self.METHODS
+        ]
         self.customer = api.Customer("c", api.Plan("p"))
         self.hosts = [api.Host(f"h{number}") for number in range(hosts)]
-        self.rows = [api.Listing(host, f"z{number % 3}", "", number % 7, api.READY, self.chance.choice((0.5, 1.0, 2.0)),
-                                 self.chance.choice((0.0, self.now - self.chance.uniform(0.0, 15.0))))
-                     for number, host in enumerate(self.hosts)]
+        self.rows = [
+            api.Listing(
+                host,
+                f"z{number % 3}",
+                "",
+                number % 7,
+                api.READY,
+                self.chance.choice((0.5, 1.0, 2.0)),
+                self.chance.choice((0.0, self.now - self.chance.uniform(0.0, 15.0))),
+            )
+            for number, host in enumerate(self.hosts)
+        ]
         self.carry(self.gateway.started(self.now))
         self.carry(self.gateway.listed(self.now, True, self.rows))
 
     def carry(self, steps):
         for step in steps:
             rpc = getattr(step, "rpc", None)
-            about = step.host.address if isinstance(step, api.CallOut) else getattr(step, "cause", "")
+            about = (
+                step.host.address if isinstance(step, api.CallOut) else getattr(step, "cause", "")
+            )
             self.said.append((round(self.now, 6), type(step).__name__, about, rpc and rpc.arrived))
             if isinstance(step, api.CallOut):
-                outcome = self.chance.choices((api.OK, api.ERROR, api.FULL, api.UNREACHABLE, api.RESET, api.LATE),
-                                              (80, 4, 6, 4, 3, 3))[0]
+                outcome = self.chance.choices(
+                    (api.OK, api.ERROR, api.FULL, api.UNREACHABLE, api.RESET, api.LATE),
+                    (80, 4, 6, 4, 3, 3),
+                )[0]
                 took = self.chance.expovariate(1 / 0.08)
                 heapq.heappush(self.due, (self.now + took, next(self.order), step, outcome, took))
             elif isinstance(step, api.Cancel):
@@ -144,24 +211,34 @@
                     self.carry(self.gateway.woken(self.now, step.about))
                 else:
                     outcome = api.CANCELLED if step.outcome else outcome
-                    self.carry(self.gateway.again(self.now, step, outcome, over=outcome == api.OK, took=took))
+                    self.carry(
+                        self.gateway.again(
+                            self.now, step, outcome, over=outcome == api.OK, took=took
+                        )
+                    )
                 self.now = at
             if self.chance.random() < changes:
                 self.change()
             self.place()
 
     def place(self):
-        rpc = api.Rpc(self.chance.choice(self.methods), self.customer, 1.0, self.now + 2.0, self.now)
+        rpc = api.Rpc(
+            self.chance.choice(self.methods), self.customer, 1.0, self.now + 2.0, self.now
+        )
         self.carry(self.gateway.place(self.now, rpc))
 
     def change(self):
         """Some hosts drain, go, come back cold, move or weigh otherwise; now and then the whole list comes."""
-        for at in self.chance.sample(range(len(self.rows)), min(len(self.rows), self.chance.randint(1, 5))):
+        for at in self.chance.sample(
+            range(len(self.rows)), min(len(self.rows), self.chance.randint(1, 5))
+        ):
             row, what = self.rows[at], self.chance.random()
             if what < 0.3:
                 row = row._replace(state=self.chance.choice((api.DRAINING, api.GONE)))
             elif what < 0.8:
-                row = row._replace(state=api.READY, up_since=self.now - self.chance.uniform(-0.2, 0.5))
+                row = row._replace(
+                    state=api.READY, up_since=self.now - self.chance.uniform(-0.2, 0.5)
+                )
             elif what < 0.9:
                 row = row._replace(share=self.chance.choice((0.0, 1.0, 3.0)))
             else:
@@ -170,12 +247,18 @@
             self.carry(self.gateway.listed(self.now, False, [row]))
         if self.chance.random() < 0.2:
             self.rows.sort(key=lambda row: self.chance.random())
-            named = [row for row in self.rows if row.state != api.GONE and self.chance.random() < 0.95]
+            named = [
+                row for row in self.rows if row.state != api.GONE and self.chance.random() < 0.95
+            ]
             self.carry(self.gateway.listed(self.now, True, named))
         if self.chance.random() < 0.1:
             same = ("zone", "counter_timeout", "may_cancel", "max_wait", "cross_zone")
-            self.gateway.renewed(**{key: SETTINGS[key] for key in same}, cold=self.chance.choice((0.0, 5.0, 10.0)),
-                                 cold_from=self.chance.choice((0.25, 1.0)), roots={method.root for method in self.methods})
+            self.gateway.renewed(
+                **{key: SETTINGS[key] for key in same},
+                cold=self.chance.choice((0.0, 5.0, 10.0)),
+                cold_from=self.chance.choice((0.25, 1.0)),
+                roots={method.root for method in self.methods},
+            )
 
 
 class Same(unittest.TestCase):
@@ -201,6 +284,7 @@
         frame.f_trace_lines, frame.f_trace_opcodes = False, True
         count += event == "opcode"
         return trace
+
     before = sys.gettrace()
     sys.settrace(trace)
     try:
@@ -215,17 +299,23 @@
 
     def cost(self, hosts):
         play = Play(1, hosts)
-        play.rows = [row._replace(up_since=play.now - number % 12 if number % 12 == 0 else 0.0)
-                     for number, row in enumerate(play.rows)]    # one in twelve is cold
+        play.rows = [
+            row._replace(up_since=play.now - number % 12 if number % 12 == 0 else 0.0)
+            for number, row in enumerate(play.rows)
+        ]  # one in twelve is cold
         play.carry(play.gateway.listed(play.now, True, play.rows))
         play.run(60, 30.0)
         placed = sorted(operations(play.place) for _ in range(30))
         changed = {True: [], False: []}
         for row in play.rows[:60]:
             for state in (api.DRAINING, api.READY):
+
                 def told(row=row, state=state):
                     play.gateway.listed(play.now, False, [row._replace(state=state)])
-                    play.gateway.fleet.hosts.capacity(play.now)    # what a later RPC would have to bring up to date
+                    play.gateway.fleet.hosts.capacity(
+                        play.now
+                    )  # what a later RPC would have to bring up to date
+
                 changed[bool(row.up_since)].append(operations(told))
         cold = sum(bool(row.up_since) for row in play.rows)
         return placed[-2], sorted(changed[False])[-2], sorted(changed[True])[-2], cold
@@ -234,7 +324,9 @@
         few, many = self.cost(130), self.cost(13_000)
         self.assertLess(many[0], 1.5 * few[0])
         self.assertLess(many[1], 1.5 * few[1])
-        self.assertLess(many[2], 1.5 * few[2] + 25 * many[3])    # where a cold one changes, a few steps for each cold one
+        self.assertLess(
+            many[2], 1.5 * few[2] + 25 * many[3]
+        )  # where a cold one changes, a few steps for each cold one
 
 
 class Kept(unittest.TestCase):
@@ -256,8 +348,12 @@
             groups.take(member, (None, member % 2))
         self.assertEqual((groups.members, groups.places), ({}, {}))
 
-    @given(st.lists(st.tuples(st.floats(0, 100), st.floats(0.1, 4), st.sampled_from("pptf")), max_size=60),
-           st.floats(0, 120))
+    @given(
+        st.lists(
+            st.tuples(st.floats(0, 100), st.floats(0.1, 4), st.sampled_from("pptf")), max_size=60
+        ),
+        st.floats(0, 120),
+    )
     @limits(deadline=None)
     def test_sums_over_starts_are_those_of_a_walk(self, steps, now):
         starts, here = Starts(), []
@@ -285,13 +381,17 @@
             at += after
             highest.put(at, value)
             told.append((at, value))
-            self.assertEqual(highest.most(at), max(value for when, value in told if at - when <= 5.0))
+            self.assertEqual(
+                highest.most(at), max(value for when, value in told if at - when <= 5.0)
+            )
 
     def test_a_host_far_in_the_future_or_without_a_start_is_no_trouble(self):
         hosts = Hosts(object)
         hosts.warms(10.0, 0.0)
-        rows = [api.Listing(api.Host(f"h{at}"), "", "", 0, api.READY, 1.0, start)
-                for at, start in enumerate((0.0, 99.0, 500.0))]
+        rows = [
+            api.Listing(api.Host(f"h{at}"), "", "", 0, api.READY, 1.0, start)
+            for at, start in enumerate((0.0, 99.0, 500.0))
+        ]
         hosts.listed(100.0, True, rows)
         self.assertAlmostEqual(hosts.capacity(100.0), 1.1)
         self.assertAlmostEqual(hosts.cold(505.0), 0.5)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -17,6 +17,7 @@
 
 class Known(NamedTuple):
     """One line of the file."""
+
     test: str
     cause: str
     issue: str
@@ -34,7 +35,9 @@
             continue
         words = [word.strip() for word in line.split("|")]
         if len(words) != 3 or not all(words):
-            raise BadFile(f"{name}:{number}: expected 'TEST | CAUSE | ISSUE', found {line.strip()!r}")
+            raise BadFile(
+                f"{name}:{number}: expected 'TEST | CAUSE | ISSUE', found {line.strip()!r}"
+            )
         if any(one.test == words[0] for one in known):
             raise BadFile(f"{name}:{number}: expected each test once, found {words[0]} again")
         known.append(Known(*words))
@@ -61,10 +64,16 @@
 
 def names_of(suite: unittest.TestSuite) -> list[str]:
     """The full names of all tests of a suite."""
-    return [name for one in suite for name in (names_of(one) if isinstance(one, unittest.TestSuite) else [name_of(one)])]
+    return [
+        name
+        for one in suite
+        for name in (names_of(one) if isinstance(one, unittest.TestSuite) else [name_of(one)])
+    ]
 
 
-def judged(known: Iterable[Known], ran: Iterable[str], failed: Iterable[str]) -> tuple[int, int, list[str]]:
+def judged(
+    known: Iterable[Known], ran: Iterable[str], failed: Iterable[str]
+) -> tuple[int, int, list[str]]:
     """How many tests passed and failed, those that are known to fail apart, and what is to be printed: each of these with
     its cause, or that it has passed, which counts as a failure."""
     ran, failed, said = set(ran), set(failed), []
@@ -72,7 +81,10 @@
     red = failed & known.keys()
     for name in sorted(known):
         one = known[name]
-        said.append(f"known red: {name}: {one.cause} ({one.issue})" if name in red else
-                    f"{name} passes: take its line out of {FILE.name}")
+        said.append(
+            f"known red: {name}: {one.cause} ({one.issue})"
+            if name in red
+            else f"{name} passes: take its line out of {FILE.name}"
+        )
     bad = len(failed - red) + len(known.keys() - red)
     return len(ran) - len(red) - bad, bad, said
--- a/tests/lab/capacity.py
+++ b/tests/lab/capacity.py
@@ -20,19 +20,44 @@
 
 def line(slope, points, intercept=0.0, **more):
     """A slope as the scale runs tell it."""
-    return {"unit": "ms", "intercept": intercept, "slope": slope, "spread": [slope, slope], "line": True, "note": "",
-            "points": [[at, intercept + slope * at, 0.0, 0.0, 5] for at in points]} | more
-
-
-PLAN = {"sizes": {name: {"value": value, "what": name} for name, value in (
-            ("hosts", 13_000), ("customers", 400), ("gateways", 10), ("rpcs", 100), ("changes", 8640))},
-        "budgets": {"fast": {"value": 2.0, "unit": "ms", "what": "to be fast", "by": "operators"}},
-        "estimates": {"window_s": {"value": 8.0, "unit": "s", "basis": "made up"}},
-       "rates": {}, "shown": {"hosts": ["decision_p99_ms", "absent_ms"]}}
-SCALE = {"slopes": {"this": {
-    "hosts": {"decision_p99_ms": line(0.001, (50, 400, 1600), 0.5)},
-    "customers": {"decision_p99_ms": line(0.01, (100, 200, 300, 400))}}}}
-MESSAGES = {"figures": {"list_bytes": {"value": 2000, "unit": "bytes", "what": "a list", "runs": 1}}}
+    return {
+        "unit": "ms",
+        "intercept": intercept,
+        "slope": slope,
+        "spread": [slope, slope],
+        "line": True,
+        "note": "",
+        "points": [[at, intercept + slope * at, 0.0, 0.0, 5] for at in points],
+    } | more
+
+
+PLAN = {
+    "sizes": {
+        name: {"value": value, "what": name}
+        for name, value in (
+            ("hosts", 13_000),
+            ("customers", 400),
+            ("gateways", 10),
+            ("rpcs", 100),
+            ("changes", 8640),
+        )
+    },
+    "budgets": {"fast": {"value": 2.0, "unit": "ms", "what": "to be fast", "by": "operators"}},
+    "estimates": {"window_s": {"value": 8.0, "unit": "s", "basis": "made up"}},
+    "rates": {},
+    "shown": {"hosts": ["decision_p99_ms", "absent_ms"]},
+}
+SCALE = {
+    "slopes": {
+        "this": {
+            "hosts": {"decision_p99_ms": line(0.001, (50, 400, 1600), 0.5)},
+            "customers": {"decision_p99_ms": line(0.01, (100, 200, 300, 400))},
+        }
+    }
+}
+MESSAGES = {
+    "figures": {"list_bytes": {"value": 2000, "unit": "bytes", "what": "a list", "runs": 1}}
+}
 
 
 def book(**more):
@@ -43,9 +68,15 @@
     """The page that stands, and its files."""
 
     def setUp(self):
-        self.files = [carrier.read(carrier.HERE / name, parse) for name, parse in (
-            ("capacity.toml", lambda text: tomllib.loads(text.decode())), ("scale.json", orjson.loads),
-            ("messages.json", orjson.loads), (carrier.RUN, carrier.last))]
+        self.files = [
+            carrier.read(carrier.HERE / name, parse)
+            for name, parse in (
+                ("capacity.toml", lambda text: tomllib.loads(text.decode())),
+                ("scale.json", orjson.loads),
+                ("messages.json", orjson.loads),
+                (carrier.RUN, carrier.last),
+            )
+        ]
         self.page = carrier.PAGE.read_text()
 
     def differs(self, page=None):
@@ -67,8 +98,11 @@
 
     def test_a_changed_message_budget_and_estimate_are_told(self):
         plan, scale, messages, _ = self.files
-        for told, table in ((messages["figures"]["list_bytes"], "list-ways|discovery"),
-                            (plan["budgets"]["added_ms"], "budgets"), (plan["estimates"]["rows"], "control-part")):
+        for told, table in (
+            (messages["figures"]["list_bytes"], "list-ways|discovery"),
+            (plan["budgets"]["added_ms"], "budgets"),
+            (plan["estimates"]["rows"], "control-part"),
+        ):
             kept, told["value"] = told["value"], told["value"] * 2
             self.assertRegex(self.differs(), rf"^table ({table}), line \d+: ")
             told["value"] = kept
@@ -84,8 +118,15 @@
             less = copy.deepcopy(whole[2])
             del less["figures"][figure]
             capacity.tables(whole[0], whole[1], less, whole[3])
-        none = {table.name: table for table in capacity.tables(whole[0], {"slopes": {}}, {"figures": {}})}
-        told = [row for row in none["control-part"].rows if any(word in row[4] for word in ("messages", "scale", "run"))]
+        none = {
+            table.name: table
+            for table in capacity.tables(whole[0], {"slopes": {}}, {"figures": {}})
+        }
+        told = [
+            row
+            for row in none["control-part"].rows
+            if any(word in row[4] for word in ("messages", "scale", "run"))
+        ]
         self.assertGreater(len(told), 10)
         self.assertEqual({row[1] for row in told}, {capacity.ABSENT})
 
@@ -99,12 +140,18 @@
         for table in found:
             start, end = capacity.span(empty, table.name)
             empty = empty[:start] + "\n" + empty[end:]
-        self.assertRegex(self.differs(empty), "^table runs, line 1: expected .*, found nothing|found $")
+        self.assertRegex(
+            self.differs(empty), "^table runs, line 1: expected .*, found nothing|found $"
+        )
         self.assertEqual(capacity.written(empty, found), self.page)
 
     def test_rosters_that_the_tables_ask_for_were_measured(self):
         sizes = {name: told["value"] for name, told in self.files[0]["sizes"].items()}
-        for number in (sizes["gateways"], sizes["gateways"] // sizes["regions"], sizes["gateways"] // sizes["zones"]):
+        for number in (
+            sizes["gateways"],
+            sizes["gateways"] // sizes["regions"],
+            sizes["gateways"] // sizes["zones"],
+        ):
             self.assertIn(f"leader_change_ms_{number}", self.files[2]["figures"])
 
 
@@ -114,10 +161,15 @@
     def test_each_is_told_in_one_line(self):
         table = capacity.Table("one", ("a", "b"), (("1", "2"),))
         first, last = capacity.marks("one")
-        for page, said in (("nothing", f"page: {first}: expected this marker once, found it 0 times"),
-                           (f"{first}", f"page: {last}: expected this marker once, found it 0 times"),
-                           (f"{first}{first}{last}", f"page: {first}: expected this marker once, found it 2 times"),
-                           (f"{last}{first}", f"page: {last}: expected after {first}, found before")):
+        for page, said in (
+            ("nothing", f"page: {first}: expected this marker once, found it 0 times"),
+            (f"{first}", f"page: {last}: expected this marker once, found it 0 times"),
+            (
+                f"{first}{first}{last}",
+                f"page: {first}: expected this marker once, found it 2 times",
+            ),
+            (f"{last}{first}", f"page: {last}: expected after {first}, found before"),
+        ):
             for work in (capacity.differs, capacity.written):
                 with self.assertRaises(capacity.BadCapacity) as raised:
                     work(page, [table])
@@ -129,27 +181,39 @@
         page = capacity.written(f"before {first}old{last} after", [table])
         self.assertEqual(page, f"before {first}\n| a | b |\n| --- | --- |\n| 1 | 2 |\n{last} after")
         self.assertIsNone(capacity.differs(page, [table]))
-        self.assertEqual(capacity.differs(page.replace("| 2", "| 3"), [table]),
-                         "table one, line 3: expected | 1 | 2 |, found | 1 | 3 |")
-        self.assertEqual(capacity.differs(page.replace("| 1 | 2 |\n", ""), [table]),
-                         "table one, line 3: expected | 1 | 2 |, found nothing")
+        self.assertEqual(
+            capacity.differs(page.replace("| 2", "| 3"), [table]),
+            "table one, line 3: expected | 1 | 2 |, found | 1 | 3 |",
+        )
+        self.assertEqual(
+            capacity.differs(page.replace("| 1 | 2 |\n", ""), [table]),
+            "table one, line 3: expected | 1 | 2 |, found nothing",
+        )
 
 
 class Arithmetic(unittest.TestCase):
     """Figures on made-up slopes."""
 
     def test_a_point_goes_before_the_line_and_the_line_before_nothing(self):
-        self.assertEqual(book().at("hosts", "decision_p99_ms", 400),
-                         Figure(0.9, ("scale this/hosts decision_p99_ms",)))
-        self.assertEqual(book().at("hosts", "decision_p99_ms", 13_000),
-                         Figure(13.5, ("scale this/hosts decision_p99_ms, by its slope",)))
-        self.assertEqual(book().at("hosts", "absent_ms", 400), Figure(None, ("scale this/hosts absent_ms",)))
+        self.assertEqual(
+            book().at("hosts", "decision_p99_ms", 400),
+            Figure(0.9, ("scale this/hosts decision_p99_ms",)),
+        )
+        self.assertEqual(
+            book().at("hosts", "decision_p99_ms", 13_000),
+            Figure(13.5, ("scale this/hosts decision_p99_ms, by its slope",)),
+        )
+        self.assertEqual(
+            book().at("hosts", "absent_ms", 400), Figure(None, ("scale this/hosts absent_ms",))
+        )
         self.assertEqual(book().at("unheard", "absent_ms", 400).value, None)
 
     def test_what_is_no_line_says_so(self):
         scale = {"slopes": {"this": {"hosts": {"x": line(1.0, (1, 2), line=False)}}}}
-        self.assertEqual(Book(PLAN, scale, MESSAGES).at("hosts", "x", 9).sources,
-                         ("scale this/hosts x, by its slope (no line)",))
+        self.assertEqual(
+            Book(PLAN, scale, MESSAGES).at("hosts", "x", 9).sources,
+            ("scale this/hosts x, by its slope (no line)",),
+        )
 
     def test_sizes_together_add_what_each_adds_to_its_least_point(self):
         found = book().whole("decision_p99_ms", ("hosts", "customers"))
@@ -158,29 +222,54 @@
 
     def test_what_was_not_measured_stays_so_and_sources_come_along_once(self):
         one, none = Figure(2.0, ("a",)), Figure(None, ("b",))
-        for found in (one + none, none - one, one * none, none / one, none.least(1.0), none.most(1.0)):
+        for found in (
+            one + none,
+            none - one,
+            one * none,
+            none / one,
+            none.least(1.0),
+            none.most(1.0),
+        ):
             self.assertIsNone(found.value)
             self.assertEqual(set(found.sources), {"a", "b"} if len(found.sources) == 2 else {"b"})
         self.assertEqual((one + one * 3.0) / one, Figure(4.0, ("a",)))
         self.assertEqual((one.least(5.0).value, one.most(1.0).value), (5.0, 1.0))
 
     def test_a_verdict_has_its_factor(self):
-        for value, said in ((1.0, "met, 50% of it"), (2.0, "met, 100% of it"), (5.0, "**missed**, 2.5 times"),
-                            (1e-6, "met, under 0.1% of it"), (None, "not measured")):
+        for value, said in (
+            (1.0, "met, 50% of it"),
+            (2.0, "met, 100% of it"),
+            (5.0, "**missed**, 2.5 times"),
+            (1e-6, "met, under 0.1% of it"),
+            (None, "not measured"),
+        ):
             self.assertEqual(Row("r", "w", Figure(value), "ms", "fast").verdict(book()), said)
         self.assertEqual(Row("r", "w", Figure(1.0), "ms").verdict(book()), "")
 
     def test_adds_an_rpc_fall_with_a_customers_demand_at_one_gateway(self):
-        one = capacity.credit(book(), 0.01)    # 100 RPCs of 400 customers: 25 a second at each hundredth of a gateway
+        one = capacity.credit(
+            book(), 0.01
+        )  # 100 RPCs of 400 customers: 25 a second at each hundredth of a gateway
         demand = 25.0 * 8.0 * capacity.WINDOW * capacity.AHEAD * capacity.HEADROOM
         self.assertAlmostEqual(one.value, 1 / demand)
-        self.assertEqual(capacity.credit(book(), 100.0).value, 1.0)    # never more than one
+        self.assertEqual(capacity.credit(book(), 100.0).value, 1.0)  # never more than one
 
     def test_a_figure_of_the_whole_run_is_taken_by_its_path_and_by_process(self):
-        told = Book(PLAN, SCALE, MESSAGES, {"roles": {"real": {"number": 4, "cpu_s": 2.0}}, "list": {"last_s": None}})
-        self.assertEqual(told.each("real", "cpu_s"), Figure(0.5, ("run roles real cpu_s", "run roles real number")))
+        told = Book(
+            PLAN,
+            SCALE,
+            MESSAGES,
+            {"roles": {"real": {"number": 4, "cpu_s": 2.0}}, "list": {"last_s": None}},
+        )
+        self.assertEqual(
+            told.each("real", "cpu_s"),
+            Figure(0.5, ("run roles real cpu_s", "run roles real number")),
+        )
         self.assertEqual(told.played("list", "last_s"), Figure(None, ("run list last_s",)))
-        self.assertEqual((told.played("roles", "none", "x").value, book().played("list", "last_s").value), (None, None))
+        self.assertEqual(
+            (told.played("roles", "none", "x").value, book().played("list", "last_s").value),
+            (None, None),
+        )
 
     def test_changes_are_those_of_a_day(self):
         self.assertAlmostEqual(capacity.changes_each(book()).value, 0.1)
@@ -192,16 +281,39 @@
 
     def test_what_misses_is_told_the_worst_first_and_then_what_was_not_measured(self):
         def role(told):
-            return [Row("r", name, Figure(value), "ms", budget) for name, value, budget in (
-                ("near", 2.5, "fast"), ("open", None, "fast"), ("far", 20.0, "fast"), ("met", 2.0, "fast"),
-                ("free", 9.0, ""))]
+            return [
+                Row("r", name, Figure(value), "ms", budget)
+                for name, value, budget in (
+                    ("near", 2.5, "fast"),
+                    ("open", None, "fast"),
+                    ("far", 20.0, "fast"),
+                    ("met", 2.0, "fast"),
+                    ("free", 9.0, ""),
+                )
+            ]
+
         with mock.patch.object(capacity, "ROLES", (role,)):
-            self.assertEqual([(row[1], row[-2], row[-1]) for row in capacity.missed_table(book()).rows], [
-                ("far", "operators", "10"), ("near", "operators", "1.25"), ("open", "operators", "not measured")])
+            self.assertEqual(
+                [(row[1], row[-2], row[-1]) for row in capacity.missed_table(book()).rows],
+                [
+                    ("far", "operators", "10"),
+                    ("near", "operators", "1.25"),
+                    ("open", "operators", "not measured"),
+                ],
+            )
 
     def test_values_are_told_with_three_digits(self):
-        for value, text in ((0, "0"), (0.0612, "0.0612"), (1.0, "1"), (12.345, "12.3"), (99.96, "100"), (1234.5, "1,230"),
-                            (2_015_916, "2,020,000"), (None, "not measured"), (float("nan"), "not measured")):
+        for value, text in (
+            (0, "0"),
+            (0.0612, "0.0612"),
+            (1.0, "1"),
+            (12.345, "12.3"),
+            (99.96, "100"),
+            (1234.5, "1,230"),
+            (2_015_916, "2,020,000"),
+            (None, "not measured"),
+            (float("nan"), "not measured"),
+        ):
             self.assertEqual(capacity.plain(value), text)
         self.assertEqual(capacity.plain(0.5, "ms"), "0.5 ms")
 
@@ -220,7 +332,9 @@
             (folder / carrier.RUN.name).write_bytes(carrier.RUN.read_bytes())
             change(folder)
             out, error = io.StringIO(), io.StringIO()
-            places = mock.patch.multiple(carrier, HERE=folder, PAGE=page, RUN=folder / carrier.RUN.name)
+            places = mock.patch.multiple(
+                carrier, HERE=folder, PAGE=page, RUN=folder / carrier.RUN.name
+            )
             with places, contextlib.redirect_stdout(out), contextlib.redirect_stderr(error):
                 try:
                     carrier.main(check)
@@ -236,9 +350,16 @@
         def change(folder):
             page = folder / "CAPACITY.md"
             page.write_text(page.read_text().replace("| hosts | 13,000 |", "| hosts | 12,000 |"))
+
         code, said, page = self.run_on(change)
-        self.assertEqual((code, said), (1, "CAPACITY.md: table sizes, line 4: expected | hosts | 13,000 |, "
-                                           "found | hosts | 12,000 |\n"))
+        self.assertEqual(
+            (code, said),
+            (
+                1,
+                "CAPACITY.md: table sizes, line 4: expected | hosts | 13,000 |, "
+                "found | hosts | 12,000 |\n",
+            ),
+        )
         self.assertIn("| hosts | 12,000 |", page)
         code, said, page = self.run_on(change, check=False)
         self.assertEqual((code, said, page), (0, "", carrier.PAGE.read_text()))
@@ -249,19 +370,29 @@
                 told = orjson.loads((folder / "scale.json").read_bytes())
                 del told[part]
                 (folder / "scale.json").write_bytes(orjson.dumps(told))
+
             return change
+
         def with_text(name, text):
             return lambda folder: (folder / name).write_text(text)
+
         for change, said in (
-                (lambda folder: (folder / "scale.json").unlink(), "scale.json: expected a file that can be read"),
-                (with_text("scale.json", "{"), "scale.json: "),
-                (with_text("messages.json", "[]"), "messages.json: expected an object"),
-                (with_text("capacity.toml", "[sizes"), "capacity.toml: "),
-                (with_text("scale-1200.txt", "words\n"), "scale-1200.txt: expected a line of JSON, found none"),
-                (without("slopes"), "scale.json: slopes: expected a table, found None"),
-                (with_text("CAPACITY.md", "none"), "page: <!-- table runs -->: expected")):
+            (
+                lambda folder: (folder / "scale.json").unlink(),
+                "scale.json: expected a file that can be read",
+            ),
+            (with_text("scale.json", "{"), "scale.json: "),
+            (with_text("messages.json", "[]"), "messages.json: expected an object"),
+            (with_text("capacity.toml", "[sizes"), "capacity.toml: "),
+            (
+                with_text("scale-1200.txt", "words\n"),
+                "scale-1200.txt: expected a line of JSON, found none",
+            ),
+            (without("slopes"), "scale.json: slopes: expected a table, found None"),
+            (with_text("CAPACITY.md", "none"), "page: <!-- table runs -->: expected"),
+        ):
             code, told, _ = self.run_on(change)
-            self.assertEqual((code, told.count("\n"), told[:len(said)]), (2, 1, said))
+            self.assertEqual((code, told.count("\n"), told[: len(said)]), (2, 1, said))
 
 
 CASES = [Page, Marks, Arithmetic, Command]
