--- a/tests/lab/cases.py
+++ b/tests/lab/cases.py
@@ -24,22 +24,37 @@
 from petrellane.net.stream import Stream
 
 BEFORE, AFTER = ("before",), ("after",)
-LOAD = [Method("look", 0.3), Method("lodge", 0.1, "deduplicated"), Method("post", 0.1, "non-idempotent"),
-        Method("before", 0.25), Method("after", 0.25)]
+LOAD = [
+    Method("look", 0.3),
+    Method("lodge", 0.1, "deduplicated"),
+    Method("post", 0.1, "non-idempotent"),
+    Method("before", 0.25),
+    Method("after", 0.25),
+]
 
 
 @contextlib.contextmanager
 def fleet(gateways=3, rate=150.0, plants=None, control_plant=None, **more):
     """A fleet under load that has generation 1 in force; `plants` maps a gateway's number to a plant."""
-    shape = Shape(gateways=gateways, agreement=True, rate=rate, methods=LOAD, proves={"before": 1, "after": 2},
-                  settings=settings(gateways), work=0.004, **more)
+    shape = Shape(
+        gateways=gateways,
+        agreement=True,
+        rate=rate,
+        methods=LOAD,
+        proves={"before": 1, "after": 2},
+        settings=settings(gateways),
+        work=0.004,
+        **more,
+    )
     with Lab(shape) as lab:
         for number, plant in (plants or {}).items():
             plant_in(lab.gateways[number], plant)
         lab.start(controls=())
         lab.controls["control"] = control = control_of(lab, "control", control_plant)
         control.start()
-        lab.until(lambda: control.ask("status").get("state") == "leading", "a control process that leads")
+        lab.until(
+            lambda: control.ask("status").get("state") == "leading", "a control process that leads"
+        )
         told = lab.change(first(lab))
         assert told["outcome"] == "committed", told
         lab.clients.start()
@@ -57,6 +72,7 @@
 
 def control_of(lab, name, plant=None, step="", **more):
     from petrellane.lab.fleet import Control
+
     control = Control(lab, name, **more)
     if plant:
         plant_in(control, plant, step)
@@ -64,7 +80,10 @@
 
 
 def plant_in(party, plant, step=""):
-    party.build, party.environ = {"module": "tests.lab.planted"}, {"LAB_PLANT": plant, "LAB_STEP": step}
+    party.build, party.environ = (
+        {"module": "tests.lab.planted"},
+        {"LAB_PLANT": plant, "LAB_STEP": step},
+    )
 
 
 class Judged(unittest.TestCase):
@@ -73,7 +92,9 @@
     def judge(self, lab, broken=(), crashes=0):
         lab.quiet()
         verdict = lab.verdict()
-        self.assertEqual(sorted(verdict.counts), sorted(broken), f"{verdict.broken[:3]}\n{lab.timeline()}")
+        self.assertEqual(
+            sorted(verdict.counts), sorted(broken), f"{verdict.broken[:3]}\n{lab.timeline()}"
+        )
         self.assertEqual(len(lab.crashes), crashes, lab.crashes)
         self.assertFalse(lab.faults, lab.faults[:2])
         return verdict
@@ -86,34 +107,52 @@
         lab.play(0.3)
         before = dict(lab.records.counts)
         lab.play(seconds)
-        return {name for name in ("before", "after")
-                if lab.records.counts.get((name, "ok"), 0) > before.get((name, "ok"), 0)}
+        return {
+            name
+            for name in ("before", "after")
+            if lab.records.counts.get((name, "ok"), 0) > before.get((name, "ok"), 0)
+        }
 
 
 class Changes(Judged):
-
     def test_a_change_without_a_fault_pushes_nothing_back(self):
         with fleet() as lab:
             self.assertEqual(self.admits(lab), {"before"})
             self.assertEqual(lab.change(second(lab))["reached"], 3)
             self.assertEqual(self.admits(lab), {"after"})
             self.judge(lab)
-            self.assertFalse([kind for kind in lab.records.counts if kind[1] == referee.PUSHED_BACK])
+            self.assertFalse(
+                [kind for kind in lab.records.counts if kind[1] == referee.PUSHED_BACK]
+            )
 
     def test_open_rpcs_keep_the_method_that_is_dropped(self):
         with fleet(rate=120.0) as lab:
             for host in lab.hosts:
                 host.slow = 40.0
-            lab.until(lambda: sum(one.taken.method == "before" for one in lab.records.referee.open.values()) > 5, "RPCs out")
+            lab.until(
+                lambda: (
+                    sum(one.taken.method == "before" for one in lab.records.referee.open.values())
+                    > 5
+                ),
+                "RPCs out",
+            )
             lab.clients.stop()
-            lab.play(0.03)    # the last of them are taken by now
+            lab.play(0.03)  # the last of them are taken by now
             before = dict(lab.records.counts)
             self.assertEqual(lab.change(second(lab))["reached"], 3)
             self.judge(lab)
-            after = {kind: number - before.get(kind, 0) for kind, number in lab.records.counts.items()}
-            answers = {answer for (method, answer), number in after.items() if number and method == "before"}
+            after = {
+                kind: number - before.get(kind, 0) for kind, number in lab.records.counts.items()
+            }
+            answers = {
+                answer
+                for (method, answer), number in after.items()
+                if number and method == "before"
+            }
             self.assertIn("ok", answers)
-            self.assertLessEqual(answers, {"ok", "pushed back"})    # one of much work may be given up, as ever
+            self.assertLessEqual(
+                answers, {"ok", "pushed back"}
+            )  # one of much work may be given up, as ever
 
     def doubt(self, plant=None):
         """Three of seven are cut off between the decision and its word, and healed later."""
@@ -124,7 +163,9 @@
             number = control.ask("propose", settings=second(lab))["number"]
             lab.until(lambda: control.events[-1].get("number") == number, "a decision")
             lab.cut(names)
-            self.settled = lab.until(lambda: lab.agreed(["g0", "g1", "g2", "g3"]) == number, "a majority in force")
+            self.settled = lab.until(
+                lambda: lab.agreed(["g0", "g1", "g2", "g3"]) == number, "a majority in force"
+            )
             allowed = self.admits(lab, 1.0)
             in_doubt = [one.last("generation")["possible"] for one in lab.gateways[4:]]
             lab.heal()
@@ -146,11 +187,13 @@
             late = lab.gateways[3]
             late.kill()
             told = lab.change(second(lab))
-            self.assertEqual((told["outcome"], told["absent"], told["owed"]), ("committed", ["g3"], []))
+            self.assertEqual(
+                (told["outcome"], told["absent"], told["owed"]), ("committed", ["g3"], [])
+            )
             lab.play(0.7)
             for relay in lab.between("agent", to=["g3"], of=["control"]):
                 relay.fault("cut")
-            if old:    # a new machine: not even its memory is left
+            if old:  # a new machine: not even its memory is left
                 for name in os.listdir(os.path.join(late.folder, "state")):
                     os.unlink(os.path.join(late.folder, "state", name))
             late.start()
@@ -183,7 +226,7 @@
         """One is stopped from before the prepare to after the decision, and goes on with RPCs in its socket buffers; staff
         vouched that it had ended."""
         with fleet(4, plants={3: plant} if plant else None, rate=300.0) as lab:
-            lab.cut(["g3"])    # or it would be told within a second
+            lab.cut(["g3"])  # or it would be told within a second
             lab.gateways[3].stop()
             lab.play(0.3)
             told = lab.change(second(lab), without=["g3"])
@@ -191,7 +234,11 @@
             lab.play(0.8)
             lab.gateways[3].go_on()
             lab.play(1.0)
-            pushed = sum(number for (_, answer), number in lab.records.counts.items() if answer == referee.PUSHED_BACK)
+            pushed = sum(
+                number
+                for (_, answer), number in lab.records.counts.items()
+                if answer == referee.PUSHED_BACK
+            )
             lab.heal()
             self.settles(lab, 2)
             lab.quiet()
@@ -200,7 +247,7 @@
     def test_who_was_stopped_meanwhile_admits_nothing_before_it_knows(self):
         counts, pushed = self.stopped()
         self.assertEqual(counts, {})
-        self.assertGreater(pushed, 0)    # what waited there is answered at once
+        self.assertGreater(pushed, 0)  # what waited there is answered at once
 
     def test_without_the_fence_that_breaks(self):
         self.assertIn("agreed", self.stopped("never_stood_still")[0])
@@ -215,6 +262,7 @@
             def over():
                 told = control.ask("change", number=number)
                 return told if told["outcome"] != "preparing" else None
+
             told = lab.until(over, "an end")
             lab.play(1.2)
             allowed = self.admits(lab, 0.8)
@@ -241,7 +289,7 @@
                 relay.fault("mute")
             told = lab.change(second(lab))
             self.assertEqual(told["outcome"], "aborted")
-            self.assertEqual(self.admits(lab, 0.4), set())    # all in doubt: what both allow
+            self.assertEqual(self.admits(lab, 0.4), set())  # all in doubt: what both allow
             lab.heal()
             self.settles(lab, 1)
             self.assertEqual(self.admits(lab), {"before"})
@@ -250,8 +298,10 @@
     def test_a_refusal_by_an_older_build(self):
         with fleet(plants={1: "refuses"}) as lab:
             told = lab.change(settings(3, more=("before", "x", "y")))
-            self.assertEqual((told["outcome"], told["why"]),
-                             ("aborted", "refused by g1: settings.classes: expected three at most"))
+            self.assertEqual(
+                (told["outcome"], told["why"]),
+                ("aborted", "refused by g1: settings.classes: expected three at most"),
+            )
             self.settles(lab, 1)
             self.judge(lab)
 
@@ -286,7 +336,7 @@
             one.go_on()
             self.assertEqual(self.admits(lab, 1.0), {"after"})
             numbers = [event["number"] for event in one.events if event["event"] == "generation"]
-            self.assertEqual(numbers[numbers.index(2):], [2])    # never back to the first
+            self.assertEqual(numbers[numbers.index(2) :], [2])  # never back to the first
             self.judge(lab)
 
     def by_hand(self, plant=None):
@@ -335,25 +385,34 @@
             control.roster = ways | {"ghost": "%s:%d" % (lab.ip, lab.port())}
             control.start()
             lab.until(lambda: control.ask("status").get("state") == "leading", "it leads again")
-            told = lab.change(second(lab))    # g3 is a member of what is in force: it is asked all the same
+            told = lab.change(
+                second(lab)
+            )  # g3 is a member of what is in force: it is asked all the same
             self.assertEqual(told["outcome"], "aborted")
             self.assertIn("g3 (no address in the roster)", told["why"])
-            lab.gateways[3].kill()    # it is taken off for good, by staff's word
+            lab.gateways[3].kill()  # it is taken off for good, by staff's word
             lab.records.proves["after"] = 3
             told = lab.change(second(lab), without=["g3"])
             self.assertEqual((told["outcome"], told["absent"]), ("committed", ["ghost"]))
             lab.gateways[3].start()
-            lab.until(lambda: lab.gateways[3].last("not_on_roster"), "g3 is told that it is no member")
+            lab.until(
+                lambda: lab.gateways[3].last("not_on_roster"), "g3 is told that it is no member"
+            )
             self.assertFalse(lab.gateways[3].ready)
             self.judge(lab)
 
 
 class Ceilings(Judged):
-
     def test_a_ceiling_is_lowered_everywhere_with_the_counter_down(self):
         old, new = (settings(3, quota=400.0, ceiling=ceiling) for ceiling in (60.0, 20.0))
-        shape = Shape(gateways=3, agreement=True, rate=150.0, settings=old, work=0.002,
-                      customers=[Customer(7, "sold", spread=3)])
+        shape = Shape(
+            gateways=3,
+            agreement=True,
+            rate=150.0,
+            settings=old,
+            work=0.002,
+            customers=[Customer(7, "sold", spread=3)],
+        )
         with Lab(shape) as lab:
             lab.start()
             lab.clients.start()
@@ -362,7 +421,9 @@
             lab.play(0.5)
             self.assertEqual(lab.change(new)["outcome"], "committed")
             lab.play(1.0)
-            lab.records.referee.terms.ceilings["sold"] = referee.Ceiling(20.0, 20.0, 2.0 + 0.15 * 20)
+            lab.records.referee.terms.ceilings["sold"] = referee.Ceiling(
+                20.0, 20.0, 2.0 + 0.15 * 20
+            )
             level, at = lab.records.referee.stores["%016x" % 7]
             lab.records.referee.stores["%016x" % 7] = min(level, 20.0), at
             began, ok = lab.records.now(), self.ok(lab)
@@ -383,13 +444,15 @@
         with fleet() as lab:
             old = lab.controls["control"]
             old.kill()
-            dying = lab.controls["control"] = control_of(lab, "control", "steps", step, journal=old.journal)
+            dying = lab.controls["control"] = control_of(
+                lab, "control", "steps", step, journal=old.journal
+            )
             dying.start()
             if not step.startswith("epoch"):
                 lab.until(lambda: dying.ask("status").get("state") == "leading", "it leads")
                 dying.ask("propose", settings=second(lab))
             lab.until(lambda: not dying.process.up, "it ends at its step")
-            lab.crashes.clear()    # that one was meant
+            lab.crashes.clear()  # that one was meant
             lab.play(0.7)
             serving = self.admits(lab, 0.6)
             journal = {"journal": os.path.join(lab.folder, "empty.db") if empty else old.journal}
@@ -409,33 +472,48 @@
 
     def test_before_and_after_each_step(self):
         for step, meanwhile, then in (
-                ("epoch before", {"before"}, {"before"}), ("epoch after", {"before"}, {"before"}),
-                ("proposed before", {"before"}, {"before"}), ("proposed after", {"before"}, {"before"}),
-                ("decided before", set(), {"before"}), ("decided after", set(), {"after"})):
+            ("epoch before", {"before"}, {"before"}),
+            ("epoch after", {"before"}, {"before"}),
+            ("proposed before", {"before"}, {"before"}),
+            ("proposed after", {"before"}, {"before"}),
+            ("decided before", set(), {"before"}),
+            ("decided after", set(), {"after"}),
+        ):
             with self.subTest(step):
                 self.assertEqual(self.control_killed(step), (meanwhile, then))
 
     def test_with_an_empty_journal(self):
-        for step in ("decided before", "decided after"):    # nobody can tell: the settings in force come again
+        for step in (
+            "decided before",
+            "decided after",
+        ):  # nobody can tell: the settings in force come again
             with self.subTest(step):
                 self.assertEqual(self.control_killed(step, empty=True), (set(), {"before"}))
 
     def test_a_gateway_killed_at_each_write(self):
-        for step in ("2 before", "2 after", "3 before", "3 after"):    # 1: at its start, 2: the prepare, 3: the commit
+        for step in (
+            "2 before",
+            "2 after",
+            "3 before",
+            "3 after",
+        ):  # 1: at its start, 2: the prepare, 3: the commit
             with self.subTest(step), fleet() as lab:
                 one = lab.gateways[2]
                 one.kill()
                 plant_in(one, "saved", step)
                 one.start()
                 lab.until(lambda one=one: one.ready, "g2 serves")
-                lab.play(1.2)    # its memory was written at the start, and the epoch is an old one
+                lab.play(1.2)  # its memory was written at the start, and the epoch is an old one
                 number = lab.controls["control"].ask("propose", settings=second(lab))["number"]
                 lab.until(lambda one=one: not one.process.up, "it ends at its write")
                 lab.crashes.clear()
                 one.build, one.environ = {}, {}
                 one.start()
                 control = lab.controls["control"]
-                told = lab.until(lambda number=number, control=control: lab.ended(control, number), "an end of the change")
+                told = lab.until(
+                    lambda number=number, control=control: lab.ended(control, number),
+                    "an end of the change",
+                )
                 self.assertIn(told["outcome"], ("committed", "aborted"))
                 self.settles(lab, 2 if told["outcome"] == "committed" else 1)
                 self.judge(lab)
@@ -447,7 +525,7 @@
             lab.until(lambda: control.events[-1].get("number") == number, "a decision")
             control.kill()
             one.kill()
-            one.start()    # it asks the other two, of which each may be in doubt or not
+            one.start()  # it asks the other two, of which each may be in doubt or not
             lab.until(lambda: one.ready, "g2 serves without a control process")
             lab.play(0.5)
             control.start()
@@ -460,10 +538,15 @@
             other = lab.controls["other"] = control_of(lab, "other")
             other.start()
             lab.until(lambda: other.ask("status").get("state") == "leading", "the other leads")
-            lab.until(lambda: lab.controls["control"].ask("status").get("state") == "deposed", "the first is deposed")
+            lab.until(
+                lambda: lab.controls["control"].ask("status").get("state") == "deposed",
+                "the first is deposed",
+            )
             self.assertIn("refused", lab.controls["control"].ask("propose", settings=first(lab)))
             number = other.ask("propose", settings=second(lab))["number"]
-            self.assertEqual(lab.until(lambda: lab.ended(other, number), "an end")["outcome"], "committed")
+            self.assertEqual(
+                lab.until(lambda: lab.ended(other, number), "an end")["outcome"], "committed"
+            )
             self.judge(lab)
 
 
@@ -472,8 +555,13 @@
 
     def called(self, lab, *words, **environ):
         ended = []
-        process = subprocess.Popen([sys.executable, "-m", "petrellane", "settings", *words], stdout=subprocess.PIPE,
-                                   stderr=subprocess.STDOUT, env={**os.environ, **environ}, text=True)
+        process = subprocess.Popen(
+            [sys.executable, "-m", "petrellane", "settings", *words],
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+            env={**os.environ, **environ},
+            text=True,
+        )
         lab.until(lambda: process.poll() is not None, f"settings {words[0]} ends", 20)
         ended.append(process.stdout.read())
         process.stdout.close()
@@ -487,6 +575,7 @@
             def write(told):
                 with open(file, "w") as out:
                     json.dump(told, out)
+
             write({"settings": second(lab)})
             code, said = self.called(lab, "propose", file, *control)
             self.assertEqual((code, said), (0, "generation 2: in force at 3 of 3"))
@@ -494,14 +583,23 @@
             wrong["classes"][0]["giveUp"] = 0
             write(wrong)
             code, said = self.called(lab, "propose", file, *control)
-            self.assertEqual((code, said), (2, "refused: settings.classes[0].giveUp: expected a number above 0, found 0"))
+            self.assertEqual(
+                (code, said),
+                (2, "refused: settings.classes[0].giveUp: expected a number above 0, found 0"),
+            )
             write({"classes": second(lab)["classes"]})
-            self.assertEqual(self.called(lab, "propose", file, *control),
-                             (2, "refused: settings.contracts: missing, expected a list of objects"))
-            self.assertEqual(self.called(lab, "diff", "1", "2", *control)[1].splitlines()[0],
-                             "method after: new, effect idempotent, deadline 2 s, soft deadline 1 s, utility 1")
+            self.assertEqual(
+                self.called(lab, "propose", file, *control),
+                (2, "refused: settings.contracts: missing, expected a list of objects"),
+            )
+            self.assertEqual(
+                self.called(lab, "diff", "1", "2", *control)[1].splitlines()[0],
+                "method after: new, effect idempotent, deadline 2 s, soft deadline 1 s, utility 1",
+            )
             code, said = self.called(lab, "back", "1", *control, "--json")
-            self.assertEqual((code, json.loads(said)["number"], json.loads(said)["outcome"]), (0, 3, "committed"))
+            self.assertEqual(
+                (code, json.loads(said)["number"], json.loads(said)["outcome"]), (0, 3, "committed")
+            )
             self.assertEqual(len(self.called(lab, "history", *control)[1].splitlines()), 3)
             self.assertIn("generation 3", self.called(lab, "status", *control)[1])
             self.assertEqual(self.called(lab, "show", "9", *control)[0], 2)
@@ -513,28 +611,45 @@
             lab.controls["control"].kill()
             self.assertEqual(self.called(lab, "propose", file, *control)[0], 5)
             with open(os.path.join(lab.folder, "bad.toml"), "w") as out:
-                out.write('name = "c"\nlisten = "127.0.0.1:1"\njournal = "j"\nkey_file = "key"\n[gateways]\n'
-                          'g0 = "127.0.0.1:1"\ng1 = "127.0.0.1:1"\n')
+                out.write(
+                    'name = "c"\nlisten = "127.0.0.1:1"\njournal = "j"\nkey_file = "key"\n[gateways]\n'
+                    'g0 = "127.0.0.1:1"\ng1 = "127.0.0.1:1"\n'
+                )
             code, said = self.called(lab, "status", "--control", out.name)
-            self.assertEqual((code, said),
-                             (2, "petrellane: gateways.g1: expected an address of its own, found that of g0"))
+            self.assertEqual(
+                (code, said),
+                (2, "petrellane: gateways.g1: expected an address of its own, found that of g0"),
+            )
 
     def test_who_has_no_key_changes_nothing(self):
         with fleet(1) as lab:
             one = lab.gateways[0]
-            for body, mark, status in ((b'{"do":"promise","epoch_of":[9,"x"],"to":"g0"}', "0" * 64, 401), (b"{", "", 401)):
-                head = (f"POST /-/agreement HTTP/1.1\r\nContent-Length: {len(body)}\r\nPetrellane-Seal: {mark}\r\n\r\n")
+            for body, mark, status in (
+                (b'{"do":"promise","epoch_of":[9,"x"],"to":"g0"}', "0" * 64, 401),
+                (b"{", "", 401),
+            ):
+                head = f"POST /-/agreement HTTP/1.1\r\nContent-Length: {len(body)}\r\nPetrellane-Seal: {mark}\r\n\r\n"
                 self.assertEqual(status_of(one, lab, head.encode() + body), status)
             self.assertEqual(status_of(one, lab, b"POST /-/agreement HTTP/1.1\r\n\r\n"), 411)
-            self.assertEqual(status_of(one, lab, b"POST /-/agreement HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n"), 413)
+            self.assertEqual(
+                status_of(
+                    one, lab, b"POST /-/agreement HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n"
+                ),
+                413,
+            )
             self.assertEqual(status_of(one, lab, b"GET /-/agreement HTTP/1.1\r\n\r\n"), 405)
             control = lab.controls["control"]
             self.assertEqual(control.ask("status")["gateways"]["g0"]["state"], "in force")
-            for age, statuses in ((0.0, (200, 401)), (100.0, (401, 401))):    # staff's call counts once, and while it is new
+            for age, statuses in (
+                (0.0, (200, 401)),
+                (100.0, (401, 401)),
+            ):  # staff's call counts once, and while it is new
                 with unittest.mock.patch("time.time", lambda true=time.time, age=age: true() - age):
                     body, own = seal.question(lab.key, {"do": "history", "to": "control"})
-                head = (f"POST /-/settings HTTP/1.1\r\nContent-Length: {len(body)}\r\n"
-                        f"Petrellane-Seal: {own.decode()}\r\n\r\n")
+                head = (
+                    f"POST /-/settings HTTP/1.1\r\nContent-Length: {len(body)}\r\n"
+                    f"Petrellane-Seal: {own.decode()}\r\n\r\n"
+                )
                 for status in statuses:
                     self.assertEqual(status_of(control, lab, head.encode() + body), status)
 
@@ -551,6 +666,7 @@
             with contextlib.suppress(BlockingIOError):
                 found.append(sock.recv(4096))
             return found
+
         lab.until(answered, "an answer of staff's listener")
     return int(found[0].split(b" ")[1])
 
@@ -560,7 +676,6 @@
 
 
 class Echo(StandIn):
-
     def serve(self, stream):
         while True:
             stream.fill()
@@ -584,6 +699,7 @@
 
         def run():
             told.append(call())
+
         self.scheduler.spawn(run)
         until = time.monotonic() + patience
         while not told and time.monotonic() < until:
@@ -592,6 +708,7 @@
 
     def dial(self):
         from petrellane.lab.standins import LIMITS
+
         return Stream.dial(self.scheduler, LIMITS, self.relay.address, 0.3)
 
     def ask(self, stream, text=b"hello", patience=0.3):
@@ -612,7 +729,7 @@
             self.relay.fault("cut")
             said.append(self.ask(stream))
             self.relay.heal()
-            said.append(self.ask(stream, b""))    # it was held, not lost
+            said.append(self.ask(stream, b""))  # it was held, not lost
             self.relay.fault("late", 0.1)
             began = self.scheduler.monotonic()
             said.append((self.ask(stream, patience=1.0), self.scheduler.monotonic() - began > 0.2))
@@ -639,10 +756,26 @@
             said.append(self.ask(self.dial()))
             self.relay.heal()
             return said + [self.ask(self.dial())]
-        self.assertEqual(self.run_for(play), [
-            b"hello", ("TimeoutError", b""), b"hello", (b"hello", True), ("TimeoutError", b"hel"), "Closed",
-            ("TimeoutError", b""), "Closed", ("TimeoutError", b""), "Closed", "ConnectionRefusedError", "TimeoutError",
-            ("TimeoutError", b""), b"hello"])
+
+        self.assertEqual(
+            self.run_for(play),
+            [
+                b"hello",
+                ("TimeoutError", b""),
+                b"hello",
+                (b"hello", True),
+                ("TimeoutError", b"hel"),
+                "Closed",
+                ("TimeoutError", b""),
+                "Closed",
+                ("TimeoutError", b""),
+                "Closed",
+                "ConnectionRefusedError",
+                "TimeoutError",
+                ("TimeoutError", b""),
+                b"hello",
+            ],
+        )
 
 
 class Order(unittest.TestCase):
@@ -650,7 +783,10 @@
 
     def told(self, turns):
         clock = [0.0]
-        methods, groups = {"post": referee.MethodRule("deduplicated", "all", 9.0)}, {"a": (1, "z"), "b": (1, "z")}
+        methods, groups = (
+            {"post": referee.MethodRule("deduplicated", "all", 9.0)},
+            {"a": (1, "z"), "b": (1, "z")},
+        )
         records = Records(referee.Terms(methods, {}, groups), lambda: clock[0])
         records.taken("r", "g0", "c", "free", "post", 1.0, 2.0)
         first = records.sent("r", "a", 0.1)
@@ -659,7 +795,7 @@
         records.sent("r", "b", 0.1)
         for _ in range(turns):
             records.turns += 1
-        clock[0] += 0.2    # the turn takes its time
+        clock[0] += 0.2  # the turn takes its time
         records.forget("other")
         records.ended(first, "late")
         return records.close().counts
@@ -671,7 +807,9 @@
     def answered_first(self, stood_still):
         """An answer that is read before the host's side of the call-out that led to it."""
         clock = [0.0]
-        records = Records(referee.Terms({"look": referee.MethodRule("idempotent")}, {}, {}), lambda: clock[0])
+        records = Records(
+            referee.Terms({"look": referee.MethodRule("idempotent")}, {}, {}), lambda: clock[0]
+        )
         records.turns = 10
         records.taken("r", "g0", "c", "free", "look", 1.0, 2.0)
         if stood_still:
@@ -692,8 +830,11 @@
     def left(self, at, sent, came=None):
         """A client with 2 s of patience leaves, and a call-out comes to a host after that."""
         clock, calls = [0.0], []
-        records = Records(referee.Terms({"look": referee.MethodRule("idempotent")}, {}, {}, answer_slack=0.0),
-                          lambda: clock[0], lambda seconds, call: calls.append((clock[0] + seconds, call)))
+        records = Records(
+            referee.Terms({"look": referee.MethodRule("idempotent")}, {}, {}, answer_slack=0.0),
+            lambda: clock[0],
+            lambda seconds, call: calls.append((clock[0] + seconds, call)),
+        )
         records.taken("r", "g0", "c", "free", "look", 1.0, 2.0)
         clock[0] = at
         records.left("r")
@@ -741,11 +882,14 @@
         def do(lab):
             for host in lab.hosts[:2]:
                 lab.discovery.put(host.name, host.text, "terminating")
-            lab.play(1.7)    # the grace of the lab, and what is out
+            lab.play(1.7)  # the grace of the lab, and what is out
             self.before = [host.ran for host in lab.hosts]
+
         self.do = do
         lab, verdict = self.played(plant, seconds=0.8)
-        return [host.ran - before for host, before in zip(lab.hosts, self.before, strict=True)], verdict
+        return [
+            host.ran - before for host, before in zip(lab.hosts, self.before, strict=True)
+        ], verdict
 
     def test_a_host_that_drains_gets_nothing_more(self):
         ran, verdict = self.drains()
@@ -762,15 +906,22 @@
                 relay.fault("cut")
             lab.discovery.put("h0", lab.hosts[0].text, "terminating")
             lab.play(2.5)
-            self.late = {one.gateway for one in lab.records.kept if isinstance(one, referee.Sent)
-                         and one.host == "h0" and one.at > lab.records.now() - 0.8}
+            self.late = {
+                one.gateway
+                for one in lab.records.kept
+                if isinstance(one, referee.Sent)
+                and one.host == "h0"
+                and one.at > lab.records.now() - 0.8
+            }
             lab.heal()
+
         self.do = do
         _, verdict = self.played(seconds=2.0)
         self.assertEqual((self.late, verdict.counts), ({"g0"}, {}), verdict.broken[:2])
 
     def cold(self, plant=None):
         """One of four hosts starts again, cold, at three quarters of what all can do."""
+
         def do(lab):
             host = lab.hosts[0]
             host.down()
@@ -779,9 +930,17 @@
             host.start()
             lab.discovery.put(host.name, host.text, since=host.started)
             self.before = host.ran
+
         self.do = do
-        lab, verdict = self.played(plant, hosts=4, slots=1, work=0.01, rate=220.0, seconds=4.0,
-                                   settings=settings(3, cold=8.0, cold_from=0.05))
+        lab, verdict = self.played(
+            plant,
+            hosts=4,
+            slots=1,
+            work=0.01,
+            rate=220.0,
+            seconds=4.0,
+            settings=settings(3, cold=8.0, cold_from=0.05),
+        )
         return lab.hosts[0].ran - self.before, verdict
 
     def test_a_host_that_starts_cold_is_not_pushed_over(self):
@@ -792,11 +951,21 @@
     def test_who_pushes_a_cold_host_over_is_told(self):
         self.assertEqual(list(self.cold("emptiest_first")[1].counts), ["cold"])
 
-    FAULTS = (("cut", 1.0), ("mute", 1.0), ("deaf", 1.0), ("late", 0.3), ("lossy", 0.5), ("half", 9), ("hang", 1.0),
-              ("refuse", 1.0), ("reset", 1.0))
+    FAULTS = (
+        ("cut", 1.0),
+        ("mute", 1.0),
+        ("deaf", 1.0),
+        ("late", 0.3),
+        ("lossy", 0.5),
+        ("half", 9),
+        ("hang", 1.0),
+        ("refuse", 1.0),
+        ("reset", 1.0),
+    )
 
     def faults(self, faults, plant=None, seconds=0.7, **shape):
         """Each fault in turn between all gateways and a third of the hosts."""
+
         def do(lab):
             for name, size in faults:
                 lab.records.tell(f"{name} at h0 and h1")
@@ -805,6 +974,7 @@
                 lab.play(seconds)
                 lab.heal()
                 lab.play(0.2)
+
         self.do = do
         return self.played(plant, seconds=0.5, **shape)
 
@@ -818,7 +988,10 @@
 
     def test_who_sends_again_what_may_have_run_is_told(self):
         posts = [Method("post", 1.0, "non-idempotent")]
-        self.assertEqual(list(self.faults([("mute", 1.0)], "runs_twice", 1.5, methods=posts)[1].counts), ["twice"])
+        self.assertEqual(
+            list(self.faults([("mute", 1.0)], "runs_twice", 1.5, methods=posts)[1].counts),
+            ["twice"],
+        )
 
 
 class Starts(Judged):
@@ -826,8 +999,15 @@
 
     def alone(self, trouble, patience, plant=None):
         """Two start while discovery is of no use and the counter is silent: what has come within so many seconds."""
-        shape = Shape(gateways=2, hosts=2, relays=(), rate=50.0, settings=settings(2, quota=200.0),
-                      methods=[Method("look")], customers=[Customer(1, "sold", spread=2)])
+        shape = Shape(
+            gateways=2,
+            hosts=2,
+            relays=(),
+            rate=50.0,
+            settings=settings(2, quota=200.0),
+            methods=[Method("look")],
+            customers=[Customer(1, "sold", spread=2)],
+        )
         with Lab(shape) as lab:
             lab.counter.quiet, lab.discovery.away = True, trouble == "silent"
             for one in lab.gateways:
@@ -844,9 +1024,14 @@
             lab.clients.start()
             while time.monotonic() < until and not lab.records.counts.get(("look", referee.OK)):
                 lab.turn()
-            self.assertEqual([status_of(one, lab, b"GET /-/ready HTTP/1.1\r\n\r\n") for one in lab.gateways], [200, 200])
+            self.assertEqual(
+                [status_of(one, lab, b"GET /-/ready HTTP/1.1\r\n\r\n") for one in lab.gateways],
+                [200, 200],
+            )
             self.judge(lab)
-            self.assertLessEqual({answer for _, answer in lab.records.counts}, {referee.OK, referee.PUSHED_BACK})
+            self.assertLessEqual(
+                {answer for _, answer in lab.records.counts}, {referee.OK, referee.PUSHED_BACK}
+            )
             return "serves" if lab.records.counts.get(("look", referee.OK)) else "serves nobody"
 
     def test_a_start_waits_for_nobody(self):
@@ -859,28 +1044,43 @@
 
     def test_a_start_imports_what_serves_alone(self):
         """The command line's library took a third of a start's CPU time: a fleet that starts at once shares few cores."""
-        ended = subprocess.run([sys.executable, "-X", "importtime", "-m", "petrellane", "serve"], capture_output=True,
-                               text=True, timeout=30, env={**os.environ, "PROXY_CONFIG": ""})
+        ended = subprocess.run(
+            [sys.executable, "-X", "importtime", "-m", "petrellane", "serve"],
+            capture_output=True,
+            text=True,
+            timeout=30,
+            env={**os.environ, "PROXY_CONFIG": ""},
+        )
         *rows, last = ended.stderr.splitlines()
-        self.assertEqual((ended.returncode, last),
-                         (2, "petrellane: PROXY_CONFIG: missing, expected the path of a JSON file"))
+        self.assertEqual(
+            (ended.returncode, last),
+            (2, "petrellane: PROXY_CONFIG: missing, expected the path of a JSON file"),
+        )
         names = {row.rpartition("|")[2].strip() for row in rows}
         self.assertIn("petrellane.gateway.node", names)
         ours = {name.split(".")[1] for name in names if name.startswith("petrellane.")}
-        self.assertLessEqual(ours, {"choice", "config", "gateway", "hosts", "interface", "net", "operation"})
-        self.assertFalse({name.partition(".")[0] for name in names} & {"typer", "click", "rich", "msgspec", "tomllib"})
+        self.assertLessEqual(
+            ours, {"choice", "config", "gateway", "hosts", "interface", "net", "operation"}
+        )
+        self.assertFalse(
+            {name.partition(".")[0] for name in names}
+            & {"typer", "click", "rich", "msgspec", "tomllib"}
+        )
 
 
 class Runs(unittest.TestCase):
     """Run files, and that nothing is left of a run."""
 
     def test_what_is_out_of_form_is_named(self):
-        for text, words in (("[lab]\ngateways = 0", "lab.gateways: expected 1 to 300, found 0"),
-                            ("[lab]\nspeed = 1", "unknown field `speed`"),
-                            ("[[step]]\nat = 1.0\ndo = \"x\"", "step[0].do: expected one of"),
-                            ("[[step]]\nat = 99.0\ndo = \"cut\"", "step[0].at: expected 0 to 10"),
-                            ("[[step]]\nat = 1.0\ndo = \"kill\"\nwho = [\"g7\"]", "step[0].who: expected g0 to g2"),
-                            ("[lab", "Expected ']'"), ("[expect]\nbroken = [\"x\"]", "expect.broken: expected rules")):
+        for text, words in (
+            ("[lab]\ngateways = 0", "lab.gateways: expected 1 to 300, found 0"),
+            ("[lab]\nspeed = 1", "unknown field `speed`"),
+            ('[[step]]\nat = 1.0\ndo = "x"', "step[0].do: expected one of"),
+            ('[[step]]\nat = 99.0\ndo = "cut"', "step[0].at: expected 0 to 10"),
+            ('[[step]]\nat = 1.0\ndo = "kill"\nwho = ["g7"]', "step[0].who: expected g0 to g2"),
+            ("[lab", "Expected ']'"),
+            ('[expect]\nbroken = ["x"]', "expect.broken: expected rules"),
+        ):
             with self.subTest(text), self.assertRaises(play.PlayError) as found:
                 play.read(text, "run.toml")
             self.assertIn(words, str(found.exception))
@@ -888,17 +1088,25 @@
 
     def test_a_run_file_from_the_command_line(self):
         file = os.path.join(os.path.dirname(__file__), "runs", "change-under-faults.toml")
-        ended = subprocess.run([sys.executable, "-m", "petrellane", "lab", "run", file], capture_output=True, text=True,
-                               timeout=60)
+        ended = subprocess.run(
+            [sys.executable, "-m", "petrellane", "lab", "run", file],
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
         self.assertEqual(ended.returncode, 0, ended.stdout + ended.stderr)
         self.assertIn("no rule broken", ended.stdout)
         self.assertIn('g0: generation {"number":1', ended.stdout)
 
     def test_nothing_is_left_of_a_lab_that_is_killed(self):
-        code = ("import os\nfrom petrellane.lab.fleet import Lab, Shape\nlab = Lab(Shape(gateways=2, hosts=1))\n"
-                "lab.start()\nprint(*[one.process.process.pid for one in lab.gateways], flush=True)\n"
-                "os.kill(os.getpid(), 9)\n")
-        ended = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
+        code = (
+            "import os\nfrom petrellane.lab.fleet import Lab, Shape\nlab = Lab(Shape(gateways=2, hosts=1))\n"
+            "lab.start()\nprint(*[one.process.process.pid for one in lab.gateways], flush=True)\n"
+            "os.kill(os.getpid(), 9)\n"
+        )
+        ended = subprocess.run(
+            [sys.executable, "-c", code], capture_output=True, text=True, timeout=30
+        )
         numbers = list(map(int, ended.stdout.split()))
         self.assertEqual(len(numbers), 2, ended.stderr)
         until = time.monotonic() + 5
--- a/tests/lab/planted.py
+++ b/tests/lab/planted.py
@@ -8,6 +8,7 @@
 def steps():
     """End in the write to the journal that LAB_STEP names (kind, and before or after it lasts)."""
     from petrellane.agreement.journal import Journal
+
     kind, when = os.environ["LAB_STEP"].split()
     note = Journal.note
 
@@ -18,12 +19,14 @@
             os._exit(9)
         if when == "before":
             note(self, record, at)
+
     Journal.note = planted
 
 
 def saved():
     """A gateway that ends in the n-th write of its memory (LAB_STEP: number, and before or after it lasts)."""
     from petrellane.agreement.store import Store
+
     number, when = os.environ["LAB_STEP"].split()
     save, count = Store.save, []
 
@@ -35,6 +38,7 @@
             os._exit(9)
         if when == "before":
             save(self, state)
+
     Store.save = planted
 
 
@@ -44,6 +48,7 @@
 
     def planted(self, state):
         raise OSError(28, "No space left on device")
+
     Store.save = planted
 
 
@@ -73,54 +78,69 @@
 
     def planted(self, now):
         change = self.change
-        if change and sum(said == "prepared" for said in change.replies.values()) >= leader.majority(change.needed):
+        if change and sum(
+            said == "prepared" for said in change.replies.values()
+        ) >= leader.majority(change.needed):
             self.decide(leader.COMMITTED, "", now)
         else:
             judge(self, now)
+
     leader.Leader.judge = planted
 
 
 def refuses():
     """A gateway of an older build, which does not know what it is told."""
     from petrellane.gateway.node import Node
+
     takes = Node.takes
 
     def planted(self, content):
-        return "settings.classes: expected three at most" if len(content["classes"]) > 4 else takes(self, content)
+        return (
+            "settings.classes: expected three at most"
+            if len(content["classes"]) > 4
+            else takes(self, content)
+        )
+
     Node.takes = planted
 
 
 def takes_the_file():
     """SIGHUP puts in force whatever the file says."""
     from petrellane.agreement.agent import Agent
+
     Agent.drifts = lambda self, settings: True
 
 
 def goes_on_to_drained():
     """A gateway that sends on to hosts that drain."""
     from petrellane.choice import READY, Fleet
+
     listed = Fleet.listed
 
     def planted(self, now, full, listings):
         listed(self, now, full, [row._replace(state=READY) for row in listings])
+
     Fleet.listed = planted
 
 
 def emptiest_first():
     """A gateway that fills the host that started last, as it looks empty."""
     from petrellane.choice import Fleet
+
     draw = Fleet.draw
 
     def planted(self, now, rpc, scope):
         newest = max(self.hosts, key=lambda host: host.up_since)
         fits = newest.up_since and scope in (None, newest.zone, newest.pod)
         return newest if fits else draw(self, now, rpc, scope)
+
     Fleet.draw = planted
 
 
 def waits_for_discovery():
     """A gateway that serves once discovery has told it of a list."""
     from petrellane.gateway.node import Node
+
     listed, settle = Node.listed, Node.settle
     Node.settle = lambda self: None
 
@@ -128,12 +148,14 @@
         listed(self, told)
         if told:
             settle(self)
+
     Node.listed = planted
 
 
 def runs_twice():
     """A gateway to which every method may run again."""
     from petrellane.choice import Gateway
+
     Gateway.retry_targets = lambda self, now, rpc: (None, float("inf"))
 
 
@@ -141,4 +163,5 @@
     if os.environ.get("LAB_PLANT"):
         globals()[os.environ["LAB_PLANT"]]()
     from petrellane.cli import app
+
     app()
--- a/tests/lab/scale.py
+++ b/tests/lab/scale.py
@@ -22,20 +22,31 @@
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
 
-WRONG = [    # (the section's text, what the one line names)
-    ("hollow = 3\nwings = 2", "wings"), ("hollow = 'many'", "hollow"), ("hollow = -1", "scale.hollow: expected 0 to 5000"),
-    ("hollow = 0", "at least one gateway"), ("seconds = 0.5", "scale.seconds: expected 1 to 600"),
-    ("methods = 2", "scale.methods: expected 3 to 10000"), ("cut = 1.5", "scale.cut: expected 0 to 1"),
-    ("rpcs = 5.0\nmodule = false", "scale.rpcs: expected 0 without"), ("rpcs = 5.0\nhollow = 0\nreal = 1", "scale.rpcs"),
+WRONG = [  # (the section's text, what the one line names)
+    ("hollow = 3\nwings = 2", "wings"),
+    ("hollow = 'many'", "hollow"),
+    ("hollow = -1", "scale.hollow: expected 0 to 5000"),
+    ("hollow = 0", "at least one gateway"),
+    ("seconds = 0.5", "scale.seconds: expected 1 to 600"),
+    ("methods = 2", "scale.methods: expected 3 to 10000"),
+    ("cut = 1.5", "scale.cut: expected 0 to 1"),
+    ("rpcs = 5.0\nmodule = false", "scale.rpcs: expected 0 without"),
+    ("rpcs = 5.0\nhollow = 0\nreal = 1", "scale.rpcs"),
     ("settings_changes = 1", "scale.settings_changes: expected 0 without agreement"),
     ("cut = 0.1\nagreement = true", "scale.cut: expected 0 without changes of settings"),
     ("seconds = 5.0\nrestart_at = 5.0", "scale.restart_at: expected less than the 5 seconds"),
-    ("hollow = 2\nprocesses = 3", "scale.processes: expected at most the 2 hollow gateways"), ("hollow = ", "Invalid value")]
+    ("hollow = 2\nprocesses = 3", "scale.processes: expected at most the 2 hollow gateways"),
+    ("hollow = ", "Invalid value"),
+]
 
 
 def command(path):
-    return subprocess.Popen([sys.executable, "-m", "petrellane", "lab", "scale", path], stdout=subprocess.PIPE,
-                            stderr=subprocess.PIPE, text=True)
+    return subprocess.Popen(
+        [sys.executable, "-m", "petrellane", "lab", "scale", path],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
 
 
 def file_of(folder, text, name="run.toml"):
@@ -56,7 +67,9 @@
             self.assertRegex(str(found.exception), r"\Ax\.toml: [^\n]+\Z")
         for text in ("", "[lab]\n", "[scale]\n[more]\n"):
             self.assertRaises(scale.ScaleError, scale.read, text)
-        self.assertRaisesRegex(scale.ScaleError, "expected a readable file", scale.load, "/none/such.toml")
+        self.assertRaisesRegex(
+            scale.ScaleError, "expected a readable file", scale.load, "/none/such.toml"
+        )
 
     def test_defaults_are_those_that_are_told(self):
         self.assertEqual(scale.read("[scale]\n"), scale.Scale())
@@ -65,7 +78,9 @@
 
     def test_the_command_ends_with_2_and_one_line(self):
         with tempfile.TemporaryDirectory() as folder:
-            said, error = (process := command(file_of(folder, "hollow = 5000\nreal = 200\nhosts = 50000\n"))).communicate()
+            said, error = (
+                process := command(file_of(folder, "hollow = 5000\nreal = 200\nhosts = 50000\n"))
+            ).communicate()
         self.assertEqual((process.returncode, said), (2, ""))
         self.assertRegex(error, r"\Apetrellane: run: expected at most [^\n]+\n\Z")
 
@@ -73,15 +88,27 @@
         told = scale.Scale(hollow=1200, real=30, hosts=13_000, agreement=True)
         needed = scale.estimate(told)
         scale.fits(told, memory=2 * needed + 1, descriptors=20_000)
-        for words, named in (({"memory": 2 * needed - 1}, "MB, 0.5 of the memory"),
-                             ({"descriptors": 9000}, "RLIMIT_NOFILE")):
+        for words, named in (
+            ({"memory": 2 * needed - 1}, "MB, 0.5 of the memory"),
+            ({"descriptors": 9000}, "RLIMIT_NOFILE"),
+        ):
             with self.assertRaises(scale.ScaleError) as found:
                 scale.fits(told, **{"memory": 1e9, "descriptors": 20_000} | words)
             self.assertIn(named, str(found.exception))
-        for more in ({"list_changes": 1000.0, "seconds": 600.0}, {"methods": 10_000}, {"hosts": 50_000, "real": 200}):
+        for more in (
+            {"list_changes": 1000.0, "seconds": 600.0},
+            {"methods": 10_000},
+            {"hosts": 50_000, "real": 200},
+        ):
             self.assertGreater(scale.estimate(msgspec.structs.replace(told, **more)), 10_000)
-        self.assertRaisesRegex(scale.ScaleError, "at most 300 processes, found 304", scale.fits,
-                               scale.Scale(hollow=200, processes=200, real=100), memory=1e9, descriptors=20_000)
+        self.assertRaisesRegex(
+            scale.ScaleError,
+            "at most 300 processes, found 304",
+            scale.fits,
+            scale.Scale(hollow=200, processes=200, real=100),
+            memory=1e9,
+            descriptors=20_000,
+        )
 
     def test_nothing_is_started_before_it_is_refused(self):
         with unittest.mock.patch.object(scale, "Rig") as made:
@@ -102,23 +129,30 @@
 
     def test_what_a_process_spent_is_that_of_the_steady_part(self):
         party = rig.Party.__new__(rig.Party)
-        party.meters = [{"at": at, "cpu": at * 0.1, "by": {"counter": [2 * at, at, 20 * at, 10 * at]}} for at in range(20)]
+        party.meters = [
+            {"at": at, "cpu": at * 0.1, "by": {"counter": [2 * at, at, 20 * at, 10 * at]}}
+            for at in range(20)
+        ]
         total, by = party.spent(5.0, 15.0)
-        for found, expected in zip((*total, *by["counter"]), (0.1, 2, 1, 20, 10, 2, 1, 20, 10), strict=True):
+        for found, expected in zip(
+            (*total, *by["counter"]), (0.1, 2, 1, 20, 10, 2, 1, 20, 10), strict=True
+        ):
             self.assertAlmostEqual(found, expected)
         self.assertEqual(party.spent(30.0, 40.0), ([0.0] * 5, {}))
 
     def test_one_that_ends_or_begins_within_counts_for_its_part(self):
         party = rig.Party.__new__(rig.Party)
         party.meters = [{"at": 10.0 + at, "cpu": float(at), "by": {}} for at in range(1, 6)]
-        self.assertAlmostEqual(party.spent(5.0, 15.0)[0][0], 0.5)    # 5 s of CPU in 10
+        self.assertAlmostEqual(party.spent(5.0, 15.0)[0][0], 0.5)  # 5 s of CPU in 10
         party.meters = [{"at": float(at), "cpu": float(at), "by": {}} for at in range(0, 11)]
         self.assertAlmostEqual(party.spent(5.0, 15.0)[0][0], 0.5)
 
     def test_the_last_one_is_the_last_of_all(self):
         told = scale.reach([(10.0, [10.1, 10.2, 10.6]), (20.0, [20.3, 20.4, 20.5]), (30.0, [])])
-        self.assertEqual({key: round(value, 3) for key, value in told.items()},
-                         {"first_s": 0.2, "median_s": 0.3, "last_s": 0.6})
+        self.assertEqual(
+            {key: round(value, 3) for key, value in told.items()},
+            {"first_s": 0.2, "median_s": 0.3, "last_s": 0.6},
+        )
         self.assertEqual(scale.reach([]), {"first_s": None, "median_s": None, "last_s": None})
 
 
@@ -130,7 +164,9 @@
     """The stand-in before thousands."""
 
     def setUp(self):
-        rows = [{"name": f"h{at}", "address": "10.0.0.1:1", "status": "in_service"} for at in range(4)]
+        rows = [
+            {"name": f"h{at}", "address": "10.0.0.1:1", "status": "in_service"} for at in range(4)
+        ]
         self.registry = services.Registry(Scheduler(), rows, 0.0)
 
     def names(self, since):
@@ -163,8 +199,10 @@
         while True:
             while (end := stream.buffer.find(b"\r\n\r\n")) < 0:
                 stream.fill()
-            self.heads.append(re.sub(r"hold_ms=\d+", "hold_ms=N", bytes(stream.buffer[:end]).decode()))
-            del stream.buffer[:end + 4]
+            self.heads.append(
+                re.sub(r"hold_ms=\d+", "hold_ms=N", bytes(stream.buffer[:end]).decode())
+            )
+            del stream.buffer[: end + 4]
 
 
 class Adds(Counter):
@@ -194,16 +232,38 @@
     def config(self, discovery, counter):
         settings = scale.settings(scale.Scale())
         row = {"name": "h0", "address": "127.0.0.1:1", "zone": "z0", "status": "in_service"}
-        return {"name": "g0", "listen": "127.0.0.1:0", "discovery": discovery.text, "counter": counter.text, "seed": "7",
-                "known": {"index": 9, "snapshot": True, "endpoints": [row]}, "settings": {**settings, "locality": "z0"}}
+        return {
+            "name": "g0",
+            "listen": "127.0.0.1:0",
+            "discovery": discovery.text,
+            "counter": counter.text,
+            "seed": "7",
+            "known": {"index": 9, "snapshot": True, "endpoints": [row]},
+            "settings": {**settings, "locality": "z0"},
+        }
 
     def hollow(self, told):
         path = os.path.join(self.folder.name, "g0.json")
         with open(path, "wb") as file:
             file.write(orjson.dumps(told))
-        crowd = hollow.Crowd({"file": path, "numbers": [0], "folder": self.folder.name, "hosts": 1, "module": True,
-                              "fresh": True, "cut": 0, "customers": 5, "rpcs": 0.0, "seed": 7, "gateways": 1,
-                              "methods": told["settings"]["classes"]}, self.scheduler, Logger(self.log, "x", lambda: 0.0, 9))
+        crowd = hollow.Crowd(
+            {
+                "file": path,
+                "numbers": [0],
+                "folder": self.folder.name,
+                "hosts": 1,
+                "module": True,
+                "fresh": True,
+                "cut": 0,
+                "customers": 5,
+                "rpcs": 0.0,
+                "seed": 7,
+                "gateways": 1,
+                "methods": told["settings"]["classes"],
+            },
+            self.scheduler,
+            Logger(self.log, "x", lambda: 0.0, 9),
+        )
         crowd.nodes[0].log.descriptor = self.log
         return crowd.nodes[0]
 
@@ -219,15 +279,23 @@
         node.scheduler.fault = self.fail
         node.start()
         for number, customer in enumerate((1, 1, 2)):
-            words = resp.words(b"SVC.QUERY", b"%016X" % customer, b"r%d" % number, b"c=look,t=sold,d=1000,first=0,spread=1")
+            words = resp.words(
+                b"SVC.QUERY",
+                b"%016X" % customer,
+                b"r%d" % number,
+                b"c=look,t=sold,d=1000,first=0,spread=1",
+            )
             spans, end = resp.command(words, 0, node.limits)
-            node.driver.place(Exchange(True, words, 0, spans, end, lambda: answers.append(1), lambda: False))
+            node.driver.place(
+                Exchange(True, words, 0, spans, end, lambda: answers.append(1), lambda: False)
+            )
         self.until(lambda: discovery.heads and len(answers) == 3 and len(counter.asked) >= 2)
         for one in (discovery, counter):
             one.close()
         node.discovery.end()
         return [head.replace(discovery.text, "there") for head in discovery.heads[:1]], [
-            (parts[0], parts[1], float(parts[2])) for parts in counter.asked[:2]]
+            (parts[0], parts[1], float(parts[2])) for parts in counter.asked[:2]
+        ]
 
     def until(self, holds):
         limit = self.scheduler.monotonic() + 10
@@ -242,14 +310,23 @@
         self.assertEqual([parts[0] for parts in of_hollow[1]], [b"CNT.ADD"] * 2)
 
     def test_a_customers_rpcs_come_through_its_own_gateways(self):
-        load = hollow.Load(SimpleNamespace(nodes=[]), {
-            "rpcs": 0.0, "seed": 1, "gateways": 40, "methods": [], "customers": 300}, list(range(10, 20)))
+        load = hollow.Load(
+            SimpleNamespace(nodes=[]),
+            {"rpcs": 0.0, "seed": 1, "gateways": 40, "methods": [], "customers": 300},
+            list(range(10, 20)),
+        )
         for number, customers in load.narrow.items():
             for customer in customers:
                 self.assertIn((number - load.first(customer)) % 40, range(hollow.FEW))
-        self.assertEqual(sum(map(len, load.narrow.values())), sum(
-            (number - load.first(customer)) % 40 < hollow.FEW for number in range(10, 20) for customer in range(300)
-            if customer % hollow.WIDE))
+        self.assertEqual(
+            sum(map(len, load.narrow.values())),
+            sum(
+                (number - load.first(customer)) % 40 < hollow.FEW
+                for number in range(10, 20)
+                for customer in range(300)
+                if customer % hollow.WIDE
+            ),
+        )
 
 
 class Runs(unittest.TestCase):
@@ -259,35 +336,60 @@
     def setUpClass(cls):
         cls.folder = tempfile.TemporaryDirectory()
         cls.addClassCleanup(cls.folder.cleanup)
-        others = [command(file_of(cls.folder.name, text, f"{at}.toml")) for at, text in enumerate((
-            "hollow = 6\nprocesses = 1\nhosts = 20\nseconds = 3.5\nrestart_at = 0.5\ndiscovery_rate = 8.0\n",
-            "hollow = 5\nhosts = 5\nseconds = 1.0\nagreement = true\nsettings_changes = 1\ncut = 0.4\n"))]
-        cls.report = scale.play(scale.Scale(hollow=12, processes=2, real=1, hosts=50, seconds=2.5, rpcs=20.0,
-                                            list_changes=0.5, settings_changes=1, agreement=True))
+        others = [
+            command(file_of(cls.folder.name, text, f"{at}.toml"))
+            for at, text in enumerate(
+                (
+                    "hollow = 6\nprocesses = 1\nhosts = 20\nseconds = 3.5\nrestart_at = 0.5\ndiscovery_rate = 8.0\n",
+                    "hollow = 5\nhosts = 5\nseconds = 1.0\nagreement = true\nsettings_changes = 1\ncut = 0.4\n",
+                )
+            )
+        ]
+        cls.report = scale.play(
+            scale.Scale(
+                hollow=12,
+                processes=2,
+                real=1,
+                hosts=50,
+                seconds=2.5,
+                rpcs=20.0,
+                list_changes=0.5,
+                settings_changes=1,
+                agreement=True,
+            )
+        )
         cls.others = [(*one.communicate(timeout=60), one.returncode) for one in others]
 
     def test_each_gateway_got_each_change(self):
         for what in ("list", "settings"):
             told = self.report[what]
-            self.assertEqual((told["changes"], told["reached"]), (1, 1), (what, self.report["void"]))
+            self.assertEqual(
+                (told["changes"], told["reached"]), (1, 1), (what, self.report["void"])
+            )
             self.assertTrue(0 <= told["first_s"] <= told["median_s"] <= told["last_s"], told)
         self.assertEqual(self.report["settings"]["committed"], 1)
 
     def test_counts_agree_at_both_ends(self):
         sums, tally = self.report["sums"], self.report["sums"]["tally"]
         self.assertGreater(sums["adds"], 0)
-        self.assertEqual(sum(number for word, number in tally.items() if word.startswith("add ")), sums["adds"])
+        self.assertEqual(
+            sum(number for word, number in tally.items() if word.startswith("add ")), sums["adds"]
+        )
         self.assertEqual(sums["rpcs"], sums["answers"])
         self.assertEqual(sums["rpcs"], tally["rpcs"])
         self.assertAlmostEqual(sums["rpcs"], 50, delta=30)
         self.assertEqual(sums["counter_bytes"]["gateways"], sums["counter_bytes"]["counter"])
-        for ours, theirs in zip(*sums["discovery_bytes"].values(), strict=True):    # their lines are not of the same moment
+        for ours, theirs in zip(
+            *sums["discovery_bytes"].values(), strict=True
+        ):  # their lines are not of the same moment
             self.assertAlmostEqual(ours, theirs, delta=0.2 * theirs)
 
     def test_roles_tell_what_they_are(self):
         roles = self.report["roles"]
-        self.assertEqual({name: role["number"] for name, role in roles.items()},
-                         {"hollow": 12, "real": 1, "control": 1, "discovery": 1, "counter": 1})
+        self.assertEqual(
+            {name: role["number"] for name, role in roles.items()},
+            {"hollow": 12, "real": 1, "control": 1, "discovery": 1, "counter": 1},
+        )
         for name, role in roles.items():
             self.assertGreater(role["rss_mb"], 1, name)
             for word in scale.WORDS:
@@ -303,12 +405,16 @@
         report = self.told(0)
         self.assertEqual(report["restart"]["listed"], 6, report)
         self.assertGreater(report["sums"]["discovery_refused"], 0)
-        self.assertLess(report["roles"]["discovery"]["cpu_s"], 0.3)    # it spins on nobody who has left
+        self.assertLess(
+            report["roles"]["discovery"]["cpu_s"], 0.3
+        )  # it spins on nobody who has left
 
     def test_a_change_of_which_some_hear_nothing_is_given_up(self):
         told = self.told(1)["settings"]
         self.assertEqual((told["changes"], told["committed"], told["last_s"]), (1, 0, None))
-        self.assertRegex(told["outcomes"][0], r"\Aaborted: no word from g0 \([a-z ]+\), g1 \([a-z ]+\)\Z")
+        self.assertRegex(
+            told["outcomes"][0], r"\Aaborted: no word from g0 \([a-z ]+\), g1 \([a-z ]+\)\Z"
+        )
 
     def told(self, number):
         """The report of a run from the command line, which is its last line."""
@@ -320,8 +426,13 @@
         return report
 
     def test_nothing_is_left(self):
-        left = [name for name in os.listdir("/dev/shm" if os.path.isdir("/dev/shm") else tempfile.gettempdir())
-                if name.startswith(f"petrellane-scale-{os.getpid()}-")]
+        left = [
+            name
+            for name in os.listdir(
+                "/dev/shm" if os.path.isdir("/dev/shm") else tempfile.gettempdir()
+            )
+            if name.startswith(f"petrellane-scale-{os.getpid()}-")
+        ]
         self.assertEqual(left, [])
 
 
--- a/tests/model/cases.py
+++ b/tests/model/cases.py
@@ -38,7 +38,7 @@
 from tests.model.planted import CHANGES, needed, planted
 
 HERE = pathlib.Path(__file__).parent
-SEEDS = 1500    # scenarios that CI plays, a third of them neighbours of the nearest
+SEEDS = 1500  # scenarios that CI plays, a third of them neighbours of the nearest
 
 
 FOLLOWED = range(1, 401)
@@ -60,9 +60,14 @@
     def test_planted_breaks_are_found(self):
         changes = [change for change in CHANGES if not change.get("missed")]
         self.assertGreaterEqual(len(changes), 10)
-        self.assertEqual({"lost", "twice", "drains", "cold", "ceilings", "forgotten"}, {one["rule"] for one in changes})
+        self.assertEqual(
+            {"lost", "twice", "drains", "cold", "ceilings", "forgotten"},
+            {one["rule"] for one in changes},
+        )
         with ProcessPoolExecutor(os.cpu_count()) as pool:
-            results = dict(zip((one["name"] for one in changes), pool.map(needed, changes), strict=True))
+            results = dict(
+                zip((one["name"] for one in changes), pool.map(needed, changes), strict=True)
+            )
         self.assertEqual([], [name for name, number in results.items() if number is None])
 
     def test_a_seed_is_the_same_run_to_the_letter(self):
@@ -74,19 +79,37 @@
     def test_processes_that_follow_others(self):
         """No rule is broken wherever the hand-over is cut, and the given being kept as well is noticed."""
         with ProcessPoolExecutor(os.cpu_count()) as pool:
-            broken = [(seed, found) for seed, found in zip(FOLLOWED, pool.map(follows, FOLLOWED, chunksize=10),
-                                                           strict=True) if found]
+            broken = [
+                (seed, found)
+                for seed, found in zip(
+                    FOLLOWED, pool.map(follows, FOLLOWED, chunksize=10), strict=True
+                )
+                if found
+            ]
         self.assertEqual([], broken)
-        both = planted({"name": "what is given is kept as well",
-                        "before": "self.held, self.ceiling, self.filled = 0.0, kept, math.inf",
-                        "after": "self.ceiling += told['ceiling']"})
+        both = planted(
+            {
+                "name": "what is given is kept as well",
+                "before": "self.held, self.ceiling, self.filled = 0.0, kept, math.inf",
+                "after": "self.ceiling += told['ceiling']",
+            }
+        )
         path = HERE / "scenarios" / "followed-and-gone.ndjson"
         self.assertEqual(["ceilings"], Fleet(read(path.read_text(), path.name), both).play().broken)
 
     def test_a_change_is_told_in_time_after_discovery_is_back(self):
         """Sixty gateways, at the calls that discovery serves a little less than one a second for each."""
-        self.assertEqual(TIMES, {"most": Limits.watch_next, "at_first": Limits.watch_next, "hold": Limits.watch_hold,
-                                 "grace": Limits.watch_grace, "silent": Limits.watch_timeout, "first": Limits.backoff_first})
+        self.assertEqual(
+            TIMES,
+            {
+                "most": Limits.watch_next,
+                "at_first": Limits.watch_next,
+                "hold": Limits.watch_hold,
+                "grace": Limits.watch_grace,
+                "silent": Limits.watch_timeout,
+                "first": Limits.backoff_first,
+            },
+        )
         for trouble in ("refused", "silent", "turned away"):
             with self.subTest(trouble):
                 took, calls, refused, broken = played(1, 60, trouble, 50.0)
@@ -104,9 +127,11 @@
                 self.assertGreater(run.figures["ok share"], 0)
 
     def test_what_is_found_is_cut_down_and_told(self):
-        change = next(one for one in CHANGES if one["name"] == "any deduplicated RPC may be pushed back")
+        change = next(
+            one for one in CHANGES if one["name"] == "any deduplicated RPC may be pushed back"
+        )
         gateway = planted(change)
-        scenario = draw(needed(change))    # its first seed is 1
+        scenario = draw(needed(change))  # its first seed is 1
         small = cut_down(scenario, "twice", 60, gateway)
         self.assertLess(len(write(small)), len(write(scenario)))
         run = Fleet(read(write(small)), gateway, keep=True).play()
@@ -137,22 +162,39 @@
         self.refused("", "a.ndjson:1", "expected a world")
         self.refused("{", "a.ndjson:1")
         self.refused(lines[1], "a.ndjson:1", "expected one world")
-        self.refused(lines[0].replace('"model":1', '"model":7'), "a.ndjson:1", "expected version 1, found 7")
-        self.refused("\n".join([lines[0], "# word", lines[1].replace('"rate"', '"rat"')]), "a.ndjson:3", "rat")
-        self.refused("\n".join([*lines, '{"kind":"fault","what":"rain","at":1}']), f":{len(lines) + 1}", "found rain")
-        self.refused("\n".join([*lines, '{"kind":"fault","what":"flood","at":-1}']), "expected a number from 0, found -1")
+        self.refused(
+            lines[0].replace('"model":1', '"model":7'), "a.ndjson:1", "expected version 1, found 7"
+        )
+        self.refused(
+            "\n".join([lines[0], "# word", lines[1].replace('"rate"', '"rat"')]),
+            "a.ndjson:3",
+            "rat",
+        )
+        self.refused(
+            "\n".join([*lines, '{"kind":"fault","what":"rain","at":1}']),
+            f":{len(lines) + 1}",
+            "found rain",
+        )
+        self.refused(
+            "\n".join([*lines, '{"kind":"fault","what":"flood","at":-1}']),
+            "expected a number from 0, found -1",
+        )
         self.refused("\n".join(lines[:1]), "expected at least one plan")
 
     def test_the_command_line(self):
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "bad.ndjson"
             path.write_text('{"kind":"world"}\n')
-            for words, code, text in ((["replay", str(path)], 2, "bad.ndjson:1"),
-                                      (["replay", folder + "/none"], 2, "expected a scenario file"),
-                                      (["replay", "--seed", "x"], 2, "expected a whole number, found x"),
-                                      (["replay", "--seed", "5"], 0, "no rule broken"),
-                                      (["hunt", "--seeds", "0"], 2, "seeds")):
-                done = subprocess.run([sys.executable, "-m", "petrellane", *words], capture_output=True, text=True)
+            for words, code, text in (
+                (["replay", str(path)], 2, "bad.ndjson:1"),
+                (["replay", folder + "/none"], 2, "expected a scenario file"),
+                (["replay", "--seed", "x"], 2, "expected a whole number, found x"),
+                (["replay", "--seed", "5"], 0, "no rule broken"),
+                (["hunt", "--seeds", "0"], 2, "seeds"),
+            ):
+                done = subprocess.run(
+                    [sys.executable, "-m", "petrellane", *words], capture_output=True, text=True
+                )
                 self.assertEqual(code, done.returncode, done.stderr)
                 self.assertIn(text, done.stdout + done.stderr)
 
@@ -161,10 +203,17 @@
     """The referee on records made by hand: each rule broken, and only come near."""
 
     def setUp(self):
-        self.referee = Referee(Terms(
-            {"look": MethodRule("idempotent"), "post": MethodRule("non-idempotent"),
-             "lodge": MethodRule("deduplicated", "zone", 1.0)},
-            {"chain": Ceiling(10.0, 20.0, 2.0)}, {"a": (0, 0), "b": (1, 0), "c": (2, 1)}))
+        self.referee = Referee(
+            Terms(
+                {
+                    "look": MethodRule("idempotent"),
+                    "post": MethodRule("non-idempotent"),
+                    "lodge": MethodRule("deduplicated", "zone", 1.0),
+                },
+                {"chain": Ceiling(10.0, 20.0, 2.0)},
+                {"a": (0, 0), "b": (1, 0), "c": (2, 1)},
+            )
+        )
 
     def verdict(self, *records):
         for record in records:
@@ -182,7 +231,9 @@
         self.assertEqual({}, verdict.counts)
         self.assertGreater(verdict.nearest["lost"], 0.99)
         self.setUp()
-        self.assertEqual({"lost": 1}, self.verdict(self.rpc(), Answered(3.06, "g", "r", "aborted")).counts)
+        self.assertEqual(
+            {"lost": 1}, self.verdict(self.rpc(), Answered(3.06, "g", "r", "aborted")).counts
+        )
 
     def test_a_killed_gateway_owes_nothing_and_a_client_that_left_early_is_owed_nothing(self):
         self.assertEqual({}, self.verdict(self.rpc(), Life(2.0, "g", "killed")).counts)
@@ -191,28 +242,53 @@
 
     def test_a_key_is_good_for_its_zone_and_window(self):
         first = [self.rpc("lodge"), Sent(1.0, "g", "r", 0, "a"), Ended(1.5, "g", "r", 0, "late")]
-        self.assertEqual({}, self.verdict(*first, Sent(1.9, "g", "r", 1, "b"), Ended(2.1, "g", "r", 1, "ok"),
-                                          Answered(2.1, "g", "r", "ok")).counts)
+        self.assertEqual(
+            {},
+            self.verdict(
+                *first,
+                Sent(1.9, "g", "r", 1, "b"),
+                Ended(2.1, "g", "r", 1, "ok"),
+                Answered(2.1, "g", "r", "ok"),
+            ).counts,
+        )
         for at, host in ((1.9, "c"), (2.1, "b")):
             self.setUp()
-            verdict = self.verdict(*first, Sent(at, "g", "r", 1, host), Ended(2.2, "g", "r", 1, "ok"),
-                                   Answered(2.2, "g", "r", "ok"))
+            verdict = self.verdict(
+                *first,
+                Sent(at, "g", "r", 1, host),
+                Ended(2.2, "g", "r", 1, "ok"),
+                Answered(2.2, "g", "r", "ok"),
+            )
             self.assertEqual({"twice": 1}, verdict.counts)
 
     def test_a_cold_host_bears_its_budget_and_twice_its_root_and_two(self):
         """N is 10 here, so 18.3; who was not told of the start is not to blame, from over a third of the work on."""
-        for number, told, broken in ((18, 18, {}), (19, 19, {"cold": 1}), (19, 13, {"cold": 1}), (19, 12, {})):
+        for number, told, broken in (
+            (18, 18, {}),
+            (19, 19, {"cold": 1}),
+            (19, 13, {"cold": 1}),
+            (19, 12, {}),
+        ):
             referee = Referee(dataclasses.replace(self.referee.terms, mean_work=0.075))
             referee.take(Up(1.0, "a", 1.0))
             referee.take(Told(1.0, "knows", "a", "ready", 1.0))
             referee.take(Told(1.0, "not", "a", "ready", 0.0))
             for at in range(number):
-                referee.take(Received(1.0, "not" if at < number - told else "knows", at, 0, "a", 0.075))
+                referee.take(
+                    Received(1.0, "not" if at < number - told else "knows", at, 0, "a", 0.075)
+                )
             self.assertEqual(broken, referee.close(100.0).counts, (number, told))
 
     def test_call_outs_that_overlap(self):
-        self.assertEqual(1, self.verdict(self.rpc(), Sent(1.0, "g", "r", 0, "a"), Sent(1.1, "g", "r", 1, "b"),
-                                         Answered(1.2, "g", "r", "ok")).counts["twice"])
+        self.assertEqual(
+            1,
+            self.verdict(
+                self.rpc(),
+                Sent(1.0, "g", "r", 0, "a"),
+                Sent(1.1, "g", "r", 1, "b"),
+                Answered(1.2, "g", "r", "ok"),
+            ).counts["twice"],
+        )
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(st.floats(0, 3), st.integers(1, 6)), min_size=1, max_size=40))
@@ -227,5 +303,6 @@
             self.referee.take(Sent(now, "g", number, 0, "a"))
             broken = broken or any(
                 sum(of for _, of in taken[first:]) > 22.0 + 10.0 * (now - taken[first][0]) + 1e-6
-                for first in range(len(taken)))
+                for first in range(len(taken))
+            )
         self.assertEqual(broken, "ceilings" in self.referee.counts)
--- a/tests/model/planted.py
+++ b/tests/model/planted.py
@@ -17,9 +17,14 @@
 def planted(change):
     """The gateway's class with one line changed."""
     text = pathlib.Path(choice.__file__).read_text()
-    assert text.count(change["before"]) == 1, f"{change['name']}: its line must stand in the module once"
+    assert text.count(change["before"]) == 1, (
+        f"{change['name']}: its line must stand in the module once"
+    )
     module = types.ModuleType("planted")
-    exec(compile(text.replace(change["before"], change["after"]), change["name"], "exec"), module.__dict__)
+    exec(
+        compile(text.replace(change["before"], change["after"]), change["name"], "exec"),
+        module.__dict__,
+    )
     return module.Gateway
 
 
@@ -37,8 +42,13 @@
     firsts = [int(word) for word in sys.argv[1:]] or [0]
     with ProcessPoolExecutor(os.cpu_count()) as pool:
         jobs = [(change, first) for change in CHANGES for first in firsts]
-        for (change, first), result in zip(jobs, pool.map(needed, *zip(*jobs, strict=True)), strict=True):
-            print(f"{change['rule']:9} {change['name']:60} from {first}: {result} of {change['seeds']}", flush=True)
+        for (change, first), result in zip(
+            jobs, pool.map(needed, *zip(*jobs, strict=True)), strict=True
+        ):
+            print(
+                f"{change['rule']:9} {change['name']:60} from {first}: {result} of {change['seeds']}",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/tests/operation/cases.py
+++ b/tests/operation/cases.py
@@ -20,19 +20,32 @@
 from petrellane.operation.states import DRAINED, ENDING, SERVING, Service
 from tests.sockets import TOLD
 
-SETTINGS = dict(zone="z", counter=True, counter_timeout=0.05, may_cancel=True, max_wait=0.5,
-                cold=10.0, cold_from=0.25, cross_zone=0.0, must_ask=False)
+SETTINGS = dict(
+    zone="z",
+    counter=True,
+    counter_timeout=0.05,
+    may_cancel=True,
+    max_wait=0.5,
+    cold=10.0,
+    cold_from=0.25,
+    cross_zone=0.0,
+    must_ask=False,
+)
 
 
 class States(unittest.TestCase):
-
     def test_each_call_in_each_state(self):
         """What each call answers, and the state that follows."""
         for before, call, answer, after in (
-                (SERVING, "drain", True, "draining"), (SERVING, "resume", True, SERVING),
-                ("draining", "drain", True, "draining"), ("draining", "resume", True, SERVING),
-                (DRAINED, "drain", True, DRAINED), (DRAINED, "resume", True, SERVING),
-                (ENDING, "drain", True, ENDING), (ENDING, "resume", False, ENDING)):
+            (SERVING, "drain", True, "draining"),
+            (SERVING, "resume", True, SERVING),
+            ("draining", "drain", True, "draining"),
+            ("draining", "resume", True, SERVING),
+            (DRAINED, "drain", True, DRAINED),
+            (DRAINED, "resume", True, SERVING),
+            (ENDING, "drain", True, ENDING),
+            (ENDING, "resume", False, ENDING),
+        ):
             service = Service(0.5, 1.8)
             service.state = before
             said = service.drain(10.0) if call == "drain" else service.resume()
@@ -45,8 +58,12 @@
         service.begin()
         for what in told:
             now += 0.1
-            {"drain": lambda: service.drain(now), "resume": service.resume, "end": lambda: service.end(now),  # noqa: B023
-             "empty": lambda: service.emptied(0)}[what]()
+            {
+                "drain": lambda now=now: service.drain(now),
+                "resume": service.resume,
+                "end": lambda now=now: service.end(now),
+                "empty": lambda: service.emptied(0),
+            }[what]()
             ending = ending or what == "end"
             self.assertEqual(service.state == ENDING, ending)
             self.assertEqual(service.ready, service.state == SERVING)
@@ -58,27 +75,38 @@
         service.drain(11.0)
         self.assertTrue(service.lets_go(10.5))
         self.assertFalse(service.takes(11.9, came=3.0))
-        self.assertTrue(service.takes(11.9, came=11.0))    # it came late and asks in vain, but is heard
+        self.assertTrue(
+            service.takes(11.9, came=11.0)
+        )  # it came late and asks in vain, but is heard
 
     def test_ending_takes_nothing_behind_what_is_owed(self):
         service = Service(0.5, 1.8, 0.5, 3.0)
         service.begin()
         self.assertEqual(service.answers_by(1.0), math.inf)
         service.end(10.0)
-        self.assertTrue(service.takes(10.4, 3.0, owed=True))     # as before, through the change-over
-        self.assertTrue(service.takes(12.0, 3.0, owed=False))    # a command that had begun
+        self.assertTrue(service.takes(10.4, 3.0, owed=True))  # as before, through the change-over
+        self.assertTrue(service.takes(12.0, 3.0, owed=False))  # a command that had begun
         self.assertFalse(service.takes(10.6, 3.0, owed=True))
         self.assertEqual(service.answers_by(1.0), 11.5)
-        self.assertEqual(service.answers_by(9.0), 13.5)          # a kill waits no longer than for three seconds
+        self.assertEqual(
+            service.answers_by(9.0), 13.5
+        )  # a kill waits no longer than for three seconds
 
 
 class Calls(unittest.TestCase):
-
     def test_what_is_refused(self):
-        for head, status in ((b"GET /-/ready HTTP/1.1\r\nHost: x", 0), (b"GET /-/ready?a HTTP/1.0", 0),
-                             (b"POST /-/ready HTTP/1.1", 405), (b"GET /-/drain HTTP/1.1", 405), (b"GET / HTTP/1.1", 404),
-                             (b"GET /-/ready", 400), (b"GET /-/ready RESP/2", 400), (b"", 400),
-                             (b"GET /-/ready HTTP/1.1\r\nno colon", 400), (b"*1\r\n$4\r\nPING", 400)):
+        for head, status in (
+            (b"GET /-/ready HTTP/1.1\r\nHost: x", 0),
+            (b"GET /-/ready?a HTTP/1.0", 0),
+            (b"POST /-/ready HTTP/1.1", 405),
+            (b"GET /-/drain HTTP/1.1", 405),
+            (b"GET / HTTP/1.1", 404),
+            (b"GET /-/ready", 400),
+            (b"GET /-/ready RESP/2", 400),
+            (b"", 400),
+            (b"GET /-/ready HTTP/1.1\r\nno colon", 400),
+            (b"*1\r\n$4\r\nPING", 400),
+        ):
             path, found = calls.understood(head)
             self.assertEqual((bool(path), found), (not status, status), head)
 
@@ -89,9 +117,15 @@
 
 
 class Succession(unittest.TestCase):
-
-    @given(some.lists(some.tuples(some.sampled_from(["offer", "back", "to_new", "to_old"]), some.integers(0, 3)),
-                      max_size=40), some.booleans())
+    @given(
+        some.lists(
+            some.tuples(
+                some.sampled_from(["offer", "back", "to_new", "to_old"]), some.integers(0, 3)
+            ),
+            max_size=40,
+        ),
+        some.booleans(),
+    )
     def test_a_connection_has_one_reader(self, told, cut):
         """Offers, words on their way both ways, and times that run out, in any order: nobody reads what another does,
         and when the link is cut nothing has two holders."""
@@ -118,7 +152,7 @@
             self.assertFalse(here & there)
         if cut:
             here |= set(giver.offered.values())
-            dropped = {thing for thing, in taker.broken()}
+            dropped = {thing for (thing,) in taker.broken()}
             self.assertFalse(here & there or dropped & there)
 
     def lease(self, plan, rpcs=()):
@@ -136,12 +170,16 @@
         waits = api.Rpc(api.Method("m", 1.0, 2.0), api.Customer("c", plan), 3.0, 112.0, 110.0)
         old, lease = self.lease(plan, [waits])
         before, lease.held, lease.out = lease.fill_ceiling(110.0), 4.0, 2
-        rows = [row for message in succession.given(old, 110.0) for row in message.get("leases", ())]
+        rows = [
+            row for message in succession.given(old, 110.0) for row in message.get("leases", ())
+        ]
         rows = orjson.loads(orjson.dumps(rows))
         new = Gateway(**SETTINGS, seed=2)
         new.started(110.0)
         customers = {"c": api.Customer("c", plan)}
-        number = succession.taken(new, 110.0, rows + [{"customer": "c"}, {}], lambda name, *_: customers[name])
+        number = succession.taken(
+            new, 110.0, rows + [{"customer": "c"}, {}], lambda name, *_: customers[name]
+        )
         follows = new.leases.of(customers["c"], 110.0)
         self.assertEqual((number, follows.held, follows.out, lease.held), (1, 4.0, 2, 0.0))
         self.assertEqual(lease.ceiling, 3.0)
@@ -150,7 +188,7 @@
         self.assertAlmostEqual(follows.fill_ceiling(111.0), min(before - 3.0 + 2.0, 8.0))
         succession.settled(new, 110.0, customers["c"], 5)
         self.assertEqual(follows.out, 0)
-        succession.resumed(old, 150.0)    # the new one is gone: what it had is nobody's
+        succession.resumed(old, 150.0)  # the new one is gone: what it had is nobody's
         self.assertAlmostEqual(lease.fill_ceiling(151.0), 5.0)
 
     def test_a_plan_without_a_quota(self):
@@ -185,14 +223,19 @@
     def test_a_lease_goes_on_under_another_plan(self):
         """Neither its ceiling nor what is out is lost or made anew; the window that runs goes on to its end, with what the
         new plan gives in so long, and the next is the new plan's."""
-        customer = api.Customer("c", api.Plan("p", rate=5.0, store=10.0, ceiling_rate=2.0, ceiling_burst=8.0))
+        customer = api.Customer(
+            "c", api.Plan("p", rate=5.0, store=10.0, ceiling_rate=2.0, ceiling_burst=8.0)
+        )
         gateway = Gateway(**SETTINGS, seed=1)
         gateway.started(100.0)
         lease = gateway.leases.of(customer, 101.0)
         before, lease.out, lease.held = lease.fill_ceiling(101.0), 3, 4.0
         customer.plan = api.Plan("p", rate=1.0, store=10.0, ceiling_rate=1.0, ceiling_burst=8.0)
         self.assertIs(gateway.leases.of(customer, 101.0), lease)
-        self.assertEqual((lease.out, lease.fill_ceiling(101.0), lease.allowance, lease.held), (3, before, 2.0, 0.8))
+        self.assertEqual(
+            (lease.out, lease.fill_ceiling(101.0), lease.allowance, lease.held),
+            (3, before, 2.0, 0.8),
+        )
         ends = lease.ends
         self.assertLessEqual(ends, 103.0)
         gateway.leases.of(customer, ends)
@@ -211,7 +254,9 @@
         gateway.started(0.0)
         gateway.listed(0.0, True, [api.Listing(host, "", "", 0, api.READY, 1.0, 0.0)])
         for name in ("look", "lodge"):
-            call_out = api.CallOut(api.Rpc(before.methods[name], customer, 1.0, 9.0, 1.0), host, 0, 1.0, 8.0)
+            call_out = api.CallOut(
+                api.Rpc(before.methods[name], customer, 1.0, 9.0, 1.0), host, 0, 1.0, 8.0
+            )
             gateway.fleet.sent(call_out, 1.0)
             gateway.again(1.1, call_out, api.OK, over=True, took=0.07)
         gateway.renewed(**now.gateway)
@@ -224,7 +269,12 @@
 
     def test_a_file_that_lacks_what_the_one_in_force_has(self):
         before = config.read(copy.deepcopy(TOLD))
-        for path in (["name"], ["settings", "limits"], ["settings", "limits", "maxAttempts"], ["limits", "sockets"]):
+        for path in (
+            ["name"],
+            ["settings", "limits"],
+            ["settings", "limits", "maxAttempts"],
+            ["limits", "sockets"],
+        ):
             told = copy.deepcopy(TOLD)
             place = told
             for step in path[:-1]:
@@ -233,7 +283,7 @@
             with self.assertRaisesRegex(config.ConfigError, "^" + ".".join(path) + ": missing"):
                 config.read(told, None, before)
         told = copy.deepcopy(TOLD)
-        del told["known"]    # the last host list is no setting
+        del told["known"]  # the last host list is no setting
         config.read(told, None, before)
 
 
@@ -246,11 +296,16 @@
         for size in (300, 600):
             account.keep("first", size)
             account.keep("second", size)
-        self.assertEqual((account.room("first"), account.room("second"), account.room("third")), (True, False, False))
+        self.assertEqual(
+            (account.room("first"), account.room("second"), account.room("third")),
+            (True, False, False),
+        )
         account.keep("first", 900)
         self.assertEqual((account.room("first"), account.room("second")), (True, False))
         account.keep("first", 0)
-        self.assertEqual((account.room("second"), account.room("third"), account.kept), (True, True, 600))
+        self.assertEqual(
+            (account.room("second"), account.room("third"), account.kept), (True, True, 600)
+        )
         account.keep("second", 0)
         self.assertEqual((account.kept, account.bodies), (0, {}))
 
@@ -259,23 +314,48 @@
     """When discovery is called next."""
 
     def backoff(self, draw, at_first=Limits.watch_next):
-        return Backoff(draw, Limits.watch_next, at_first, Limits.watch_hold, Limits.watch_grace, Limits.watch_timeout,
-                       Limits.backoff_first)
-
-    @given(some.lists(some.tuples(some.sampled_from([FAILED, SILENT, TURNED_AWAY, "news", "none"]), some.floats(0, 1),
-                                  some.booleans()), max_size=40), some.randoms(), some.booleans())
+        return Backoff(
+            draw,
+            Limits.watch_next,
+            at_first,
+            Limits.watch_hold,
+            Limits.watch_grace,
+            Limits.watch_timeout,
+            Limits.backoff_first,
+        )
+
+    @given(
+        some.lists(
+            some.tuples(
+                some.sampled_from([FAILED, SILENT, TURNED_AWAY, "news", "none"]),
+                some.floats(0, 1),
+                some.booleans(),
+            ),
+            max_size=40,
+        ),
+        some.randoms(),
+        some.booleans(),
+    )
     def test_the_next_call_begins_in_time(self, outcomes, chance, moved):
         """Whatever becomes of calls, and however much of their time they took, the next begins within the bound; it is never
         at once after a failure, and what may be held leaves its grace."""
-        backoff, now, began = self.backoff(chance.random, Limits.watch_first if moved else Limits.watch_next), 100.0, None
+        backoff, now, began = (
+            self.backoff(chance.random, Limits.watch_first if moved else Limits.watch_next),
+            100.0,
+            None,
+        )
         for outcome, share, watches in outcomes:
-            watches = watches or not moved    # at another address the whole list is asked for
+            watches = watches or not moved  # at another address the whole list is asked for
             if began is not None:
-                self.assertLessEqual(now - began, (Limits.watch_first if moved else Limits.watch_next) + 1e-9)
+                self.assertLessEqual(
+                    now - began, (Limits.watch_first if moved else Limits.watch_next) + 1e-9
+                )
             began, until = now, backoff.begin(now, watches and not moved)
             self.assertLessEqual(until - began, Limits.watch_next)
             dialed = began + share * share * (until - began)
-            self.assertLessEqual(dialed + backoff.hold(dialed), max(dialed, until - backoff.grace) + 1e-9)
+            self.assertLessEqual(
+                dialed + backoff.hold(dialed), max(dialed, until - backoff.grace) + 1e-9
+            )
             now = until if outcome == SILENT else began + share * (until - began)
             if outcome in (FAILED, SILENT, TURNED_AWAY):
                 pause = backoff.pause(outcome, now)
--- a/tests/operation/lists.py
+++ b/tests/operation/lists.py
@@ -11,6 +11,7 @@
 
 class Name(str):
     """A name that counts how often it is looked up or compared."""
+
     asked = 0
 
     def __hash__(self):
@@ -24,11 +25,30 @@
 
 def told(number, **more):
     """A settings object with so many methods and plans, and whatever else the first method says."""
-    rows = [{"name": Name(f"m{at}"), "effect": "token", "keyScope": "all", "window": 4000000, "goalTime": 1000000,
-             "giveUp": 4000000, "worth": 1.5, "lateWorth": 0.5, "streamed": False} for at in range(number)]
+    rows = [
+        {
+            "name": Name(f"m{at}"),
+            "effect": "token",
+            "keyScope": "all",
+            "window": 4000000,
+            "goalTime": 1000000,
+            "giveUp": 4000000,
+            "worth": 1.5,
+            "lateWorth": 0.5,
+            "streamed": False,
+        }
+        for at in range(number)
+    ]
     rows[0] |= more
-    return config.Section({"classes": rows, "contracts": [{"name": Name(f"p{at}"), "quotaRate": 5, "storeSize": 9}
-                                                          for at in range(number)]}, "settings")
+    return config.Section(
+        {
+            "classes": rows,
+            "contracts": [
+                {"name": Name(f"p{at}"), "quotaRate": 5, "storeSize": 9} for at in range(number)
+            ],
+        },
+        "settings",
+    )
 
 
 class Slopes(unittest.TestCase):
@@ -40,7 +60,9 @@
         return Name.asked
 
     def test_settings_are_read_in_step_with_their_rows(self):
-        few, many = (self.cost(lambda rows=rows: config.settings(rows)) for rows in (told(40), told(400)))
+        few, many = (
+            self.cost(lambda rows=rows: config.settings(rows)) for rows in (told(40), told(400))
+        )
         self.assertGreater(few, 0)
         self.assertLessEqual(many, 12 * few)
 
@@ -58,14 +80,28 @@
         self.assertLessEqual(costs[1], 12 * costs[0])
 
     def test_what_is_wrong_in_the_last_row_is_told_in_one_line(self):
-        for wrong, text in (({"name": "m7"}, "settings.classes: expected each name once, found \"m7\" twice"),
-                            ({"giveUp": 0}, "settings.classes[399].giveUp: expected a number above 0, found 0"),
-                            ({"giveUp": None}, "settings.classes[399].giveUp: expected a number above 0, found null"),
-                            ({"giveUp": 10 ** 400}, "settings.classes[399].giveUp: expected a number above 0, found 1000"),
-                            ({"worth": float("nan")}, "settings.classes[399].worth: expected a number from 0, found nan"),
-                            ({"worth": True}, "settings.classes[399].worth: expected a number from 0, found true"),
-                            ({"worth": -1}, "settings.classes[399].worth: expected a number from 0, found -1"),
-                            ({"effect": "odd"}, "settings.classes[399].effect: expected one of pure, token, side_effect")):
+        for wrong, text in (
+            ({"name": "m7"}, 'settings.classes: expected each name once, found "m7" twice'),
+            ({"giveUp": 0}, "settings.classes[399].giveUp: expected a number above 0, found 0"),
+            (
+                {"giveUp": None},
+                "settings.classes[399].giveUp: expected a number above 0, found null",
+            ),
+            (
+                {"giveUp": 10**400},
+                "settings.classes[399].giveUp: expected a number above 0, found 1000",
+            ),
+            (
+                {"worth": float("nan")},
+                "settings.classes[399].worth: expected a number from 0, found nan",
+            ),
+            ({"worth": True}, "settings.classes[399].worth: expected a number from 0, found true"),
+            ({"worth": -1}, "settings.classes[399].worth: expected a number from 0, found -1"),
+            (
+                {"effect": "odd"},
+                "settings.classes[399].effect: expected one of pure, token, side_effect",
+            ),
+        ):
             rows = told(400)
             rows.value["classes"][-1] |= wrong
             with self.assertRaises(config.ConfigError) as raised:
@@ -79,16 +115,19 @@
 
 class Table(dict):
     """One that nobody may walk."""
+
     __iter__ = keys = values = items = walked
 
 
 class Group(set):
     """One that nobody may walk."""
+
     __iter__ = walked
 
 
 class HostLists(unittest.TestCase):
     """A gateway with hosts a and b, eight rows a turn, and lists of hosts that are not ready besides."""
+
     SHARE, MANY = 8, 400
 
     def setUp(self):
@@ -97,10 +136,12 @@
         net.do_limits(f"list_rows={self.SHARE}")
         net.do_world("a", "b")
         net.do_connect("c")
-        self.told, self.checked = [], []    # (turn, rows) and the turns of checked rows
+        self.told, self.checked = [], []  # (turn, rows) and the turns of checked rows
         self.tell, check = net.node.driver.gateway.listed, config.host_entry
         net.node.driver.gateway.listed = self.listed
-        patch = mock.patch.object(config, "host_entry", lambda row: self.checked.append(net.turned) or check(row))
+        patch = mock.patch.object(
+            config, "host_entry", lambda row: self.checked.append(net.turned) or check(row)
+        )
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -133,7 +174,11 @@
     def names(self):
         """The names in the order in which the module was told of them, each with its state."""
         by_host = {host: name for name, host in self.before.items()}
-        return [(by_host.get(row.host, row.host.address), row.state) for _, rows in self.told for row in rows]
+        return [
+            (by_host.get(row.host, row.host.address), row.state)
+            for _, rows in self.told
+            for row in rows
+        ]
 
     def longest(self):
         """The most rows that were told in one turn, and that were checked in one."""
@@ -155,11 +200,16 @@
         self.until(lambda: len(self.told) > 2)
         self.served("r2")
         self.assertTrue(node.driver.taking)
-        self.assertEqual((node.discovery.index, self.net.watch, self.net.lines("hosts")[1:]), (1, None, []))
+        self.assertEqual(
+            (node.discovery.index, self.net.watch, self.net.lines("hosts")[1:]), (1, None, [])
+        )
         self.in_force()
         self.assertEqual(self.longest(), (self.SHARE, self.SHARE))
-        line, = self.net.lines("hosts")[1:]
-        self.assertLessEqual({"full": True, "changed": 402, "known": 402, "ready": 2}.items(), json.loads(line).items())
+        (line,) = self.net.lines("hosts")[1:]
+        self.assertLessEqual(
+            {"full": True, "changed": 402, "known": 402, "ready": 2}.items(),
+            json.loads(line).items(),
+        )
         self.net.do_watch("from=2&")
 
     def test_what_a_list_leaves_out_ends_last_and_in_shares_too(self):
@@ -171,32 +221,45 @@
         self.assertEqual(self.longest()[0], self.SHARE)
         rows = [row for _, rows in self.told for row in rows]
         self.assertEqual([row.state for row in rows], [api.READY] + [api.GONE] * 401)
-        self.assertEqual((list(self.net.node.driver.hosts), len(self.net.node.driver.ready)), (["b"], 1))
+        self.assertEqual(
+            (list(self.net.node.driver.hosts), len(self.net.node.driver.ready)), (["b"], 1)
+        )
         self.served("r1")
 
     def test_a_short_list_is_taken_over_in_the_turn_in_which_it_is_whole(self):
         self.says(True, self.row("a", "in_service"), self.row("y"))
         self.in_force()
         self.assertEqual(({turn for turn, _ in self.told}, len(self.told)), (set(self.checked), 1))
-        self.assertEqual([(row.state, row.host.address.endswith(":1")) for row in self.told[0][1]],
-                         [(api.READY, False), (api.DRAINING, True), (api.GONE, False)])
+        self.assertEqual(
+            [(row.state, row.host.address.endswith(":1")) for row in self.told[0][1]],
+            [(api.READY, False), (api.DRAINING, True), (api.GONE, False)],
+        )
 
     def test_a_list_whose_last_row_is_of_no_form_changes_nothing(self):
         before = dict(self.net.node.driver.hosts)
         self.says(True, *self.many(), self.row("a", weight=-1))
         self.until(lambda: self.net.lines("discovery_away"))
-        line, = self.net.lines("discovery_away")
-        self.assertEqual(json.loads(line)["error"], "list.endpoints[400].weight: expected a number from 0, found -1")
-        self.assertEqual((self.told, self.net.node.driver.hosts, self.longest()[1]), ([], before, self.SHARE))
+        (line,) = self.net.lines("discovery_away")
+        self.assertEqual(
+            json.loads(line)["error"],
+            "list.endpoints[400].weight: expected a number from 0, found -1",
+        )
+        self.assertEqual(
+            (self.told, self.net.node.driver.hosts, self.longest()[1]), ([], before, self.SHARE)
+        )
         self.net.do_watch("from=1&")
         self.served("r1")
 
     def test_a_change_right_behind_a_long_list_comes_after_it(self):
         self.before = dict(self.net.node.driver.hosts)
         self.says(True, *self.many(), self.row("a", "in_service"), self.row("b", "in_service"))
-        self.net.peers[-1].sock.send(self.answer(False, self.row("a")).encode())    # it does not wait for the call
+        self.net.peers[-1].sock.send(
+            self.answer(False, self.row("a")).encode()
+        )  # it does not wait for the call
         self.in_force()
-        self.assertEqual(self.names()[-3:], [("a", api.READY), ("b", api.READY), ("a", api.DRAINING)])
+        self.assertEqual(
+            self.names()[-3:], [("a", api.READY), ("b", api.READY), ("a", api.DRAINING)]
+        )
         self.assertEqual(len(self.net.node.driver.ready), 1)
         for rpc in ("r1", "r2", "r3"):
             self.served(rpc)
@@ -221,15 +284,23 @@
         self.net.do_moves("discovery")
         self.checked.clear()
         self.says(True, self.row("w"))
-        self.until(lambda: self.checked)    # it has its one row, and waits
+        self.until(lambda: self.checked)  # it has its one row, and waits
         self.net.do_moves("discovery")
         self.says(True, self.row("b", "in_service"))
         self.in_force()
         self.assertEqual((old.over, old.index), (True, 2))
         names = self.names()
-        self.assertEqual(names[self.MANY:self.MANY + 3], [("a", api.READY), ("b", api.GONE), ("127.0.0.1:%d" % (
-            self.net.listeners["b"].getsockname()[1]), api.READY)])
-        self.assertEqual([state for _, state in names[self.MANY + 3:]], [api.GONE] * (self.MANY + 1))
+        self.assertEqual(
+            names[self.MANY : self.MANY + 3],
+            [
+                ("a", api.READY),
+                ("b", api.GONE),
+                ("127.0.0.1:%d" % (self.net.listeners["b"].getsockname()[1]), api.READY),
+            ],
+        )
+        self.assertEqual(
+            [state for _, state in names[self.MANY + 3 :]], [api.GONE] * (self.MANY + 1)
+        )
         self.assertEqual(list(self.net.node.driver.hosts), ["b"])
         self.served("r1")
 
@@ -240,7 +311,9 @@
         driver.hosts, driver.ready = Table(driver.hosts), Group(driver.ready)
         self.says(False, self.row("a"), self.row("x7", "terminated"), self.row("x8", "in_service"))
         self.in_force()
-        self.assertLessEqual({"known": 401, "ready": 2}.items(), json.loads(self.net.lines("hosts")[-1]).items())
+        self.assertLessEqual(
+            {"known": 401, "ready": 2}.items(), json.loads(self.net.lines("hosts")[-1]).items()
+        )
 
     def test_hosts_have_a_pool_while_it_holds_anything(self):
         self.says(True, *self.many(), self.row("a", "in_service"))
@@ -248,9 +321,11 @@
         pools = self.net.node.upstream.pools
         self.assertEqual(pools, {})
         self.served("r1")
-        self.assertEqual([pool.address for pool in pools.values()], [self.net.listeners["a"].getsockname()])
+        self.assertEqual(
+            [pool.address for pool in pools.values()], [self.net.listeners["a"].getsockname()]
+        )
         self.net.do_wait(17)
-        self.net.clients.pop("c").sock.close()    # idle for so long, it was let go
+        self.net.clients.pop("c").sock.close()  # idle for so long, it was let go
         self.assertEqual(pools, {})
         self.net.do_connect("c")
         self.served("r2")
--- a/tests/operation/longs.py
+++ b/tests/operation/longs.py
@@ -11,7 +11,6 @@
 
 
 class Longs(unittest.TestCase):
-
     def test_clients_that_stop_reading(self):
         """Thirty-two values of 4 MiB to clients that read nothing for a while, 64 MB of memory, and fast clients beside
         them: all get what the host gave, and memory stays within the limit."""
@@ -22,6 +21,7 @@
             for parts in commands(sock):
                 size = SIZE if parts[2].startswith(b"long") else 5
                 sock.sendall(b"*3\r\n$%d\r\n" % size + b"x" * size + b"\r\n$-1\r\n$-1\r\n")
+
         world.rows[0]["address"] = world.serve(host)
         world.write(world.told)
         process = world.start()
@@ -33,7 +33,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
             sock.settimeout(PATIENCE)
             sock.connect(world.address)
-            for again in range(50):    # one host alone pushes some back at first
+            for again in range(50):  # one host alone pushes some back at first
                 world.send(sock, b"long%d.%d" % (number, again), who=number + 2)
                 if sock.recv(1, socket.MSG_PEEK) == b"$":
                     break
@@ -48,7 +48,9 @@
             took.append(time.monotonic() - began)
             time.sleep(0.05)
             with open(f"/proc/{process.pid}/status") as status:
-                most = max(most, next(int(line.split()[1]) for line in status if line.startswith("VmRSS")))
+                most = max(
+                    most, next(int(line.split()[1]) for line in status if line.startswith("VmRSS"))
+                )
         self.assertLess(max(took), 1.0)
         self.assertGreater(answers.count(b"$"), 10)
         self.assertLess(most / 1024, 64)
--- a/tests/operation/upgrades.py
+++ b/tests/operation/upgrades.py
@@ -15,7 +15,6 @@
 
 
 class Upgrades(unittest.TestCase):
-
     def setUp(self):
         self.world = World()
         self.addCleanup(self.world.close)
@@ -25,7 +24,7 @@
     def ask(self, client, rpc, wanted=None, **more):
         self.world.send(client, rpc, **more)
         wanted = wanted or b"$" + rpc
-        self.assertEqual(answer(client)[:len(wanted)], wanted)
+        self.assertEqual(answer(client)[: len(wanted)], wanted)
 
     def test_connections_go_over_with_what_is_owed_on_them(self):
         """Nothing is lost, no connection ends, and what the old process has taken it answers."""
@@ -39,15 +38,20 @@
         time.sleep(0.1)
         new = world.start()
         self.assertLess(world.ready(new), 5.0)
-        self.assertEqual((world.call(self.old, "GET", "/-/ready"), world.call(self.old, "POST", "/-/resume")), (503, 409))
+        self.assertEqual(
+            (world.call(self.old, "GET", "/-/ready"), world.call(self.old, "POST", "/-/resume")),
+            (503, 409),
+        )
         self.ask(world.client(), b"new")
         for client in idle:
             self.ask(client, b"after")
-        half.sendall(b"ERY\r\n$16\r\n%016x\r\n$4\r\nhalf\r\n$26\r\nc=look,t=basic,d=900,r=1,x\r\n" % 1)
+        half.sendall(
+            b"ERY\r\n$16\r\n%016x\r\n$4\r\nhalf\r\n$26\r\nc=look,t=basic,d=900,r=1,x\r\n" % 1
+        )
         self.assertEqual(answer(half), b"$half")
         self.old.send_signal(signal.SIGTERM)
         time.sleep(0.2)
-        self.assertIsNone(self.old.poll())    # it owes an answer
+        self.assertIsNone(self.old.poll())  # it owes an answer
         world.gates["held"].set()
         self.assertEqual(answer(busy), b"$held")
         self.assertEqual(self.old.wait(PATIENCE), 0)
@@ -64,7 +68,7 @@
         new = world.start()
         world.ready(new)
         self.old.send_signal(signal.SIGTERM)
-        time.sleep(1.0)    # past the RPC's deadline: what has begun to come is not cut off
+        time.sleep(1.0)  # past the RPC's deadline: what has begun to come is not cut off
         self.assertIsNone(self.old.poll())
         world.gates["big"].set()
         head = b"$%d\r\n" % BIG
@@ -85,7 +89,9 @@
                 self.old.send_signal(signal.SIGHUP)
             time.sleep(0.3)
             client = self.world.client()
-            self.ask(client, b"one", method=b"first", verb=b"SVC.QUERY", wanted=b"-ERR c: no such method")
+            self.ask(
+                client, b"one", method=b"first", verb=b"SVC.QUERY", wanted=b"-ERR c: no such method"
+            )
             self.ask(client, b"two", method=b"second", verb=b"SVC.QUERY")
             told["settings"]["classes"][0]["name"] = "look"
             self.world.write(told)
@@ -105,7 +111,7 @@
             old.wait()
             self.assertLess(self.world.ready(new), 5.0)
             self.ask(self.world.client(), b"after")
-            for client in clients:    # it went over, or its end is seen at once
+            for client in clients:  # it went over, or its end is seen at once
                 with contextlib.suppress(OSError):
                     self.world.send(client, b"rest")
                     self.assertIn(answer(client), (b"$rest", b""))
@@ -136,7 +142,7 @@
         self.ask(world.client(), b"new", wanted=b"-BUSY")
         world.gates["held"].set()
         self.assertEqual(answer(client), b"$held")
-        self.ask(client, b"next", wanted=b"-BUSY")    # on a connection that has gone over
+        self.ask(client, b"next", wanted=b"-BUSY")  # on a connection that has gone over
         self.assertEqual(world.ran, ["held"])
 
     def test_twice_in_a_row(self):
@@ -167,13 +173,13 @@
         """The new one does not wait for it without end; once it runs again, both serve and nothing is lost."""
         client = self.world.client()
         self.ask(client, b"one")
-        self.ask(client, b"more")    # one that comes back is not let go of meanwhile
+        self.ask(client, b"more")  # one that comes back is not let go of meanwhile
         self.old.send_signal(signal.SIGSTOP)
         new = self.world.start()
         self.assertLess(self.world.ready(new), 5.0)
         self.ask(self.world.client(), b"two")
         self.old.send_signal(signal.SIGCONT)
-        time.sleep(0.5)    # what comes while it wakes may be pushed back, as its patience may be over
+        time.sleep(0.5)  # what comes while it wakes may be pushed back, as its patience may be over
         self.ask(client, b"three")
         self.old.send_signal(signal.SIGTERM)
         self.assertEqual(self.old.wait(PATIENCE), 0)
@@ -187,15 +193,19 @@
         time.sleep(1.3)
         self.old.send_signal(signal.SIGCONT)
         self.world.ready(new)
-        self.assertEqual(self.world.call(self.old, "GET", "/-/ready"), 503)    # it is followed
+        self.assertEqual(self.world.call(self.old, "GET", "/-/ready"), 503)  # it is followed
         self.old.send_signal(signal.SIGTERM)
         self.assertEqual(self.old.wait(PATIENCE), 0)
         self.ask(client, b"two")
 
     def test_one_of_another_version_is_refused(self):
         """And whoever says what means nothing ends its own link only."""
-        for said, answered in ((orjson.dumps({"ask": 99}) + b"\n", b'{"refused":1}\n'), (b"nonsense", b""),
-                               (b"[]\n", b""), (b'{"got":7}\n', None)):
+        for said, answered in (
+            (orjson.dumps({"ask": 99}) + b"\n", b'{"refused":1}\n'),
+            (b"nonsense", b""),
+            (b"[]\n", b""),
+            (b'{"got":7}\n', None),
+        ):
             with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
                 sock.connect(self.world.socket())
                 sock.settimeout(PATIENCE)
@@ -206,8 +216,11 @@
 
     def test_a_customer_near_its_ceiling_gets_no_second_one(self):
         """Ten units of ceiling, hardly any more with time: both processes together let ten RPCs through."""
-        world = World("settings.contracts.0.ceilingRate=0.01", "settings.contracts.0.ceilingBurst=10",
-                      "settings.contracts.0.quotaRate=0")
+        world = World(
+            "settings.contracts.0.ceilingRate=0.01",
+            "settings.contracts.0.ceilingBurst=10",
+            "settings.contracts.0.quotaRate=0",
+        )
         self.addCleanup(world.close)
         old = world.start()
         world.ready(old)
@@ -231,7 +244,9 @@
                 process = self.world.start(PROXY_LISTEN_FD=text)
                 self.assertEqual(process.wait(PATIENCE), 2)
                 said = process.stderr.read().decode()
-                self.assertIn("PROXY_LISTEN_FD: expected the descriptor of a listening TCP socket", said)
+                self.assertIn(
+                    "PROXY_LISTEN_FD: expected the descriptor of a listening TCP socket", said
+                )
                 self.assertIn(found, said)
 
     def test_the_new_process_dies_before_its_yes(self):
@@ -314,7 +329,9 @@
             time.sleep(0.05)
         self.world.ready(new)
         new.send_signal(signal.SIGHUP)
-        self.world.send(client, b"two")    # credit that was handed over, or a push-back: an answer in any case
+        self.world.send(
+            client, b"two"
+        )  # credit that was handed over, or a push-back: an answer in any case
         self.assertIn(answer(client)[:5], (b"$two", b"-BUSY"))
         self.world.quiet.clear()
         old.send_signal(signal.SIGTERM)
--- a/tests/operation/world.py
+++ b/tests/operation/world.py
@@ -18,7 +18,7 @@
 
 LIMITS = Limits(256, 1.0, 1.0, 1, 1.0)
 BIG = 300_000
-PATIENCE = 20.0    # seconds after which what is expected counts as never coming
+PATIENCE = 20.0  # seconds after which what is expected counts as never coming
 
 
 def commands(sock):
@@ -27,7 +27,7 @@
     while True:
         while found := resp.command(buffer, 0, LIMITS):
             yield [bytes(buffer[slice(*span)]) for span in found[0]]
-            del buffer[:found[1]]
+            del buffer[: found[1]]
         data = sock.recv(1 << 16)
         if not data:
             return
@@ -51,16 +51,30 @@
 
     def __init__(self, *words):
         self.totals, self.lock, self.gates, self.ran = {}, threading.Lock(), {}, []
-        self.quiet = threading.Event()    # the counter says nothing
+        self.quiet = threading.Event()  # the counter says nothing
         self.stack = contextlib.ExitStack()
         self.folder = self.stack.enter_context(tempfile.TemporaryDirectory())
         self.listener = self.stack.enter_context(socket.create_server(("127.0.0.1", 0)))
         self.address = self.listener.getsockname()
         told = changed(TOLD, words)
         host = self.serve(self.host)
-        told.update(listen="%s:%d" % self.address, counter=self.serve(self.counter), discovery=self.serve(self.discovery))
-        self.rows = [{"name": "a", "address": host, "zone": "z", "type": "k", "group": 1, "status": "in_service",
-                      "weight": 1.0, "since_ms": 0}]
+        told.update(
+            listen="%s:%d" % self.address,
+            counter=self.serve(self.counter),
+            discovery=self.serve(self.discovery),
+        )
+        self.rows = [
+            {
+                "name": "a",
+                "address": host,
+                "zone": "z",
+                "type": "k",
+                "group": 1,
+                "status": "in_service",
+                "weight": 1.0,
+                "since_ms": 0,
+            }
+        ]
         told["known"]["endpoints"] = self.rows
         self.told = told
         self.file = os.path.join(self.folder, f"config-{self.address[1]}.json")
@@ -79,11 +93,14 @@
         def accept():
             with contextlib.suppress(OSError):
                 while True:
-                    threading.Thread(target=handle, args=(listener.accept()[0],), daemon=True).start()
+                    threading.Thread(
+                        target=handle, args=(listener.accept()[0],), daemon=True
+                    ).start()
 
         def handle(sock):
             with sock, contextlib.suppress(OSError):
                 handler(sock)
+
         threading.Thread(target=accept, daemon=True).start()
         self.stack.callback(listener.shutdown, socket.SHUT_RDWR)
         return "%s:%d" % listener.getsockname()
@@ -123,10 +140,21 @@
         """A process of the gateway, with a management address of its own."""
         with socket.create_server(("127.0.0.1", 0)) as free:
             management = "%s:%d" % free.getsockname()
-        environ = {**os.environ, "PROXY_CONFIG": self.file, "PROXY_MANAGEMENT": management, "TMPDIR": self.folder,
-                   "PROXY_LISTEN_FD": str(self.listener.fileno()), **given}
-        process = subprocess.Popen([sys.executable, "-m", "petrellane", "serve"], env=environ, stdout=subprocess.PIPE,
-                                   stderr=subprocess.PIPE, pass_fds=[self.listener.fileno()])
+        environ = {
+            **os.environ,
+            "PROXY_CONFIG": self.file,
+            "PROXY_MANAGEMENT": management,
+            "TMPDIR": self.folder,
+            "PROXY_LISTEN_FD": str(self.listener.fileno()),
+            **given,
+        }
+        process = subprocess.Popen(
+            [sys.executable, "-m", "petrellane", "serve"],
+            env=environ,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            pass_fds=[self.listener.fileno()],
+        )
         process.management = management.split(":")
         self.stack.callback(self.end, process)
         return process
@@ -170,5 +198,11 @@
     @staticmethod
     def send(client, rpc, method=b"look", who=1, left=3000, more=b"", verb=None):
         verb = verb or (b"SVC.QUERY" if method == b"look" else b"SVC.SUBMIT")
-        client.sendall(resp.words(verb, b"%016x" % who, rpc, b"c=%b,t=basic,d=%d,units=1,spread=1,first=0%b" % (
-            method, left, more)))
+        client.sendall(
+            resp.words(
+                verb,
+                b"%016x" % who,
+                rpc,
+                b"c=%b,t=basic,d=%d,units=1,spread=1,first=0%b" % (method, left, more),
+            )
+        )
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -28,11 +28,29 @@
 from tests.sockets import Net
 from tests.spread.cases import CASES as SPREAD
 
-SETTINGS = dict(zone="z1", counter=True, counter_timeout=0.05, may_cancel=True, max_wait=0.5,
-                cold=10.0, cold_from=0.25, cross_zone=0.0, must_ask=False)
-PLAN_NAMES = dict(burst="store", ceiling="ceiling_rate", top="ceiling_burst", slack="ceiling_slack", out="max_out",
-                  cost="over_cost", over="over_utility")
-METHOD_NAMES = dict(soft="soft_deadline", dl="deadline", scope="key_scope", keep="key_window", late="late_utility")
+SETTINGS = dict(
+    zone="z1",
+    counter=True,
+    counter_timeout=0.05,
+    may_cancel=True,
+    max_wait=0.5,
+    cold=10.0,
+    cold_from=0.25,
+    cross_zone=0.0,
+    must_ask=False,
+)
+PLAN_NAMES = dict(
+    burst="store",
+    ceiling="ceiling_rate",
+    top="ceiling_burst",
+    slack="ceiling_slack",
+    out="max_out",
+    cost="over_cost",
+    over="over_utility",
+)
+METHOD_NAMES = dict(
+    soft="soft_deadline", dl="deadline", scope="key_scope", keep="key_window", late="late_utility"
+)
 
 
 def value(text):
@@ -69,7 +87,9 @@
         for step in steps:
             kind = type(step).__name__
             if isinstance(step, api.Wake):
-                self.wakes.append((self.now + step.after, len(self.wakes), step.about, self.gateway))
+                self.wakes.append(
+                    (self.now + step.after, len(self.wakes), step.about, self.gateway)
+                )
             elif isinstance(step, api.Add):
                 self.adds.append((step, self.gateway))
             elif isinstance(step, api.Log):
@@ -82,7 +102,9 @@
 
     def do_method(self, name, effect, *words):
         given = {METHOD_NAMES.get(key, key): val for key, val in options(words).items()}
-        self.methods[name] = api.Method(name, **{"soft_deadline": 1.0, "deadline": 4.0, "effect": effect, **given})
+        self.methods[name] = api.Method(
+            name, **{"soft_deadline": 1.0, "deadline": 4.0, "effect": effect, **given}
+        )
 
     def do_plan(self, name, *words):
         given = {PLAN_NAMES.get(key, key): val for key, val in options(words).items()}
@@ -106,7 +128,10 @@
         self.gateway = self.gateways.setdefault(number, self.gateway)
 
     def list_all(self):
-        rows = [api.Listing(h, h.zone, h.kind, h.pod, h.state, h.share, h.up_since) for h in self.hosts.values()]
+        rows = [
+            api.Listing(h, h.zone, h.kind, h.pod, h.state, h.share, h.up_since)
+            for h in self.hosts.values()
+        ]
         self.take(self.gateway.listed(self.now, True, rows))
 
     def do_host(self, *words):
@@ -115,9 +140,17 @@
         rows = []
         for name in names:
             host = self.hosts.setdefault(name, api.Host(name))
-            rows.append(api.Listing(host, given.get("zone", "z1"), "std", int(given.get("pod", 0)),
-                                    given.get("state", api.READY), given.get("share", 1.0),
-                                    self.now - given["age"] if "age" in given else 0.0))
+            rows.append(
+                api.Listing(
+                    host,
+                    given.get("zone", "z1"),
+                    "std",
+                    int(given.get("pod", 0)),
+                    given.get("state", api.READY),
+                    given.get("share", 1.0),
+                    self.now - given["age"] if "age" in given else 0.0,
+                )
+            )
         self.take(self.gateway.listed(self.now, False, rows))
 
     def do_list(self, *names):
@@ -125,7 +158,9 @@
         self.list_all()
 
     def do_customer(self, name, plan, *words):
-        self.customers[name] = api.Customer(name, self.plans[plan], **{k: int(v) for k, v in options(words).items()})
+        self.customers[name] = api.Customer(
+            name, self.plans[plan], **{k: int(v) for k, v in options(words).items()}
+        )
 
     def do_retune(self, name, plan):
         """New settings say another thing of the customer's plan."""
@@ -133,14 +168,24 @@
 
     def do_rpc(self, name, method, customer, *words):
         given = options(words)
-        rpc = self.rpcs[name] = api.Rpc(self.methods[method], self.customers[customer], given.get("units", 1.0),
-                                        self.now + given.get("left", 4.0), self.now)
+        rpc = self.rpcs[name] = api.Rpc(
+            self.methods[method],
+            self.customers[customer],
+            given.get("units", 1.0),
+            self.now + given.get("left", 4.0),
+            self.now,
+        )
         self.take(self.gateway.place(self.now, rpc))
 
     def do_flood(self, count, method, customer, *words):
         given = options(words)
         for index in range(int(count)):
-            self.do_rpc(f"flood{index}", method, customer, *(w for w in words if w.startswith(("units", "left"))))
+            self.do_rpc(
+                f"flood{index}",
+                method,
+                customer,
+                *(w for w in words if w.startswith(("units", "left"))),
+            )
             if given.get("count") == "ok":
                 self.do_count("ok")
             rpc = self.rpcs[f"flood{index}"]
@@ -174,7 +219,9 @@
         while self.adds and (turn := turn + 1) < given.get("turns", 19) + 1:
             (add, asker), total = self.adds.pop(0), 0.0
             if outcome in (api.OK, api.ERROR):
-                total = self.ledger[add.name] = self.ledger.get(add.name, given.get("others", 0.0)) + add.amount
+                total = self.ledger[add.name] = (
+                    self.ledger.get(add.name, given.get("others", 0.0)) + add.amount
+                )
             with self.acting(asker):
                 self.take(self.gateway.counted(self.now, add, outcome, total))
 
@@ -187,8 +234,11 @@
     def end(self, rpc, outcome, took=0.1, units=0.0):
         call_out = rpc.call_outs[-1]
         assert not call_out.outcome, "it has no call-out out"
-        self.take(self.gateway.again(self.now, call_out, outcome, over=outcome == api.OK, took=took,
-                                     units=units))
+        self.take(
+            self.gateway.again(
+                self.now, call_out, outcome, over=outcome == api.OK, took=took, units=units
+            )
+        )
 
     def do_answer(self, name, outcome, *words):
         self.end(self.rpcs[name], outcome, **options(words))
@@ -214,27 +264,41 @@
         if what in ("held", "nothing"):
             assert kinds == [], kinds
             return
-        wanted = {"sent": "CallOut", "pushed-back": "PushBack", "aborted": "Abort", "cancelled": "Cancel"}[what]
+        wanted = {
+            "sent": "CallOut",
+            "pushed-back": "PushBack",
+            "aborted": "Abort",
+            "cancelled": "Cancel",
+        }[what]
         assert kinds and kinds[-1] == wanted, kinds
         on = options(words[1:]).get("on")
-        assert on is None or rpc.call_outs[-1].host.address in on.split(","), rpc.call_outs[-1].host.address
+        assert on is None or rpc.call_outs[-1].host.address in on.split(","), rpc.call_outs[
+            -1
+        ].host.address
         self.said = [entry for entry in self.said if entry[1] is not rpc]
 
     def do_tally(self, kind, low, high):
         if kind == "asked":
             number = sum(step.amount for name, _, step in self.said if name == "Add")
         elif kind.startswith("on:"):
-            number = sum(name == "CallOut" and step.host.address in kind[3:].split(",") for name, _, step in self.said)
+            number = sum(
+                name == "CallOut" and step.host.address in kind[3:].split(",")
+                for name, _, step in self.said
+            )
         elif kind == "hosts":
             number = len({step.host for name, _, step in self.said if name == "CallOut"})
         elif kind == "units":
-            number = sum(rpc.units for name, rpc, step in self.said if name == "CallOut" and step.number == 0)
+            number = sum(
+                rpc.units for name, rpc, step in self.said if name == "CallOut" and step.number == 0
+            )
         else:
             number = sum(name == kind for name, _, _ in self.said)
         assert float(low) <= number <= float(high), f"{number} of {kind}"
 
     def do_leases(self, low, high):
-        assert int(low) <= len(self.gateway.leases.leases) <= int(high), len(self.gateway.leases.leases)
+        assert int(low) <= len(self.gateway.leases.leases) <= int(high), len(
+            self.gateway.leases.leases
+        )
 
     def do_forgets(self):
         gone = [host.address for host, _ in self.gateway.fleet.used if host.state == api.GONE]
@@ -273,20 +337,45 @@
 def test_of(path, scene, seeds):
     def test(self):
         for seed in range(seeds):
-            with contextlib.closing(scene(random.Random(f"{path.name} {seed}").getrandbits(32))) as playing:
+            with contextlib.closing(
+                scene(random.Random(f"{path.name} {seed}").getrandbits(32))
+            ) as playing:
                 play(playing, path)
+
     return test
 
 
-for case, scene, folder, seeds in ((Scenarios, Scene, "scenarios", 5), (Sockets, Net, "sockets", 1)):
+for case, scene, folder, seeds in (
+    (Scenarios, Scene, "scenarios", 5),
+    (Sockets, Net, "sockets", 1),
+):
     for scenario in sorted((pathlib.Path(__file__).parent / folder).glob("*.txt")):
         setattr(case, "test_" + scenario.stem.replace("-", "_"), test_of(scenario, scene, seeds))
 
 
 GROUPS = {
-    "gateway": [KnownRed, Scenarios, Sockets, States, Calls, Succession, Settings, Waiting, Backoffs, Upgrades, Longs,
-                *LISTS, Model, BadScenario, Judged, *CHOOSING],
-    "agreement": AGREEMENT + SIZE + SPREAD + SLOPES + SCALE, "capacity": CAPACITY, "processes": PROCESSES}
+    "gateway": [
+        KnownRed,
+        Scenarios,
+        Sockets,
+        States,
+        Calls,
+        Succession,
+        Settings,
+        Waiting,
+        Backoffs,
+        Upgrades,
+        Longs,
+        *LISTS,
+        Model,
+        BadScenario,
+        Judged,
+        *CHOOSING,
+    ],
+    "agreement": AGREEMENT + SIZE + SPREAD + SLOPES + SCALE,
+    "capacity": CAPACITY,
+    "processes": PROCESSES,
+}
 
 
 class Result(unittest.TextTestResult):
@@ -296,7 +385,7 @@
         super().__init__(*words, **more)
         self.ran = set()
 
-    def startTest(self, test):    # noqa: N802 - the library's name
+    def startTest(self, test):  # noqa: N802 - the library's name
         super().startTest(test)
         self.ran.add(known_red.name_of(test))
 
@@ -310,7 +399,7 @@
     result = unittest.TextTestRunner(verbosity=1, resultclass=Result).run(suite_of(name))
     broken = {known_red.name_of(test) for test, _ in (*result.failures, *result.errors)}
     passed, failed, said = known_red.judged(known_red.load(), result.ran, broken & result.ran)
-    failed += len(broken - result.ran)    # what a class of tests sets up is no test, and may fail
+    failed += len(broken - result.ran)  # what a class of tests sets up is no test, and may fail
     print(*said, f"{name}: {passed} passed, {failed} failed", sep="\n")
     return 1 if failed or not passed else 0
 
@@ -324,17 +413,29 @@
         return 2
     if len(sys.argv) > 1:
         return play_group(sys.argv[1])
-    if wrong := known_red.missing(known, [name for group in GROUPS for name in known_red.names_of(suite_of(group))]):
+    if wrong := known_red.missing(
+        known, [name for group in GROUPS for name in known_red.names_of(suite_of(group))]
+    ):
         print(*wrong, f"0 passed, {len(wrong)} failed", sep="\n")
         return 1
-    running = {name: subprocess.Popen([sys.executable, "-m", "tests.runner", name], stdout=subprocess.PIPE,
-                                      stderr=subprocess.STDOUT, text=True) for name in GROUPS}
+    running = {
+        name: subprocess.Popen(
+            [sys.executable, "-m", "tests.runner", name],
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+            text=True,
+        )
+        for name in GROUPS
+    }
     passed = failed = 0
     for name, process in running.items():
         said, _ = process.communicate()
         print(said, end="")
         found = re.search(rf"^{name}: (\d+) passed, (\d+) failed$", said, re.MULTILINE)
-        passed, failed = passed + int(found[1] if found else 0), failed + int(found[2] if found else 1)
+        passed, failed = (
+            passed + int(found[1] if found else 0),
+            failed + int(found[2] if found else 1),
+        )
     print(f"{passed} passed, {failed} failed")
     return 1 if failed or not passed else 0
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -20,30 +20,66 @@
 
 from benchmarks import fleet_count
 from petrellane import config
-from petrellane.net import resp
 from petrellane.gateway.discovery import Discovery
-from petrellane.net.limits import Limits
 from petrellane.gateway.node import Node
+from petrellane.net import resp
+from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Stream, listening
 from petrellane.operation.handover import Handover
 
-PATIENCE = 20.0    # seconds of real time after which what is expected counts as never coming
+PATIENCE = 20.0  # seconds of real time after which what is expected counts as never coming
 TOLD = {
-    "name": "g1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "counter": "127.0.0.1:1", "seed": "5eed",
+    "name": "g1",
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:1",
+    "counter": "127.0.0.1:1",
+    "seed": "5eed",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
     "known": {"index": 1, "snapshot": True, "endpoints": []},
     "settings": {
         "classes": [
-            {"name": "look", "effect": "pure", "goalTime": 1000000, "giveUp": 4000000, "worth": 1.0, "lateWorth": 0.5},
-            {"name": "lodge", "effect": "token", "keyScope": "all", "window": 4000000, "goalTime": 1000000,
-             "giveUp": 4000000, "worth": 1.0, "lateWorth": 0.5},
-            {"name": "post", "effect": "side_effect", "goalTime": 1000000, "giveUp": 4000000, "worth": 1.0}],
+            {
+                "name": "look",
+                "effect": "pure",
+                "goalTime": 1000000,
+                "giveUp": 4000000,
+                "worth": 1.0,
+                "lateWorth": 0.5,
+            },
+            {
+                "name": "lodge",
+                "effect": "token",
+                "keyScope": "all",
+                "window": 4000000,
+                "goalTime": 1000000,
+                "giveUp": 4000000,
+                "worth": 1.0,
+                "lateWorth": 0.5,
+            },
+            {
+                "name": "post",
+                "effect": "side_effect",
+                "goalTime": 1000000,
+                "giveUp": 4000000,
+                "worth": 1.0,
+            },
+        ],
         "contracts": [{"name": "basic", "quotaRate": 50, "storeSize": 100, "pays": 1.0}],
         "familyInfo": {"mayCount": True, "counterTimeout": 80000},
-        "limits": {"connIdle": 30000000, "dialTimeout": 250000, "maxAttempts": 4, "mayCancel": True,
-                   "retryAfter": True, "maxRetryAfter": 500000, "streamsPerConn": 4},
-        "obligations": {"cold": 0, "coldFrom": 1.0}, "discovery": "push"}}
+        "limits": {
+            "connIdle": 30000000,
+            "dialTimeout": 250000,
+            "maxAttempts": 4,
+            "mayCancel": True,
+            "retryAfter": True,
+            "maxRetryAfter": 500000,
+            "streamsPerConn": 4,
+        },
+        "obligations": {"cold": 0, "coldFrom": 1.0},
+        "discovery": "push",
+    },
+}
 
 
 def unescape(text):
@@ -70,7 +106,9 @@
 
     def __init__(self, sock, at=None):
         sock.setblocking(False)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)    # what a scenario sends comes at once
+        sock.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
+        )  # what a scenario sends comes at once
         self.sock, self.at, self.buffer, self.ended, self.broke = sock, at, bytearray(), False, None
 
     def read(self):
@@ -86,8 +124,8 @@
     def parse(self, parser, limits):
         """The next command or answer, if it is all there, as its parsed form over bytes of its own."""
         if self.buffer and (found := parser(self.buffer, 0, limits)):
-            taken = bytes(self.buffer[:found[-1]])
-            del self.buffer[:found[-1]]
+            taken = bytes(self.buffer[: found[-1]])
+            del self.buffer[: found[-1]]
             return found, taken
         return None
 
@@ -140,16 +178,21 @@
         self.listeners, self.peers, self.clients, self.taken, self.outcomes = {}, [], {}, {}, {}
         self.counter, self.totals, self.watch, self.index, self.ended = "on", {}, None, 1, False
         self.told, self.callers, self.unread, self.hears = None, [], set(), False
-        self.turned = self.most_read = 0    # turns so far; reads of a peer that floods in one of them
-        self.most = None    # descriptors, where the scenario has few left
-        self.fill = []    # connections that stand in the way at the host `full`
-        self.bound = {}    # of those that are down, bound sockets: nobody else gets their ports meanwhile
+        self.turned = self.most_read = 0  # turns so far; reads of a peer that floods in one of them
+        self.most = None  # descriptors, where the scenario has few left
+        self.fill = []  # connections that stand in the way at the host `full`
+        self.bound = {}  # of those that are down, bound sockets: nobody else gets their ports meanwhile
         self.log, self.sent, self.added, self.limits = tempfile.TemporaryFile(), {}, [], {}
 
     def close(self):
         self.do_plenty()
         peers = [*self.peers, *self.clients.values(), *self.callers]
-        for sock in [*self.fill, *self.bound.values(), *self.listeners.values(), *(peer.sock for peer in peers)]:
+        for sock in [
+            *self.fill,
+            *self.bound.values(),
+            *self.listeners.values(),
+            *(peer.sock for peer in peers),
+        ]:
             sock.close()
         if self.node:
             self.node.management.end()
@@ -160,10 +203,12 @@
     def listen(self, name, backlog=64):
         sock = socket.create_server(("127.0.0.1", 0), backlog=backlog)
         sock.setblocking(False)
-        if name == "deaf":    # it reads nothing before `hears`, and its machine takes little
+        if name == "deaf":  # it reads nothing before `hears`, and its machine takes little
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         self.listeners[name] = sock
-        for _ in range(2 if name == "full" else 0):    # nobody takes these: further ones never come up
+        for _ in range(
+            2 if name == "full" else 0
+        ):  # nobody takes these: further ones never come up
             self.fill.append(socket.socket())
             self.fill[-1].setblocking(False)
             self.fill[-1].connect_ex(sock.getsockname())
@@ -194,17 +239,20 @@
             elif peer.at == "discovery" and b"\r\n\r\n" in peer.buffer:
                 self.watch, peer.asked = peer, bytes(peer.buffer)
                 peer.buffer.clear()
-        for client in [*(client for name, client in self.clients.items() if name not in self.unread), *self.callers]:
+        for client in [
+            *(client for name, client in self.clients.items() if name not in self.unread),
+            *self.callers,
+        ]:
             client.read()
         if "fence" in self.clients and self.clients["fence"].ended:
-            self.clients["fence"].sock.close()    # as clients do
+            self.clients["fence"].sock.close()  # as clients do
 
     def count(self, peer):
         while self.counter != "hold" and (found := peer.parse(resp.command, self.node.limits)):
             spans, taken = found[0][0], found[1]
             _, name, amount, life = [taken[slice(*span)] for span in spans]
             assert int(life) >= 1, life
-            if self.counter.startswith("once "):    # added all the same
+            if self.counter.startswith("once "):  # added all the same
                 self.totals[name] = self.totals.get(name, 0.0) + float(amount)
                 peer.sock.send(unescape(self.counter[5:]) + b"\r\n")
                 self.counter = "on"
@@ -231,31 +279,46 @@
 
     def do_command(self, name, code, *words):
         """The command line, with the configuration of the last `config` and these PROXY_* variables."""
-        given = dict(word.split("=", 1) for word in words if word.startswith("PROXY_") and "=" in word)
+        given = dict(
+            word.split("=", 1) for word in words if word.startswith("PROXY_") and "=" in word
+        )
         words = [word for word in words if word.partition("=")[0] not in given]
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(self.told, file)
             file.flush()
-            ended = subprocess.run([sys.executable, "-m", "petrellane", *name.split("+")], capture_output=True,
-                                   text=True, env={**os.environ, "PROXY_CONFIG": file.name, **given}, timeout=60)
+            ended = subprocess.run(
+                [sys.executable, "-m", "petrellane", *name.split("+")],
+                capture_output=True,
+                text=True,
+                env={**os.environ, "PROXY_CONFIG": file.name, **given},
+                timeout=60,
+            )
         said = ended.stdout + ended.stderr
         assert ended.returncode == int(code) and " ".join(words) in said, (ended.returncode, said)
 
     def do_limits(self, *words):
-        self.limits = {name: float(value) if "." in value else int(value)
-                       for name, value in (word.split("=") for word in words)}
+        self.limits = {
+            name: float(value) if "." in value else int(value)
+            for name, value in (word.split("=") for word in words)
+        }
 
     def do_world(self, *words):
         hosts = [word for word in words if "=" not in word] or ["a", "b"]
         told = changed(TOLD, [word for word in words if "=" in word])
         told["counter"], told["discovery"] = self.listen("counter"), self.listen("discovery")
-        told["known"]["endpoints"] = [self.entry(name, self.listen(name, 0 if name == "full" else 64)) for name in hosts]
+        told["known"]["endpoints"] = [
+            self.entry(name, self.listen(name, 0 if name == "full" else 64)) for name in hosts
+        ]
         told["seed"] = f"{self.seed:x}"
         self.told = told
         told = config.read(told)
         limits = Limits.of(told)
-        self.node = Node(told, self.log.fileno(), Limits(**{**vars(limits), **self.limits}),
-                         Scheduler(lambda: self.time))
+        self.node = Node(
+            told,
+            self.log.fileno(),
+            Limits(**{**vars(limits), **self.limits}),
+            Scheduler(lambda: self.time),
+        )
         self.node.scheduler.poll = Poll(self.node.scheduler.poll)
         self.node.start()
         self.node.upstream.ended = self.heard
@@ -264,8 +327,16 @@
         self.until("a watch", lambda: self.watch)
 
     def entry(self, name, address, state="in_service"):
-        return {"name": name, "address": address, "zone": "z", "type": "k", "group": 1, "status": state,
-                "weight": 1.0, "since_ms": 0}
+        return {
+            "name": name,
+            "address": address,
+            "zone": "z",
+            "type": "k",
+            "group": 1,
+            "status": state,
+            "weight": 1.0,
+            "since_ms": 0,
+        }
 
     def do_connect(self, *names):
         for name in names:
@@ -305,13 +376,19 @@
         listener = management.listener
 
         class Starved:
-            fileno, close, getsockname, times = listener.fileno, listener.close, listener.getsockname, 0
+            fileno, close, getsockname, times = (
+                listener.fileno,
+                listener.close,
+                listener.getsockname,
+                0,
+            )
 
             def accept(self):
                 self.times += 1
                 if self.times == 1:
                     raise OSError(errno.EMFILE, "no descriptor")
                 return listener.accept()
+
         management.listener = starved = Starved()
         before = len(self.node.server.clients)
         self.do_call("GET", "/-/ready", status)
@@ -335,8 +412,18 @@
     def do_follows(self):
         """The gateway asks for what a process before has, goes on, and offers what it has to one that follows."""
         begun, nothing = [], lambda *words: None
-        self.handover = Handover(self.node.scheduler, self.node.limits, self.node.log, f"short-{os.getpid()}", lambda: [],
-                                 nothing, nothing, nothing, nothing, nothing)
+        self.handover = Handover(
+            self.node.scheduler,
+            self.node.limits,
+            self.node.log,
+            f"short-{os.getpid()}",
+            lambda: [],
+            nothing,
+            nothing,
+            nothing,
+            nothing,
+            nothing,
+        )
         self.handover.ask(lambda: begun.append(True))
         self.until("the begin", lambda: begun)
 
@@ -385,11 +472,12 @@
             def accept(self):
                 self.times += 1
                 raise OSError(errno.EMFILE, "no descriptor")
+
         starved = self.node.server.listener = Starved()
         self.clients[name] = Peer(socket.create_connection(self.address))
         self.do_logged("no_descriptor")
         self.do_wait(0.2)
-        assert 2 <= starved.times <= 20, starved.times    # neither given up nor tried without a pause
+        assert 2 <= starved.times <= 20, starved.times  # neither given up nor tried without a pause
         self.node.server.listener = listener
         self.do_wait(0.05)
 
@@ -400,6 +488,7 @@
         def raises(*words, **more):
             setattr(gateway, name, call)
             raise ZeroDivisionError("a fault of ours")
+
         setattr(gateway, name, raises)
 
     def do_raw(self, name, *text):
@@ -419,34 +508,46 @@
         fields = f"c={method},t=basic,d={given.pop('d', 2000)}"
         given.pop("split", None)
         unread = given.pop("unread", None) is not None
-        fields += "".join(f",{key}={value}" for key, value in {"units": 1, "spread": 1, "first": 0, **given}.items())
-        parts = [verb or (b"SVC.QUERY" if method == "look" else b"SVC.SUBMIT"), b"%016x" % who, rpc.encode(),
-                 fields.encode()] + [b"x" * body] * bool(body)
+        fields += "".join(
+            f",{key}={value}"
+            for key, value in {"units": 1, "spread": 1, "first": 0, **given}.items()
+        )
+        parts = [
+            verb or (b"SVC.QUERY" if method == "look" else b"SVC.SUBMIT"),
+            b"%016x" % who,
+            rpc.encode(),
+            fields.encode(),
+        ] + [b"x" * body] * bool(body)
         self.sent[rpc] = parts
         data, client = resp.words(*parts), self.clients[name]
         for at in range(len(data)) if split else ():
-            client.sock.send(data[at:at + 1])
+            client.sock.send(data[at : at + 1])
             self.turn()
         if not split:
             client.sock.setblocking(True)
             client.sock.sendall(data)
             client.sock.setblocking(False)
-        self.time += stands    # it comes while the process stands still
-        for _ in range(0 if unread else 3):    # it is read before the clock moves
+        self.time += stands  # it comes while the process stands still
+        for _ in range(0 if unread else 3):  # it is read before the clock moves
             self.turn()
 
     def do_many(self, number, name, method):
         """So many RPCs that are served."""
         for each in range(int(number)):
-            for step in ("send", name, f"many{each}", method), ("takes", f"many{each}"), \
-                    ("answers", f"many{each}", "$served"), ("reads", name, "$served"):
+            for step in (
+                ("send", name, f"many{each}", method),
+                ("takes", f"many{each}"),
+                ("answers", f"many{each}", "$served"),
+                ("reads", name, "$served"),
+            ):
                 getattr(self, "do_" + step[0])(*step[1:])
 
     def do_reads(self, name, *text):
         """The next answer: a line by its beginning, or $VALUE."""
         client, wanted = self.clients[name], unescape(" ".join(text))
-        found, taken = self.until(f"an answer at {name}, {text}",
-                                  lambda: client.parse(resp.answer, self.node.limits))
+        found, taken = self.until(
+            f"an answer at {name}, {text}", lambda: client.parse(resp.answer, self.node.limits)
+        )
         if wanted.startswith(b"$"):
             assert found[0] == 0x24 and found[1], taken
             assert taken[slice(*found[1])] == wanted[1:], taken[:200]
@@ -456,9 +557,9 @@
     def do_closed(self, *names):
         for name in names:
             client = self.clients[name]
-            self.until(f"the end of {name}", lambda: client.ended)
+            self.until(f"the end of {name}", lambda client=client: client.ended)
             assert not client.buffer and not client.broke, (client.buffer, client.broke)
-            client.sock.close()    # as clients do
+            client.sock.close()  # as clients do
 
     def do_open(self, *names):
         for name in names:
@@ -476,20 +577,31 @@
 
     def server_client(self, name):
         here = self.clients[name].sock.getsockname()
-        self.turn()    # whose peer has closed as well is forgotten
-        client, = [one for one in self.node.server.clients if one.stream.sock.getpeername() == here]
+        self.turn()  # whose peer has closed as well is forgotten
+        (client,) = [
+            one for one in self.node.server.clients if one.stream.sock.getpeername() == here
+        ]
         return client
 
     def do_crosses(self, name, rpc):
         """A query of the client comes in the instant in which the gateway ends the connection, and has come then."""
         stream, peer = self.server_client(name).stream, self.clients[name]
-        data = resp.words(b"SVC.QUERY", b"%016x" % 8, rpc.encode(), b"c=look,t=basic,d=2000,units=1,spread=1,first=0")
+        data = resp.words(
+            b"SVC.QUERY",
+            b"%016x" % 8,
+            rpc.encode(),
+            b"c=look,t=basic,d=2000,units=1,spread=1,first=0",
+        )
         stream.sock = Crossed(stream.sock, lambda: peer.sock.send(data))
 
     def do_floods(self, name, most, *text):
         """From now on a read of this client, or of the last caller of staff (`staff`), always brings more, as of one that sends
         as fast as it is read, these bytes or x alone; in one turn it is read so often at most."""
-        stream = next(reversed(self.node.management.callers)) if name == "staff" else self.server_client(name).stream
+        stream = (
+            next(reversed(self.node.management.callers))
+            if name == "staff"
+            else self.server_client(name).stream
+        )
         sock, net = stream.sock, self
 
         class Flood:
@@ -504,6 +616,7 @@
                 if self.times > int(most):
                     raise OSError("read for too long")
                 return unescape(" ".join(text)) or b"x" * size
+
         stream.sock = Flood()
         (self.callers[-1] if name == "staff" else self.clients[name]).sock.send(b"x")
 
@@ -522,9 +635,15 @@
         """The same of a host's bytes, on each connection to it that is idle."""
         ends = {peer.sock.getpeername(): peer.sock for peer in self.host_peers() if peer.at == name}
         for pool in self.node.upstream.pools.values():
-            for stream in [connection.stream for connection in pool.idle if connection.stream.sock.getsockname() in ends]:
+            for stream in [
+                connection.stream
+                for connection in pool.idle
+                if connection.stream.sock.getsockname() in ends
+            ]:
                 peer = ends[stream.sock.getsockname()]
-                stream.sock = Crossed(stream.sock, lambda peer=peer: peer.send(unescape(" ".join(text))))
+                stream.sock = Crossed(
+                    stream.sock, lambda peer=peer: peer.send(unescape(" ".join(text)))
+                )
 
     def do_no_reset(self, name):
         """Some connections to this peer have ended, none by a reset."""
@@ -533,8 +652,16 @@
 
     def do_at_once(self):
         """Nowhere does the gateway's system hold back a small write."""
-        streams = [one.__self__ for one in self.node.scheduler.calls.values() if isinstance(one.__self__, Stream)]
-        off = [one.sock for one in streams if not one.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)]
+        streams = [
+            one.__self__
+            for one in self.node.scheduler.calls.values()
+            if isinstance(one.__self__, Stream)
+        ]
+        off = [
+            one.sock
+            for one in streams
+            if not one.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+        ]
         assert len(streams) > 3 and not off, (streams, off)
 
     def do_clients(self, number):
@@ -550,6 +677,7 @@
             self.do_goes(name)
             self.time += float(seconds)
             driver.place(exchange)
+
         self.node.server.place = amid
 
     def do_owed(self, name, number):
@@ -571,8 +699,12 @@
     def do_swarm(self, name, number):
         """So many RPCs at once, all with credit."""
         row = b"c=look,t=basic,d=2000,units=0.1,spread=1,first=0"
-        self.clients[name].sock.send(b"".join(
-            resp.words(b"SVC.QUERY", b"%016x" % 9, b"%s-%d" % (name.encode(), each), row) for each in range(int(number))))
+        self.clients[name].sock.send(
+            b"".join(
+                resp.words(b"SVC.QUERY", b"%016x" % 9, b"%s-%d" % (name.encode(), each), row)
+                for each in range(int(number))
+            )
+        )
 
     def do_sent_on(self, name, most):
         """At most so many RPCs of a swarm have reached hosts."""
@@ -585,7 +717,11 @@
         self.hears = True
 
     def host_peers(self):
-        return [peer for peer in self.peers if not peer.ended and not peer.at.startswith(("counter", "discovery"))]
+        return [
+            peer
+            for peer in self.peers
+            if not peer.ended and not peer.at.startswith(("counter", "discovery"))
+        ]
 
     def received(self):
         """Take in the commands that hosts have whole."""
@@ -599,8 +735,10 @@
         """A host has the command whole, as the client worded it but for the time left."""
         given = dict(word.split("=") for word in words)
         times = int(given.get("times", 1))
-        peer, parts = self.until(f"{rpc} at a host",
-                                 lambda: len(self.received().get(rpc, ())) >= times and self.taken[rpc][times - 1])
+        peer, parts = self.until(
+            f"{rpc} at a host",
+            lambda: len(self.received().get(rpc, ())) >= times and self.taken[rpc][times - 1],
+        )
         wanted = [re.sub(rb"(^|,)d=\d+", b"", part) for part in self.sent[rpc]]
         assert [re.sub(rb"(^|,)d=\d+", b"", part) for part in parts] == wanted, parts
         left = int(re.search(rb"(?:^|,)d=(\d+)", parts[3])[1])
@@ -615,7 +753,7 @@
     def fence(self):
         for _ in range(5):
             self.turn()
-        if self.node.ending or not self.node.service.welcomes:    # nobody new stays
+        if self.node.ending or not self.node.service.welcomes:  # nobody new stays
             return
         if "fence" not in self.clients:
             self.do_connect("fence")
@@ -633,7 +771,8 @@
             value, *figures = data[1:].split(b" ")
             figures = (figures + [None, None])[:2]
             data = b"*3\r\n$%d\r\n%b\r\n" % (len(value), value) + b"".join(
-                b"$%d\r\n%b\r\n" % (len(part), part) if part else b"$-1\r\n" for part in figures)
+                b"$%d\r\n%b\r\n" % (len(part), part) if part else b"$-1\r\n" for part in figures
+            )
         else:
             data += b"\r\n"
         peer.sock.setblocking(True)
@@ -679,9 +818,6 @@
                 return
         raise AssertionError("the kernel takes it all")
 
-    def do_clients(self, number):
-        self.until(f"{number} clients", lambda: len(self.node.server.clients) == int(number))
-
     def do_stalls(self, rpc, name, most):
         """Its host gives what it can of four million bytes; the kernel has at most so many of them for the client, who
         does not read."""
@@ -695,7 +831,7 @@
                 pass
             self.turn(0)
         self.given = given
-        stalled, = self.node.upstream.account.passages
+        (stalled,) = self.node.upstream.account.passages
         assert stalled.stream.sent < int(most), stalled.stream.sent
 
     def do_drains(self, rpc):
@@ -705,13 +841,17 @@
 
     def do_waits_within(self, number):
         """Of all long values, at most so many bytes wait here."""
-        waits = sum(passage.waiting + (passage.stream.queued - passage.stream.sent if passage.stream else 0)
-                    for passage in self.node.upstream.account.passages)
+        waits = sum(
+            passage.waiting + (passage.stream.queued - passage.stream.sent if passage.stream else 0)
+            for passage in self.node.upstream.account.passages
+        )
         assert waits <= int(number) and bool(waits) == bool(int(number)), waits
 
     def do_ends(self, rpc, *parts):
         """Its value is over; these parts follow."""
-        self.host_of(rpc).sock.send(b"".join([b"\r\n"] + [unescape(part) + b"\r\n" for part in parts]))
+        self.host_of(rpc).sock.send(
+            b"".join([b"\r\n"] + [unescape(part) + b"\r\n" for part in parts])
+        )
 
     def do_partly(self, name, number):
         """The client has so many bytes of an answer, which is not whole."""
@@ -727,8 +867,8 @@
     def do_reads_long(self, name, number):
         client, wanted = self.clients[name], b"$%d\r\n" % int(number) + b"x" * int(number) + b"\r\n"
         self.until(f"{number} bytes at {name}", lambda: len(client.buffer) >= len(wanted))
-        assert client.buffer[:len(wanted)] == wanted, client.buffer[:40]
-        del client.buffer[:len(wanted)]
+        assert client.buffer[: len(wanted)] == wanted, client.buffer[:40]
+        del client.buffer[: len(wanted)]
 
     def do_ended_short(self, name):
         """The client's connection ends within an answer."""
@@ -738,6 +878,7 @@
         def over():
             client.read()
             return client.ended
+
         self.until(f"the end of {name}", over)
         head, _, value = bytes(client.buffer).partition(b"\r\n")
         assert head.startswith(b"$") and len(value) < int(head[1:]) + 2, (head, len(value))
@@ -745,15 +886,21 @@
     def do_begin(self, name, size):
         """Half of a command with a body of so many bytes, called `begun`."""
         size, client = int(size), self.clients[name]
-        parts = [b"SVC.SUBMIT", b"%016x" % 7, b"begun", b"c=post,t=basic,d=3000,units=1,spread=1,first=0", b"x" * size]
+        parts = [
+            b"SVC.SUBMIT",
+            b"%016x" % 7,
+            b"begun",
+            b"c=post,t=basic,d=3000,units=1,spread=1,first=0",
+            b"x" * size,
+        ]
         self.sent["begun"], data = parts, resp.words(*parts)
-        self.left = data[size // 2:]
-        self.feed(client, data[:size // 2])
+        self.left = data[size // 2 :]
+        self.feed(client, data[: size // 2])
 
     def feed(self, client, data):
         while data:
             try:
-                data = data[client.sock.send(data):]
+                data = data[client.sock.send(data) :]
             except BlockingIOError:
                 pass
             self.turn()
@@ -765,7 +912,9 @@
 
     def do_kept(self, low, high):
         """So many bytes of bodies are kept."""
-        assert int(low) <= self.node.upstream.account.kept <= int(high), self.node.upstream.account.kept
+        assert int(low) <= self.node.upstream.account.kept <= int(high), (
+            self.node.upstream.account.kept
+        )
 
     def do_breaks(self, rpc):
         self.taken[rpc][-1][0].reset()
@@ -775,8 +924,10 @@
         self.until(f"the end of the connection of {rpc}", lambda: peer.ended)
 
     def do_outcome(self, rpc, *wanted):
-        found = self.until(f"the outcome of {rpc}", lambda: self.outcomes.get(rpc, [])[len(wanted) - 1:]
-                           and self.outcomes[rpc])
+        found = self.until(
+            f"the outcome of {rpc}",
+            lambda: self.outcomes.get(rpc, [])[len(wanted) - 1 :] and self.outcomes[rpc],
+        )
         assert found == list(wanted), found
 
     def heard(self, attempt, outcome, *words):
@@ -813,7 +964,9 @@
         for sock in self.fill:
             sock.close()
         self.fill.clear()
-        self.listeners[name] = self.listeners.pop("full") if "full" in self.listeners else self.bound.pop(name)
+        self.listeners[name] = (
+            self.listeners.pop("full") if "full" in self.listeners else self.bound.pop(name)
+        )
         self.listeners[name].listen(64)
 
     def do_fills(self, name):
@@ -844,11 +997,22 @@
         """Discovery answers the watch that is out with a change."""
         self.live()
         self.index += 1
-        rows = [self.entry(name, "127.0.0.1:%d" % self.listeners[name].getsockname()[1]
-                           if name in self.listeners else "127.0.0.1:1",
-                           "in_service" if state == "whole" else state) for name in names]
-        body = json.dumps({"index": self.index, "snapshot": state == "whole", "endpoints": rows}).encode()
-        self.do_says("HTTP/1.1 200 OK\\r\\nContent-Length:\\s%d\\r\\n\\r\\n%s" % (len(body), body.decode()))
+        rows = [
+            self.entry(
+                name,
+                "127.0.0.1:%d" % self.listeners[name].getsockname()[1]
+                if name in self.listeners
+                else "127.0.0.1:1",
+                "in_service" if state == "whole" else state,
+            )
+            for name in names
+        ]
+        body = json.dumps(
+            {"index": self.index, "snapshot": state == "whole", "endpoints": rows}
+        ).encode()
+        self.do_says(
+            "HTTP/1.1 200 OK\\r\\nContent-Length:\\s%d\\r\\n\\r\\n%s" % (len(body), body.decode())
+        )
         self.until("the change", lambda: self.node.discovery.index == self.index)
 
     def do_says(self, *text):
@@ -865,8 +1029,8 @@
         data = unescape(" ".join(text))
         for at in range(int(float(seconds) * 10)):
             try:
-                watch.sock.send(data[at:at + 1])
-            except OSError:    # its caller has gone
+                watch.sock.send(data[at : at + 1])
+            except OSError:  # its caller has gone
                 break
             self.do_wait(0.1)
 
@@ -905,24 +1069,36 @@
         so many ask again."""
         scheduler, calls, end = self.node.scheduler, [], self.time + float(seconds)
         for seed in range(int(number)):
-            crowd = Discovery(scheduler, self.node.limits, self.node.log, self.node.config.discovery, 1,
-                              lambda told: None, random.Random(seed).random)
+            crowd = Discovery(
+                scheduler,
+                self.node.limits,
+                self.node.log,
+                self.node.config.discovery,
+                1,
+                lambda told: None,
+                random.Random(seed).random,
+            )
             scheduler.spawn(crowd.run)
         while self.time < end:
             self.do_wait(0.02)
             for peer in [peer for peer in self.peers if peer.at == "discovery" and not peer.ended]:
                 if getattr(peer, "asked", b"") and peer is not self.watch:
                     calls.append(self.time)
-                    peer.sock.send(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+                    peer.sock.send(
+                        b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+                    )
                     peer.sock.close()
                     peer.ended = True
         seconds = Counter(int(at - calls[0]) for at in calls)
         assert max(seconds[one] for one in seconds if one) <= int(most), seconds
-        assert len(seconds) > 3, seconds    # and they go on asking
+        assert len(seconds) > 3, seconds  # and they go on asking
 
     def do_says_half(self, name, state):
         """Discovery begins to tell of a host, and its connection is reset within that."""
-        self.do_says('HTTP/1.1 200 OK\\r\\nContent-Length:\\s400\\r\\n\\r\\n{"endpoints":[{"name":"%s","status":"%s"' % (name, state))
+        self.do_says(
+            'HTTP/1.1 200 OK\\r\\nContent-Length:\\s400\\r\\n\\r\\n{"endpoints":[{"name":"%s","status":"%s"'
+            % (name, state)
+        )
         self.turn()
         for peer in self.peers:
             if peer.at == "discovery" and not peer.ended:
@@ -943,18 +1119,29 @@
     def do_connections(self, at, low, high):
         """How many connections stand at a peer, once all is still."""
         self.fence()
-        number = self.until(f"{low} to {high} connections at {at}", lambda: [
-            count for count in [sum(peer.at == at and not peer.ended for peer in self.peers)]
-            if int(low) <= count <= int(high)])
+        number = self.until(
+            f"{low} to {high} connections at {at}",
+            lambda: [
+                count
+                for count in [sum(peer.at == at and not peer.ended for peer in self.peers)]
+                if int(low) <= count <= int(high)
+            ],
+        )
         assert number
 
     def lines(self, event):
         self.node.log.flush()
         self.log.seek(0)
-        return [line.decode() for line in io.BytesIO(self.log.read()) if json.loads(line)["event"] == event]
+        return [
+            line.decode()
+            for line in io.BytesIO(self.log.read())
+            if json.loads(line)["event"] == event
+        ]
 
     def do_logged(self, event, times="times=1"):
-        self.until(f"a line {event}", lambda: len(self.lines(event)) >= int(times.partition("=")[2]))
+        self.until(
+            f"a line {event}", lambda: len(self.lines(event)) >= int(times.partition("=")[2])
+        )
 
     def do_unlogged(self, event, times="times=1"):
         """There are fewer such lines."""
@@ -970,13 +1157,15 @@
     def do_moves(self, *names):
         """The configuration names new addresses of these; the old ones take no new connection. Then SIGHUP."""
         for name in names:
-            if name in self.listeners:    # it may be down
+            if name in self.listeners:  # it may be down
                 self.listeners.pop(name).close()
             for peer in [peer for peer in self.peers if peer.at == name]:
                 peer.at += "-old"
             self.watch = None if name == "discovery" else self.watch
             self.told[name] = self.listen(name)
-        self.node.reload(lambda before: config.read(self.told, {"PROXY_DISCOVERY": "127.0.0.1:1"}, before))
+        self.node.reload(
+            lambda before: config.read(self.told, {"PROXY_DISCOVERY": "127.0.0.1:1"}, before)
+        )
 
     def do_breaks_counter(self):
         for peer in [peer for peer in self.peers if peer.at == "counter-old"]:
@@ -986,7 +1175,9 @@
         """A call of staff is answered with this status, and tells this state."""
         caller = self.caller(method, path)
         answer = self.until(f"an answer to {path}", lambda: caller.ended and bytes(caller.buffer))
-        assert answer.startswith(b"HTTP/1.1 %b " % status.encode()) and state.encode() in answer, answer
+        assert answer.startswith(b"HTTP/1.1 %b " % status.encode()) and state.encode() in answer, (
+            answer
+        )
 
     def caller(self, method, path, end="\r\n\r\n"):
         """Somebody who calls; "" as the end is half a call."""
@@ -1007,11 +1198,17 @@
         for _ in range(int(number)):
             caller = self.caller("GET", "/-/ready")
             self.until("an answer", lambda caller=caller: caller.buffer)
-        assert len(self.node.scheduler.calls) - before <= int(most), (before, len(self.node.scheduler.calls))
+        assert len(self.node.scheduler.calls) - before <= int(most), (
+            before,
+            len(self.node.scheduler.calls),
+        )
 
     def do_callers(self, number):
         """So many of them are still connected."""
-        self.until(f"{number} callers", lambda: sum(not caller.ended for caller in self.callers) == int(number))
+        self.until(
+            f"{number} callers",
+            lambda: sum(not caller.ended for caller in self.callers) == int(number),
+        )
 
     def do_rehost(self, name):
         """A host is listed at another address; the old one goes on with what it has."""
@@ -1035,8 +1232,11 @@
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(self.told, file)
             file.flush()
-            process = subprocess.Popen([sys.executable, "-m", "petrellane", "serve"], stdout=subprocess.PIPE,
-                                       env={**os.environ, "PROXY_CONFIG": file.name})
+            process = subprocess.Popen(
+                [sys.executable, "-m", "petrellane", "serve"],
+                stdout=subprocess.PIPE,
+                env={**os.environ, "PROXY_CONFIG": file.name},
+            )
             for wanted in ("started", "reloaded", "reload_refused", "reloaded", "ended"):
                 while json.loads(process.stdout.readline())["event"] != wanted:
                     pass
@@ -1055,23 +1255,32 @@
         with tempfile.TemporaryDirectory() as folder:
             path, told = os.path.join(folder, "config.json"), json.dumps(self.told).encode()
             os.mkfifo(path)
-            process = subprocess.Popen([sys.executable, "-m", "petrellane", "serve"], stdout=subprocess.PIPE,
-                                       env={**os.environ, "PROXY_CONFIG": path})
+            process = subprocess.Popen(
+                [sys.executable, "-m", "petrellane", "serve"],
+                stdout=subprocess.PIPE,
+                env={**os.environ, "PROXY_CONFIG": path},
+            )
 
             try:
-                with open(path, "wb") as pipe:    # it is open once the process reads it
-                    with open(path + ".new", "wb") as file:    # what is read anew
+                with open(path, "wb") as pipe:  # it is open once the process reads it
+                    with open(path + ".new", "wb") as file:  # what is read anew
                         file.write(told)
                     os.rename(path + ".new", path)
                     process.send_signal(getattr(signal, number))
                     pipe.write(told)
                 limit = threading.Timer(PATIENCE, process.kill)
                 limit.start()
-                while number == "SIGHUP" and json.loads(process.stdout.readline())["event"] != "reloaded":
+                while (
+                    number == "SIGHUP"
+                    and json.loads(process.stdout.readline())["event"] != "reloaded"
+                ):
                     pass
                 process.send_signal(signal.SIGTERM)
                 lines = [json.loads(line)["event"] for line in process.stdout]
-                assert process.wait(PATIENCE) == 0 and lines[-1] == "ended", (process.returncode, lines)
+                assert process.wait(PATIENCE) == 0 and lines[-1] == "ended", (
+                    process.returncode,
+                    lines,
+                )
                 limit.cancel()
             finally:
                 process.kill()
