--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -16,7 +16,7 @@
 import orjson
 import typer
 
-from petrellane.lab import capacity
+from petrellane.testbed import capacity
 
 HERE = pathlib.Path(__file__).parent
 RUN = HERE.parent / "docs" / "runs" / "scale-1200.txt"
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -18,9 +18,9 @@
 
 import typer
 
-from petrellane import interface as api
-from petrellane.choice import Gateway
 from petrellane.config import Section, settings
+from petrellane.decisions import types as api
+from petrellane.decisions.controller import Gateway
 
 HOSTS = (8, 60, 200)
 RATE = 200.0  # RPCs a second of the clock that the module is told
--- a/benchmarks/scale_play.py
+++ b/benchmarks/scale_play.py
@@ -22,10 +22,10 @@
 
 import orjson
 
-from petrellane import interface as api
-from petrellane.choice import Gateway
 from petrellane.config import Section, host_list, read, settings
-from petrellane.gateway.node import Node
+from petrellane.decisions import types as api
+from petrellane.decisions.controller import Gateway
+from petrellane.gateway.process import Node
 from petrellane.net.scheduler import Scheduler
 
 EFFECTS = ("pure", "token", "side_effect")
@@ -672,7 +672,7 @@
 
 def hollow(told):
     """Figures of hollow gateways beside the real roles; changes of settings are told as so many a second."""
-    from petrellane.lab.scale import Scale, ScaleError, play
+    from petrellane.testbed.scale import Scale, ScaleError, play
 
     words = {key: value for key, value in told.items() if key not in ("kind", "settings_rate")}
     try:
--- a/petrellane/__main__.py
+++ b/petrellane/__main__.py
@@ -10,7 +10,7 @@
     ]:  # what comes before it can be heard waits: by default it would kill the process
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
     if sys.argv[1:] == ["serve"]:
-        from petrellane.gateway.node import serve
+        from petrellane.gateway.process import serve
 
         sys.exit(serve(os.environ))
     from petrellane.cli import app
--- a/petrellane/benchlink/wire.py
+++ b/petrellane/benchlink/codec.py
@@ -2,7 +2,7 @@
 
 import traceback
 
-from petrellane.benchlink.door import Door
+from petrellane.benchlink.instance import Door
 
 TEXT_FIELDS = (" settings=", " reasonText=")
 
--- a/petrellane/benchlink/door.py
+++ b/petrellane/benchlink/instance.py
@@ -6,8 +6,8 @@
 from weakref import WeakValueDictionary
 
 from petrellane import config
-from petrellane import interface as api
-from petrellane.choice import Gateway
+from petrellane.decisions import types as api
+from petrellane.decisions.controller import Gateway
 
 OUTCOMES = {
     "GOOD": api.OK,
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -37,9 +37,9 @@
 @app.command()
 def serve():
     """Serve until SIGTERM; PROXY_CONFIG names the configuration file, which SIGHUP has read anew."""
-    from petrellane.gateway import node
+    from petrellane.gateway import process
 
-    raise typer.Exit(node.serve(os.environ))
+    raise typer.Exit(process.serve(os.environ))
 
 
 @app.command()
@@ -71,7 +71,7 @@
     out: Annotated[str, typer.Option(help="Folder for what is found.")] = "found",
 ):
     """Look for a run of the fleet model that breaks a rule; exit code 1 when there is one."""
-    from petrellane.model import command
+    from petrellane.simulation import command
 
     raise typer.Exit(command.hunt(seeds, first, jobs, enough, out))
 
@@ -90,8 +90,8 @@
     ] = "",
 ):
     """Play one scenario of the fleet model and tell it as a time line; exit code 1 when it is not as expected."""
-    from petrellane.model import command
-    from petrellane.model.scenario import ScenarioError
+    from petrellane.simulation import command
+    from petrellane.simulation.scenario import ScenarioError
 
     try:
         raise typer.Exit(command.replay(file, seed, write, records))
@@ -117,11 +117,11 @@
     seed: Annotated[int, typer.Option(help="Of the draws that tell what chance gives.")] = 0,
 ):
     """How even load is over hosts: peaks, troughs, idle hosts, herds and swings; docs/spread.md defines them."""
-    from petrellane.spread import words
-    from petrellane.spread.sources import SpreadError
+    from petrellane.load_distribution import commands
+    from petrellane.load_distribution.sources import SpreadError
 
     try:
-        words.tell(path, since, until or None, json, svg, seed)
+        commands.tell(path, since, until or None, json, svg, seed)
     except SpreadError as error:
         refuse(error)
 
@@ -150,10 +150,10 @@
     file: Annotated[str, typer.Argument(help="A TOML file; docs/agreeing.md names its keys.")],
 ):
     """Run the control process that staff propose settings to, until SIGTERM."""
-    from petrellane.agreement.control import Control
-    from petrellane.agreement.journal import JournalError
     from petrellane.config import ConfigError
     from petrellane.config import control as read
+    from petrellane.config_consensus.control_service import Control
+    from petrellane.config_consensus.journal import JournalError
 
     try:
         process = Control(read(file))
@@ -167,9 +167,9 @@
 
 def of_control(call, file, *words):
     """Do something with a control process, and end with its exit code."""
-    from petrellane.agreement import words as told
     from petrellane.config import ConfigError
     from petrellane.config import control as read
+    from petrellane.config_consensus import commands as told
 
     try:
         raise typer.Exit(getattr(told, call)(told.Control(read(file)), *words))
@@ -252,8 +252,8 @@
     ] = "",
 ):
     """Play a run file and tell what happened; exit code 1 when a rule broke or a process crashed."""
-    from petrellane.lab import command
-    from petrellane.lab.play import PlayError
+    from petrellane.testbed import command
+    from petrellane.testbed.runner import PlayError
 
     try:
         raise typer.Exit(command.play_file(file, records))
@@ -264,7 +264,7 @@
 @lab_app.command("demo")
 def lab_demo():
     """Three gateways, six hosts, 20 s of load, one host killed half way; ends by itself."""
-    from petrellane.lab import command
+    from petrellane.testbed import command
 
     raise typer.Exit(command.demo())
 
@@ -275,7 +275,7 @@
 ):
     """Run many hollow gateways beside some real ones, and tell what each role spends; exit code 1 when the run proves
     nothing."""
-    from petrellane.lab import scale
+    from petrellane.testbed import scale
 
     try:
         raise typer.Exit(scale.play_file(file))
--- a/petrellane/config.py
+++ b/petrellane/config.py
@@ -14,7 +14,7 @@
 from operator import attrgetter
 from typing import NamedTuple
 
-from petrellane import interface as api
+from petrellane.decisions import types as api
 
 EFFECTS = {"pure": api.IDEMPOTENT, "token": api.DEDUPLICATED, "side_effect": api.NON_IDEMPOTENT}
 STATES = {"in_service": api.READY, "terminating": api.DRAINING, "terminated": api.GONE}
--- a/petrellane/agreement/words.py
+++ b/petrellane/config_consensus/commands.py
@@ -11,8 +11,8 @@
 
 import greenlet
 
-from petrellane.agreement import policy, post, seal
 from petrellane.config import settings_file
+from petrellane.config_consensus import message_authentication, rpc_client, safe_settings
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
 
@@ -34,17 +34,17 @@
         def call():
             try:
                 found.append(
-                    post.ask(
+                    rpc_client.ask(
                         scheduler,
                         self.limits,
                         self.config.key,
                         self.config.listen,
-                        seal.STAFF,
+                        message_authentication.STAFF,
                         {"do": do, "to": "control", **words},
                         self.patience,
                     )
                 )
-            except (post.Nobody, post.Silent) as error:
+            except (rpc_client.Nobody, rpc_client.Silent) as error:
                 found.append(error)
             scheduler.stop()
 
@@ -63,14 +63,14 @@
     """A call's answer, or an exit code where there is none to work with, told."""
     try:
         told = control.ask(do, **words)
-    except post.Nobody:
+    except rpc_client.Nobody:
         say(
             {"outcome": "no control process"},
             as_json,
             "nobody listens at %s:%d: is the control process up?" % (control.config.listen),
         )
         return None, DOUBT
-    except post.Silent as error:
+    except rpc_client.Silent as error:
         say(
             {"outcome": "no answer", "why": str(error)},
             as_json,
@@ -96,7 +96,7 @@
         time.sleep(PAUSE)
         try:
             told = control.ask("change", number=number)
-        except (post.Nobody, post.Silent):
+        except (rpc_client.Nobody, rpc_client.Silent):
             told = told | {
                 "outcome": "unknown",
                 "why": "the control process does not answer any more",
@@ -204,6 +204,6 @@
             found.append(told["content"])
         else:
             found.append(settings_file(which))
-    lines = policy.compared(*found)
+    lines = safe_settings.compared(*found)
     say({"lines": lines}, as_json, "\n".join(lines) or "they say the same")
     return DONE
--- a/petrellane/agreement/control.py
+++ b/petrellane/config_consensus/control_service.py
@@ -10,16 +10,16 @@
 
 import greenlet
 
-from petrellane.agreement import leader as rules
-from petrellane.agreement import policy, post, seal
-from petrellane.agreement.journal import Journal
-from petrellane.agreement.leader import LEADING, SEEKING, Leader, NotNow
 from petrellane.config import ConfigError, Section, lacks, settings
+from petrellane.config_consensus import coordinator as rules
+from petrellane.config_consensus import message_authentication, rpc_client, safe_settings
+from petrellane.config_consensus.coordinator import LEADING, SEEKING, Leader, NotNow
+from petrellane.config_consensus.journal import Journal
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.operation.management import Management
-from petrellane.operation.states import Service
+from petrellane.operation.lifecycle import Service
+from petrellane.operation.management_api import Management
 
 
 class Control:
@@ -45,7 +45,7 @@
         self.desk = Management(
             self.scheduler, self.limits, Service(0.0, 0.0), lambda: None, lambda trouble: None
         )
-        self.desk.handlers[seal.STAFF] = self.heard
+        self.desk.handlers[message_authentication.STAFF] = self.heard
         self.desk.listen(config.listen)
         self.workers = set()
 
@@ -163,18 +163,18 @@
         self.calls[message["do"]] = self.calls.get(message["do"], 0) + 1
         for address in addresses:
             try:
-                answer = post.ask(
+                answer = rpc_client.ask(
                     self.scheduler,
                     self.limits,
                     self.config.key,
                     address,
-                    seal.PATH,
+                    message_authentication.PATH,
                     message,
                     self.PATIENCE,
                 )
-            except post.Nobody:
+            except rpc_client.Nobody:
                 continue
-            except post.Silent as error:
+            except rpc_client.Silent as error:
                 down, why = False, str(error)
                 continue
             if answer.get("refused") == "elsewhere":  # not the process that is the gateway now
@@ -191,7 +191,7 @@
 
     def heard(self, fields, body):
         """A call of staff: its status, body and fields."""
-        return seal.served(self.config.key, "control", self.new, fields, body)
+        return message_authentication.served(self.config.key, "control", self.new, fields, body)
 
     def new(self, message):
         self.once(message)
@@ -201,7 +201,7 @@
         """Raise Unsealed for a call that is old, or that has come before."""
         now, at, nonce = self.scheduler.now(), message.get("at"), str(message.get("nonce"))
         if not isinstance(at, (int, float)) or abs(now - at) > self.FRESH or nonce in self.nonces:
-            raise seal.Unsealed(
+            raise message_authentication.Unsealed(
                 f"at: expected a new call of the last {self.FRESH:g} s, by a clock that is about right"
             )
         self.nonces = {one: until for one, until in self.nonces.items() if until > now} | {
@@ -255,7 +255,7 @@
 
     def propose(self, told, message):
         """Propose settings, once they would do anywhere."""
-        content, without = policy.policy(told), message.get("without", [])
+        content, without = safe_settings.policy(told), message.get("without", [])
         if not isinstance(without, list) or not all(isinstance(name, str) for name in without):
             return 400, {"refused": "form", "why": "without: expected a list of names"}
         try:
@@ -263,7 +263,9 @@
             if self.leader.in_force and self.leader.in_force.number and not message.get("less"):
                 lacks(self.leader.in_force.content, content, "settings")
             if self.leader.in_force:
-                settings(Section(policy.meet(self.leader.in_force.content, content), "settings"))
+                settings(
+                    Section(safe_settings.meet(self.leader.in_force.content, content), "settings")
+                )
         except (ConfigError, ValueError, TypeError, AttributeError, KeyError) as error:
             return 422, {"refused": "settings", "why": str(error)}
         try:
--- a/petrellane/agreement/leader.py
+++ b/petrellane/config_consensus/coordinator.py
@@ -24,8 +24,8 @@
 import math
 from dataclasses import dataclass, field
 
-from petrellane.agreement import policy
-from petrellane.agreement.ballots import (
+from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus.ballots import (
     Ballot,
     Epoch,
     Generation,
@@ -33,7 +33,7 @@
     generation_of,
     majority,
 )
-from petrellane.agreement.member import FENCE, FIRST, learnt_of
+from petrellane.config_consensus.participant import FENCE, FIRST, learnt_of
 
 SEEKING, LEADING, DEPOSED = "seeking", "leading", "deposed"
 PREPARING, COMMITTED, ABORTED, SUPERSEDED, UNKNOWN = (
@@ -122,7 +122,7 @@
         if kind == "epoch":
             return record["number"]
         if kind in ("proposed", "in_force"):
-            generation = generation_of(record["generation"], policy.digest)
+            generation = generation_of(record["generation"], safe_settings.digest)
             self.top = max(self.top, generation.number)
             if kind == "in_force":
                 self.in_force = max(
@@ -389,7 +389,7 @@
     def fetched(self, name, answer, now):
         """The content that was looked for. A gateway's own file, number 0, is taken as it is there."""
         try:
-            generation = generation_of(answer, policy.digest)
+            generation = generation_of(answer, safe_settings.digest)
         except ValueError:  # it has moved on meanwhile
             self.wanted = None
             self.promised.discard(name)
@@ -407,7 +407,7 @@
             raise NotNow(
                 f"{self.state}: {self.why or 'a majority of the gateways has not answered yet'}"
             )
-        digest = policy.digest(content)
+        digest = safe_settings.digest(content)
         if self.change:
             if self.change.generation.digest == digest:
                 return self.change
@@ -435,7 +435,7 @@
 
     def begin(self, content, without, now, by, why):
         ballot = Ballot(max(self.top, self.in_force.number) + 1, self.epoch)
-        generation = Generation(ballot, policy.digest(content), content, self.members)
+        generation = Generation(ballot, safe_settings.digest(content), content, self.members)
         self.journal.note(
             {
                 "kind": "proposed",
--- a/petrellane/agreement/member.py
+++ b/petrellane/config_consensus/participant.py
@@ -24,8 +24,8 @@
 
 from typing import NamedTuple
 
-from petrellane.agreement import policy
-from petrellane.agreement.ballots import (
+from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus.ballots import (
     NOBODY,
     Ballot,
     Epoch,
@@ -81,7 +81,7 @@
     """The settings that a gateway admits under: those in force, or while in doubt what all allow."""
     met = state.in_force.content
     for one in state.possible:
-        met = policy.meet(met, one.content)
+        met = safe_settings.meet(met, one.content)
     return met
 
 
@@ -111,7 +111,10 @@
         after = state._replace(promised=epoch)
         if do == "prepare":
             after = prepared(
-                after, generation_of(message, policy.digest), ballot_of(message.get("base")), takes
+                after,
+                generation_of(message, safe_settings.digest),
+                ballot_of(message.get("base")),
+                takes,
             )
         elif do == "commit":
             after = committed(after, message, takes)
@@ -155,7 +158,7 @@
     if found is None:
         if "content" not in message:
             raise Refusal(409, "unknown", f"generation {ballot.number}: its content is not here")
-        found = generation_of(message, policy.digest)
+        found = generation_of(message, safe_settings.digest)
         if wrong := takes(
             found.content
         ):  # the decision holds; this gateway can't follow it, and says so
--- a/petrellane/agreement/agent.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -15,11 +15,11 @@
 
 import greenlet
 
-from petrellane.agreement import member, post, seal
-from petrellane.agreement.ballots import Generation, generation_of
-from petrellane.agreement.member import FIRST, Refusal, Standing, State
-from petrellane.agreement.policy import compared, digest, policy
-from petrellane.agreement.store import Store
+from petrellane.config_consensus import message_authentication, participant, rpc_client
+from petrellane.config_consensus.ballots import Generation, generation_of
+from petrellane.config_consensus.participant import FIRST, Refusal, Standing, State
+from petrellane.config_consensus.safe_settings import compared, digest, policy
+from petrellane.config_consensus.state_store import Store
 
 
 class Agent:
@@ -167,7 +167,7 @@
         said = self.state.in_force.ballot, tuple(one.ballot for one in self.state.possible)
         if said != self.announced:
             self.announced = said
-            self.adopt(member.admitted(self.state))
+            self.adopt(participant.admitted(self.state))
             self.log.event(
                 "generation",
                 number=said[0].number,
@@ -180,7 +180,7 @@
 
     def desk(self, fields, body):
         """A call on the management listener: its status, body and fields."""
-        return seal.served(self.told.key, self.name, self.heard, fields, body)
+        return message_authentication.served(self.told.key, self.name, self.heard, fields, body)
 
     def heard(self, message):
         """A message under the key: the status and the answer."""
@@ -191,7 +191,7 @@
             }
         with self.turn():
             try:
-                after, told = member.heard(self.state, message, self.takes)
+                after, told = participant.heard(self.state, message, self.takes)
             except Refusal as refusal:
                 if refusal.cause == "settings":
                     self.log.event(
@@ -276,7 +276,7 @@
                     members=len(self.standing.members),
                 )
             if self.standing.known:  # a decision mostly comes by itself
-                self.scheduler.wait(member.ASK * (0.5 + self.chance()))
+                self.scheduler.wait(participant.ASK * (0.5 + self.chance()))
                 if not self.state.possible and self.standing.known:
                     break
             names = [
@@ -288,7 +288,7 @@
             names.sort(key=lambda name: self.chance())
             self.round(names[: self.IN_DOUBT] if self.standing.known else names)
             if not self.standing.known:
-                self.scheduler.wait(member.ASK * (0.5 + self.chance()))
+                self.scheduler.wait(participant.ASK * (0.5 + self.chance()))
 
     def round(self, names):
         """Ask these, a few side by side, until we know."""
@@ -315,13 +315,18 @@
         for address in self.told.members[name]:
             try:
                 call = partial(
-                    post.ask, self.scheduler, self.limits, self.told.key, address, seal.PATH
+                    rpc_client.ask,
+                    self.scheduler,
+                    self.limits,
+                    self.told.key,
+                    address,
+                    message_authentication.PATH,
                 )
                 told = call({"do": "state", "to": name}, self.PATIENCE)
                 if "refused" in told:
                     continue
-                learnt = member.learnt_of(told)
-                wanted = member.missing(self.state, learnt)
+                learnt = participant.learnt_of(told)
+                wanted = participant.missing(self.state, learnt)
                 fetched = [
                     generation_of(
                         call(
@@ -338,12 +343,12 @@
                     for one in wanted
                 ]
                 with self.turn():
-                    after = member.learn(self.state, learnt, fetched, self.takes)
+                    after = participant.learn(self.state, learnt, fetched, self.takes)
                     if after != self.state:
                         if not self.remember(after):
                             self.state, self.remembers = after, False  # it holds for this life
                         self.put()
-            except (post.Nobody, post.Silent, ValueError):
+            except (rpc_client.Nobody, rpc_client.Silent, ValueError):
                 continue
             except Refusal as refusal:
                 self.log.event(
--- a/petrellane/agreement/post.py
+++ b/petrellane/config_consensus/rpc_client.py
@@ -2,7 +2,7 @@
 
 import orjson
 
-from petrellane.agreement import seal
+from petrellane.config_consensus import message_authentication
 from petrellane.net import http
 from petrellane.net.resp import Malformed
 from petrellane.net.stream import Closed, Stream
@@ -30,10 +30,13 @@
     except OSError as error:
         raise Silent(f"no connection: {error}") from None
     try:
-        body, body_seal = seal.question(key, message)
+        body, body_seal = message_authentication.question(key, message)
         stream.write(
             http.post(
-                path.decode(), "%s:%d" % address, {seal.FIELD.decode(): body_seal.decode()}, body
+                path.decode(),
+                "%s:%d" % address,
+                {message_authentication.FIELD.decode(): body_seal.decode()},
+                body,
             )
         )
         while not (found := http.head(stream.buffer, limits)):
@@ -41,12 +44,14 @@
         status, fields, end = found
         del stream.buffer[:end]
         told = http.body(stream, fields, limits, until)
-        if seal.FIELD not in fields:
+        if message_authentication.FIELD not in fields:
             raise Impostor(
                 f"status {status} without a seal: {told[:100].decode('latin-1').strip()}"
             )
-        return seal.answered(key, body_seal, fields.get(seal.FIELD), told)
-    except seal.Unsealed as error:
+        return message_authentication.answered(
+            key, body_seal, fields.get(message_authentication.FIELD), told
+        )
+    except message_authentication.Unsealed as error:
         raise Impostor(str(error)) from None
     except (OSError, Closed, Malformed, ValueError, orjson.JSONDecodeError) as error:
         raise Silent(str(error) or type(error).__name__) from None
--- a/petrellane/agreement/store.py
+++ b/petrellane/config_consensus/state_store.py
@@ -10,9 +10,9 @@
 
 import orjson
 
-from petrellane.agreement import policy
-from petrellane.agreement.ballots import ballot_of, epoch_of, generation_of
-from petrellane.agreement.member import State
+from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus.ballots import ballot_of, epoch_of, generation_of
+from petrellane.config_consensus.participant import State
 
 VERSION = 1
 
@@ -48,9 +48,9 @@
     @staticmethod
     def state_of(content):
         return State(
-            generation_of(content["in_force"], policy.digest),
+            generation_of(content["in_force"], safe_settings.digest),
             epoch_of(content["promised"]),
-            tuple(generation_of(one, policy.digest) for one in content["possible"]),
+            tuple(generation_of(one, safe_settings.digest) for one in content["possible"]),
             tuple(map(ballot_of, content["denied"])),
         )
 
--- a/petrellane/choice.py
+++ b/petrellane/decisions/controller.py
@@ -1,4 +1,4 @@
-"""Every decision of the gateway; the types it takes and returns are in petrellane/interface.py.
+"""Every decision of the gateway; the types it takes and returns are in petrellane/decisions/types.py.
 
 Make one Gateway per instance from the settings, then tell it what happens: started, listed, place (an RPC
 came), again (a call-out ended), counted, left, woken. Each call takes the clock first, answers with steps."""
@@ -8,8 +8,8 @@
 import random
 from collections import deque
 
-from petrellane.hosts import AGAIN, NEW, Highest, Hosts
-from petrellane.interface import (
+from petrellane.decisions.endpoint_index import AGAIN, NEW, Highest, Hosts
+from petrellane.decisions.types import (
     CANCELLED,
     DEDUPLICATED,
     ERROR,
--- a/petrellane/hosts.py
+++ b/petrellane/decisions/endpoint_index.py
@@ -1,6 +1,6 @@
 """The hosts of the last list, kept so that a change of the list and a draw cost the same however many there are.
 
-Nothing is decided here: no odds, no tuned value, no clock, no I/O. `petrellane/choice.py` says what is known of a host, and
+Nothing is decided here: no odds, no tuned value, no clock, no I/O. `petrellane/decisions/controller.py` says what is known of a host, and
 what is drawn for which reason. `Groups` holds members under keys: one is put or taken out in a constant number of steps, and
 a key's members are a list that a draw can index (the gap that one leaves is filled by the last). `Starts` holds members in
 the order of their starts, with prefix sums: a sum over them in which each adds in step with its age takes a binary search,
@@ -15,7 +15,7 @@
 from itertools import accumulate
 from operator import itemgetter
 
-from petrellane.interface import GONE, READY, Host, Listing
+from petrellane.decisions.types import GONE, READY, Host, Listing
 
 START = itemgetter(0)
 NEW, AGAIN, CHANGED = "new", "started again", "changed"  # what a list may say of a host
--- a/petrellane/interface.py
+++ b/petrellane/decisions/types.py
@@ -1,4 +1,4 @@
-"""The plain types that petrellane.choice takes and returns. Times are seconds, with fractions."""
+"""The plain types that petrellane.decisions.controller takes and returns. Times are seconds, with fractions."""
 
 from dataclasses import dataclass, field
 from math import inf
--- a/petrellane/gateway/driver.py
+++ b/petrellane/gateway/action_executor.py
@@ -3,11 +3,11 @@
 import math
 from collections import Counter
 
-from petrellane import interface as api
-from petrellane.choice import Gateway
+from petrellane.decisions import types as api
+from petrellane.decisions.controller import Gateway
+from petrellane.gateway.client_request import BadField
 from petrellane.gateway.customers import Customers
-from petrellane.gateway.exchange import BadField
-from petrellane.operation import succession
+from petrellane.operation import hot_restart
 
 
 class Driver:
@@ -175,7 +175,7 @@
     def taken(self, rows):
         """Take over the leases that the process before has given up; how many."""
         plans, now = self.settings.plans, self.now()
-        return succession.taken(
+        return hot_restart.taken(
             self.gateway,
             now,
             rows,
@@ -187,7 +187,7 @@
     def settled(self, name, number):
         """So many RPCs of a customer that the process before still had have ended."""
         for customer in self.customers.named(name):
-            number -= succession.settled(self.gateway, self.now(), customer, number)
+            number -= hot_restart.settled(self.gateway, self.now(), customer, number)
 
     def tell(self, rpc, call, *words, **more):
         """Tell the module of an RPC. A fault of ours is logged, and the RPC has its answer all the same."""
--- a/petrellane/gateway/server.py
+++ b/petrellane/gateway/client_listener.py
@@ -7,11 +7,11 @@
 
 import greenlet
 
-from petrellane.gateway import room
-from petrellane.gateway.exchange import BadField, Exchange, Reply
+from petrellane.gateway import idle_eviction
+from petrellane.gateway.client_request import BadField, Exchange, Reply
 from petrellane.net import resp
 from petrellane.net.stream import Closed, Stream, accepted, listening
-from petrellane.operation.states import ENDING
+from petrellane.operation.lifecycle import ENDING
 
 QUERY = b"SVC.QUERY"
 SERVED = {QUERY, b"SVC.SUBMIT"}
@@ -147,7 +147,7 @@
             if client.stream.buffer and not client.offered:
                 self.halves.setdefault(client, now)
         return self.shed_one(
-            room.spare(now, self.limits, self.silent, self.once, self.halves, self.clients)
+            idle_eviction.spare(now, self.limits, self.silent, self.once, self.halves, self.clients)
         )
 
     def shed_one(self, clients):
--- a/petrellane/gateway/counter.py
+++ b/petrellane/gateway/counter_client.py
@@ -5,7 +5,7 @@
 from collections import deque
 from functools import partial
 
-from petrellane import interface as api
+from petrellane.decisions import types as api
 from petrellane.net import resp
 from petrellane.net.stream import Closed, Stream
 
--- a/petrellane/gateway/customers.py
+++ b/petrellane/gateway/customers.py
@@ -7,7 +7,7 @@
 
 from weakref import WeakValueDictionary
 
-from petrellane import interface as api
+from petrellane.decisions import types as api
 
 
 class Customers:
--- a/petrellane/gateway/upstream.py
+++ b/petrellane/gateway/endpoint_pool.py
@@ -8,8 +8,8 @@
 from collections import Counter, deque
 from functools import partial
 
-from petrellane import interface as api
-from petrellane.gateway.passage import Passage
+from petrellane.decisions import types as api
+from petrellane.gateway.response_relay import Passage
 from petrellane.net import resp
 from petrellane.net.stream import Closed, Stream
 
--- a/petrellane/gateway/node.py
+++ b/petrellane/gateway/process.py
@@ -12,19 +12,19 @@
 from functools import partial
 
 from petrellane.config import ConfigError, load, settled
-from petrellane.gateway.counter import Counter
-from petrellane.gateway.discovery import Discovery
-from petrellane.gateway.driver import Driver
-from petrellane.gateway.passage import Account
-from petrellane.gateway.server import Server
-from petrellane.gateway.upstream import Upstream
+from petrellane.gateway.action_executor import Driver
+from petrellane.gateway.client_listener import Server
+from petrellane.gateway.counter_client import Counter
+from petrellane.gateway.endpoint_pool import Upstream
+from petrellane.gateway.endpoint_watch import Discovery
+from petrellane.gateway.response_relay import Account
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.operation import succession
-from petrellane.operation.handover import Handover
-from petrellane.operation.management import Management
-from petrellane.operation.states import Service
+from petrellane.operation import hot_restart
+from petrellane.operation.hot_restart_transport import Handover
+from petrellane.operation.lifecycle import Service
+from petrellane.operation.management_api import Management
 
 
 class Node:
@@ -75,8 +75,8 @@
         self.discovery = self.watch(config.known.index if config.known.entries else None)
         self.agent = None
         if config.agreement:  # imported where it is asked for: a gateway alone starts without it
-            from petrellane.agreement.agent import Agent
-            from petrellane.agreement.seal import PATH
+            from petrellane.config_consensus.message_authentication import PATH
+            from petrellane.config_consensus.participant_service import Agent
 
             self.agent = self.driver.agent = Agent(
                 self.scheduler,
@@ -178,18 +178,18 @@
         if self.agent:
             self.agent.leave()
             generation = self.agent.state.told()
-        return succession.given(self.driver.gateway, self.scheduler.now(), generation)
+        return hot_restart.given(self.driver.gateway, self.scheduler.now(), generation)
 
     def beside(self):
         """The process before gave nothing, and may go on."""
-        succession.beside(self.driver.gateway, self.scheduler.now())
+        hot_restart.beside(self.driver.gateway, self.scheduler.now())
 
     def hand(self, heir):
         """Another process follows; None: it is gone again."""
         self.service.followed = bool(heir)
         self.server.hand(heir)
         if not heir:
-            succession.resumed(self.driver.gateway, self.scheduler.now())
+            hot_restart.resumed(self.driver.gateway, self.scheduler.now())
             if self.agent:
                 self.agent.back()
 
@@ -298,9 +298,9 @@
 
     def agreed(self, content):
         """The configuration with settings that are agreed on, and what of them is our own. Raises ConfigError."""
-        from petrellane.agreement import policy
+        from petrellane.config_consensus import safe_settings
 
-        return settled(self.config, {**policy.own(self.config.raw["settings"]), **content})
+        return settled(self.config, {**safe_settings.own(self.config.raw["settings"]), **content})
 
     def takes(self, content):
         """Why agreed settings will not do here, in one line; None where they do."""
--- a/petrellane/spread/words.py
+++ b/petrellane/load_distribution/commands.py
@@ -4,8 +4,8 @@
 
 import orjson
 
-from petrellane.spread import sources
-from petrellane.spread.figures import Figures, Told, figures, windows
+from petrellane.load_distribution import sources
+from petrellane.load_distribution.figures import Figures, Told, figures, windows
 
 
 def table(found: Figures) -> str:
--- a/petrellane/spread/sources.py
+++ b/petrellane/load_distribution/sources.py
@@ -23,8 +23,8 @@
 
 import orjson
 
-from petrellane import referee
-from petrellane.spread.figures import Told
+from petrellane import invariants
+from petrellane.load_distribution.figures import Told
 
 VERSION = 1
 MOST = 5  # troubles told by line; the rest is counted
@@ -58,13 +58,13 @@
         *({"host": host, "capacity": size} for host, size in (capacities or {}).items()),
     ]
     for one in records:
-        if type(one) is referee.Sent:
+        if type(one) is invariants.Sent:
             rows.append({"at": round(one.at, 6), "by": one.gateway, "sent": one.host})
-        elif type(one) is referee.Told:
+        elif type(one) is invariants.Told:
             rows.append(
                 {"at": round(one.at, 6), "by": one.gateway, "told": one.host, "state": one.state}
             )
-        elif type(one) is referee.Life and one.event == "killed":
+        elif type(one) is invariants.Life and one.event == "killed":
             rows.append({"at": round(one.at, 6), "killed": one.gateway})
     pathlib.Path(path).write_bytes(b"\n".join(map(orjson.dumps, [*rows, {"end": end}])) + b"\n")
 
@@ -74,19 +74,19 @@
     has it as ready."""
     found, knows, begun = Told(since, until), {}, {}
     for one in records:
-        if type(one) is referee.Sent:
+        if type(one) is invariants.Sent:
             if since <= one.at < until:
                 found.sent.append((one.at, one.gateway, one.host, 1))
-        elif type(one) is referee.Told:
+        elif type(one) is invariants.Told:
             states = knows.setdefault(one.host, {})
-            states[one.gateway] = one.state == referee.READY
+            states[one.gateway] = one.state == invariants.READY
             if all(states.values()):
                 begun.setdefault(one.host, one.at)
             elif one.host in begun:
                 found.ready.setdefault(one.host, []).append(
                     (begun.pop(one.host), one.at, capacity(one.host))
                 )
-        elif type(one) is referee.Life and one.event == "killed":
+        elif type(one) is invariants.Life and one.event == "killed":
             for states in knows.values():
                 states.pop(one.gateway, None)
     for host, at in begun.items():
@@ -148,13 +148,13 @@
     if at is None:
         return None
     if isinstance(row.get("killed"), str):
-        return referee.Life(at, row["killed"], "killed")
+        return invariants.Life(at, row["killed"], "killed")
     if not isinstance(row.get("by"), str):
         return None
     if isinstance(row.get("sent"), str):
-        return referee.Sent(at, row["by"], None, 0, row["sent"])
+        return invariants.Sent(at, row["by"], None, 0, row["sent"])
     if isinstance(row.get("told"), str) and row.get("state") in STATES:
-        return referee.Told(at, row["by"], row["told"], row["state"], 0.0)
+        return invariants.Told(at, row["by"], row["told"], row["state"], 0.0)
     return None
 
 
--- a/petrellane/operation/handover.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -14,7 +14,7 @@
 import orjson
 
 from petrellane.net.stream import accepted
-from petrellane.operation import succession
+from petrellane.operation import hot_restart
 
 
 def file_name(gateway):
@@ -124,7 +124,7 @@
 
     def ask(self, begin):
         """Ask the process before for what it has; `begin` is called once there is nothing more to wait for."""
-        self.begin, self.taker = begin, succession.Taker()
+        self.begin, self.taker = begin, hot_restart.Taker()
         sock = None
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -135,7 +135,7 @@
             self.scheduler.soon(self.begun, "none before")
             return
         self.link = Link(self.scheduler, self.limits, sock, self.heard, self.lost)
-        self.link.send(succession.asks())
+        self.link.send(hot_restart.asks())
         self.scheduler.after(self.limits.hand_over, self.late)
 
     def heard(self, link, message, data, sock):
@@ -225,11 +225,11 @@
         if sock:
             sock.close()
         if "ask" in message:
-            refusal = succession.answers_to(message)
+            refusal = hot_restart.answers_to(message)
             if refusal or self.successor:
-                link.send(refusal or {"refused": succession.VERSION})
+                link.send(refusal or {"refused": hot_restart.VERSION})
                 return
-            self.successor, self.giver = link, succession.Giver()
+            self.successor, self.giver = link, hot_restart.Giver()
             messages = self.give()
             self.log.event("succeeded", leases=messages[-1]["given"])
             for each in messages:
--- a/petrellane/operation/management.py
+++ b/petrellane/operation/management_api.py
@@ -8,7 +8,7 @@
 import select
 
 from petrellane.net.stream import Closed, Stream, accepted, listening
-from petrellane.operation import calls
+from petrellane.operation import management_calls
 
 
 class Management:
@@ -90,30 +90,30 @@
         try:
             while (end := stream.buffer.find(b"\r\n\r\n")) < 0:
                 if len(stream.buffer) > self.limits.head:
-                    return calls.answer(431, self.service.told)
+                    return management_calls.answer(431, self.service.told)
                 stream.fill(max(0.0, until - self.scheduler.now()))
             head = bytes(stream.buffer[:end])
-            path, status = calls.understood(
-                head, calls.PATHS | dict.fromkeys(self.handlers, b"POST")
+            path, status = management_calls.understood(
+                head, management_calls.PATHS | dict.fromkeys(self.handlers, b"POST")
             )
             if path in self.handlers:
-                return self.at_desk(stream, path, calls.fields_of(head), end + 4, until)
+                return self.at_desk(stream, path, management_calls.fields_of(head), end + 4, until)
         except TimeoutError:
-            return calls.answer(408, self.service.told)
+            return management_calls.answer(408, self.service.told)
         if path:
             before = self.service.state
-            status = calls.obeyed(self.service, path, self.scheduler.now())
+            status = management_calls.obeyed(self.service, path, self.scheduler.now())
             if self.service.state != before:
                 self.changed()
-        return calls.answer(status, self.service.told)
+        return management_calls.answer(status, self.service.told)
 
     def at_desk(self, stream, path, fields, start, until):
         """Read a body that begins there, and have it answered."""
-        length, status = calls.length_of(fields, self.limits.body)
+        length, status = management_calls.length_of(fields, self.limits.body)
         if status:
-            return calls.answer(status, self.service.told)
+            return management_calls.answer(status, self.service.told)
         while len(stream.buffer) < start + length:
             stream.fill(max(0.0, until - self.scheduler.now()))
-        return calls.whole(
+        return management_calls.whole(
             *self.handlers[path](fields, bytes(stream.buffer[start : start + length]))
         )
--- a/petrellane/model/baselines.py
+++ b/petrellane/simulation/baselines.py
@@ -18,7 +18,7 @@
 
 import random
 
-from petrellane import interface as api
+from petrellane.decisions import types as api
 
 
 class Baseline:
--- a/petrellane/model/clients.py
+++ b/petrellane/simulation/clients.py
@@ -1,8 +1,8 @@
 """Clients, who keep to the protocol, and the front that deals their RPCs out, late to notice that a gateway has died."""
 
-from petrellane import interface as api
-from petrellane.model.heap import chance
-from petrellane.referee import ABORTED, OK, PUSHED_BACK
+from petrellane.decisions import types as api
+from petrellane.invariants import ABORTED, OK, PUSHED_BACK
+from petrellane.simulation.event_queue import chance
 
 
 class Call:
--- a/petrellane/model/command.py
+++ b/petrellane/simulation/command.py
@@ -6,13 +6,13 @@
 
 from rich.console import Console
 
-from petrellane.model import hunt as hunting
-from petrellane.model.draw import draw
-from petrellane.model.fleet import Fleet
-from petrellane.model.scenario import ScenarioError, read, write
-from petrellane.model.timeline import timeline, verdict
-from petrellane.referee import RULES
-from petrellane.spread import sources
+from petrellane.invariants import RULES
+from petrellane.load_distribution import sources
+from petrellane.simulation import property_search as hunting
+from petrellane.simulation.fleet import Fleet
+from petrellane.simulation.scenario import ScenarioError, read, write
+from petrellane.simulation.scenario_generation import draw
+from petrellane.simulation.timeline import timeline, verdict
 
 
 class Progress:
--- a/petrellane/model/counter.py
+++ b/petrellane/simulation/counter.py
@@ -2,9 +2,9 @@
 
 from collections import deque
 
-from petrellane import interface as api
-from petrellane.model.heap import chance
-from petrellane.model.network import Network
+from petrellane.decisions import types as api
+from petrellane.simulation.event_queue import chance
+from petrellane.simulation.network import Network
 
 KEEP = 5.0  # seconds of changes that can be rolled back
 
--- a/petrellane/model/discovery.py
+++ b/petrellane/simulation/discovery.py
@@ -3,9 +3,9 @@
 
 from collections import Counter, deque
 
-from petrellane import interface as api
-from petrellane.model.heap import chance
+from petrellane.decisions import types as api
 from petrellane.operation.backoff import FAILED, SILENT, TURNED_AWAY, Backoff
+from petrellane.simulation.event_queue import chance
 
 TIMES = dict(
     most=5.0, at_first=5.0, hold=3.8, grace=1.0, silent=2.0, first=0.1
--- a/petrellane/model/faults.py
+++ b/petrellane/simulation/faults.py
@@ -1,9 +1,9 @@
 """What goes wrong, and how it ends. Each fault of a scenario is begun and ended here; faults of a kind may overlap."""
 
-from petrellane import interface as api
-from petrellane.model.heap import chance
-from petrellane.model.network import Network
-from petrellane.model.scenario import FAULTS
+from petrellane.decisions import types as api
+from petrellane.simulation.event_queue import chance
+from petrellane.simulation.network import Network
+from petrellane.simulation.scenario import FAULTS
 
 AGAIN = 0.3  # seconds between the times that a counter loses what it had, while it does so
 
--- a/petrellane/model/fleet.py
+++ b/petrellane/simulation/fleet.py
@@ -4,18 +4,18 @@
 from dataclasses import dataclass
 from typing import Any
 
-from petrellane import interface as api
-from petrellane.choice import Gateway
-from petrellane.model.clients import Figures, Source
-from petrellane.model.counter import Counter
-from petrellane.model.discovery import Discovery
-from petrellane.model.faults import Faults
-from petrellane.model.heap import Heap, chance
-from petrellane.model.hosts import Machine
-from petrellane.model.network import Network
-from petrellane.model.nodes import Node
-from petrellane.model.scenario import Scenario
-from petrellane.referee import Ceiling, MethodRule, Referee, Remains, Terms, Verdict
+from petrellane.decisions import types as api
+from petrellane.decisions.controller import Gateway
+from petrellane.invariants import Ceiling, MethodRule, Referee, Remains, Terms, Verdict
+from petrellane.simulation.clients import Figures, Source
+from petrellane.simulation.counter import Counter
+from petrellane.simulation.discovery import Discovery
+from petrellane.simulation.event_queue import Heap, chance
+from petrellane.simulation.faults import Faults
+from petrellane.simulation.gateways import Node
+from petrellane.simulation.hosts import Machine
+from petrellane.simulation.network import Network
+from petrellane.simulation.scenario import Scenario
 
 ANSWER_SLACK = 0.05  # seconds past a deadline that an answer may come
 OVER = 4.0  # seconds after the last deadline in which all has to come to rest
--- a/petrellane/model/nodes.py
+++ b/petrellane/simulation/gateways.py
@@ -2,11 +2,8 @@
 
 import orjson
 
-from petrellane import interface as api
-from petrellane.model.heap import chance
-from petrellane.model.hosts import Attempt
-from petrellane.operation import succession
-from petrellane.referee import (
+from petrellane.decisions import types as api
+from petrellane.invariants import (
     ABORTED,
     OK,
     PUSHED_BACK,
@@ -18,6 +15,9 @@
     Taken,
     Told,
 )
+from petrellane.operation import hot_restart
+from petrellane.simulation.event_queue import chance
+from petrellane.simulation.hosts import Attempt
 
 EPOCH = 1000.0  # what a clock without error shows when the run begins; 0 would read as `long ago`
 
@@ -94,15 +94,15 @@
 
     def given(self):
         """Give up all leases, and say what they were, as the process that follows would read it."""
-        return orjson.loads(orjson.dumps(succession.given(self.gateway, self.clock())))
+        return orjson.loads(orjson.dumps(hot_restart.given(self.gateway, self.clock())))
 
     def resumed(self):
         """The one that followed is gone: go on with what is left."""
-        succession.resumed(self.gateway, self.clock())
+        hot_restart.resumed(self.gateway, self.clock())
 
     def taken_over(self, old, messages):
         """Go on with what another process gave up; what it still has out counts until it tells that it ended."""
-        self.taker, plans = succession.Taker(), self.fleet.plans
+        self.taker, plans = hot_restart.Taker(), self.fleet.plans
         for message in messages:
             self.taker.told(message)
         old.heir = self
@@ -110,12 +110,12 @@
         def customer(name, plan, first, spread):
             return self.customers.setdefault(name, api.Customer(name, plans[plan], first, spread))
 
-        succession.taken(self.gateway, self.clock(), self.taker.rows, customer)
+        hot_restart.taken(self.gateway, self.clock(), self.taker.rows, customer)
 
     def settled(self, name):
         """An RPC that the process before had has ended there."""
         if self.alive and self.taker and self.taker.ended(name):
-            succession.settled(self.gateway, self.clock(), self.customers[name], 1)
+            hot_restart.settled(self.gateway, self.clock(), self.customers[name], 1)
 
     def pause(self):
         if self.alive and not self.paused:
--- a/petrellane/model/hosts.py
+++ b/petrellane/simulation/hosts.py
@@ -2,9 +2,9 @@
 
 from collections import deque
 
-from petrellane import interface as api
-from petrellane.model.heap import chance
-from petrellane.referee import Ran, Received, Up
+from petrellane.decisions import types as api
+from petrellane.invariants import Ran, Received, Up
+from petrellane.simulation.event_queue import chance
 
 
 class Attempt:
--- a/petrellane/model/hunt.py
+++ b/petrellane/simulation/property_search.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from petrellane.model.draw import draw, mutate
-from petrellane.model.fleet import Fleet, Run
-from petrellane.model.scenario import Expect, Fault, Scenario, World, check
-from petrellane.referee import RULES
+from petrellane.invariants import RULES
+from petrellane.simulation.fleet import Fleet, Run
+from petrellane.simulation.scenario import Expect, Fault, Scenario, World, check
+from petrellane.simulation.scenario_generation import draw, mutate
 
 ROUND = 256  # scenarios of a round
 FRESH = 0.6  # share of a round that is drawn afresh
--- a/petrellane/model/quotas.py
+++ b/petrellane/simulation/quotas.py
@@ -6,10 +6,10 @@
 
 from collections import Counter, deque
 
-from petrellane import interface as api
-from petrellane import referee
-from petrellane.model.baselines import TwoChoices
-from petrellane.model.scenario import Scenario
+from petrellane import invariants
+from petrellane.decisions import types as api
+from petrellane.simulation.baselines import TwoChoices
+from petrellane.simulation.scenario import Scenario
 
 
 class Stores:
@@ -97,7 +97,7 @@
     sent, asked, rpcs, first = Stores(), Stores(), {}, set()
     found = {name: Counter() for name in (*plans, "all")}
     for record in sorted(records, key=lambda one: one.at):
-        if type(record) is referee.Taken:
+        if type(record) is invariants.Taken:
             rpcs[record.rpc] = record
             plan = plans[record.plan]
             worth = record.units * prices[record.method] * plan.price
@@ -105,7 +105,7 @@
             for name in (record.plan, "all"):
                 found[name]["asked inside"] += worth * inside
                 found[name]["asked"] += record.units
-        elif type(record) is referee.Sent and record.rpc not in first:
+        elif type(record) is invariants.Sent and record.rpc not in first:
             first.add(record.rpc)
             told = rpcs[record.rpc]
             plan = plans[told.plan]
--- a/petrellane/model/scenario.py
+++ b/petrellane/simulation/scenario.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from petrellane.model import VERSION
+from petrellane.simulation import VERSION
 
 
 class ScenarioError(Exception):
--- a/petrellane/model/draw.py
+++ b/petrellane/simulation/scenario_generation.py
@@ -2,10 +2,10 @@
 
 import msgspec
 
-from petrellane.interface import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT
-from petrellane.model import VERSION
-from petrellane.model.heap import chance
-from petrellane.model.scenario import FAULTS, Customer, Fault, Method, Plan, Scenario, World
+from petrellane.decisions.types import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT
+from petrellane.simulation import VERSION
+from petrellane.simulation.event_queue import chance
+from petrellane.simulation.scenario import FAULTS, Customer, Fault, Method, Plan, Scenario, World
 
 SIZES = {
     "gateways killed": (0.3, 1.0),
--- a/petrellane/model/timeline.py
+++ b/petrellane/simulation/timeline.py
@@ -1,7 +1,6 @@
 """A run as a person reads it: who knew what, when, around what was broken."""
 
-from petrellane.model.fleet import Run
-from petrellane.referee import (
+from petrellane.invariants import (
     Answered,
     Ended,
     Left,
@@ -14,6 +13,7 @@
     Told,
     Up,
 )
+from petrellane.simulation.fleet import Run
 
 SPAN = 2.0  # seconds before the first break that are told in full
 MOST = 120  # lines told; what is left out is counted
--- a/petrellane/lab/capacity.py
+++ b/petrellane/testbed/capacity.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from petrellane.agreement.leader import LOOK
-from petrellane.choice import AHEAD, EXCHANGE, HEADROOM, IN_USE, KNOWN, MEMORY, WINDOW
+from petrellane.config_consensus.coordinator import LOOK
+from petrellane.decisions.controller import AHEAD, EXCHANGE, HEADROOM, IN_USE, KNOWN, MEMORY, WINDOW
 from petrellane.net.limits import Limits
 from petrellane.operation.backoff import SPACED
 
--- a/petrellane/lab/clients.py
+++ b/petrellane/testbed/clients.py
@@ -5,10 +5,10 @@
 import random
 from dataclasses import dataclass
 
-from petrellane import referee
-from petrellane.lab.standins import LIMITS
+from petrellane import invariants
 from petrellane.net import resp
 from petrellane.net.stream import Closed, Stream
+from petrellane.testbed.fakes import LIMITS
 
 
 @dataclass
@@ -146,9 +146,9 @@
             f"c={method.name},t={customer.plan},d={int(left * 1e3)},units={customer.units:g},"
             f"spread={customer.spread},first={customer.first}"
         )
-        if method.effect == referee.DEDUPLICATED:
+        if method.effect == invariants.DEDUPLICATED:
             fields += f",k={rpc[-8:]}"
-        verb = b"SVC.QUERY" if method.effect == referee.IDEMPOTENT else b"SVC.SUBMIT"
+        verb = b"SVC.QUERY" if method.effect == invariants.IDEMPOTENT else b"SVC.SUBMIT"
         stream.write(resp.words(verb, b"%016x" % customer.number, rpc.encode(), fields.encode()))
         leaves = leave_at is not None or self.leaving and self.random.random() < self.leaving
         wait = self.random.random() * left if leaves else left + self.SLACK
@@ -171,14 +171,14 @@
         text = bytes(stream.buffer[slice(*content)]) if content else b""
         del stream.buffer[:end]
         if kind == 0x24:
-            return referee.OK if text == rpc.encode() else "spoilt"
-        return referee.PUSHED_BACK if text.startswith(b"BUSY") else text.decode("latin-1")
+            return invariants.OK if text == rpc.encode() else "spoilt"
+        return invariants.PUSHED_BACK if text.startswith(b"BUSY") else text.decode("latin-1")
 
     def end(self, front, stream, method, rpc, verdict, intended):
-        if verdict in (referee.OK, referee.PUSHED_BACK) or verdict.startswith("ERR"):
+        if verdict in (invariants.OK, invariants.PUSHED_BACK) or verdict.startswith("ERR"):
             front.idle.append(stream)
             self.records.answered(
-                rpc, verdict if verdict[:3] != "ERR" else referee.ABORTED, method.name
+                rpc, verdict if verdict[:3] != "ERR" else invariants.ABORTED, method.name
             )
             self.waits.append((self.scheduler.monotonic() - intended, verdict))
         else:  # nothing, or nothing that a host made: it is lost, unless its gateway was killed
--- a/petrellane/lab/skewed.py
+++ b/petrellane/testbed/clock_skew.py
@@ -1,4 +1,4 @@
-"""Runs the command line with a system clock that is off by LAB_SKEW seconds: `python -m petrellane.lab.skewed serve`."""
+"""Runs the command line with a system clock that is off by LAB_SKEW seconds: `python -m petrellane.testbed.clock_skew serve`."""
 
 import os
 import time
--- a/petrellane/lab/command.py
+++ b/petrellane/testbed/command.py
@@ -6,10 +6,10 @@
 from rich.live import Live
 from rich.table import Table
 
-from petrellane.lab.fleet import Lab, Shape
-from petrellane.lab.play import Figures, Play, Stage, Step, load, shape_of
-from petrellane.referee import OK, PUSHED_BACK
-from petrellane.spread import sources
+from petrellane.invariants import OK, PUSHED_BACK
+from petrellane.load_distribution import sources
+from petrellane.testbed.fleet import Lab, Shape
+from petrellane.testbed.runner import Figures, Play, Stage, Step, load, shape_of
 
 DEMO = Play(
     lab=Figures(gateways=3, hosts=6, seconds=20.0, rate=120.0),
--- a/petrellane/lab/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -16,13 +16,13 @@
 
 import orjson
 
-from petrellane import referee
-from petrellane.lab.clients import Clients, Customer, Front, Method
-from petrellane.lab.processes import Process
-from petrellane.lab.records import SETTLE, Records
-from petrellane.lab.relay import Relay
-from petrellane.lab.standins import Counter, Discovery, Host
+from petrellane import invariants
 from petrellane.net.scheduler import Scheduler
+from petrellane.testbed.clients import Clients, Customer, Front, Method
+from petrellane.testbed.fakes import Counter, Discovery, Host
+from petrellane.testbed.processes import Process
+from petrellane.testbed.records import SETTLE, Records
+from petrellane.testbed.relay import Relay
 
 MICRO = 1_000_000
 EFFECTS = {"idempotent": "pure", "deduplicated": "token", "non-idempotent": "side_effect"}
@@ -244,12 +244,12 @@
     def stop(self):
         self.lab.records.tell(f"{self.name} is stopped")
         self.process.stop()
-        self.lab.records.take(referee.Life(self.lab.records.now(), self.name, "paused"))
+        self.lab.records.take(invariants.Life(self.lab.records.now(), self.name, "paused"))
 
     def go_on(self):
         self.lab.records.tell(f"{self.name} goes on")
         self.process.go_on()
-        self.lab.records.take(referee.Life(self.lab.records.now(), self.name, "resumed"))
+        self.lab.records.take(invariants.Life(self.lab.records.now(), self.name, "resumed"))
 
     def last(self, name):
         """The last event of this name, or None."""
@@ -311,25 +311,25 @@
 
     def ask(self, do, **words):
         """Ask it something as staff would; the answer, {} where there is none."""
-        from petrellane.agreement import post, seal
-        from petrellane.lab.standins import LIMITS
+        from petrellane.config_consensus import message_authentication, rpc_client
+        from petrellane.testbed.fakes import LIMITS
 
         found = []
 
         def call():
             try:
                 found.append(
-                    post.ask(
+                    rpc_client.ask(
                         self.lab.scheduler,
                         LIMITS,
                         self.lab.key,
                         (self.lab.ip, self.listen),
-                        seal.STAFF,
+                        message_authentication.STAFF,
                         {"do": do, "to": "control", **words},
                         3.0,
                     )
                 )
-            except (post.Nobody, post.Silent) as error:
+            except (rpc_client.Nobody, rpc_client.Silent) as error:
                 found.append({"none": str(error)})
 
         self.lab.scheduler.spawn(call)
@@ -408,15 +408,15 @@
     def terms(self):
         rules = {row["name"]: row for row in self.settings["classes"]}
         back = {word: effect for effect, word in EFFECTS.items()}
-        methods = {one.name: referee.MethodRule(one.effect) for one in self.shape.methods}
+        methods = {one.name: invariants.MethodRule(one.effect) for one in self.shape.methods}
         methods |= {
-            name: referee.MethodRule(
+            name: invariants.MethodRule(
                 back[row["effect"]], row.get("keyScope", ""), row.get("window", 0) / MICRO
             )
             for name, row in rules.items()
         }
         ceilings = {
-            row["name"]: referee.Ceiling(
+            row["name"]: invariants.Ceiling(
                 row["ceilingRate"],
                 row["ceilingBurst"],
                 row["ceilingSlack"] + 0.15 * row["ceilingRate"],
@@ -424,7 +424,7 @@
             for row in self.settings["contracts"]
             if row.get("ceilingRate")
         }
-        return referee.Terms(
+        return invariants.Terms(
             methods,
             ceilings,
             {},
@@ -668,7 +668,7 @@
             if control.process and control.process.up:
                 for one in control.ask("history").get("history", ()):
                     self.records.take(
-                        referee.Decided(
+                        invariants.Decided(
                             self.records.now(), one["number"], one["outcome"] != "aborted"
                         )
                     )
--- a/petrellane/lab/hollow.py
+++ b/petrellane/testbed/hollow.py
@@ -19,17 +19,17 @@
 
 import orjson
 
-from petrellane import interface as api
 from petrellane.config import Section, host_list, read
-from petrellane.gateway import discovery
-from petrellane.gateway.discovery import Discovery
-from petrellane.gateway.exchange import Exchange
-from petrellane.gateway.node import Node
-from petrellane.lab.services import LINES, Words
+from petrellane.decisions import types as api
+from petrellane.gateway import endpoint_watch
+from petrellane.gateway.client_request import Exchange
+from petrellane.gateway.endpoint_watch import Discovery
+from petrellane.gateway.process import Node
 from petrellane.net import http, resp
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
+from petrellane.testbed.services import LINES, Words
 
 SEEN = 52  # hosts that a module knows
 WORK = 0.02  # mean seconds of a call-out
@@ -96,7 +96,7 @@
 
     def watch(self, stream, until):
         """As there."""
-        limits, path = self.limits, discovery.PATH
+        limits, path = self.limits, endpoint_watch.PATH
         if self.index is not None:
             path += (
                 f"?from={self.index}&hold_ms={int(self.backoff.hold(self.scheduler.now()) * 1e3)}"
@@ -106,7 +106,7 @@
             http.more(stream, until)
         status, fields, end = found
         if status != 200:
-            raise discovery.TurnedAway(f"status {status}")
+            raise endpoint_watch.TurnedAway(f"status {status}")
         del stream.buffer[:end]
         body = bytes(http.body(stream, fields, limits, until))
         told = self.whole.get(body) or host_list(Section(orjson.loads(body), "list"))
--- a/petrellane/lab/metered.py
+++ b/petrellane/testbed/metered.py
@@ -1,4 +1,4 @@
-"""Runs a process of a scale run, and tells what it reads, writes and spends: `python -m petrellane.lab.metered serve`.
+"""Runs a process of a scale run, and tells what it reads, writes and spends: `python -m petrellane.testbed.metered serve`.
 
 What is run is the command line as it is (`serve`, `control`) or a part of the rig (`hollow`, `discovery`, `counter`, each
 with a file). Bytes are those that streams hand to sockets and get from them, without the kernel's own. A message is one
@@ -106,17 +106,17 @@
     meter.install()
     what, *words = sys.argv[1:]
     if what == "hollow":
-        from petrellane.lab import hollow
+        from petrellane.testbed import hollow
 
         return hollow.run(words[0], meter)
     if what in ("discovery", "counter"):
-        from petrellane.lab import services
+        from petrellane.testbed import services
 
         return services.run(what, words[0], meter)
     if what == "serve":
-        from petrellane.gateway import node
+        from petrellane.gateway import process
 
-        return node.serve(os.environ)
+        return process.serve(os.environ)
     from petrellane.cli import app
 
     return app(prog_name="petrellane")
--- a/petrellane/lab/processes.py
+++ b/petrellane/testbed/processes.py
@@ -43,7 +43,7 @@
     ):
         self.scheduler, self.name, self.heard, self.ended = scheduler, name, heard, ended
         self.errors = tempfile.TemporaryFile(dir=folder)
-        module = "petrellane.lab.skewed" if skew else module
+        module = "petrellane.testbed.clock_skew" if skew else module
         self.process = subprocess.Popen(
             [python, "-m", module, *words],
             stdout=subprocess.PIPE,
--- a/petrellane/lab/records.py
+++ b/petrellane/testbed/records.py
@@ -14,7 +14,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from petrellane import referee
+from petrellane import invariants
 
 SETTLE = 0.05
 TURNS = 2
@@ -40,7 +40,7 @@
     makes a call after some seconds."""
 
     def __init__(self, terms, clock, after=None, keep=20_000):
-        self.referee, self.clock, self.began = referee.Referee(terms), clock, clock()
+        self.referee, self.clock, self.began = invariants.Referee(terms), clock, clock()
         self.open, self.kept, self.most = {}, deque(maxlen=keep), keep
         self.pending, self.turns = (
             deque(),
@@ -73,7 +73,7 @@
         """Take a record of an RPC, before its answer where the rig has just stood still and that is still put in order."""
         if self.turns - self.stood_still < 2 * TURNS:
             for at, (other, turn) in enumerate(self.pending):
-                if isinstance(other, referee.Answered) and other.rpc == record.rpc:
+                if isinstance(other, invariants.Answered) and other.rpc == record.rpc:
                     self.pending.insert(at, (record._replace(at=other.at), turn))
                     return
         self.take(record)
@@ -92,7 +92,9 @@
                 del self.open[old]
         now = self.now()
         self.open[rpc] = [gateway, 0, method, now, now + patience]
-        self.take(referee.Taken(now, gateway, rpc, customer, plan, method, units, now + patience))
+        self.take(
+            invariants.Taken(now, gateway, rpc, customer, plan, method, units, now + patience)
+        )
 
     def sent(self, rpc, host, work, key=None, late=False, came=None):
         """A call-out has reached a host; `late`: after its gateway had given it up, when only its effect counts. `came`:
@@ -109,10 +111,10 @@
                 self.sent_after.append((rpc, number, after))
             if after <= CROSSED < self.now() - self.gone[rpc]:
                 return Call(rpc, number, host, None, key, True)
-        self.before_the_answer(referee.Sent(self.now(), gateway, rpc, number, host))
-        self.take(referee.Received(self.now(), gateway, rpc, number, host, work))
+        self.before_the_answer(invariants.Sent(self.now(), gateway, rpc, number, host))
+        self.take(invariants.Received(self.now(), gateway, rpc, number, host, work))
         if method in self.proves and not number:
-            self.take(referee.Admitted(self.now(), gateway, rpc, self.proves[method], since))
+            self.take(invariants.Admitted(self.now(), gateway, rpc, self.proves[method], since))
         return Call(rpc, number, host, gateway, key)
 
     def ended(self, call, outcome):
@@ -120,10 +122,10 @@
         if call.over:
             return
         call.over = True
-        record = referee.Ended(self.now(), call.gateway, call.rpc, call.number, outcome)
+        record = invariants.Ended(self.now(), call.gateway, call.rpc, call.number, outcome)
         for at, (other, turn) in enumerate(self.pending):
             if (
-                isinstance(other, referee.Sent)
+                isinstance(other, invariants.Sent)
                 and other.rpc == call.rpc
                 and other.number > call.number
             ):
@@ -132,13 +134,13 @@
         self.before_the_answer(record)
 
     def ran(self, call):
-        self.take(referee.Ran(self.now(), call.rpc, call.host))
+        self.take(invariants.Ran(self.now(), call.rpc, call.host))
 
     def answered(self, rpc, answer, method):
         told = self.open.get(rpc)
         self.counts[method, answer] = self.counts.get((method, answer), 0) + 1
         if told is not None:
-            self.take(referee.Answered(self.now(), told[0], rpc, answer))
+            self.take(invariants.Answered(self.now(), told[0], rpc, answer))
 
     def left(self, rpc):
         """Its client closes its connection. For the referee that holds from when the gateway has surely seen it: what
@@ -148,12 +150,12 @@
             self.gone[rpc] = self.now()
             self.after(
                 CROSSED,
-                lambda: self.take(referee.Left(min(self.now(), told[4] - 1e-6), told[0], rpc)),
+                lambda: self.take(invariants.Left(min(self.now(), told[4] - 1e-6), told[0], rpc)),
             )
 
     def forget(self, gateway):
         """A gateway was killed: it owes nothing."""
-        self.take(referee.Life(self.now(), gateway, "killed"))
+        self.take(invariants.Life(self.now(), gateway, "killed"))
         self.open = {rpc: told for rpc, told in self.open.items() if told[0] != gateway}
 
     def about(self, rpc):
--- a/petrellane/lab/play.py
+++ b/petrellane/testbed/runner.py
@@ -32,9 +32,9 @@
 
 import msgspec
 
-from petrellane.lab.clients import Customer
-from petrellane.lab.fleet import Lab, Shape, settings
-from petrellane.referee import RULES
+from petrellane.invariants import RULES
+from petrellane.testbed.clients import Customer
+from petrellane.testbed.fleet import Lab, Shape, settings
 
 RELAY = ("cut", "mute", "deaf", "late", "lossy", "half", "hang", "refuse", "reset")
 STEPS = {  # name: (whom it is done to, what `size` is)
--- a/petrellane/lab/scale.py
+++ b/petrellane/testbed/scale.py
@@ -35,8 +35,8 @@
 import msgspec
 import orjson
 
-from petrellane.lab import fleet
-from petrellane.lab.rig import Rig, RigError
+from petrellane.testbed import fleet
+from petrellane.testbed.testbed import Rig, RigError
 
 SHARE = 0.5  # of the machine's memory that a run may take
 PROCESSES = 300  # and processes
--- a/petrellane/lab/services.py
+++ b/petrellane/testbed/services.py
@@ -9,9 +9,9 @@
 import greenlet
 import orjson
 
-from petrellane.lab.standins import Counter, Discovery
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
+from petrellane.testbed.fakes import Counter, Discovery
 
 KEPT = 20_000  # changes remembered; whoever asks from before gets the list whole
 BACKLOG = 4096
--- a/petrellane/lab/rig.py
+++ b/petrellane/testbed/testbed.py
@@ -11,10 +11,10 @@
 
 import orjson
 
-from petrellane.agreement import post, seal
-from petrellane.lab.processes import Process
-from petrellane.lab.standins import LIMITS
+from petrellane.config_consensus import message_authentication, rpc_client
 from petrellane.net.scheduler import Scheduler
+from petrellane.testbed.fakes import LIMITS
+from petrellane.testbed.processes import Process
 
 WAIT = 120.0  # seconds for all to be ready
 ANSWER = 30.0  # and for the control process to answer staff
@@ -51,7 +51,7 @@
             lambda process, event: rig.heard(self, event),
             lambda process: rig.ended(self),
             rig.folder,
-            module="petrellane.lab.metered",
+            module="petrellane.testbed.metered",
             descriptors=descriptors,
         )
         if descriptors:
@@ -341,16 +341,16 @@
     def ask(self, do, **words):
         """Ask the control process something as staff would, in a greenlet; {} where there is no answer."""
         try:
-            return post.ask(
+            return rpc_client.ask(
                 self.scheduler,
                 LIMITS,
                 self.key,
                 (self.ip, self.control_port),
-                seal.STAFF,
+                message_authentication.STAFF,
                 {"do": do, "to": "control", **words},
                 ANSWER,
             )
-        except (post.Nobody, post.Silent) as error:
+        except (rpc_client.Nobody, rpc_client.Silent) as error:
             return {"refused": "silent", "why": str(error)}
 
     def propose(self, number):
--- a/tests/lab/capacity.py
+++ b/tests/lab/capacity.py
@@ -14,8 +14,8 @@
 import orjson
 
 from benchmarks import capacity as carrier
-from petrellane.lab import capacity
-from petrellane.lab.capacity import Book, Figure, Row
+from petrellane.testbed import capacity
+from petrellane.testbed.capacity import Book, Figure, Row
 
 
 def line(slope, points, intercept=0.0, **more):
--- a/tests/model/cases.py
+++ b/tests/model/cases.py
@@ -13,14 +13,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.told import played
-from petrellane.model.discovery import TIMES
-from petrellane.model.draw import draw, followed, mutate
-from petrellane.model.fleet import Fleet
-from petrellane.model.hunt import cut_down, hunt
-from petrellane.model.scenario import ScenarioError, read, write
-from petrellane.model.timeline import timeline
-from petrellane.net.limits import Limits
-from petrellane.referee import (
+from petrellane.invariants import (
     Answered,
     Ceiling,
     Ended,
@@ -35,6 +28,13 @@
     Told,
     Up,
 )
+from petrellane.net.limits import Limits
+from petrellane.simulation.discovery import TIMES
+from petrellane.simulation.fleet import Fleet
+from petrellane.simulation.property_search import cut_down, hunt
+from petrellane.simulation.scenario import ScenarioError, read, write
+from petrellane.simulation.scenario_generation import draw, followed, mutate
+from petrellane.simulation.timeline import timeline
 from tests.model.planted import CHANGES, needed, planted
 
 HERE = pathlib.Path(__file__).parent
--- a/tests/operation/lists.py
+++ b/tests/operation/lists.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from petrellane import config
-from petrellane import interface as api
+from petrellane.decisions import types as api
 from tests.sockets import Net
 
 
--- a/tests/operation/world.py
+++ b/tests/operation/world.py
@@ -13,7 +13,7 @@
 
 from petrellane.net import resp
 from petrellane.net.limits import Limits
-from petrellane.operation.handover import file_name
+from petrellane.operation.hot_restart_transport import file_name
 from tests.sockets import TOLD, changed
 
 LIMITS = Limits(256, 1.0, 1.0, 1, 1.0)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -20,13 +20,13 @@
 
 from benchmarks import fleet_count
 from petrellane import config
-from petrellane.gateway.discovery import Discovery
-from petrellane.gateway.node import Node
+from petrellane.gateway.endpoint_watch import Discovery
+from petrellane.gateway.process import Node
 from petrellane.net import resp
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Stream, listening
-from petrellane.operation.handover import Handover
+from petrellane.operation.hot_restart_transport import Handover
 
 PATIENCE = 20.0  # seconds of real time after which what is expected counts as never coming
 TOLD = {
