--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -20,7 +20,7 @@
 
 from petrellane.config import Section, settings
 from petrellane.decisions import types as api
-from petrellane.decisions.controller import Gateway
+from petrellane.decisions.controller import AdmissionController
 
 HOSTS = (8, 60, 200)
 RATE = 200.0  # RPCs a second of the clock that the module is told
@@ -37,27 +37,29 @@
 def play(hosts: int, rpcs: int, seed: int) -> float:
     """CPU microseconds per RPC."""
     told, rng = settings(Section(SETTINGS, "settings")), random.Random(seed)
-    gateway = Gateway(seed=seed, counter=told.may_count, must_ask=told.must_ask, **told.gateway)
+    gateway = AdmissionController(
+        seed=seed, uses_counter=told.uses_counter, must_watch=told.must_watch, **told.gateway
+    )
     now, due, order = 1000.0, [], itertools.count()
     customers = [api.Customer(f"c{number}", told.plans["plan"], 0, 4) for number in range(200)]
 
     def carry(steps):
         for step in steps:
-            if isinstance(step, api.CallOut):
+            if isinstance(step, api.SendAttempt):
                 took = rng.uniform(0.01, 0.1)
                 heapq.heappush(due, (now + took, next(order), "again", step, took))
-            elif isinstance(step, api.Add):
+            elif isinstance(step, api.CounterAdd):
                 heapq.heappush(due, (now + 0.001, next(order), "counted", step, 0.0))
-            elif isinstance(step, api.Wake):
-                heapq.heappush(due, (now + step.after, next(order), "woken", step.about, 0.0))
+            elif isinstance(step, api.SetTimer):
+                heapq.heappush(due, (now + step.delay, next(order), "woken", step.subject, 0.0))
 
-    carry(gateway.started(now))
+    carry(gateway.start(now))
     carry(
-        gateway.listed(
+        gateway.on_endpoint_events(
             now,
             True,
             [
-                api.Listing(api.Host(f"h{at}"), "", "", 0, api.READY, 1.0, 0.0)
+                api.EndpointEvent(api.Endpoint(f"h{at}"), "", "", 0, api.READY, 1.0, 0.0)
                 for at in range(hosts)
             ],
         )
@@ -68,13 +70,13 @@
         while due and due[0][0] <= now:
             at, _, what, about, took = heapq.heappop(due)
             if what == "again":
-                carry(gateway.again(at, about, api.OK, over=True, took=took))
+                carry(gateway.on_attempt_ended(at, about, api.OK, over=True, took=took))
             elif what == "counted":
-                carry(gateway.counted(at, about, api.OK, max(0.0, about.amount)))
+                carry(gateway.on_counter_reply(at, about, api.OK, max(0.0, about.amount)))
             else:
-                carry(gateway.woken(at, about))
+                carry(gateway.on_timer(at, about))
         rpc = api.Rpc(told.methods["look"], rng.choice(customers), 1.0, now + 4.0, now)
-        carry(gateway.place(now, rpc))
+        carry(gateway.admit(now, rpc))
     return (time.process_time() - began) / rpcs * 1e6
 
 
--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -15,7 +15,7 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from petrellane.decisions.controller import Gateway  # noqa: E402
+from petrellane.decisions.controller import AdmissionController  # noqa: E402
 from petrellane.simulation import VERSION, quotas  # noqa: E402
 from petrellane.simulation.event_queue import chance  # noqa: E402
 from petrellane.simulation.fleet import Fleet  # noqa: E402
@@ -101,7 +101,9 @@
 
 def play(who, gateways, seed, length, late):
     scenario = quiet(gateways, seed, length)
-    run = Fleet(scenario, quotas.late(late) if who == "late" else Gateway, keep=True).play()
+    run = Fleet(
+        scenario, quotas.late(late) if who == "late" else AdmissionController, keep=True
+    ).play()
     return {
         "who": who,
         "gateways": gateways,
--- a/benchmarks/scale_play.py
+++ b/benchmarks/scale_play.py
@@ -24,7 +24,7 @@
 
 from petrellane.config import Section, host_list, read, settings
 from petrellane.decisions import types as api
-from petrellane.decisions.controller import Gateway
+from petrellane.decisions.controller import AdmissionController
 from petrellane.gateway.process import Node
 from petrellane.net.scheduler import Scheduler
 
@@ -200,15 +200,15 @@
     def carry(self, gateway, steps):
         for step in steps:
             kind = type(step)
-            if kind is api.CallOut:
+            if kind is api.SendAttempt:
                 self.units += step.rpc.units * (step.number == 0)
                 self.later(self.random.uniform(*ANSWER), "answer", gateway, step)
-            elif kind is api.Add:
+            elif kind is api.CounterAdd:
                 self.costs.adds += 1
                 self.later(COUNTER, "counted", gateway, step)
-            elif kind is api.Wake:
-                self.later(step.after, "woken", gateway, step.about)
-            elif kind is api.PushBack:
+            elif kind is api.SetTimer:
+                self.later(step.delay, "woken", gateway, step.subject)
+            elif kind is api.Reject:
                 self.costs.pushed += 1
 
     def settled(self, steps, cost):
@@ -216,7 +216,7 @@
         decided = [
             step.rpc
             for step in steps
-            if isinstance(step, api.CallOut | api.PushBack) and step.rpc in self.owed
+            if isinstance(step, api.SendAttempt | api.Reject) and step.rpc in self.owed
         ]
         for rpc in decided:
             self.costs.decisions.append(self.owed.pop(rpc) + cost / len(decided))
@@ -226,7 +226,7 @@
         self.costs.rpcs += 1
         self.placed += 1
         self.owed[rpc] = 0.0
-        steps, cost = self.call(gateway, gateway.place, self.now, rpc)
+        steps, cost = self.call(gateway, gateway.admit, self.now, rpc)
         self.settled(steps, cost)
         if rpc in self.owed:  # it waits for credit
             self.owed[rpc] = cost
@@ -239,7 +239,7 @@
                 full = self.random.random() < TURNED_AWAY
                 _, cost = self.call(
                     gateway,
-                    gateway.again,
+                    gateway.on_attempt_ended,
                     self.now,
                     about,
                     api.FULL if full else api.OK,
@@ -251,7 +251,7 @@
                 self.settled(
                     *self.call(
                         gateway,
-                        gateway.counted,
+                        gateway.on_counter_reply,
                         self.now,
                         about,
                         api.OK,
@@ -259,7 +259,7 @@
                     )
                 )
             else:
-                self.settled(*self.call(gateway, gateway.woken, self.now, about))
+                self.settled(*self.call(gateway, gateway.on_timer, self.now, about))
         self.now = now
 
 
@@ -369,28 +369,30 @@
         for number in range(times):
             host = self.driver.hosts[f"host{number // 2 % self.told['hosts']}"]
             state = api.DRAINING if number % 2 == 0 else api.READY
-            row = api.Listing(
-                host, host.zone, host.kind, host.pod, state, host.share, host.up_since
+            row = api.EndpointEvent(
+                host, host.zone, host.kind, host.pod, state, host.weight, host.started_at
             )
-            alone.append(timed(self.gateway.listed, self.traffic.now, False, [row])[1])
+            alone.append(timed(self.gateway.on_endpoint_events, self.traffic.now, False, [row])[1])
         return statistics.median(by_driver), statistics.median(alone)
 
     def alone(self):
         """CPU milliseconds in which the decisions alone take a whole list over."""
         rows = [
-            api.Listing(
-                api.Host(name),
+            api.EndpointEvent(
+                api.Endpoint(name),
                 host.zone,
                 host.kind,
                 host.pod,
                 host.state,
-                host.share,
-                host.up_since,
+                host.weight,
+                host.started_at,
             )
             for name, host in self.driver.hosts.items()
         ]
-        fresh = Gateway(seed=1, counter=True, must_ask=False, **self.driver.settings.gateway)
-        return timed(fresh.listed, self.traffic.now, True, rows)[1]
+        fresh = AdmissionController(
+            seed=1, uses_counter=True, must_watch=False, **self.driver.settings.gateway
+        )
+        return timed(fresh.on_endpoint_events, self.traffic.now, True, rows)[1]
 
 
 def module(told):
@@ -520,34 +522,34 @@
 def spread(told):
     """One customer that comes evenly to so many gateways, at 1.5 times what its plan allows, and one counter for all."""
     rate, gateways = told["rpcs"], told["gateways"]
-    plan = api.Plan("plan", rate=rate / 1.5, store=4 * rate / 1.5)
+    plan = api.Plan("plan", rate=rate / 1.5, burst=4 * rate / 1.5)
     method, customer = (
         api.Method("look", 1.0, 4.0, api.IDEMPOTENT),
         api.Customer("customer", plan, 0, gateways),
     )
     before, traffic, all_of = resident(), Traffic(told["seed"]), []
     for number in range(gateways):
-        gateway = Gateway(
+        gateway = AdmissionController(
             seed=number,
-            counter=True,
-            must_ask=False,
+            uses_counter=True,
+            must_watch=False,
             zone="",
             counter_timeout=0.08,
             may_cancel=True,
-            max_wait=0.5,
-            cold=COLD,
-            cold_from=0.25,
-            cross_zone=0.0,
-            roots={method.root},
+            max_retry_after=0.5,
+            slow_start=COLD,
+            slow_start_minimum=0.25,
+            cross_zone_price=0.0,
+            method_identities={method.identity},
         )
-        traffic.carry(gateway, gateway.started(traffic.now))
+        traffic.carry(gateway, gateway.start(traffic.now))
         traffic.carry(
             gateway,
-            gateway.listed(
+            gateway.on_endpoint_events(
                 traffic.now,
                 True,
                 [
-                    api.Listing(api.Host(f"host{host}"), "", "", 0, api.READY, 1.0, 0.0)
+                    api.EndpointEvent(api.Endpoint(f"host{host}"), "", "", 0, api.READY, 1.0, 0.0)
                     for host in range(told["hosts"])
                 ],
             ),
@@ -561,7 +563,7 @@
         traffic.until(now)
         traffic.place(traffic.random.choice(all_of), method, customer)
     seconds = traffic.now - began
-    allowed = min(traffic.placed, plan.rate * seconds + plan.store)
+    allowed = min(traffic.placed, plan.rate * seconds + plan.burst)
     return {
         **traffic.costs.figures(traffic.now),
         "seconds": seconds,
@@ -579,28 +581,34 @@
     method, plan = api.Method("look", 1.0, 4.0, api.IDEMPOTENT), api.Plan("plan")
     traffic, all_of, hosts = Traffic(told["seed"]), [], told["hosts"]
     for number in range(told["gateways"]):
-        gateway = Gateway(
+        gateway = AdmissionController(
             seed=number + told["seed"] * 10_000,
-            counter=True,
-            must_ask=False,
+            uses_counter=True,
+            must_watch=False,
             zone="",
             counter_timeout=0.08,
             may_cancel=True,
-            max_wait=0.5,
-            cold=COLD,
-            cold_from=0.25,
-            cross_zone=0.0,
-            roots={method.root},
+            max_retry_after=0.5,
+            slow_start=COLD,
+            slow_start_minimum=0.25,
+            cross_zone_price=0.0,
+            method_identities={method.identity},
         )
-        traffic.carry(gateway, gateway.started(traffic.now))
+        traffic.carry(gateway, gateway.start(traffic.now))
         traffic.carry(
             gateway,
-            gateway.listed(
+            gateway.on_endpoint_events(
                 traffic.now,
                 True,
                 [
-                    api.Listing(
-                        api.Host(f"host{host}"), f"zone{host % ZONES}", "", 0, api.READY, 1.0, 0.0
+                    api.EndpointEvent(
+                        api.Endpoint(f"host{host}"),
+                        f"zone{host % ZONES}",
+                        "",
+                        0,
+                        api.READY,
+                        1.0,
+                        0.0,
                     )
                     for host in range(hosts)
                 ],
@@ -626,15 +634,15 @@
     gone = next(iter(second[0]))
     for gateway in all_of:
         host = next(host for host in gateway.fleet.hosts if host.address == gone)
-        new = api.Host("host-new", zone=host.zone, up_since=traffic.now)
+        new = api.Endpoint("host-new", zone=host.zone, started_at=traffic.now)
         traffic.carry(
             gateway,
-            gateway.listed(
+            gateway.on_endpoint_events(
                 traffic.now,
                 False,
                 [
-                    api.Listing(host, host.zone, "", 0, api.GONE, 1.0, 0.0),
-                    api.Listing(new, host.zone, "", 0, api.READY, 1.0, traffic.now),
+                    api.EndpointEvent(host, host.zone, "", 0, api.GONE, 1.0, 0.0),
+                    api.EndpointEvent(new, host.zone, "", 0, api.READY, 1.0, traffic.now),
                 ],
             ),
         )
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -21,7 +21,7 @@
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 from benchmarks.agreement import memory  # noqa: E402
-from petrellane.decisions.controller import Gateway  # noqa: E402
+from petrellane.decisions.controller import AdmissionController  # noqa: E402
 from petrellane.load_distribution import sources  # noqa: E402
 from petrellane.load_distribution.figures import figures  # noqa: E402
 from petrellane.simulation import shrinking  # noqa: E402
@@ -37,7 +37,7 @@
 def play(who, gateways, hosts, load, patience, rate, seed, length):
     """The figures of one run of the model."""
     scenario = shrinking.thin(gateways, hosts, load, seed, rate, length, patience)
-    run = Fleet(scenario, BASELINES.get(who, Gateway), keep=True).play()
+    run = Fleet(scenario, BASELINES.get(who, AdmissionController), keep=True).play()
     served, work = shrinking.served(run, WARM), scenario.methods[0].work
     found = figures(sources.of_records(run.records, WARM, length))
     five = next(one for one in found.spans if one.seconds == 5.0)
@@ -78,7 +78,7 @@
 def hard_play(case, who, gateways, hosts, load, patience, rate):
     """The figures of one fault; what the first host gets by second after it is back, over its part."""
     scenario = shrinking.thin(gateways, hosts, load, 1, rate, 20.0, patience, faults=HARD[case])
-    run = Fleet(scenario, BASELINES.get(who, Gateway), keep=True).play()
+    run = Fleet(scenario, BASELINES.get(who, AdmissionController), keep=True).play()
     served, found = shrinking.served(run, WARM), figures(sources.of_records(run.records, 8.0, 20.0))
     sent = [
         int(at)
--- a/petrellane/benchlink/instance.py
+++ b/petrellane/benchlink/instance.py
@@ -7,7 +7,7 @@
 
 from petrellane import config
 from petrellane.decisions import types as api
-from petrellane.decisions.controller import Gateway
+from petrellane.decisions.controller import AdmissionController
 
 OUTCOMES = {
     "GOOD": api.OK,
@@ -47,13 +47,13 @@
         self.closing = []  # RPCs that may be let go of once the event's lines are made
         self.adds = defaultdict(deque)
         self.wakes, self.nonce = {}, 0
-        self.gateway = Gateway(
-            seed=seed, counter=told.may_count, must_ask=told.must_ask, **told.gateway
+        self.gateway = AdmissionController(
+            seed=seed, uses_counter=told.uses_counter, must_watch=told.must_watch, **told.gateway
         )
 
     def start(self, now):
         """The instance's first actions."""
-        return self.say(self.gateway.started(now))
+        return self.say(self.gateway.start(now))
 
     def event(self, now, verb, fields, rows):
         """One event of the wire; gives the lines to print."""
@@ -61,19 +61,19 @@
         lines = self.say(handler(self, now, fields, rows)) if handler else []
         while self.closing:
             rpc = self.closing.pop()
-            if rpc.ended and all(call_out.outcome for call_out in rpc.call_outs):
+            if rpc.is_finished and all(attempt.outcome for attempt in rpc.attempts):
                 self.rpcs.pop(self.handles.pop(rpc, None), None)
         return lines
 
     def listed(self, now, fields, rows):
         """A host list, or changes to it."""
         if fields.get("kind") == FAILED_KIND:
-            return self.gateway.listed(now, False, None)
+            return self.gateway.on_endpoint_events(now, False, None)
         listings = []
         for row in rows:
-            host = self.hosts.setdefault(row["host"], api.Host(row["host"]))
+            host = self.hosts.setdefault(row["host"], api.Endpoint(row["host"]))
             listings.append(
-                api.Listing(
+                api.EndpointEvent(
                     host,
                     row.get("az", ""),
                     row.get("type", ""),
@@ -83,7 +83,7 @@
                     seconds(row.get("upSince")),
                 )
             )
-        return self.gateway.listed(now, fields.get("kind") in FULL_KINDS, listings)
+        return self.gateway.on_endpoint_events(now, fields.get("kind") in FULL_KINDS, listings)
 
     def demand(self, now, fields, rows):
         """A client's RPC."""
@@ -92,30 +92,30 @@
         if customer is None:
             plan = self.plans.setdefault(fields.get("gradeOfService", ""), api.Plan(""))
             customer = self.customers[name] = api.Customer(name, plan)
-        customer.first = int(fields.get("setStart", 0))
-        customer.spread = int(fields.get("entryPoints", 0))
+        customer.first_gateway = int(fields.get("setStart", 0))
+        customer.gateway_count = int(fields.get("entryPoints", 0))
         rpc = api.Rpc(
             self.methods[fields["grade"]],
             customer,
             float(fields.get("priceUnits", 0)),
             seconds(fields["expires"]),
             now,
-            resent=fields.get("resent") == "1",
-            write=fields.get("write") == "1",
+            is_client_retry=fields.get("resent") == "1",
+            is_write=fields.get("write") == "1",
         )
         self.rpcs[fields["handle"]], self.handles[rpc] = rpc, fields["handle"]
-        return self.gateway.place(now, rpc)
+        return self.gateway.admit(now, rpc)
 
     def answer(self, now, fields, rows):
         """How a call-out ended."""
         rpc = self.rpcs.get(fields["handle"])
         number = int(fields.get("sendNo", 0))
-        if rpc is None or number >= len(rpc.call_outs):
+        if rpc is None or number >= len(rpc.attempts):
             return []
         self.closing.append(rpc)
-        return self.gateway.again(
+        return self.gateway.on_attempt_ended(
             now,
-            rpc.call_outs[number],
+            rpc.attempts[number],
             OUTCOMES.get(fields.get("outcome"), api.ERROR),
             over=fields.get("over") == "1",
             took=seconds(fields.get("took")),
@@ -128,7 +128,9 @@
         """A streamed answer has begun."""
         rpc = self.rpcs.get(fields["handle"])
         return (
-            self.gateway.streaming(now, rpc.call_outs[int(fields.get("sendNo", 0))]) if rpc else []
+            self.gateway.on_response_started(now, rpc.attempts[int(fields.get("sendNo", 0))])
+            if rpc
+            else []
         )
 
     def expired(self, now, fields, rows):
@@ -137,12 +139,12 @@
         if rpc is None:
             return []
         self.closing.append(rpc)
-        return self.gateway.left(now, rpc)
+        return self.gateway.on_client_disconnected(now, rpc)
 
     def ring(self, now, fields, rows):
         """A timer of ours."""
         about = self.wakes.pop(int(fields["nonce"]), None)
-        return self.gateway.woken(now, about) if about is not None else []
+        return self.gateway.on_timer(now, about) if about is not None else []
 
     def counted(self, now, fields, rows):
         """What the counter said to one add."""
@@ -154,7 +156,7 @@
         if not waiting:
             del self.adds[name]
         outcome = OUTCOMES.get(fields.get("outcome"), api.ERROR)
-        return self.gateway.counted(now, add, outcome, float(fields.get("reading", 0)))
+        return self.gateway.on_counter_reply(now, add, outcome, float(fields.get("reading", 0)))
 
     def report(self, fields):
         """A load report as a dict by field name; empty when none came."""
@@ -170,24 +172,24 @@
         lines = []
         for step in steps:
             lines.append(SAYERS[type(step)](self, step))
-            if isinstance(step, (api.PushBack, api.Abort)):
+            if isinstance(step, (api.Reject, api.Abort)):
                 self.closing.append(step.rpc)
         return lines
 
-    def say_call_out(self, step):
+    def say_send_attempt(self, step):
         return (
-            f"DISPATCH gateway={self.number} handle={self.handles[step.rpc]} host={step.host.address} "
+            f"DISPATCH gateway={self.number} handle={self.handles[step.rpc]} host={step.endpoint.address} "
             f"timeout={max(1, micros(step.timeout))}"
         )
 
     def say_push_back(self, step):
-        return f"REJECT gateway={self.number} handle={self.handles[step.rpc]} retryAfter={micros(step.wait)}"
+        return f"REJECT gateway={self.number} handle={self.handles[step.rpc]} retryAfter={micros(step.retry_after)}"
 
     def say_abort(self, step):
         return f"END_FAILED gateway={self.number} handle={self.handles[step.rpc]}"
 
     def say_cancel(self, step):
-        return f"RECALL gateway={self.number} handle={self.handles[step.call_out.rpc]} sendNo={step.call_out.number}"
+        return f"RECALL gateway={self.number} handle={self.handles[step.attempt.rpc]} sendNo={step.attempt.number}"
 
     def say_add(self, step):
         self.adds[step.name].append(step)
@@ -195,8 +197,8 @@
 
     def say_wake(self, step):
         self.nonce += 1
-        self.wakes[self.nonce] = step.about
-        return f"WAKE_AT gateway={self.number} nonce={self.nonce} in={max(1, micros(step.after))}"
+        self.wakes[self.nonce] = step.subject
+        return f"WAKE_AT gateway={self.number} nonce={self.nonce} in={max(1, micros(step.delay))}"
 
     def say_log(self, step):
         return f"RECORD gateway={self.number} reasonText={step.text}"
@@ -215,12 +217,12 @@
     "COUNTER_REPLY": Door.counted,
 }
 SAYERS = {
-    api.CallOut: Door.say_call_out,
-    api.PushBack: Door.say_push_back,
+    api.SendAttempt: Door.say_send_attempt,
+    api.Reject: Door.say_push_back,
     api.Abort: Door.say_abort,
-    api.Cancel: Door.say_cancel,
-    api.Add: Door.say_add,
-    api.Wake: Door.say_wake,
-    api.Log: Door.say_log,
-    api.Subscribe: Door.say_subscribe,
+    api.CancelAttempt: Door.say_cancel,
+    api.CounterAdd: Door.say_add,
+    api.SetTimer: Door.say_wake,
+    api.WriteLog: Door.say_log,
+    api.WatchEndpoints: Door.say_subscribe,
 }
--- a/petrellane/config.py
+++ b/petrellane/config.py
@@ -20,7 +20,7 @@
 STATES = {"in_service": api.READY, "terminating": api.DRAINING, "terminated": api.GONE}
 REQUIRED = object()
 SAID = {
-    kind: attrgetter(*(one.name for one in fields(kind) if one.name != "root"))
+    kind: attrgetter(*(one.name for one in fields(kind) if one.name != "identity"))
     for kind in (api.Method, api.Plan)
 }
 
@@ -127,8 +127,8 @@
 
     methods: dict
     plans: dict
-    may_count: bool
-    must_ask: bool
+    uses_counter: bool
+    must_watch: bool
     gateway: dict
     report_fields: list
     counter_timeout: float
@@ -143,8 +143,8 @@
     """The settings object, checked; the simulator's wire and the configuration file give the same one."""
     family, limits = told.section("familyInfo", {}), told.section("limits", {})
     rules, report = told.section("obligations", {}), told.section("report", {})
-    call_outs = limits.whole("maxAttempts", 1, 1)
-    methods = [method(row, call_outs) for row in told.sections("classes")]
+    attempts = limits.whole("maxAttempts", 1, 1)
+    methods = [method(row, attempts) for row in told.sections("classes")]
     plans = [plan(row) for row in told.sections("contracts")]
     each_once(methods, "settings.classes")
     each_once(plans, "settings.contracts")
@@ -153,8 +153,8 @@
         methods={row.name: row for row in methods},
         plans={row.name: row for row in plans},
         report_fields=report.get("fields", (list,), "a list of names", []),
-        may_count=may_count,
-        must_ask=told.text("discovery", "push") == "ask",
+        uses_counter=may_count,
+        must_watch=told.text("discovery", "push") == "ask",
         counter_timeout=counter_timeout,
         dial_timeout=limits.seconds("dialTimeout", 1_000_000),
         conn_idle=limits.seconds("connIdle", 30_000_000),
@@ -165,11 +165,11 @@
             zone=told.text("locality", ""),
             counter_timeout=counter_timeout,
             may_cancel=limits.flag("mayCancel"),
-            max_wait=limits.seconds("maxRetryAfter") if limits.flag("retryAfter") else 0.0,
-            cold=rules.seconds("cold"),
-            cold_from=rules.number("coldFrom", 1.0),
-            cross_zone=told.section("prices", {}).number("crossZone", 0.0),
-            roots={row.root for row in methods},
+            max_retry_after=limits.seconds("maxRetryAfter") if limits.flag("retryAfter") else 0.0,
+            slow_start=rules.seconds("cold"),
+            slow_start_minimum=rules.number("coldFrom", 1.0),
+            cross_zone_price=told.section("prices", {}).number("crossZone", 0.0),
+            method_identities={row.identity for row in methods},
         ),
     )
 
@@ -187,8 +187,8 @@
     """The settings that follow others: what has not changed keeps its object, and a method that has its root. Raises
     ConfigError where something differs that holds from a start to an end."""
     for key, one, other in (
-        ("familyInfo.mayCount", before.may_count, now.may_count),
-        ("discovery", before.must_ask, now.must_ask),
+        ("familyInfo.mayCount", before.uses_counter, now.uses_counter),
+        ("discovery", before.must_watch, now.must_watch),
     ):
         if one != other:
             raise ConfigError(f"settings.{key}: expected what it was at the start, found another")
@@ -197,7 +197,7 @@
         now,
         methods=methods,
         plans={name: kept(before.plans.get(name), row) for name, row in now.plans.items()},
-        gateway=now.gateway | {"roots": {row.root for row in methods.values()}},
+        gateway=now.gateway | {"method_identities": {row.identity for row in methods.values()}},
     )
 
 
@@ -208,10 +208,10 @@
     said = SAID[type(row)]
     if said(old) == said(row):
         return old
-    return replace(row, root=old.root) if isinstance(row, api.Method) else row
+    return replace(row, identity=old.identity) if isinstance(row, api.Method) else row
 
 
-def method(row, call_outs):
+def method(row, max_attempts):
     effect = row.text("effect")
     if effect not in EFFECTS:
         raise ConfigError(
@@ -220,14 +220,14 @@
     return api.Method(
         name=row.text("name"),
         effect=EFFECTS[effect],
-        soft_deadline=row.seconds("goalTime", REQUIRED),
+        latency_objective=row.seconds("goalTime", REQUIRED),
         deadline=row.number("giveUp", above=True) / 1e6,
         key_scope=row.text("keyScope", ""),
         key_window=row.seconds("window"),
-        utility=row.number("worth", 0.0),
-        late_utility=row.number("lateWorth", 0.0),
-        streamed=row.flag("streamed"),
-        call_outs=call_outs,
+        priority_weight=row.number("worth", 0.0),
+        late_priority_weight=row.number("lateWorth", 0.0),
+        is_streaming=row.flag("streamed"),
+        max_attempts=max_attempts,
     )
 
 
@@ -235,14 +235,14 @@
     return api.Plan(
         name=row.text("name"),
         rate=row.number("quotaRate", 0.0),
-        store=row.number("storeSize", 0.0),
-        ceiling_rate=row.number("ceilingRate", 0.0),
-        ceiling_burst=row.number("ceilingBurst", 0.0),
-        ceiling_slack=row.number("ceilingSlack", 0.0),
-        max_out=row.whole("maxOut", 0),
+        burst=row.number("storeSize", 0.0),
+        hard_limit_rate=row.number("ceilingRate", 0.0),
+        hard_limit_burst=row.number("ceilingBurst", 0.0),
+        hard_limit_slack=row.number("ceilingSlack", 0.0),
+        max_in_flight=row.whole("maxOut", 0),
         price=row.number("pays", 0.0),
-        over_utility=row.number("extraWorth", 0.0),
-        over_cost=row.number("overrunCost", 0.0),
+        over_quota_weight=row.number("extraWorth", 0.0),
+        over_quota_cost=row.number("overrunCost", 0.0),
     )
 
 
@@ -505,7 +505,7 @@
         management=management,
         agreement=agreement(told, name, management),
         by_host=told.section("figures", {}).flag("hosts"),
-        counter=told.address("counter") if set_up.may_count else None,
+        counter=told.address("counter") if set_up.uses_counter else None,
         seed=seed,
         memory_mb=limits.number("memory_mb", 192),
         sockets=limits.whole("sockets", 1024, 64),
--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -8,7 +8,7 @@
 import random
 from collections import deque
 
-from petrellane.decisions.endpoint_index import AGAIN, NEW, Highest, Hosts
+from petrellane.decisions.endpoint_index import AGAIN, NEW, EndpointList, Highest
 from petrellane.decisions.types import (
     CANCELLED,
     DEDUPLICATED,
@@ -21,14 +21,14 @@
     READY,
     UNREACHABLE,
     Abort,
-    Add,
-    CallOut,
-    Cancel,
-    Log,
-    PushBack,
+    CancelAttempt,
+    CounterAdd,
+    Reject,
     Rpc,
-    Subscribe,
-    Wake,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+    WriteLog,
 )
 
 WINDOW = 1.0  # a lease window, as a multiple of the time in which the plan's store fills
@@ -78,7 +78,7 @@
 
 
 def may_have_run(rpc):
-    return [call_out for call_out in rpc.call_outs if call_out.outcome not in PROVEN]
+    return [attempt for attempt in rpc.attempts if attempt.outcome not in PROVEN]
 
 
 class Lease:
@@ -87,7 +87,7 @@
     def __init__(self, customer, now, born):
         self.customer, self.even = (
             customer,
-            1 / max(1, customer.spread),
+            1 / max(1, customer.gateway_count),
         )  # our share of what is shared
         self.held = self.got = self.added = self.owed = self.total = self.pooled = self.pooling = (
             0.0
@@ -116,16 +116,16 @@
     ):  # to the customer's plan: at first, and when new settings say something else of it
         self.plan = plan = self.customer.plan
         self.pool, self.terms = (
-            POOL * plan.ceiling_slack * (self.even < 1),
+            POOL * plan.hard_limit_slack * (self.even < 1),
             (math.inf, math.inf, 0.0),
         )
         if plan.rate:
-            length = WINDOW * plan.store / plan.rate
+            length = WINDOW * plan.burst / plan.rate
             self.terms = length, plan.rate * length, stable(self.customer.name) / 2**63 * length
         self.ends = self.ends if plan.rate else now
         if now < self.ends:  # the count that runs goes on to its end: those of two would add up
             before, self.dry_until = self.allowance, 0.0
-            self.allowance = min(max(before, plan.store), plan.rate * self.length)
+            self.allowance = min(max(before, plan.burst), plan.rate * self.length)
             self.held *= min(1.0, self.allowance / before)
 
     def roll(self, now):
@@ -138,7 +138,7 @@
         self.ends = (self.window + 1) * self.length - self.phase
         self.part = min(1.0, self.got / self.total) if self.total else self.part
         self.busy = (
-            self.total > self.customer.plan.ceiling_rate * self.even * self.length
+            self.total > self.customer.plan.hard_limit_rate * self.even * self.length
         )  # for one of us
         self.held = self.got = self.added = self.owed = self.total = self.dry_until = (
             self.pooled
@@ -172,7 +172,7 @@
         return min(max(self.in_hand(), ahead - ahead % mean(recent, 1.0)), self.allowance)
 
     def in_hand(self):  # the units of the RPCs that wait for credit
-        return sum(rpc.units for rpc in self.waiting if not rpc.ended)
+        return sum(rpc.units for rpc in self.waiting if not rpc.is_finished)
 
     def short(self):  # the units in hand that no credit covers
         return self.in_hand() - self.held
@@ -180,7 +180,7 @@
     def room(
         self, now, units
     ):  # whether the ceiling and what the plan allows out at once leave any
-        most = self.customer.plan.max_out
+        most = self.customer.plan.max_in_flight
         return self.fill_ceiling(now) >= units and not (
             most and self.out >= max(1, most * self.even // 1)
         )
@@ -189,10 +189,10 @@
         """Our even share of the ceiling's store, less what may lie in the pool: twice POOL of the slack.
         Nothing that we believe of others makes it larger: shares and pool together are never more than it."""
         plan = self.customer.plan
-        if plan.ceiling_rate:
-            grown = self.ceiling + max(0.0, now - self.filled) * plan.ceiling_rate * self.even
+        if plan.hard_limit_rate:
+            grown = self.ceiling + max(0.0, now - self.filled) * plan.hard_limit_rate * self.even
             self.ceiling, self.filled = min(grown, self.top()), max(now, self.filled)
-        return self.ceiling if plan.ceiling_rate else math.inf
+        return self.ceiling if plan.hard_limit_rate else math.inf
 
     def idle(
         self, now
@@ -204,7 +204,7 @@
         self, now
     ):  # what it is, as plain values, given up here: the ceiling of what waits stays
         kept = min(self.fill_ceiling(now), self.in_hand() + sum(rpc.units for rpc in self.queue))
-        self.ceiling -= kept if self.customer.plan.ceiling_rate else 0.0
+        self.ceiling -= kept if self.customer.plan.hard_limit_rate else 0.0
         told = {name: getattr(self, name) for name in HANDED}
         self.held, self.ceiling, self.filled = 0.0, kept, math.inf  # and it grows no more
         return told | {"demand": list(self.demand)[-32:]}
@@ -214,12 +214,12 @@
         self.demand.extend((at, units) for at, units in told["demand"])
 
     def top(self):  # the most of the ceiling that we hold
-        return (self.customer.plan.ceiling_burst - 2 * self.pool) * self.even
+        return (self.customer.plan.hard_limit_burst - 2 * self.pool) * self.even
 
 
-class Leases:  # the quota: leases credit, spends it locally, refuses when a top-up fails
+class LeaseManager:  # the quota: leases credit, spends it locally, refuses when a top-up fails
     def __init__(self, counter, rng, settle):
-        self.random, self.settle, self.leases, self.most = rng.random, settle, {}, 100
+        self.random, self.dispatch, self.leases, self.most = rng.random, settle, {}, 100
         self.look_at, self.ask_deadline = (
             -math.inf if counter else math.inf,
             0.0,
@@ -232,7 +232,9 @@
             if len(self.leases) >= self.most:  # guards memory against customers that are seen once
                 self.leases = {who: old for who, old in self.leases.items() if not old.idle(now)}
                 self.most = 2 * len(self.leases) + 100
-            lease = self.leases[customer] = Lease(customer, now, max(self.born, customer.since))
+            lease = self.leases[customer] = Lease(
+                customer, now, max(self.born, customer.known_since)
+            )
         if lease.plan is not customer.plan:
             lease.fit(now)
         lease.roll(now)
@@ -248,7 +250,7 @@
             if lease.pooling >= 0 or lease.fill_ceiling(now) >= rpc.units:
                 return False, pooled
             lease.queue.append(rpc)
-            return None, pooled + [Wake(max(0.0, rpc.deadline - now), rpc)]
+            return None, pooled + [SetTimer(max(0.0, rpc.deadline - now), rpc)]
         if lease.held < rpc.units and (self.silent or self.crowded(now)):
             lease.share(now, self.silent, rpc.units * self.silent)
         covered = lease.held >= rpc.units or lease.allowance == math.inf
@@ -271,7 +273,7 @@
         ):  # all of an allowance that is less than its units is here: no ask will help
             lease.waiting.remove(rpc)
             return False, steps
-        return None, steps + [Wake(max(0.0, rpc.deadline - now), rpc)]
+        return None, steps + [SetTimer(max(0.0, rpc.deadline - now), rpc)]
 
     def pool(self, lease, now, units):
         """Escrow: a gateway whose share of the ceiling is full puts a piece of it on a count of this window,
@@ -284,7 +286,8 @@
             return []
         level, top = lease.fill_ceiling(now), lease.top()
         busy = (
-            lease.busy or lease.total > lease.customer.plan.ceiling_rate * lease.even * lease.length
+            lease.busy
+            or lease.total > lease.customer.plan.hard_limit_rate * lease.even * lease.length
         )
         if (
             busy
@@ -298,14 +301,18 @@
         else:
             return []
         lease.pooling = piece
-        return [Add(name, piece, min(60.0, 2 * lease.length), window=lease.window, pool=lease)]
+        return [
+            CounterAdd(name, piece, min(60.0, 2 * lease.length), window=lease.window, pool=lease)
+        ]
 
     def pooled(self, now, add, outcome, total):
         """The counter's word on a piece of ceiling: what the total proves was there is ours, no more."""
         lease, got, steps, add.pool.pooling = add.pool, 0.0, [], 0.0
         if outcome == OK and add.amount < 0:
             got = min(-add.amount, max(0.0, total - add.amount))
-            steps = [Add(add.name, -add.amount - got, lease.length)] if got < -add.amount else []
+            steps = (
+                [CounterAdd(add.name, -add.amount - got, lease.length)] if got < -add.amount else []
+            )
         elif outcome in PROVEN and add.amount > 0:
             got = add.amount  # it never went there
         lease.ceiling += got
@@ -314,19 +321,23 @@
         if outcome == OK and add.window == lease.window:
             lease.pooled, piece = total, lease.pool * lease.even
             more = min(lease.fill_ceiling(now) - lease.in_hand(), (lease.pool - total) / 2)
-            if add.again and total > lease.pool:  # several lent at once: back with what is too much
+            if (
+                add.is_retry and total > lease.pool
+            ):  # several lent at once: back with what is too much
                 more = -min(add.amount, total - lease.pool)
-            elif add.again or add.amount < 0 or more < piece:  # else lend: its RPCs may be rare
+            elif add.is_retry or add.amount < 0 or more < piece:  # else lend: its RPCs may be rare
                 more = 0.0
             if more:
                 lease.ceiling, lease.pooling = lease.ceiling - max(0.0, more), more
                 steps.append(
-                    Add(add.name, more, add.ttl, window=lease.window, again=more > 0, pool=lease)
+                    CounterAdd(
+                        add.name, more, add.ttl, window=lease.window, is_retry=more > 0, pool=lease
+                    )
                 )
         queue, lease.queue = lease.queue, []
-        for rpc in [rpc for rpc in queue if not rpc.ended]:
+        for rpc in [rpc for rpc in queue if not rpc.is_finished]:
             verdict, more = self.spend(now, rpc, True)
-            steps += more + ([] if verdict is None else self.settle(now, rpc, verdict))
+            steps += more + ([] if verdict is None else self.dispatch(now, rpc, verdict))
         return steps
 
     def top_up(self, lease, now, again=False):
@@ -343,8 +354,10 @@
         name = stable(
             f"{lease.customer.name} {window}"
         )  # the same at every gateway and every start
-        lease.ask = Add(name, amount, min(60.0, 4 * lease.length), lease, lease.window, debt, again)
-        return [lease.ask, Wake(self.ask_deadline, lease.ask)]
+        lease.ask = CounterAdd(
+            name, amount, min(60.0, 4 * lease.length), lease, lease.window, debt, again
+        )
+        return [lease.ask, SetTimer(self.ask_deadline, lease.ask)]
 
     def fail(self, now, ask):
         """An ask that brought nothing by our deadline: what waits is refused, an add counts as spent."""
@@ -358,7 +371,7 @@
             and [ok for _, ok in self.asks][-SILENT_AFTER:] == [False] * SILENT_AFTER
         ):
             self.silent = True
-            steps = [Log(f"counter silent: {SILENT_AFTER} asks in a row failed")]
+            steps = [WriteLog(f"counter silent: {SILENT_AFTER} asks in a row failed")]
             self.look_at = now + PROBE_EVERY * (0.5 + self.random())
         if self.crowded(now):
             lease.share(now, self.silent, lease.in_hand())  # for what waits now
@@ -377,7 +390,7 @@
         lease = add.lease
         if outcome != OK:
             if lease and lease.window == add.window:
-                if outcome == ERROR and lease.ask is add and not add.again and lease.waiting:
+                if outcome == ERROR and lease.ask is add and not add.is_retry and lease.waiting:
                     lease.owed += (
                         add.debt - add.amount
                     )  # it was added: ask once more, for the total alone
@@ -386,7 +399,7 @@
                 lease.added -= add.amount if proven else 0.0
                 lease.owed = max(0.0, lease.owed + (add.debt if proven else add.debt - add.amount))
             return self.fail(now, add) if lease else []
-        steps, self.silent = [Log("counter answers again")] if self.silent else [], False
+        steps, self.silent = [WriteLog("counter answers again")] if self.silent else [], False
         self.asks.append((now, True))
         if lease is None or add.settled and add.amount <= 0:
             return steps
@@ -418,7 +431,7 @@
         if (
             total < lease.added - 0.5
         ):  # less than we added ourselves: counts were lost, put ours back
-            steps.append(Add(add.name, lease.added - total, lease.length))
+            steps.append(CounterAdd(add.name, lease.added - total, lease.length))
             total = lease.added
         granted = max(
             0.0, min(asked, limit - total + asked)
@@ -437,7 +450,7 @@
         if kept < asked:
             lease.added -= asked - kept
             if not self.crowded(now):
-                steps.append(Add(add.name, kept - asked, lease.length))
+                steps.append(CounterAdd(add.name, kept - asked, lease.length))
             self.dry(lease, now)
         return steps
 
@@ -455,14 +468,14 @@
 
     def decide(self, lease, now):  # settle what waited for an ask, in order of arrival
         waiting, lease.waiting, steps = lease.waiting, [], []
-        for rpc in [rpc for rpc in waiting if not rpc.ended]:
+        for rpc in [rpc for rpc in waiting if not rpc.is_finished]:
             covered = lease.held >= rpc.units
             lease.held -= rpc.units if covered else 0.0
-            steps += self.settle(now, rpc, covered)
+            steps += self.dispatch(now, rpc, covered)
         return steps
 
 
-class Health:  # what is known of one host from our own call-outs
+class EndpointHealth:  # what is known of one host from our own call-outs
     __slots__ = "out", "samples", "heard", "until", "rooms", "usual"
 
     def __init__(self):
@@ -480,7 +493,7 @@
         return [sample for sample in recent if sample[1] is root] or recent
 
 
-class Fleet:  # the hosts: which may be used, how much room each has, and the draw
+class LoadBalancer:  # the hosts: which may be used, how much room each has, and the draw
     def __init__(self, rng):
         self.random, self.choices, self.choice, self.sample = (
             rng.random,
@@ -488,7 +501,10 @@
             rng.choice,
             rng.sample,
         )
-        self.hosts, self.local = Hosts(Health), ("", 1.0)  # (zone, odds of a host there)
+        self.hosts, self.local = (
+            EndpointList(EndpointHealth),
+            ("", 1.0),
+        )  # (zone, odds of a host there)
         self.used, self.exchanged = [], 0.0  # (host, health) in use, drawn at random
         self.out = {}  # all call-outs in flight, oldest first
         self.sizes = Highest(MEMORY)  # the capacity up to each list
@@ -528,21 +544,21 @@
         return used
 
     def typical(self, method):  # the usual time of an ok answer of this method
-        return self.usual.get(method.root, method.soft_deadline / 8)
+        return self.usual.get(method.identity, method.latency_objective / 8)
 
-    def overdue(self, call_out, now):
+    def overdue(self, attempt, now):
         """Whether a call-out is out for so long, its method unanswered there since, that the host must be
         silent. Sooner hurts: an RPC of much work is as long anywhere, and the first run is waste."""
-        method, health = call_out.rpc.method, self.hosts.get(call_out.host)
-        heard = health.heard.get(method.root, -math.inf) if health else -math.inf
-        patience = min(PATIENCE * self.typical(method), LATEST * method.soft_deadline)
-        return now - call_out.sent > patience and heard <= call_out.sent
+        method, health = attempt.rpc.method, self.hosts.get(attempt.endpoint)
+        heard = health.heard.get(method.identity, -math.inf) if health else -math.inf
+        patience = min(PATIENCE * self.typical(method), LATEST * method.latency_objective)
+        return now - attempt.sent_at > patience and heard <= attempt.sent_at
 
     def is_outlier(self, health, method, now):
         """Out of favour: silent, unreachable, or failing much of what it takes of this method."""
-        same = [call_out for call_out in health.out if call_out.rpc.method.root is method.root]
+        same = [attempt for attempt in health.out if attempt.rpc.method.identity is method.identity]
         return any(self.overdue(one, now) for one in same) or self.fails(
-            health.recent(method.root, now)
+            health.recent(method.identity, now)
         )
 
     def fails(self, recent):
@@ -560,7 +576,7 @@
     def room(self, host, recent, lag):  # what a host is thought to have, in no unit but its own
         fine = (sum(sample[2] == OK for sample in recent) + 2) / (len(recent) + 2)
         local = self.local[1] if host.zone == self.local[0] else 1.0
-        return local * host.share * (fine / lag) ** 2 if lag < BEHIND else 0.0
+        return local * host.weight * (fine / lag) ** 2 if lag < BEHIND else 0.0
 
     def room_now(self, host, health, method, now, sick=False):
         """The room of a host in favour, or of a sick one. While nothing of ours is out there, it is kept for
@@ -569,7 +585,7 @@
         lag = self.lag(recent[-8:], health.out, now)
         if health.out or sick:
             fair = sick or not self.is_outlier(health, method, now)
-            return self.room(host, health.recent(method.root, now), lag) if fair else 0.0
+            return self.room(host, health.recent(method.identity, now), lag) if fair else 0.0
         for sample in recent:
             same.setdefault(sample[1], []).append(sample)
         health.until = recent[0][0] + MEMORY if recent else math.inf
@@ -581,11 +597,11 @@
             rooms,
             0.0 if self.fails(recent) else self.room(host, recent, lag),
         )
-        return rooms.get(method.root, health.usual)
+        return rooms.get(method.identity, health.usual)
 
-    def draw(self, now, rpc, scope):
+    def pick_endpoint(self, now, rpc, scope):
         """A host for the RPC, drawn at random with odds in step with room; None when none may take it."""
-        method, tried = rpc.method, {call_out.host for call_out in rpc.call_outs}
+        method, tried = rpc.method, {attempt.endpoint for attempt in rpc.attempts}
         cold = self.hosts.cold(now)
         if cold and (lot := self.random() * self.whole(now)) < cold:  # warmth's part, in use or not
             host = self.hosts.cold_at(lot, now)
@@ -600,13 +616,13 @@
             ready = [
                 pair
                 for pair in find()
-                if pair[0].up_since <= edge
+                if pair[0].started_at <= edge
                 and (scope is None or scope in (pair[0].zone, pair[0].pod))
             ]
             if ready := [pair for pair in ready if pair[0] not in tried] or ready:
                 break
         rooms = [
-            health.rooms.get(method.root, health.usual)
+            health.rooms.get(method.identity, health.usual)
             if now < health.until
             else self.room_now(host, health, method, now)
             for host, health in ready
@@ -615,7 +631,7 @@
             rooms = [self.room_now(host, health, method, now, True) for host, health in ready]
         left = len(rooms) - rooms.count(0.0)
         busy = [at for at, pair in enumerate(ready) if pair[1].out and rooms[at]]
-        out = {at: len(ready[at][1].out) / ready[at][0].share for at in busy}
+        out = {at: len(ready[at][1].out) / ready[at][0].weight for at in busy}
         usual = 1 + sum(out.values()) / max(1, left)
         for at in out:
             rooms[at] /= (1 + out[at] / usual) ** 2
@@ -623,38 +639,38 @@
             self.choices(ready, rooms)[0][0] if left else None
         )  # None: more work would only be late
 
-    def sent(self, call_out, now):  # a call-out has gone to its host
-        health = self.hosts[call_out.host]
-        health.out[call_out], self.out[call_out], health.until = (
+    def sent(self, attempt, now):  # a call-out has gone to its host
+        health = self.hosts[attempt.endpoint]
+        health.out[attempt], self.out[attempt], health.until = (
             len(health.out),
             len(self.out),
             -math.inf,
         )
 
     def ended(
-        self, call_out, outcome, took, now
+        self, attempt, outcome, took, now
     ):  # a call-out has ended: note what it says of its host
-        method, health = call_out.rpc.method, self.hosts.get(call_out.host, Health())
-        beside = health.out.pop(call_out, 0)
-        all_out = self.out.pop(call_out, 0)
+        method, health = attempt.rpc.method, self.hosts.get(attempt.endpoint, EndpointHealth())
+        beside = health.out.pop(attempt, 0)
+        all_out = self.out.pop(attempt, 0)
         health.until = -math.inf
-        silent, part = outcome in (CANCELLED, LATE), took / (method.soft_deadline or 1.0)
+        silent, part = outcome in (CANCELLED, LATE), took / (method.latency_objective or 1.0)
         part = 1.0 if silent or outcome == FULL else part  # cut short: no less than all
         if outcome == OK:
-            self.tooks.setdefault(method.root, deque(maxlen=64)).append(took)
-            self.usual[method.root] = mean(self.tooks[method.root])
+            self.tooks.setdefault(method.identity, deque(maxlen=64)).append(took)
+            self.usual[method.identity] = mean(self.tooks[method.identity])
         if (
             outcome in (OK, FULL)
             or silent
-            and not any(at > call_out.sent for at in health.heard.values())
+            and not any(at > attempt.sent_at for at in health.heard.values())
         ):
             self.lately.append(
                 (now, part, all_out)
             )  # else the host serves others: it is sick, not behind
         if outcome in (OK, ERROR, FULL):
-            health.heard[method.root] = now
-        if outcome not in (NEVER_SENT, CANCELLED) or call_out.cancelled:
-            health.samples = [*health.samples[-15:], (now, method.root, outcome, part, beside)]
+            health.heard[method.identity] = now
+        if outcome not in (NEVER_SENT, CANCELLED) or attempt.is_cancelled:
+            health.samples = [*health.samples[-15:], (now, method.identity, outcome, part, beside)]
 
     def lag(self, samples, out, now):
         """The share of its soft deadline that one more call-out is expected to take: as the last did or those
@@ -662,7 +678,8 @@
         parts = [sample[-2] for sample in samples] + PRIOR
         usual, besides = mean(parts), mean((sample[-1] for sample in samples), 1.0)
         ages = [
-            (now - call_out.sent) / (call_out.rpc.method.soft_deadline or 1.0) for call_out in out
+            (now - attempt.sent_at) / (attempt.rpc.method.latency_objective or 1.0)
+            for attempt in out
         ]
         growth = (3 + len(ages)) / (3 + besides)
         return mean(parts + [age for age in ages if age > usual]) * max(growth, math.sqrt(growth))
@@ -675,64 +692,73 @@
             max(least, sum(now - sample[0] <= span for sample in lately)) for least, span in SPANS
         ]
         out = [
-            call_out for call_out in self.out if not self.overdue(call_out, now)
+            attempt for attempt in self.out if not self.overdue(attempt, now)
         ]  # silent is not behind
         lag = max(self.lag(lately[-number:], out, now) for number in some)  # sooner up than down
         return min(MOST, max(0.0, (lag - PRESSED) / (BEHIND - PRESSED)))
 
 
-class Gateway:
+class AdmissionController:
     """Asked and answers: where an RPC goes, whether to go again, how long to wait."""
 
-    def __init__(self, *, seed, counter, must_ask, **settings):
+    def __init__(self, *, seed, uses_counter, must_watch, **settings):
         rng = random.Random(seed)
-        self.random, self.must_ask = rng.random, must_ask
-        self.leases, self.fleet = Leases(counter, rng, self.settle), Fleet(rng)
-        self.renewed(**settings)
+        self.random, self.must_watch = rng.random, must_watch
+        self.leases, self.fleet = LeaseManager(uses_counter, rng, self.dispatch), LoadBalancer(rng)
+        self.reconfigure(**settings)
         self.firsts = deque(
             maxlen=100
         )  # of the last call-outs: 0 for a first one, 1 for a further one
         self.values = deque(maxlen=64)  # utility per unit of work of the last RPCs
         self.pressure, self.looking = 0.0, False  # as of the last look round
 
-    def renewed(
-        self, *, zone, counter_timeout, may_cancel, max_wait, cold, cold_from, cross_zone, roots=()
+    def reconfigure(
+        self,
+        *,
+        zone,
+        counter_timeout,
+        may_cancel,
+        max_retry_after,
+        slow_start,
+        slow_start_minimum,
+        cross_zone_price,
+        method_identities=(),
     ):
         """The settings, at the start and anew; RPCs point to their own methods and plans."""
-        self.may_cancel, self.max_wait = may_cancel, max_wait
-        self.fleet.hosts.warms(cold, cold_from)
-        self.fleet.local = zone, LOCAL if cross_zone else 1.0
+        self.may_cancel, self.max_retry_after = may_cancel, max_retry_after
+        self.fleet.hosts.warms(slow_start, slow_start_minimum)
+        self.fleet.local = zone, LOCAL if cross_zone_price else 1.0
         for health in self.fleet.hosts.values():
             health.until = -math.inf
         self.leases.ask_deadline = ASK_SHARE * counter_timeout
         self.fleet.tooks = {
-            root: tooks for root, tooks in self.fleet.tooks.items() if root in roots
+            root: tooks for root, tooks in self.fleet.tooks.items() if root in method_identities
         }
         self.fleet.usual = {root: mean(tooks) for root, tooks in self.fleet.tooks.items()}
 
-    def started(self, now):  # the first steps of a life
+    def start(self, now):  # the first steps of a life
         self.leases.born = now
-        return [Subscribe()] if self.must_ask else []
+        return [WatchEndpoints()] if self.must_watch else []
 
-    def listed(
+    def on_endpoint_events(
         self, now, full, listings
     ):  # the host list or changes; None: asking failed, ask again
         if listings is not None:
             self.fleet.listed(now, full, listings)
-        return [Subscribe()] if self.must_ask and listings is None else []
+        return [WatchEndpoints()] if self.must_watch and listings is None else []
 
-    def place(
+    def admit(
         self, now, rpc
     ):  # where to send this one: to a host, into the wait for credit, or back
         if self.shed(now, rpc):
-            return [PushBack(self.end(rpc), self.max_wait, "pressed")]
+            return [Reject(self.finish(rpc), self.max_retry_after, "pressed")]
         verdict, steps = self.leases.spend(now, rpc)
-        return steps if verdict is None else steps + self.settle(now, rpc, verdict)
+        return steps if verdict is None else steps + self.dispatch(now, rpc, verdict)
 
     def shed(self, now, rpc):
         """Whether the hosts are too pressed for an RPC of this utility per unit of work."""
         value = (
-            rpc.method.utility
+            rpc.method.priority_weight
             * rpc.customer.plan.price
             * rpc.units
             / self.fleet.typical(rpc.method)
@@ -741,50 +767,58 @@
         rank = (sum(other < value for other in self.values) + self.random()) / len(self.values)
         return rank < self.pressure
 
-    def settle(self, now, rpc, may_go):
+    def dispatch(self, now, rpc, may_go):
         """Send an RPC whose credit is decided, or push it back at once. Room is asked for again: several that
         found it before they waited for one ask would all go past the ceiling together."""
         lease = self.leases.of(rpc.customer, now)
-        if may_go and lease.room(now, rpc.units) and (steps := self.send(now, rpc, None)):
+        if may_go and lease.room(now, rpc.units) and (steps := self.start_attempt(now, rpc, None)):
             lease.ceiling -= rpc.units
             self.firsts.append(0)
             return steps
         cause = "ceiling" if not lease.room(now, rpc.units) else "host" if may_go else "credit"
         lease.held += rpc.units if may_go else 0.0
-        return [PushBack(self.end(rpc), max(0.0, min(self.max_wait, lease.ends - now)), cause)]
+        return [
+            Reject(self.finish(rpc), max(0.0, min(self.max_retry_after, lease.ends - now)), cause)
+        ]
 
-    def send(
+    def start_attempt(
         self, now, rpc, scope, by=math.inf
     ):  # one call-out to a drawn host; no steps where none is
-        host = self.fleet.draw(now, rpc, scope) if rpc.deadline > now else None
+        host = self.fleet.pick_endpoint(now, rpc, scope) if rpc.deadline > now else None
         if host is None:
             return []
-        call_out = CallOut(rpc, host, len(rpc.call_outs), now, rpc.deadline - now, by)
-        rpc.call_outs.append(call_out)
-        self.fleet.sent(call_out, now)
+        attempt = SendAttempt(rpc, host, len(rpc.attempts), now, rpc.deadline - now, by)
+        rpc.attempts.append(attempt)
+        self.fleet.sent(attempt, now)
         self.leases.of(rpc.customer, now).out += 1
         looking, self.looking = self.looking, True
-        return [call_out] + [Wake(TICK, self.fleet)] * (not looking)
+        return [attempt] + [SetTimer(TICK, self.fleet)] * (not looking)
 
-    def again(self, now, call_out, outcome, *, over, took=0.0, usage=0, units=0.0, report=None):
+    def on_attempt_ended(
+        self, now, attempt, outcome, *, over, took=0.0, usage=0, units=0.0, report=None
+    ):
         """Whether to go again after a call-out ended."""
-        rpc, method = call_out.rpc, call_out.rpc.method
-        call_out.outcome, rpc.ended = outcome, rpc.ended or over
-        call_out in self.fleet.out and self.fleet.ended(call_out, outcome, took, now)
+        rpc, method = attempt.rpc, attempt.rpc.method
+        attempt.outcome, rpc.is_finished = outcome, rpc.is_finished or over
+        attempt in self.fleet.out and self.fleet.ended(attempt, outcome, took, now)
         lease = self.leases.of(rpc.customer, now)
         lease.out, lease.held = (
             max(0, lease.out - 1),
             lease.held - (units - rpc.units if units else 0.0),
         )
-        if rpc.ended:
+        if rpc.is_finished:
             return []
         group = self.retry_targets(now, rpc)
-        useful = rpc.deadline if method.late_utility else rpc.arrived + method.soft_deadline
+        useful = (
+            rpc.deadline
+            if method.late_priority_weight
+            else rpc.arrived_at + method.latency_objective
+        )
         in_time = now + self.fleet.typical(method) < min(rpc.deadline, useful)
-        may = group and self.may_retry() and in_time and len(rpc.call_outs) < method.call_outs
-        steps = self.send(now, rpc, *group) if may else []
+        may = group and self.may_retry() and in_time and len(rpc.attempts) < method.max_attempts
+        steps = self.start_attempt(now, rpc, *group) if may else []
         self.firsts += [1] * bool(steps)
-        return steps or [self.give_up(now, rpc)]
+        return steps or [self.fail_request(now, rpc)]
 
     def may_retry(
         self,
@@ -796,59 +830,61 @@
         ran, method = may_have_run(rpc), rpc.method
         if not ran or method.effect == IDEMPOTENT:
             return None, math.inf
-        first, by = ran[0].host, ran[0].sent + method.key_window - 0.1
+        first, by = ran[0].endpoint, ran[0].sent_at + method.key_window - 0.1
         if method.effect != DEDUPLICATED or now > by:
             return None
         return {"all": None, "zone": first.zone}.get(method.key_scope, first.pod), by
 
-    def give_up(self, now, rpc):
+    def fail_request(self, now, rpc):
         """The final answer for what will not go again: pushed back where a repeat is safe, else aborted."""
         effect, scope = rpc.method.effect, rpc.method.key_scope
         repeats_anywhere = effect == DEDUPLICATED and scope == "all"
         safe = effect == IDEMPOTENT or repeats_anywhere or not may_have_run(rpc)
-        return PushBack(self.end(rpc), 0.0, "given up") if safe else Abort(self.end(rpc))
+        return Reject(self.finish(rpc), 0.0, "given up") if safe else Abort(self.finish(rpc))
 
-    def end(self, rpc):  # it has its final answer, or nobody to give it to
-        rpc.ended = True
+    def finish(self, rpc):  # it has its final answer, or nobody to give it to
+        rpc.is_finished = True
         return rpc
 
-    def left(self, now, rpc):  # the client has gone; nothing more is owed
-        rpc.ended = True
+    def on_client_disconnected(self, now, rpc):  # the client has gone; nothing more is owed
+        rpc.is_finished = True
         return []
 
-    def streaming(
-        self, now, call_out, passing=False
+    def on_response_started(
+        self, now, attempt, passing=False
     ):  # its answer has begun: the host works, or is done
-        passing and self.fleet.ended(call_out, OK, now - call_out.sent, now)
-        self.fleet.hosts.get(call_out.host, Health()).heard[call_out.rpc.method.root] = now
+        passing and self.fleet.ended(attempt, OK, now - attempt.sent_at, now)
+        self.fleet.hosts.get(attempt.endpoint, EndpointHealth()).heard[
+            attempt.rpc.method.identity
+        ] = now
         return []
 
-    def counted(self, now, add, outcome, total):  # the counter has answered an add
+    def on_counter_reply(self, now, add, outcome, total):  # the counter has answered an add
         return self.leases.counted(now, add, outcome, total)
 
-    def woken(self, now, about):  # a time that we asked to be woken at
+    def on_timer(self, now, about):  # a time that we asked to be woken at
         if about is self.fleet:
-            return self.look_round(now)
-        if isinstance(about, Rpc) and not (about.ended or about.call_outs):
-            return self.settle(now, about, False)
-        if isinstance(about, Add):
+            return self.run_periodic_checks(now)
+        if isinstance(about, Rpc) and not (about.is_finished or about.attempts):
+            return self.dispatch(now, about, False)
+        if isinstance(about, CounterAdd):
             return self.leases.fail(now, about)
         return []
 
-    def look_round(self, now):
+    def run_periodic_checks(self, now):
         """Call off what is overdue at silent hosts where it may go again; log a change of mode."""
         steps = []
-        for call_out in self.fleet.out if self.may_cancel and self.may_retry() else ():
-            held = not (call_out.cancelled or call_out.rpc.ended)
-            if held and self.fleet.overdue(call_out, now) and self.retry_targets(now, call_out.rpc):
-                call_out.cancelled = True
-                steps.append(Cancel(call_out))
+        for attempt in self.fleet.out if self.may_cancel and self.may_retry() else ():
+            held = not (attempt.is_cancelled or attempt.rpc.is_finished)
+            if held and self.fleet.overdue(attempt, now) and self.retry_targets(now, attempt.rpc):
+                attempt.is_cancelled = True
+                steps.append(CancelAttempt(attempt))
         before, self.pressure = self.pressure, self.fleet.pressure(now)
         if (self.pressure > 0) != (before > 0):
             steps += [
-                Log(
+                WriteLog(
                     f"hosts {'at ease' if before else 'pressed'}: {before:.2f} to {self.pressure:.2f}"
                 )
             ]
         self.looking = bool(self.fleet.out or self.pressure)
-        return steps + [Wake(TICK, self.fleet)] * self.looking
+        return steps + [SetTimer(TICK, self.fleet)] * self.looking
--- a/petrellane/decisions/endpoint_index.py
+++ b/petrellane/decisions/endpoint_index.py
@@ -15,7 +15,7 @@
 from itertools import accumulate
 from operator import itemgetter
 
-from petrellane.decisions.types import GONE, READY, Host, Listing
+from petrellane.decisions.types import GONE, READY, Endpoint, EndpointEvent
 
 START = itemgetter(0)
 NEW, AGAIN, CHANGED = "new", "started again", "changed"  # what a list may say of a host
@@ -150,7 +150,7 @@
         return self.values[0][1] if self.values else 0.0
 
 
-class Hosts(dict):
+class EndpointList(dict):
     """Host -> what is known of it, which `known` makes for a new one. Only `listed` and `warms` change what is in it."""
 
     def __init__(self, known: Callable[[], object]) -> None:
@@ -170,33 +170,33 @@
             for host in self:
                 self.count_in(host, -math.inf)  # `warm_up` sorts out who is warm
 
-    def listed(self, now: float, full: bool, rows: Iterable[Listing]) -> list[tuple]:
+    def listed(self, now: float, full: bool, rows: Iterable[EndpointEvent]) -> list[tuple]:
         """Take over a list, or changes to it, at a cost in step with its rows; what a whole one leaves out is gone. What it
         says anew of hosts that stay: (host, what is known, NEW, AGAIN or CHANGED). A share of 0 counts as 1."""
         edge = self.warm_up(now)
         if full:
-            named = {row.host for row in rows}
+            named = {row.endpoint for row in rows}
             for host in [host for host in self if host not in named]:
                 self.count_out(host)
                 host.state = GONE
                 del self[host]
         told = []
         for row in rows:
-            host, known = row.host, self.get(row.host)
-            share, again = row.share or 1.0, row.up_since != host.up_since
+            host, known = row.endpoint, self.get(row.endpoint)
+            share, again = row.weight or 1.0, row.started_at != host.started_at
             if known is not None:
                 if row[1:] == (
                     host.zone,
                     host.kind,
                     host.pod,
                     host.state,
-                    host.share,
-                    host.up_since,
+                    host.weight,
+                    host.started_at,
                 ):
                     continue
                 self.count_out(host)
             host.zone, host.kind, host.pod, host.state = row.zone, row.kind, row.pod, row.state
-            host.share, host.up_since = share, row.up_since
+            host.weight, host.started_at = share, row.started_at
             if host.state == GONE:
                 self.pop(host, None)
                 continue
@@ -206,24 +206,24 @@
             told.append((host, self[host], NEW if known is None else AGAIN if again else CHANGED))
         return told
 
-    def count_in(self, host: Host, edge: float) -> None:
+    def count_in(self, host: Endpoint, edge: float) -> None:
         """A host is as it stands from now on, and warm where it started by `edge`."""
         if host.state == READY:
-            self.size += host.share
-            if host.up_since > edge:
+            self.size += host.weight
+            if host.started_at > edge:
                 self.groups.put(host, (READY,))
-                self.starts.put(host.up_since, host.share, host)
+                self.starts.put(host.started_at, host.weight, host)
             else:
                 self.groups.put(host, (READY, None, host.zone, host.pod))
 
-    def count_out(self, host: Host) -> None:
+    def count_out(self, host: Endpoint) -> None:
         """A host is not any more as it stands."""
         if host.state == READY:
             self.groups.take(host, (READY,))
             if self.groups.has(host, None):
                 self.groups.take(host, (None, host.zone, host.pod))
-            self.size = self.size - host.share if self.groups.of(READY) else 0.0
-            at = self.starts.take(host.up_since, host)
+            self.size = self.size - host.weight if self.groups.of(READY) else 0.0
+            at = self.starts.take(host.started_at, host)
             self.passed -= at is not None and at < self.passed
 
     def warm_up(self, now: float) -> float:
@@ -236,7 +236,7 @@
         self.passed = max(first, self.passed) - self.starts.forget(edge)
         return edge
 
-    def ready(self) -> Sequence[Host]:
+    def ready(self) -> Sequence[Endpoint]:
         """All hosts that are ready, warm or not."""
         return self.groups.of(READY)
 
@@ -248,7 +248,7 @@
         """The same of those that were warm at the last look: of all (None), of a zone (text) or of a pod (number)."""
         return self.drawn(sample, number, self.groups.of(scope))
 
-    def drawn(self, sample: Callable, number: int, hosts: Sequence[Host]) -> list[tuple]:
+    def drawn(self, sample: Callable, number: int, hosts: Sequence[Endpoint]) -> list[tuple]:
         return [(host, self[host]) for host in sample(hosts, min(len(hosts), number))]
 
     def cold(self, now: float) -> float:
@@ -256,7 +256,7 @@
         self.warm_up(now)
         return self.warm(self.passed, len(self.starts), now)
 
-    def cold_at(self, lot: float, now: float) -> Host:
+    def cold_at(self, lot: float, now: float) -> Endpoint:
         """The cold host on which a lot from 0 up to `cold` falls, each having a part as large as what it has by now."""
         first, last = self.passed, len(self.starts)
         below = bisect_right(
--- a/petrellane/decisions/types.py
+++ b/petrellane/decisions/types.py
@@ -13,23 +13,23 @@
 
 @dataclass(eq=False, slots=True)
 class Method:
-    """What the settings say of one method. `call_outs` is the most that one RPC may have; methods that stand for the
-    same one, before and after new settings, share a `root`."""
+    """What the settings say of one method. `max_attempts` is the most that one RPC may have; methods that stand for the
+    same one, before and after new settings, share an `identity`."""
 
     name: str
-    soft_deadline: float
+    latency_objective: float
     deadline: float
     effect: str = NON_IDEMPOTENT
     key_scope: str = ""
     key_window: float = 0.0
-    utility: float = 1.0
-    late_utility: float = 0.0
-    streamed: bool = False
-    call_outs: int = 4
-    root: object = None
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    is_streaming: bool = False
+    max_attempts: int = 4
+    identity: object = None
 
     def __post_init__(self):
-        self.root = self.root or object()
+        self.identity = self.identity or object()
 
 
 @dataclass(eq=False, slots=True)
@@ -38,51 +38,51 @@
 
     name: str
     rate: float = 0.0
-    store: float = 0.0
-    ceiling_rate: float = 0.0
-    ceiling_burst: float = 0.0
-    ceiling_slack: float = 0.0
-    max_out: int = 0
+    burst: float = 0.0
+    hard_limit_rate: float = 0.0
+    hard_limit_burst: float = 0.0
+    hard_limit_slack: float = 0.0
+    max_in_flight: int = 0
     price: float = 1.0
-    over_utility: float = 0.0
-    over_cost: float = 0.0
+    over_quota_weight: float = 0.0
+    over_quota_cost: float = 0.0
 
 
 @dataclass(eq=False, slots=True, weakref_slot=True)
 class Customer:
-    """One customer: its id, the gateways it comes through (`spread` of them from number `first`), and since when it is known
+    """One customer: its id, the gateways it comes through (`gateway_count` of them from number `first_gateway`), and since when it is known
     under this plan where it was under another one before: a share of a ceiling fills from then on."""
 
     name: str
     plan: Plan
-    first: int = 0
-    spread: int = 1
-    since: float = LONG_AGO
+    first_gateway: int = 0
+    gateway_count: int = 1
+    known_since: float = LONG_AGO
 
 
 @dataclass(eq=False, slots=True)
-class Host:
-    """One host as the list last told of it; `up_since` is 0 when it started long ago."""
+class Endpoint:
+    """One host as the list last told of it; `started_at` is 0 when it started long ago."""
 
     address: str
     zone: str = ""
     kind: str = ""
     pod: int = 0
     state: str = READY
-    share: float = 1.0
-    up_since: float = 0.0
+    weight: float = 1.0
+    started_at: float = 0.0
 
 
-class Listing(NamedTuple):
+class EndpointEvent(NamedTuple):
     """One row of a host list, not yet taken over into its host."""
 
-    host: Host
+    endpoint: Endpoint
     zone: str
     kind: str
     pod: int
     state: str
-    share: float
-    up_since: float
+    weight: float
+    started_at: float
 
 
 @dataclass(eq=False, slots=True)
@@ -93,33 +93,33 @@
     customer: Customer
     units: float
     deadline: float
-    arrived: float
-    resent: bool = False
-    write: bool = False
-    ended: bool = False
-    call_outs: list = field(default_factory=list)
+    arrived_at: float
+    is_client_retry: bool = False
+    is_write: bool = False
+    is_finished: bool = False
+    attempts: list = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
-class CallOut:
-    """Send the RPC to the host, `by` some time or not at all; `number` counts the RPC's call-outs from 0."""
+class SendAttempt:
+    """Send the RPC to the host, `send_by` some time or not at all; `number` counts the RPC's call-outs from 0."""
 
     rpc: Rpc
-    host: Host
+    endpoint: Endpoint
     number: int
-    sent: float
+    sent_at: float
     timeout: float
-    by: float = inf
+    send_by: float = inf
     outcome: str = ""
-    cancelled: bool = False
+    is_cancelled: bool = False
 
 
-class PushBack(NamedTuple):
+class Reject(NamedTuple):
     """End the RPC as pushed back; the client may try again after `wait`. The cause is for counts alone."""
 
     rpc: Rpc
-    wait: float
-    cause: str = ""
+    retry_after: float
+    reason: str = ""
 
 
 class Abort(NamedTuple):
@@ -128,14 +128,14 @@
     rpc: Rpc
 
 
-class Cancel(NamedTuple):
+class CancelAttempt(NamedTuple):
     """Stop waiting for a call-out; its outcome still comes."""
 
-    call_out: CallOut
+    attempt: SendAttempt
 
 
 @dataclass(eq=False, slots=True)
-class Add:
+class CounterAdd:
     """Add an amount to a named count and tell the total; `lease` and what follows are the module's own."""
 
     name: int
@@ -144,23 +144,23 @@
     lease: object = None
     window: int = 0
     debt: float = 0.0
-    again: bool = False
+    is_retry: bool = False
     settled: bool = False
     pool: object = None
 
 
-class Wake(NamedTuple):
+class SetTimer(NamedTuple):
     """Call `woken` with `about` after so many seconds."""
 
-    after: float
-    about: object
+    delay: float
+    subject: object
 
 
-class Log(NamedTuple):
+class WriteLog(NamedTuple):
     """One line for the operators."""
 
     text: str
 
 
-class Subscribe(NamedTuple):
+class WatchEndpoints(NamedTuple):
     """Ask the host list to send its changes."""
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from petrellane.decisions import types as api
-from petrellane.decisions.controller import Gateway
+from petrellane.decisions.controller import AdmissionController
 from petrellane.gateway.client_request import BadField
 from petrellane.gateway.customers import Customers
 from petrellane.operation import hot_restart
@@ -21,10 +21,10 @@
             scheduler.now,
         )
         self.limits = limits
-        self.gateway = Gateway(
+        self.gateway = AdmissionController(
             seed=config.seed,
-            counter=self.settings.may_count,
-            must_ask=self.settings.must_ask,
+            uses_counter=self.settings.uses_counter,
+            must_watch=self.settings.must_watch,
             **self.settings.gateway,
         )
         self.customers, self.hosts, self.exchanges = Customers(), {}, {}
@@ -42,14 +42,14 @@
             None  # set before the first event
         )
         self.carriers = {
-            api.CallOut: self.call_out,
-            api.PushBack: self.push_back,
+            api.SendAttempt: self.send_attempt,
+            api.Reject: self.push_back,
             api.Abort: self.abort,
-            api.Cancel: self.cancel,
-            api.Add: self.add,
-            api.Wake: self.wake,
-            api.Log: self.note,
-            api.Subscribe: self.subscribe,
+            api.CancelAttempt: self.cancel,
+            api.CounterAdd: self.add,
+            api.SetTimer: self.wake,
+            api.WriteLog: self.note,
+            api.WatchEndpoints: self.subscribe,
         }
 
     def carry_out(self, steps):
@@ -57,20 +57,20 @@
             self.carriers[type(step)](step)
 
     def start(self, known):
-        self.carry_out(self.gateway.started(self.now()))
+        self.carry_out(self.gateway.start(self.now()))
         self.listed(known._replace(full=True))  # nobody waits yet
 
     def renewed(self, settings, limits):
         """Other settings from now on; what is open keeps the method that it came under."""
         self.settings, self.limits = settings, limits
-        self.gateway.renewed(**settings.gateway)
+        self.gateway.reconfigure(**settings.gateway)
 
     def listed(self, told, others=None):
         """A host list, changes to it, or None when asking failed. It is taken over a share of its rows in a turn, with
         `others` called between: first what it names, then, of a whole list, the end of what it leaves out. Without `others`
         it is taken over at once. While one list is `taking`, no other may be told."""
         if told is None:
-            self.carry_out(self.gateway.listed(self.now(), False, None))
+            self.carry_out(self.gateway.on_endpoint_events(self.now(), False, None))
             return
         news, self.taking, piece = bool(told.entries or told.full and self.hosts), True, []
         try:
@@ -100,16 +100,16 @@
             address = "%s:%d" % entry.address
             host = self.hosts.get(entry.name)
             if host is None:
-                host = self.hosts[entry.name] = api.Host(address)
+                host = self.hosts[entry.name] = api.Endpoint(address)
             host.address = address
             left.pop(entry.name, None)
-            yield entry.name, entry.address, api.Listing(host, *entry[2:])
+            yield entry.name, entry.address, api.EndpointEvent(host, *entry[2:])
         for name, host in left.items():
             yield (
                 name,
                 None,
-                api.Listing(
-                    host, host.zone, host.kind, host.pod, api.GONE, host.share, host.up_since
+                api.EndpointEvent(
+                    host, host.zone, host.kind, host.pod, api.GONE, host.weight, host.started_at
                 ),
             )
 
@@ -117,9 +117,11 @@
         """Tell the module of some rows, then the host side of what became of their hosts."""
         if not rows:
             return
-        self.carry_out(self.gateway.listed(self.now(), False, [listing for _, _, listing in rows]))
+        self.carry_out(
+            self.gateway.on_endpoint_events(self.now(), False, [listing for _, _, listing in rows])
+        )
         for name, address, listing in rows:
-            host = listing.host
+            host = listing.endpoint
             if host.state == api.READY:
                 self.ready.add(host)
             else:
@@ -165,12 +167,12 @@
             units,
             deadline,
             came,
-            resent=exchange.named.get("r") == "1",
-            write=method.effect != api.IDEMPOTENT,
+            is_client_retry=exchange.named.get("r") == "1",
+            is_write=method.effect != api.IDEMPOTENT,
         )
         self.exchanges[rpc] = self.ids[exchange.id] = exchange
         self.tally["rpcs"] += 1
-        self.tell(rpc, self.gateway.place, now, rpc)
+        self.tell(rpc, self.gateway.admit, now, rpc)
 
     def taken(self, rows):
         """Take over the leases that the process before has given up; how many."""
@@ -201,46 +203,46 @@
         """A client has gone away before its answer."""
         if self.exchanges.pop(exchange.rpc, None):
             del self.ids[exchange.id]
-            self.carry_out(self.gateway.left(self.now(), exchange.rpc))
-            self.upstream.left(exchange.rpc.call_outs, self.gateway.may_cancel)
+            self.carry_out(self.gateway.on_client_disconnected(self.now(), exchange.rpc))
+            self.upstream.left(exchange.rpc.attempts, self.gateway.may_cancel)
 
     def last_answers(self):
         """We may be killed soon: whatever is open has no time left, for the module as for its attempts."""
         for rpc in list(self.exchanges):
             rpc.deadline = min(rpc.deadline, self.now())
-            self.upstream.run_out(rpc.call_outs)
+            self.upstream.run_out(rpc.attempts)
             if rpc in self.exchanges:  # it waits, and was never sent
-                self.tell(rpc, self.gateway.woken, self.now(), rpc)
+                self.tell(rpc, self.gateway.on_timer, self.now(), rpc)
 
-    def begun(self, attempt, passage, length):
+    def begun(self, pending, passage, length):
         """A long answer has begun, which the client gets as it comes; False where nobody waits for it. For the module
         the RPC is answered now: how soon a client reads says nothing of a host."""
-        call_out = attempt.call_out
-        exchange = self.exchanges.get(call_out.rpc)
+        attempt = pending.attempt
+        exchange = self.exchanges.get(attempt.rpc)
         if exchange:
             exchange.passage, passage.flush = passage, exchange.answered
             self.tally["long"] += 1
-            self.gateway.end(call_out.rpc)
-            self.carry_out(self.gateway.streaming(self.now(), call_out, passing=True))
-            self.finish(call_out.rpc, b"$%d\r\n" % length)
+            self.gateway.finish(attempt.rpc)
+            self.carry_out(self.gateway.on_response_started(self.now(), attempt, passing=True))
+            self.finish(attempt.rpc, b"$%d\r\n" % length)
         return exchange is not None
 
-    def ended(self, attempt, outcome, value, figures):
+    def ended(self, pending, outcome, value, figures):
         """An attempt's outcome; the first ok answers the client by itself."""
-        call_out, now = attempt.call_out, self.now()
+        attempt, now = pending.attempt, self.now()
         self.tally["out " + outcome] += 1
         if outcome == api.OK:
-            self.finish(call_out.rpc, b"$%d\r\n" % len(value), value, b"\r\n")
-        over, report = call_out.rpc not in self.exchanges, self.figures(figures, self.limits.figure)
+            self.finish(attempt.rpc, b"$%d\r\n" % len(value), value, b"\r\n")
+        over, report = attempt.rpc not in self.exchanges, self.figures(figures, self.limits.figure)
         cost = report.pop("cost", 0.0)
         self.tell(
-            call_out.rpc,
-            self.gateway.again,
+            attempt.rpc,
+            self.gateway.on_attempt_ended,
             now,
-            call_out,
+            attempt,
             outcome,
             over=over,
-            took=max(1e-6, now - call_out.sent),
+            took=max(1e-6, now - attempt.sent_at),
             usage=int(report.pop("used", -1)) + 1,
             units=cost if cost <= self.settings.most_units else 0.0,
             report=report,
@@ -262,7 +264,7 @@
 
     def counted(self, add, outcome, total):
         self.tally["add " + outcome] += 1
-        self.carry_out(self.gateway.counted(self.now(), add, outcome, total))
+        self.carry_out(self.gateway.on_counter_reply(self.now(), add, outcome, total))
 
     def finish(self, rpc, *answer):
         exchange = self.exchanges.pop(rpc, None)
@@ -272,17 +274,17 @@
             if self.handover:
                 self.handover.owed(rpc.customer.name)
 
-    def call_out(self, step):
+    def send_attempt(self, step):
         exchange = self.exchanges.get(step.rpc)
         if exchange:
             self.tally["call_outs"] += 1
             if self.to is not None:
-                self.to[step.host.address] += 1
+                self.to[step.endpoint.address] += 1
             self.upstream.send(exchange, step)
 
     def push_back(self, step):
-        self.tally["pushed " + step.cause] += 1
-        wait = int(step.wait * 1e3 + 0.999)
+        self.tally["pushed " + step.reason] += 1
+        wait = int(step.retry_after * 1e3 + 0.999)
         self.finish(step.rpc, b"-BUSY %d\r\n" % wait if wait else b"-BUSY\r\n")
 
     def abort(self, step):
@@ -290,14 +292,14 @@
         self.finish(step.rpc, b"-ERR aborted\r\n")
 
     def cancel(self, step):
-        self.upstream.cancel(step.call_out)
+        self.upstream.cancel(step.attempt)
 
     def add(self, step):
         self.counter.post(step)
 
     def wake(self, step):
         self.scheduler.after(
-            step.after, lambda: self.carry_out(self.gateway.woken(self.now(), step.about))
+            step.delay, lambda: self.carry_out(self.gateway.on_timer(self.now(), step.subject))
         )
 
     def note(self, step):
--- a/petrellane/gateway/customers.py
+++ b/petrellane/gateway/customers.py
@@ -23,7 +23,7 @@
         """The customer that an RPC is of. One that is known under other words as well begins with no share of a ceiling:
         it may just have had that of the other plan."""
         usual = self.usual.get(name)
-        if usual is not None and (usual.plan.name, usual.first, usual.spread) == (
+        if usual is not None and (usual.plan.name, usual.first_gateway, usual.gateway_count) == (
             plan.name,
             first,
             spread,
--- a/petrellane/gateway/endpoint_pool.py
+++ b/petrellane/gateway/endpoint_pool.py
@@ -14,12 +14,12 @@
 from petrellane.net.stream import Closed, Stream
 
 
-class Attempt:
+class PendingAttempt:
     """A call-out on the network."""
 
     __slots__ = (
         "exchange",
-        "call_out",
+        "attempt",
         "pool",
         "connection",
         "until",
@@ -29,8 +29,8 @@
         "passing",
     )
 
-    def __init__(self, exchange, call_out, pool, until):
-        self.exchange, self.call_out, self.pool, self.until = exchange, call_out, pool, until
+    def __init__(self, exchange, attempt, pool, until):
+        self.exchange, self.attempt, self.pool, self.until = exchange, attempt, pool, until
         self.connection = self.timer = self.mark = None
         self.passing = False  # its answer has begun to go to the client
         self.given_up = ""  # the outcome that is told once its connection allows
@@ -71,13 +71,13 @@
         finally:
             self.end()
 
-    def write(self, attempt):
+    def write(self, pending):
         """Send an attempt, unless there is no sense in it any more."""
         now = self.pool.upstream.scheduler.now()
-        attempt.connection, attempt.mark = self, None
-        self.out.append(attempt)
-        self.stream.write(*attempt.exchange.command(attempt.until - now))
-        attempt.mark = self.stream.queued
+        pending.connection, pending.mark = self, None
+        self.out.append(pending)
+        self.stream.write(*pending.exchange.command(pending.until - now))
+        pending.mark = self.stream.queued
 
     def takes_more(self):
         """Whether one more attempt may be written behind those that are out: not behind bytes that the host does not
@@ -108,7 +108,7 @@
             kind, content, end = found
             if not self.out:
                 raise resp.Malformed("an answer to nothing")
-            attempt = self.out[0]
+            pending = self.out[0]
             outcome, value, figures = self.meaning(kind, content)
             del buffer[:end]
             self.out.popleft()
@@ -117,13 +117,13 @@
                 passage.end()
             self.answered = self.pool.heard = self.pool.upstream.scheduler.now()
             self.pool.free(self)  # first, since what follows may be for this host as well
-            self.pool.upstream.over(attempt, outcome, value, figures)
+            self.pool.upstream.over(pending, outcome, value, figures)
 
     def begin(self, buffer, parts, length, start):
         """A long value begins: it goes to the client as it comes, or is passed over where nobody waits for it."""
         if not self.out:
             raise resp.Malformed("an answer to nothing")
-        attempt, self.left, self.parts = self.out[0], length, parts
+        pending, self.left, self.parts = self.out[0], length, parts
         del buffer[:start]
         self.stream.bound(socket.SO_RCVBUF)
         self.passage = Passage(
@@ -132,7 +132,7 @@
             self.stream.hold,
             self.unwanted,
         )
-        if attempt.given_up or not self.pool.upstream.begun(attempt, self.passage, length):
+        if pending.given_up or not self.pool.upstream.begun(pending, self.passage, length):
             self.passage.drop()
 
     def pass_on(self, buffer):
@@ -180,30 +180,30 @@
             self.passage.fail()
         out, self.out = self.out, deque()
         self.pool.drop(self)
-        for attempt in out:
-            whole = attempt.mark is not None and attempt.mark <= self.stream.sent
+        for pending in out:
+            whole = pending.mark is not None and pending.mark <= self.stream.sent
             outcome = api.RESET if whole else api.UNREACHABLE
-            if attempt.given_up and (whole or attempt.given_up == api.NEVER_SENT):
-                outcome = attempt.given_up
-            self.pool.upstream.over(attempt, outcome)
+            if pending.given_up and (whole or pending.given_up == api.NEVER_SENT):
+                outcome = pending.given_up
+            self.pool.upstream.over(pending, outcome)
 
-    def give_up(self, attempt, outcome):
+    def give_up(self, pending, outcome):
         """Stop waiting for an attempt without ending the others on the connection. Where the host has answered
         nothing since it was sent, idle connections from before may be as dead: none is to swallow the next one."""
-        if self.pool.heard < attempt.call_out.sent:
-            self.pool.retire(attempt.call_out.sent)
-        self.call_off(attempt, outcome)
+        if self.pool.heard < pending.attempt.sent_at:
+            self.pool.retire(pending.attempt.sent_at)
+        self.call_off(pending, outcome)
 
-    def call_off(self, attempt, outcome):
+    def call_off(self, pending, outcome):
         """The same, with no doubt about the host."""
-        attempt.given_up = outcome
+        pending.given_up = outcome
         self.retiring = True
         if all(other.given_up for other in self.out):
             self.end()
         elif (
             outcome == api.LATE
         ):  # its time is over: nothing can be sent in its place, so this may be told
-            self.pool.upstream.over(attempt, outcome)
+            self.pool.upstream.over(pending, outcome)
 
 
 class Pool:
@@ -215,9 +215,9 @@
         self.queue, self.dials, self.heard = deque(), 0, 0.0
         self.resting = None  # the timer for an idle connection to have rested
 
-    def assign(self, attempt):
+    def assign(self, pending):
         """Write an attempt to an idle connection, or let it wait for a new one, or pipeline it."""
-        self.queue.append(attempt)
+        self.queue.append(pending)
         self.go_on()
 
     def go_on(self):
@@ -344,7 +344,7 @@
         )
         self.told_begun, self.ended = begun, ended
         self.pools, self.open, self.tally = {}, 0, Counter()
-        self.attempts = {}  # call-out -> attempt, while its outcome is not told
+        self.pending_attempts = {}  # call-out -> attempt, while its outcome is not told
         scheduler.after(limits.look, self.look)
 
     def listed(self, host, address):
@@ -360,17 +360,17 @@
         if pool:
             pool.withdraw()
 
-    def send(self, exchange, call_out):
+    def send(self, exchange, attempt):
         """Start an attempt."""
-        pool = self.pool_of(call_out.host)
-        attempt = Attempt(exchange, call_out, pool, call_out.sent + call_out.timeout)
-        self.attempts[call_out] = attempt
-        if pool is None or self.stale(attempt):
-            self.scheduler.soon(self.over, attempt, api.NEVER_SENT)
+        pool = self.pool_of(attempt.endpoint)
+        pending = PendingAttempt(exchange, attempt, pool, attempt.sent_at + attempt.timeout)
+        self.pending_attempts[attempt] = pending
+        if pool is None or self.stale(pending):
+            self.scheduler.soon(self.over, pending, api.NEVER_SENT)
             return
-        by = min(call_out.by, attempt.until) - self.scheduler.now()
-        attempt.timer = self.scheduler.after(by, partial(self.by_now, attempt))
-        pool.assign(attempt)
+        by = min(attempt.send_by, pending.until) - self.scheduler.now()
+        pending.timer = self.scheduler.after(by, partial(self.by_now, pending))
+        pool.assign(pending)
 
     def pool_of(self, host):
         """The pool of a host, from its first attempt on; None of one that is not ready and has none."""
@@ -380,91 +380,91 @@
             pool = self.pools[host] = Pool(self, host, (name, int(port)))
         return pool
 
-    def by_now(self, attempt):
+    def by_now(self, pending):
         """The time of an attempt is over: all of it, or that in which it had to be sent, if it still waits."""
-        if attempt.call_out.by >= attempt.until:
-            self.give_up(attempt, api.LATE)
-        elif attempt in attempt.pool.queue:
-            attempt.pool.queue.remove(attempt)
-            self.over(attempt, api.NEVER_SENT)
+        if pending.attempt.send_by >= pending.until:
+            self.give_up(pending, api.LATE)
+        elif pending in pending.pool.queue:
+            pending.pool.queue.remove(pending)
+            self.over(pending, api.NEVER_SENT)
         else:
-            attempt.timer = self.scheduler.after(
-                attempt.until - self.scheduler.now(), partial(self.give_up, attempt, api.LATE)
+            pending.timer = self.scheduler.after(
+                pending.until - self.scheduler.now(), partial(self.give_up, pending, api.LATE)
             )
 
-    def stale(self, attempt):
+    def stale(self, pending):
         """Whether an attempt is not to be sent any more: its RPC is over, its time, or its host's. Where its client may
         have left unseen for a while, its socket is asked: that costs little beside a turn that takes so long."""
         now = self.scheduler.now()
         return (
-            attempt.exchange.rpc.ended
-            or attempt.call_out.host.state != api.READY
-            or attempt.until <= now
-            or attempt.call_out.by < now
+            pending.exchange.rpc.is_finished
+            or pending.attempt.endpoint.state != api.READY
+            or pending.until <= now
+            or pending.attempt.send_by < now
             or self.scheduler.unseen()
-            and attempt.exchange.gone()
+            and pending.exchange.gone()
         )
 
-    def cancel(self, call_out):
+    def cancel(self, attempt):
         """Stop waiting for an attempt; its outcome still comes."""
-        attempt = self.attempts.get(call_out)
-        if attempt and not (attempt.given_up or attempt.passing):
-            self.scheduler.soon(self.give_up, attempt, api.CANCELLED)
+        pending = self.pending_attempts.get(attempt)
+        if pending and not (pending.given_up or pending.passing):
+            self.scheduler.soon(self.give_up, pending, api.CANCELLED)
 
-    def left(self, call_outs, may_cancel=True):
+    def left(self, attempts, may_cancel=True):
         """The client of these has gone: what waits is handed back, and what its host does not have whole never gets
         there. On a connection that the host has not answered on yet it may be late in coming up there, and the attempt still
         to begin: it is called off, where that is allowed."""
-        for attempt in filter(None, map(self.attempts.get, call_outs)):
-            connection = attempt.connection
-            if not connection and attempt.pool and attempt in attempt.pool.queue:
-                attempt.pool.queue.remove(attempt)
-                self.scheduler.soon(self.over, attempt, api.NEVER_SENT)
-            elif connection and attempt.mark > connection.stream.sent and not attempt.given_up:
+        for pending in filter(None, map(self.pending_attempts.get, attempts)):
+            connection = pending.connection
+            if not connection and pending.pool and pending in pending.pool.queue:
+                pending.pool.queue.remove(pending)
+                self.scheduler.soon(self.over, pending, api.NEVER_SENT)
+            elif connection and pending.mark > connection.stream.sent and not pending.given_up:
                 connection.stream.unsent.clear()  # nothing is written behind it: see takes_more
-                connection.give_up(attempt, api.NEVER_SENT)
+                connection.give_up(pending, api.NEVER_SENT)
             elif connection and may_cancel:
-                self.scheduler.soon(self.call_off, attempt)
+                self.scheduler.soon(self.call_off, pending)
 
-    def call_off(self, attempt):
-        if attempt.call_out in self.attempts and not (
-            attempt.connection.answered or attempt.given_up or attempt.passing
+    def call_off(self, pending):
+        if pending.attempt in self.pending_attempts and not (
+            pending.connection.answered or pending.given_up or pending.passing
         ):
-            attempt.connection.call_off(attempt, api.CANCELLED)
+            pending.connection.call_off(pending, api.CANCELLED)
 
-    def run_out(self, call_outs):
+    def run_out(self, attempts):
         """The time of these is over."""
-        for attempt in filter(None, [self.attempts.get(call_out) for call_out in call_outs]):
-            self.give_up(attempt, api.LATE)
+        for pending in filter(None, [self.pending_attempts.get(attempt) for attempt in attempts]):
+            self.give_up(pending, api.LATE)
 
-    def give_up(self, attempt, outcome):
+    def give_up(self, pending, outcome):
         if (
-            attempt.call_out not in self.attempts
-            or attempt.given_up
+            pending.attempt not in self.pending_attempts
+            or pending.given_up
             and outcome != api.LATE
-            or attempt.passing
+            or pending.passing
         ):
             return
-        if attempt.connection:
-            attempt.connection.give_up(attempt, outcome)
+        if pending.connection:
+            pending.connection.give_up(pending, outcome)
             return
-        if attempt in attempt.pool.queue:
-            attempt.pool.queue.remove(attempt)
-        self.over(attempt, api.UNREACHABLE)
+        if pending in pending.pool.queue:
+            pending.pool.queue.remove(pending)
+        self.over(pending, api.UNREACHABLE)
 
-    def begun(self, attempt, passage, length):
+    def begun(self, pending, passage, length):
         """A long value has begun to come, which no deadline cuts off; whether somebody takes it."""
-        if attempt.timer:
-            attempt.timer.cancel()
-        attempt.passing = self.told_begun(attempt, passage, length)
-        return attempt.passing
+        if pending.timer:
+            pending.timer.cancel()
+        pending.passing = self.told_begun(pending, passage, length)
+        return pending.passing
 
-    def over(self, attempt, outcome, value=b"", figures=b""):
+    def over(self, pending, outcome, value=b"", figures=b""):
         """Tell what became of an attempt, once."""
-        if self.attempts.pop(attempt.call_out, None):
-            if attempt.timer:
-                attempt.timer.cancel()
-            self.ended(attempt, outcome, value, figures)
+        if self.pending_attempts.pop(pending.attempt, None):
+            if pending.timer:
+                pending.timer.cancel()
+            self.ended(pending, outcome, value, figures)
 
     def make_room(self, more):
         """Shed idle connections until so many more fit beside the clients; False when they do not."""
--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -31,8 +31,8 @@
         {
             "customer": customer.name,
             "plan": customer.plan.name,
-            "first": customer.first,
-            "spread": customer.spread,
+            "first": customer.first_gateway,
+            "spread": customer.gateway_count,
             "lease": finite(lease.given(now)),
         }
         for customer, lease in gateway.leases.leases.items()
--- a/petrellane/simulation/baselines.py
+++ b/petrellane/simulation/baselines.py
@@ -30,70 +30,70 @@
         self.random, self.node = random.Random(seed), node
         self.ready, self.out = [], {}
 
-    def started(self, now):
+    def start(self, now):
         return []
 
-    def listed(self, now, full, listings):
-        named = {row.host for row in listings}
+    def on_endpoint_events(self, now, full, listings):
+        named = {row.endpoint for row in listings}
         self.ready = [host for host in self.ready if host not in named and not full]
         for row in listings:
-            row.host.state, row.host.share = row.state, row.share or 1.0
+            row.endpoint.state, row.endpoint.weight = row.state, row.weight or 1.0
             if row.state == api.READY:
-                self.ready.append(row.host)
-                self.out.setdefault(row.host, 0)
+                self.ready.append(row.endpoint)
+                self.out.setdefault(row.endpoint, 0)
         self.ready.sort(
             key=lambda host: int(host.address[1:])
         )  # the list's order, the same everywhere
-        self.renewed()
+        self.list_changed()
         return []
 
-    def renewed(self):
+    def list_changed(self):
         """The list has changed."""
 
-    def place(self, now, rpc):
+    def admit(self, now, rpc):
         among = self.among(rpc)
         if not among:
-            rpc.ended = True
-            return [api.PushBack(rpc, 0.0, "host")]
+            rpc.is_finished = True
+            return [api.Reject(rpc, 0.0, "host")]
         host = self.pick(among, now)
         self.out[host] += 1
-        call_out = api.CallOut(rpc, host, len(rpc.call_outs), now, rpc.deadline - now)
-        rpc.call_outs.append(call_out)
-        return [call_out]
+        attempt = api.SendAttempt(rpc, host, len(rpc.attempts), now, rpc.deadline - now)
+        rpc.attempts.append(attempt)
+        return [attempt]
 
     def among(self, rpc):
         """The hosts that it may go to: not where it has been, if there are others."""
-        tried = {call_out.host for call_out in rpc.call_outs}
+        tried = {attempt.endpoint for attempt in rpc.attempts}
         return [host for host in self.ready if host not in tried] or self.ready
 
-    def again(self, now, call_out, outcome, *, over, **told):
-        rpc = call_out.rpc
-        call_out.outcome = outcome
-        self.out[call_out.host] = max(0, self.out.get(call_out.host, 0) - 1)
-        self.heard(call_out.host, outcome, now)
+    def on_attempt_ended(self, now, attempt, outcome, *, over, **told):
+        rpc = attempt.rpc
+        attempt.outcome = outcome
+        self.out[attempt.endpoint] = max(0, self.out.get(attempt.endpoint, 0) - 1)
+        self.heard(attempt.endpoint, outcome, now)
         if over:
             return []
         proven = outcome in (api.FULL, api.UNREACHABLE, api.NEVER_SENT)
-        if proven and len(rpc.call_outs) < rpc.method.call_outs and rpc.deadline > now:
-            return self.place(now, rpc)
-        rpc.ended = True
+        if proven and len(rpc.attempts) < rpc.method.max_attempts and rpc.deadline > now:
+            return self.admit(now, rpc)
+        rpc.is_finished = True
         ran = any(
-            one.outcome not in (api.FULL, api.UNREACHABLE, api.NEVER_SENT) for one in rpc.call_outs
+            one.outcome not in (api.FULL, api.UNREACHABLE, api.NEVER_SENT) for one in rpc.attempts
         )
         safe = rpc.method.effect == api.IDEMPOTENT or not ran
-        return [api.PushBack(rpc, 0.0, "given up") if safe else api.Abort(rpc)]
+        return [api.Reject(rpc, 0.0, "given up") if safe else api.Abort(rpc)]
 
     def heard(self, host, outcome, now):
         """A call-out has ended there."""
 
-    def left(self, now, rpc):
-        rpc.ended = True
+    def on_client_disconnected(self, now, rpc):
+        rpc.is_finished = True
         return []
 
-    def counted(self, now, add, outcome, total):
+    def on_counter_reply(self, now, add, outcome, total):
         return []
 
-    def woken(self, now, about):
+    def on_timer(self, now, about):
         return []
 
     def pick(self, among, now):
@@ -102,7 +102,7 @@
 
 class Uniform(Baseline):
     def pick(self, among, now):
-        return self.random.choices(among, [host.share for host in among])[0]
+        return self.random.choices(among, [host.weight for host in among])[0]
 
 
 class RoundRobin(Baseline):
@@ -117,20 +117,20 @@
 
 class TwoChoices(Baseline):
     def pick(self, among, now):
-        pair = self.random.choices(among, [host.share for host in among], k=2)
-        return min(pair, key=lambda host: self.out[host] / host.share)
+        pair = self.random.choices(among, [host.weight for host in among], k=2)
+        return min(pair, key=lambda host: self.out[host] / host.weight)
 
 
 class LeastOutstanding(Baseline):
     def pick(self, among, now):
-        least = min(self.out[host] / host.share for host in among)
-        return self.random.choice([host for host in among if self.out[host] / host.share == least])
+        least = min(self.out[host] / host.weight for host in among)
+        return self.random.choice([host for host in among if self.out[host] / host.weight == least])
 
 
 class Subset(TwoChoices):
     SIZE = 20  # hosts of a set: the figure that the descriptions name as usual
 
-    def renewed(self):
+    def list_changed(self):
         self.set_of = dict.fromkeys(self.subset(), 1.0)
 
     def subset(self):
@@ -143,7 +143,7 @@
 
     def among(self, rpc):
         hosts = [host for host in self.set_of if host.state == api.READY]
-        tried = {call_out.host for call_out in rpc.call_outs}
+        tried = {attempt.endpoint for attempt in rpc.attempts}
         return [host for host in hosts if host not in tried] or hosts or super().among(rpc)
 
 
@@ -166,7 +166,7 @@
 
 
 class Aperture(Subset):
-    def renewed(self):
+    def list_changed(self):
         hosts, gateways = len(self.ready), len(self.node.fleet.nodes) or 1
         width = max(1 / gateways, min(1.0, self.SIZE / hosts if hosts else 1.0))
         begin, self.set_of = self.node.number / gateways, {}
@@ -189,17 +189,17 @@
 def queue_at(node, host):
     """What a host has now, as it would tell in an answer."""
     machine = node.fleet.machines_by_name[host.address]
-    return (len(machine.running) + len(machine.waiting)) / host.share
+    return (len(machine.running) + len(machine.waiting)) / host.weight
 
 
 class LocalQueue(Baseline):
-    def renewed(self):
+    def list_changed(self):
         self.thought = {host: getattr(self, "thought", {}).get(host, 0.0) for host in self.ready}
 
     def pick(self, among, now):
         least = min(self.thought.get(host, 0.0) for host in among)
         host = self.random.choice([host for host in among if self.thought.get(host, 0.0) == least])
-        self.thought[host] = self.thought.get(host, 0.0) + 1 / host.share
+        self.thought[host] = self.thought.get(host, 0.0) + 1 / host.weight
         return host
 
     def heard(self, host, outcome, now):
@@ -222,7 +222,7 @@
         self.words = [word for word in self.words if now - word[3] < self.OLD and word[2] > 0]
         known = [word for word in self.words if word[0] in among]
         if len(known) < 2:
-            return self.random.choices(among, [host.share for host in among])[0]
+            return self.random.choices(among, [host.weight for host in among])[0]
         best = min(known, key=lambda word: word[1])
         best[1], best[2] = best[1] + 1, best[2] - 1
         return best[0]
--- a/petrellane/simulation/clients.py
+++ b/petrellane/simulation/clients.py
@@ -178,12 +178,12 @@
     def asked(self, call):
         """The quota's store sees every first try: what it covers is inside."""
         plan, now = self.fleet.plans[call.customer.plan], self.fleet.heap.now
-        level, since = self.stores.get(call.customer.name, (plan.store, now))
-        level = min(plan.store, level + plan.rate * (now - since))
+        level, since = self.stores.get(call.customer.name, (plan.burst, now))
+        level = min(plan.burst, level + plan.rate * (now - since))
         call.inside = not plan.rate or level >= call.units
         self.stores[call.customer.name] = level - call.units * call.inside, now
         if call.inside:
-            self.offered += call.units * call.method.utility * plan.price
+            self.offered += call.units * call.method.priority_weight * plan.price
 
     def answered(self, call, answer):
         self.answers[answer] = self.answers.get(answer, 0) + 1
@@ -192,8 +192,12 @@
             self.beyond += call.units * (not call.inside)
             plan, took = self.fleet.plans[call.customer.plan], self.fleet.heap.now - call.began
             if call.inside:
-                worth = 1.0 if took <= call.method.soft_deadline else call.method.late_utility
-                self.served += worth * call.units * call.method.utility * plan.price
+                worth = (
+                    1.0
+                    if took <= call.method.latency_objective
+                    else call.method.late_priority_weight
+                )
+                self.served += worth * call.units * call.method.priority_weight * plan.price
 
     def summary(self) -> dict:
         """The ok share of the utility asked inside quotas, units served beyond them as a share, and the answers."""
--- a/petrellane/simulation/fleet.py
+++ b/petrellane/simulation/fleet.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from petrellane.decisions import types as api
-from petrellane.decisions.controller import Gateway
+from petrellane.decisions.controller import AdmissionController
 from petrellane.invariants import Ceiling, MethodRule, Referee, Remains, Terms, Verdict
 from petrellane.simulation.clients import Figures, Source
 from petrellane.simulation.counter import Counter
@@ -37,7 +37,7 @@
         return sorted(self.verdict.counts)
 
 
-def api_method(told, call_outs: int) -> api.Method:
+def api_method(told, attempts: int) -> api.Method:
     return api.Method(
         told.name,
         told.soft_deadline,
@@ -47,7 +47,7 @@
         told.window,
         told.utility,
         told.late_utility,
-        call_outs=call_outs,
+        max_attempts=attempts,
     )
 
 
@@ -67,7 +67,7 @@
 class Fleet:
     """The parties and what they share. `module` makes a gateway's decisions; the real one unless a test plants a fault."""
 
-    def __init__(self, scenario: Scenario, module: Any = Gateway, keep: bool = False):
+    def __init__(self, scenario: Scenario, module: Any = AdmissionController, keep: bool = False):
         world = self.world = scenario.world
         self.scenario, self.module, self.heap, self.network = (
             scenario,
@@ -82,14 +82,14 @@
         self.records, self.trace, self.ids = ([], [], {}) if keep else (None, None, {})
         self.keys, self.rng = {}, chance(world.seed, "front")
         self.settings = dict(
-            counter=True,
+            uses_counter=True,
             counter_timeout=world.counter_timeout,
             may_cancel=world.may_cancel,
-            max_wait=world.max_wait,
-            cold=world.cold,
-            cold_from=world.cold_from,
-            cross_zone=0.0,
-            must_ask=False,
+            max_retry_after=world.max_wait,
+            slow_start=world.cold,
+            slow_start_minimum=world.cold_from,
+            cross_zone_price=0.0,
+            must_watch=False,
         )
         self.machines = [Machine(self, number) for number in range(world.hosts)]
         self.machines_by_name = {machine.name: machine for machine in self.machines}
@@ -213,7 +213,7 @@
 def remains(node) -> dict[str, int]:
     """How many RPCs and call-outs a gateway still reaches, from the module down, and its open ones."""
     found, seen, look = (
-        {"open RPCs": len(node.open), "attempts": len(node.attempts)},
+        {"open RPCs": len(node.open), "attempts": len(node.pending_attempts)},
         set(),
         [node.gateway],
     )
@@ -226,7 +226,7 @@
         ):
             continue
         seen.add(id(thing))
-        if isinstance(thing, (api.Rpc, api.CallOut)):
+        if isinstance(thing, (api.Rpc, api.SendAttempt)):
             name = "RPCs" if isinstance(thing, api.Rpc) else "call-outs"
             found[name] = found.get(name, 0) + 1
         elif callable(thing) and not hasattr(thing, "__self__"):
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -17,7 +17,7 @@
 )
 from petrellane.operation import hot_restart
 from petrellane.simulation.event_queue import chance
-from petrellane.simulation.hosts import Attempt
+from petrellane.simulation.hosts import PendingAttempt
 
 EPOCH = 1000.0  # what a clock without error shows when the run begins; 0 would read as `long ago`
 
@@ -32,7 +32,7 @@
         self.rng = chance(world.seed, "gateway", self.name)
         self.offset = EPOCH + world.skew * (2 * self.rng.random() - 1)
         self.life, self.alive, self.paused, self.gateway = 0, False, False, None
-        self.queue, self.open, self.attempts, self.hosts, self.seen = [], {}, {}, {}, set()
+        self.queue, self.open, self.pending_attempts, self.hosts, self.seen = [], {}, {}, {}, set()
         self.leaving, self.heir, self.taker = (
             False,
             None,
@@ -43,14 +43,14 @@
             None,
         )  # since when it had stood still, while it reads what came meanwhile
         self.carriers = {
-            api.CallOut: self.call_out,
-            api.PushBack: self.push_back,
+            api.SendAttempt: self.send_attempt,
+            api.Reject: self.push_back,
             api.Abort: self.abort,
-            api.Cancel: self.cancel,
-            api.Add: self.add,
-            api.Wake: self.wake,
-            api.Log: self.log,
-            api.Subscribe: self.subscribe,
+            api.CancelAttempt: self.cancel,
+            api.CounterAdd: self.add,
+            api.SetTimer: self.wake,
+            api.WriteLog: self.log,
+            api.WatchEndpoints: self.subscribe,
         }
 
     def clock(self):
@@ -66,14 +66,14 @@
         if self.alive:
             return
         self.life, self.alive, self.paused, self.heir = self.life + 1, True, False, None
-        self.queue, self.open, self.attempts, self.hosts, self.seen = [], {}, {}, {}, set()
+        self.queue, self.open, self.pending_attempts, self.hosts, self.seen = [], {}, {}, {}, set()
         self.customers, self.stood = {}, None
         more = {"node": self} if getattr(self.fleet.module, "sees_node", False) else {}
         self.gateway = self.fleet.module(
             seed=self.rng.getrandbits(60), zone=f"z{self.zone}", **self.fleet.settings, **more
         )
         self.note(Life, "started")
-        self.carry(self.gateway.started(self.clock()))
+        self.carry(self.gateway.start(self.clock()))
         self.listed(True, self.fleet.discovery.stale())
         self.fleet.discovery.watch(self)
 
@@ -86,8 +86,8 @@
         waiting, self.queue = self.queue, []
         self.note(Life, "killed")
         self.fleet.died(self)
-        for attempt in self.attempts:
-            attempt.given_up = True
+        for pending in self.pending_attempts:
+            pending.given_up = True
         held += [words[0] for call, words in waiting if call == self.place]
         for one in held:
             self.fleet.heap.after(self.fleet.network.world.latency, one.broken)
@@ -148,17 +148,17 @@
         for machine, state, up_since in rows:
             host = self.hosts.get(machine.name)
             if host is None:
-                host = self.hosts[machine.name] = api.Host(machine.name)
+                host = self.hosts[machine.name] = api.Endpoint(machine.name)
             named.add(machine.name)
             since = 0.0 if up_since is None else up_since + EPOCH
             listings.append(
-                api.Listing(host, f"z{machine.zone}", "", machine.pod, state, 1.0, since)
+                api.EndpointEvent(host, f"z{machine.zone}", "", machine.pod, state, 1.0, since)
             )
             self.note(Told, machine.name, state, 0.0 if up_since is None else up_since)
         if full:
             for name in self.hosts.keys() - named:
                 self.note(Told, name, api.GONE, 0.0)
-        self.carry(self.gateway.listed(self.clock(), full, listings))
+        self.carry(self.gateway.on_endpoint_events(self.clock(), full, listings))
         self.hosts = {
             name: host
             for name, host in self.hosts.items()
@@ -185,11 +185,11 @@
             float(call.units),
             came + one.patience,
             came,
-            resent=one.number > 0,
-            write=call.method.effect != api.IDEMPOTENT,
+            is_client_retry=one.number > 0,
+            is_write=call.method.effect != api.IDEMPOTENT,
         )
         self.open[rpc] = one
-        self.carry(self.gateway.place(now, rpc))
+        self.carry(self.gateway.admit(now, rpc))
 
     def taken(self, one):
         """The last byte of an RPC is here; a process that stands still has it all the same."""
@@ -211,28 +211,28 @@
             if other is one:
                 self.note(Left, one.rpc)
                 del self.open[rpc]
-                self.carry(self.gateway.left(self.clock(), rpc))
+                self.carry(self.gateway.on_client_disconnected(self.clock(), rpc))
                 return
 
-    def outcome(self, attempt, outcome):
-        self.event(attempt.life, self.ended, attempt, outcome)
+    def outcome(self, pending, outcome):
+        self.event(pending.life, self.ended, pending, outcome)
 
-    def ended(self, attempt, outcome):
-        if attempt.done:
+    def ended(self, pending, outcome):
+        if pending.done:
             return
-        attempt.done = attempt.given_up = True
-        del self.attempts[attempt]
-        rpc, now = attempt.call_out.rpc, self.clock()
-        self.note(Ended, attempt.rpc, attempt.number, outcome)
+        pending.done = pending.given_up = True
+        del self.pending_attempts[pending]
+        rpc, now = pending.attempt.rpc, self.clock()
+        self.note(Ended, pending.rpc, pending.number, outcome)
         if outcome == api.OK:
             self.finish(rpc, OK)
         self.carry(
-            self.gateway.again(
+            self.gateway.on_attempt_ended(
                 now,
-                attempt.call_out,
+                pending.attempt,
                 outcome,
                 over=rpc not in self.open,
-                took=max(1e-6, now - attempt.call_out.sent),
+                took=max(1e-6, now - pending.attempt.sent_at),
             )
         )
 
@@ -247,10 +247,10 @@
                     f"{add.lease.customer.name} in window {add.window}: {told}",
                 )
             )
-        self.carry(self.gateway.counted(self.clock(), add, outcome, total))
+        self.carry(self.gateway.on_counter_reply(self.clock(), add, outcome, total))
 
     def woken(self, about):
-        self.carry(self.gateway.woken(self.clock(), about))
+        self.carry(self.gateway.on_timer(self.clock(), about))
 
     # what it does
 
@@ -272,55 +272,55 @@
         self.fleet.heap.after(self.fleet.world.latency, one.answered, answer, wait)
 
     def push_back(self, step):
-        self.finish(step.rpc, PUSHED_BACK, step.wait)
+        self.finish(step.rpc, PUSHED_BACK, step.retry_after)
 
     def abort(self, step):
         self.finish(step.rpc, ABORTED)
 
-    def call_out(self, step):
+    def send_attempt(self, step):
         """Write a call-out to its host: on a connection that stands or on a new one."""
         fleet, world, now = self.fleet, self.fleet.world, self.fleet.heap.now
         one = self.open.get(step.rpc)
-        machine = fleet.machines_by_name[step.host.address]
+        machine = fleet.machines_by_name[step.endpoint.address]
         if one is None:
             self.note(Sent, fleet.ids.get(step.rpc, "unknown"), step.number, machine.name)
             return
-        attempt = Attempt(self, step, one.call, one.rpc, machine)
-        self.attempts[attempt] = None
+        pending = PendingAttempt(self, step, one.call, one.rpc, machine)
+        self.pending_attempts[pending] = None
         self.note(Sent, one.rpc, step.number, machine.name)
         there = fleet.network.delay(self.zone, machine.zone, self.rng)
         back = fleet.network.delay(machine.zone, self.zone, self.rng)
-        fleet.heap.after(max(1e-6, step.timeout), self.outcome, attempt, api.LATE)
+        fleet.heap.after(max(1e-6, step.timeout), self.outcome, pending, api.LATE)
         if machine.name in self.seen and self.rng.random() < world.standing and machine.alive:
             if there is not None:
-                fleet.heap.after(there, machine.receive, attempt)
+                fleet.heap.after(there, machine.receive, pending)
         elif there is None or back is None or machine.silent:
-            fleet.heap.after(0.25, self.outcome, attempt, api.UNREACHABLE)
+            fleet.heap.after(0.25, self.outcome, pending, api.UNREACHABLE)
         elif not machine.alive:
-            fleet.heap.after(there + back, self.outcome, attempt, api.UNREACHABLE)
+            fleet.heap.after(there + back, self.outcome, pending, api.UNREACHABLE)
         else:
             self.seen.add(machine.name)
-            fleet.heap.at(now + there + back + there, self.arrive, attempt)
+            fleet.heap.at(now + there + back + there, self.arrive, pending)
 
-    def arrive(self, attempt):
+    def arrive(self, pending):
         """A new connection is up and the call-out written, unless it was given up first: then it never ran."""
-        if not attempt.done:
-            attempt.host.receive(attempt)
+        if not pending.done:
+            pending.host.receive(pending)
 
     def cancel(self, step):
-        for attempt in self.attempts:
-            if attempt.call_out is step.call_out:
-                attempt.given_up = (
+        for pending in self.pending_attempts:
+            if pending.attempt is step.attempt:
+                pending.given_up = (
                     True  # at times others stand on its connection, and it is told later
                 )
                 late = 0.05 if self.rng.random() < 0.1 else 0.0
-                self.fleet.heap.after(late, self.outcome, attempt, api.CANCELLED)
+                self.fleet.heap.after(late, self.outcome, pending, api.CANCELLED)
 
     def add(self, step):
         self.fleet.counter.call(self, step)
 
     def wake(self, step):
-        self.fleet.heap.after(step.after, self.event, self.life, self.woken, step.about)
+        self.fleet.heap.after(step.delay, self.event, self.life, self.woken, step.subject)
 
     def log(self, step):
         if self.fleet.trace is not None:
--- a/petrellane/simulation/hosts.py
+++ b/petrellane/simulation/hosts.py
@@ -7,12 +7,12 @@
 from petrellane.simulation.event_queue import chance
 
 
-class Attempt:
+class PendingAttempt:
     """One call-out on its way: the gateway's side ends it once, the host's side may go on for longer."""
 
     __slots__ = (
         "node",
-        "call_out",
+        "attempt",
         "call",
         "rpc",
         "number",
@@ -23,9 +23,9 @@
         "host",
     )
 
-    def __init__(self, node, call_out, call, rpc, host):
-        self.node, self.call_out, self.call, self.rpc, self.host = node, call_out, call, rpc, host
-        self.number, self.life, self.left = call_out.number, node.life, call_out.timeout
+    def __init__(self, node, attempt, call, rpc, host):
+        self.node, self.attempt, self.call, self.rpc, self.host = node, attempt, call, rpc, host
+        self.number, self.life, self.left = attempt.number, node.life, attempt.timeout
         self.done = self.given_up = False
 
 
@@ -51,87 +51,87 @@
         age = (self.fleet.heap.now - self.up_since) / world.cold
         return min(1.0, world.cold_from + (1 - world.cold_from) * age)
 
-    def memory(self, attempt):
+    def memory(self, pending):
         """The keys that this host's group remembers for the method, key -> until when; None where no key counts."""
-        method = attempt.call.method
+        method = pending.call.method
         if method.effect != api.DEDUPLICATED:
             return None
         group = {"all": "all", "zone": ("zone", self.zone)}.get(method.key_scope, ("pod", self.pod))
         return self.fleet.keys.setdefault(group, {})
 
-    def receive(self, attempt):
+    def receive(self, pending):
         """The last byte of a call-out has come."""
         if self.silent:
             return
         if not self.alive:
-            self.reply(attempt, api.UNREACHABLE)
+            self.reply(pending, api.UNREACHABLE)
             return
         now, world = self.fleet.heap.now, self.fleet.world
         self.fleet.note(
             Received(
-                now, attempt.node.name, attempt.rpc, attempt.number, self.name, attempt.call.work
+                now, pending.node.name, pending.rpc, pending.number, self.name, pending.call.work
             )
         )
-        memory = self.memory(attempt)
-        if memory is not None and memory.get(attempt.call.key, -1.0) >= now:
+        memory = self.memory(pending)
+        if memory is not None and memory.get(pending.call.key, -1.0) >= now:
             self.fleet.heap.after(
-                0.001, self.reply, attempt, api.OK
+                0.001, self.reply, pending, api.OK
             )  # its first run's answer, no second run
             return
         if len(self.waiting) >= world.queue:
-            self.reply(attempt, api.FULL)
+            self.reply(pending, api.FULL)
             return
         if memory is not None:  # kept a little longer than it is promised
-            memory[attempt.call.key] = now + attempt.call.method.key_window + 1.0
-        self.waiting.append(attempt)
+            memory[pending.call.key] = now + pending.call.method.key_window + 1.0
+        self.waiting.append(pending)
         self.begin()
 
     def begin(self):
         """Start what waits while a slot is free; what was given up is dropped where work can be called off."""
         world = self.fleet.world
         while self.waiting and len(self.running) < world.slots and not self.hanging and self.alive:
-            attempt = self.waiting.popleft()
-            if attempt.given_up and world.cancel:
+            pending = self.waiting.popleft()
+            if pending.given_up and world.cancel:
                 continue
             shared = max(1.0, (len(self.running) + 1) / world.cores)
-            took = attempt.call.work * shared * self.slow / self.speed / self.warmth()
-            self.running[attempt] = self.life
-            self.fleet.heap.after(took, self.finish, attempt, self.life)
+            took = pending.call.work * shared * self.slow / self.speed / self.warmth()
+            self.running[pending] = self.life
+            self.fleet.heap.after(took, self.finish, pending, self.life)
 
-    def finish(self, attempt, life):
+    def finish(self, pending, life):
         if life != self.life:
             return
         if self.hanging:  # it stands still with all that it has
-            self.running.pop(attempt, None)
-            self.waiting.appendleft(attempt)
+            self.running.pop(pending, None)
+            self.waiting.appendleft(pending)
             return
-        self.running.pop(attempt, None)
+        self.running.pop(pending, None)
         if self.rng.random() < self.failing:
-            self.reply(attempt, api.ERROR)
+            self.reply(pending, api.ERROR)
         else:
-            self.fleet.note(Ran(self.fleet.heap.now, attempt.rpc, self.name))
-            self.fleet.worked += attempt.call.work
+            self.fleet.note(Ran(self.fleet.heap.now, pending.rpc, self.name))
+            self.fleet.worked += pending.call.work
             lost = self.rng.random() < self.fleet.answers_lost
-            self.reply(attempt, api.RESET if lost else api.OK)
+            self.reply(pending, api.RESET if lost else api.OK)
         self.begin()
 
-    def reply(self, attempt, outcome):
+    def reply(self, pending, outcome):
         """The gateway hears, unless a link is cut or the host is silent."""
         delay = (
             None
             if self.silent
-            else self.fleet.network.delay(self.zone, attempt.node.zone, self.rng)
+            else self.fleet.network.delay(self.zone, pending.node.zone, self.rng)
         )
         if delay is not None:
-            self.fleet.heap.after(delay, attempt.node.outcome, attempt, outcome)
+            self.fleet.heap.after(delay, pending.node.outcome, pending, outcome)
 
     def kill(self):
         """The process dies: what it had is broken off, and its life's work with it."""
         self.alive, self.life = False, self.life + 1
         held, self.running = list(self.running) + list(self.waiting), {}
         self.waiting.clear()
-        for attempt in held:
-            self.reply(attempt, api.RESET)
+        for pending in held:
+            self.reply(pending, api.RESET)
 
     def start(self):
         """A new process, cold."""
--- a/petrellane/simulation/quotas.py
+++ b/petrellane/simulation/quotas.py
@@ -53,10 +53,10 @@
             and min(plan.store, seen + plan.rate * self.late) - sum(units for _, units in own)
             < rpc.units
         ):
-            rpc.ended = True
-            return [api.PushBack(rpc, 0.0, "credit")]
+            rpc.is_finished = True
+            return [api.Reject(rpc, 0.0, "credit")]
         steps = super().place(now, rpc)
-        if any(isinstance(step, api.CallOut) for step in steps):
+        if any(isinstance(step, api.SendAttempt) for step in steps):
             own.append((now, rpc.units))
             self.past.take(name, plan, now, rpc.units)
         return steps
--- a/petrellane/simulation/shrinking.py
+++ b/petrellane/simulation/shrinking.py
@@ -62,7 +62,7 @@
     late: float
     p50: float
     p99: float
-    call_outs: float
+    attempts: float
 
 
 def served(run: Run, since: float) -> Served:
--- a/petrellane/testbed/hollow.py
+++ b/petrellane/testbed/hollow.py
@@ -41,13 +41,13 @@
 LINE = 300  # times in one line of the log, which then goes whole
 
 
-class Attempt:
+class PendingAttempt:
     """A call-out that is out nowhere."""
 
-    __slots__ = ("call_out",)
+    __slots__ = ("attempt",)
 
-    def __init__(self, call_out):
-        self.call_out = call_out
+    def __init__(self, attempt):
+        self.attempt = attempt
 
 
 class Answering:
@@ -68,24 +68,24 @@
     def gone(self, host):
         """Nobody is connected."""
 
-    def send(self, exchange, call_out):
-        took = min(self.random.expovariate(1 / WORK), call_out.timeout)
-        self.out[call_out] = self.scheduler.after(took, lambda: self.over(call_out, api.OK))
+    def send(self, exchange, attempt):
+        took = min(self.random.expovariate(1 / WORK), attempt.timeout)
+        self.out[attempt] = self.scheduler.after(took, lambda: self.over(attempt, api.OK))
 
-    def over(self, call_out, outcome):
-        if timer := self.out.pop(call_out, None):
+    def over(self, attempt, outcome):
+        if timer := self.out.pop(attempt, None):
             timer.cancel()
-            self.ended(Attempt(call_out), outcome, b"x", b"")
+            self.ended(PendingAttempt(attempt), outcome, b"x", b"")
 
-    def cancel(self, call_out):
-        self.scheduler.soon(self.over, call_out, api.CANCELLED)
+    def cancel(self, attempt):
+        self.scheduler.soon(self.over, attempt, api.CANCELLED)
 
-    def left(self, call_outs, may_cancel=True):
+    def left(self, attempts, may_cancel=True):
         """No client leaves."""
 
-    def run_out(self, call_outs):
-        for call_out in call_outs:
-            self.over(call_out, api.LATE)
+    def run_out(self, attempts):
+        for attempt in attempts:
+            self.over(attempt, api.LATE)
 
 
 class Watch(Discovery):
--- a/tests/choosing.py
+++ b/tests/choosing.py
@@ -15,29 +15,29 @@
 
 from petrellane.decisions import controller
 from petrellane.decisions import types as api
-from petrellane.decisions.controller import Fleet, Gateway, mean
-from petrellane.decisions.endpoint_index import Groups, Highest, Hosts, Starts
+from petrellane.decisions.controller import AdmissionController, LoadBalancer, mean
+from petrellane.decisions.endpoint_index import EndpointList, Groups, Highest, Starts
 
 SETTINGS = dict(
     zone="z1",
-    counter=False,
+    uses_counter=False,
     counter_timeout=0.05,
     may_cancel=True,
-    max_wait=0.5,
-    cold=10.0,
-    cold_from=0.25,
-    cross_zone=0.5,
-    must_ask=False,
+    max_retry_after=0.5,
+    slow_start=10.0,
+    slow_start_minimum=0.25,
+    cross_zone_price=0.5,
+    must_watch=False,
 )
 
 
-class PlainHosts(Hosts):
+class PlainHosts(EndpointList):
     """Warmth and readiness worked out host by host, each time anew."""
 
     def warmth(self, host, now):
         share = (
-            max(0.0, now - host.up_since) / self.cold_for
-            if host.up_since and self.cold_for
+            max(0.0, now - host.started_at) / self.cold_for
+            if host.started_at and self.cold_for
             else 1.0
         )
         return min(1.0, self.cold_from + (1 - self.cold_from) * share)
@@ -50,26 +50,26 @@
                 if host.state == api.READY
                 and self.cold_for
                 and self.cold_from < 1
-                and host.up_since > now - self.cold_for
+                and host.started_at > now - self.cold_for
             ),
-            key=lambda host: host.up_since,
+            key=lambda host: host.started_at,
         )
 
     def cold(self, now):
         super().cold(now)  # the index keeps pace, as draws from it are checked against the walk
-        return sum(host.share * self.warmth(host, now) for host in self.cold_ones(now))
+        return sum(host.weight * self.warmth(host, now) for host in self.cold_ones(now))
 
     def cold_at(self, lot, now):
         sums = list(
             itertools.accumulate(
-                host.share * self.warmth(host, now) for host in self.cold_ones(now)
+                host.weight * self.warmth(host, now) for host in self.cold_ones(now)
             )
         )
         return self.cold_ones(now)[min(bisect.bisect_right(sums, lot), len(sums) - 1)]
 
     def capacity(self, now):
         self.warm_up(now)
-        return sum(host.share * self.warmth(host, now) for host in self if host.state == api.READY)
+        return sum(host.weight * self.warmth(host, now) for host in self if host.state == api.READY)
 
     def some(self, sample, number):
         assert set(self.ready()) == {host for host in self if host.state == api.READY}
@@ -89,14 +89,14 @@
         return super().warm_up(now)
 
 
-class PlainFleet(Fleet):
+class PlainFleet(LoadBalancer):
     """Rooms worked out for each host in use at each draw, none kept."""
 
     def typical(self, method):
-        return mean(self.tooks.get(method.root, ()), method.soft_deadline / 8)
+        return mean(self.tooks.get(method.identity, ()), method.latency_objective / 8)
 
-    def draw(self, now, rpc, scope):
-        method, tried = rpc.method, {call_out.host for call_out in rpc.call_outs}
+    def pick_endpoint(self, now, rpc, scope):
+        method, tried = rpc.method, {attempt.endpoint for attempt in rpc.attempts}
         if cold := self.hosts.cold(now):
             lot = self.random() * self.whole(now)
             host = self.hosts.cold_at(lot, now) if lot < cold else None
@@ -131,17 +131,17 @@
         pool = [pair for pair in fair if lags[pair[0]] < controller.BEHIND]
         if not pool:
             return None
-        usual = 1 + mean(len(health.out) / host.share for host, health in pool)
+        usual = 1 + mean(len(health.out) / host.weight for host, health in pool)
         return self.choices(
             pool, [self.plain_room(*pair, method, now, usual, lags[pair[0]]) for pair in pool]
         )[0][0]
 
     def plain_room(self, host, health, method, now, usual, lag):
-        recent = health.recent(method.root, now)
+        recent = health.recent(method.identity, now)
         fine = (sum(sample[2] == api.OK for sample in recent) + 2) / (len(recent) + 2)
-        load = 1 + len(health.out) / host.share / usual
+        load = 1 + len(health.out) / host.weight / usual
         local = self.local[1] if host.zone == self.local[0] else 1.0
-        return local * host.share * (fine / lag / load) ** 2
+        return local * host.weight * (fine / lag / load) ** 2
 
 
 class Play:
@@ -154,7 +154,7 @@
     )
 
     def __init__(self, seed, hosts, plain=False):
-        self.gateway, self.now, self.said = Gateway(seed=seed, **SETTINGS), 1e6, []
+        self.gateway, self.now, self.said = AdmissionController(seed=seed, **SETTINGS), 1e6, []
         self.due, self.order = [], itertools.count()
         if plain:
             self.gateway.fleet.__class__, self.gateway.fleet.hosts.__class__ = (
@@ -163,13 +163,13 @@
             )
         self.chance = random.Random(f"play {seed}")
         self.methods = [
-            api.Method(name, 0.5, 2.0, effect, scope, 1.5, late_utility=0.5)
+            api.Method(name, 0.5, 2.0, effect, scope, 1.5, late_priority_weight=0.5)
             for name, effect, scope in self.METHODS
         ]
         self.customer = api.Customer("c", api.Plan("p"))
-        self.hosts = [api.Host(f"h{number}") for number in range(hosts)]
+        self.hosts = [api.Endpoint(f"h{number}") for number in range(hosts)]
         self.rows = [
-            api.Listing(
+            api.EndpointEvent(
                 host,
                 f"z{number % 3}",
                 "",
@@ -180,27 +180,31 @@
             )
             for number, host in enumerate(self.hosts)
         ]
-        self.carry(self.gateway.started(self.now))
-        self.carry(self.gateway.listed(self.now, True, self.rows))
+        self.carry(self.gateway.start(self.now))
+        self.carry(self.gateway.on_endpoint_events(self.now, True, self.rows))
 
     def carry(self, steps):
         for step in steps:
             rpc = getattr(step, "rpc", None)
             about = (
-                step.host.address if isinstance(step, api.CallOut) else getattr(step, "cause", "")
+                step.endpoint.address
+                if isinstance(step, api.SendAttempt)
+                else getattr(step, "reason", "")
             )
-            self.said.append((round(self.now, 6), type(step).__name__, about, rpc and rpc.arrived))
-            if isinstance(step, api.CallOut):
+            self.said.append(
+                (round(self.now, 6), type(step).__name__, about, rpc and rpc.arrived_at)
+            )
+            if isinstance(step, api.SendAttempt):
                 outcome = self.chance.choices(
                     (api.OK, api.ERROR, api.FULL, api.UNREACHABLE, api.RESET, api.LATE),
                     (80, 4, 6, 4, 3, 3),
                 )[0]
                 took = self.chance.expovariate(1 / 0.08)
                 heapq.heappush(self.due, (self.now + took, next(self.order), step, outcome, took))
-            elif isinstance(step, api.Cancel):
-                step.call_out.outcome = "to be cancelled"
-            elif isinstance(step, api.Wake):
-                heapq.heappush(self.due, (self.now + step.after, next(self.order), step, "", 0.0))
+            elif isinstance(step, api.CancelAttempt):
+                step.attempt.outcome = "to be cancelled"
+            elif isinstance(step, api.SetTimer):
+                heapq.heappush(self.due, (self.now + step.delay, next(self.order), step, "", 0.0))
 
     def run(self, rpcs, rate, changes=0.0):
         """So many RPCs, that many a second; as a share of them, changes of the list."""
@@ -209,12 +213,12 @@
             while self.due and self.due[0][0] <= self.now:
                 at, _, step, outcome, took = heapq.heappop(self.due)
                 at, self.now = self.now, at
-                if isinstance(step, api.Wake):
-                    self.carry(self.gateway.woken(self.now, step.about))
+                if isinstance(step, api.SetTimer):
+                    self.carry(self.gateway.on_timer(self.now, step.subject))
                 else:
                     outcome = api.CANCELLED if step.outcome else outcome
                     self.carry(
-                        self.gateway.again(
+                        self.gateway.on_attempt_ended(
                             self.now, step, outcome, over=outcome == api.OK, took=took
                         )
                     )
@@ -227,7 +231,7 @@
         rpc = api.Rpc(
             self.chance.choice(self.methods), self.customer, 1.0, self.now + 2.0, self.now
         )
-        self.carry(self.gateway.place(self.now, rpc))
+        self.carry(self.gateway.admit(self.now, rpc))
 
     def change(self):
         """Some hosts drain, go, come back cold, move or weigh otherwise; now and then the whole list comes."""
@@ -239,27 +243,27 @@
                 row = row._replace(state=self.chance.choice((api.DRAINING, api.GONE)))
             elif what < 0.8:
                 row = row._replace(
-                    state=api.READY, up_since=self.now - self.chance.uniform(-0.2, 0.5)
+                    state=api.READY, started_at=self.now - self.chance.uniform(-0.2, 0.5)
                 )
             elif what < 0.9:
-                row = row._replace(share=self.chance.choice((0.0, 1.0, 3.0)))
+                row = row._replace(weight=self.chance.choice((0.0, 1.0, 3.0)))
             else:
                 row = row._replace(zone=f"z{self.chance.randrange(3)}")
             self.rows[at] = row
-            self.carry(self.gateway.listed(self.now, False, [row]))
+            self.carry(self.gateway.on_endpoint_events(self.now, False, [row]))
         if self.chance.random() < 0.2:
             self.rows.sort(key=lambda row: self.chance.random())
             named = [
                 row for row in self.rows if row.state != api.GONE and self.chance.random() < 0.95
             ]
-            self.carry(self.gateway.listed(self.now, True, named))
+            self.carry(self.gateway.on_endpoint_events(self.now, True, named))
         if self.chance.random() < 0.1:
-            same = ("zone", "counter_timeout", "may_cancel", "max_wait", "cross_zone")
-            self.gateway.renewed(
+            same = ("zone", "counter_timeout", "may_cancel", "max_retry_after", "cross_zone_price")
+            self.gateway.reconfigure(
                 **{key: SETTINGS[key] for key in same},
-                cold=self.chance.choice((0.0, 5.0, 10.0)),
-                cold_from=self.chance.choice((0.25, 1.0)),
-                roots={method.root for method in self.methods},
+                slow_start=self.chance.choice((0.0, 5.0, 10.0)),
+                slow_start_minimum=self.chance.choice((0.25, 1.0)),
+                method_identities={method.identity for method in self.methods},
             )
 
 
@@ -274,7 +278,7 @@
                 for play in (kept, plain):
                     play.run(400, (20.0, 150.0)[seed % 2], changes=0.05)
                 self.assertEqual(kept.said, plain.said)
-                self.assertGreater(sum(one[1] == "CallOut" for one in kept.said), 100)
+                self.assertGreater(sum(one[1] == "SendAttempt" for one in kept.said), 100)
 
 
 def operations(call):
@@ -302,10 +306,10 @@
     def cost(self, hosts):
         play = Play(1, hosts)
         play.rows = [
-            row._replace(up_since=play.now - number % 12 if number % 12 == 0 else 0.0)
+            row._replace(started_at=play.now - number % 12 if number % 12 == 0 else 0.0)
             for number, row in enumerate(play.rows)
         ]  # one in twelve is cold
-        play.carry(play.gateway.listed(play.now, True, play.rows))
+        play.carry(play.gateway.on_endpoint_events(play.now, True, play.rows))
         play.run(60, 30.0)
         placed = sorted(operations(play.place) for _ in range(30))
         changed = {True: [], False: []}
@@ -313,13 +317,13 @@
             for state in (api.DRAINING, api.READY):
 
                 def told(row=row, state=state):
-                    play.gateway.listed(play.now, False, [row._replace(state=state)])
+                    play.gateway.on_endpoint_events(play.now, False, [row._replace(state=state)])
                     play.gateway.fleet.hosts.capacity(
                         play.now
                     )  # what a later RPC would have to bring up to date
 
-                changed[bool(row.up_since)].append(operations(told))
-        cold = sum(bool(row.up_since) for row in play.rows)
+                changed[bool(row.started_at)].append(operations(told))
+        cold = sum(bool(row.started_at) for row in play.rows)
         return placed[-2], sorted(changed[False])[-2], sorted(changed[True])[-2], cold
 
     def test_a_hundred_times_the_hosts_cost_the_same(self):
@@ -388,10 +392,10 @@
             )
 
     def test_a_host_far_in_the_future_or_without_a_start_is_no_trouble(self):
-        hosts = Hosts(object)
+        hosts = EndpointList(object)
         hosts.warms(10.0, 0.0)
         rows = [
-            api.Listing(api.Host(f"h{at}"), "", "", 0, api.READY, 1.0, start)
+            api.EndpointEvent(api.Endpoint(f"h{at}"), "", "", 0, api.READY, 1.0, start)
             for at, start in enumerate((0.0, 99.0, 500.0))
         ]
         hosts.listed(100.0, True, rows)
--- a/tests/lab/planted.py
+++ b/tests/lab/planted.py
@@ -115,28 +115,28 @@
 
 def goes_on_to_drained():
     """A gateway that sends on to hosts that drain."""
-    from petrellane.decisions.controller import READY, Fleet
+    from petrellane.decisions.controller import READY, LoadBalancer
 
-    listed = Fleet.listed
+    listed = LoadBalancer.listed
 
     def planted(self, now, full, listings):
         listed(self, now, full, [row._replace(state=READY) for row in listings])
 
-    Fleet.listed = planted
+    LoadBalancer.listed = planted
 
 
 def emptiest_first():
     """A gateway that fills the host that started last, as it looks empty."""
-    from petrellane.decisions.controller import Fleet
+    from petrellane.decisions.controller import LoadBalancer
 
-    draw = Fleet.draw
+    pick_endpoint = LoadBalancer.pick_endpoint
 
     def planted(self, now, rpc, scope):
-        newest = max(self.hosts, key=lambda host: host.up_since)
-        fits = newest.up_since and scope in (None, newest.zone, newest.pod)
-        return newest if fits else draw(self, now, rpc, scope)
+        newest = max(self.hosts, key=lambda host: host.started_at)
+        fits = newest.started_at and scope in (None, newest.zone, newest.pod)
+        return newest if fits else pick_endpoint(self, now, rpc, scope)
 
-    Fleet.draw = planted
+    LoadBalancer.pick_endpoint = planted
 
 
 def waits_for_discovery():
@@ -156,9 +156,9 @@
 
 def runs_twice():
     """A gateway to which every method may run again."""
-    from petrellane.decisions.controller import Gateway
+    from petrellane.decisions.controller import AdmissionController
 
-    Gateway.retry_targets = lambda self, now, rpc: (None, float("inf"))
+    AdmissionController.retry_targets = lambda self, now, rpc: (None, float("inf"))
 
 
 if __name__ == "__main__":
--- a/tests/model/planted.py
+++ b/tests/model/planted.py
@@ -25,7 +25,7 @@
         compile(text.replace(change["before"], change["after"]), change["name"], "exec"),
         module.__dict__,
     )
-    return module.Gateway
+    return module.AdmissionController
 
 
 def needed(change, first=0):
--- a/tests/operation/cases.py
+++ b/tests/operation/cases.py
@@ -12,7 +12,7 @@
 
 from petrellane import config
 from petrellane.decisions import types as api
-from petrellane.decisions.controller import Gateway
+from petrellane.decisions.controller import AdmissionController
 from petrellane.gateway.response_relay import Account
 from petrellane.net.limits import Limits
 from petrellane.operation import hot_restart, management_calls
@@ -22,14 +22,14 @@
 
 SETTINGS = dict(
     zone="z",
-    counter=True,
+    uses_counter=True,
     counter_timeout=0.05,
     may_cancel=True,
-    max_wait=0.5,
-    cold=10.0,
-    cold_from=0.25,
-    cross_zone=0.0,
-    must_ask=False,
+    max_retry_after=0.5,
+    slow_start=10.0,
+    slow_start_minimum=0.25,
+    cross_zone_price=0.0,
+    must_watch=False,
 )
 
 
@@ -159,8 +159,8 @@
 
     def lease(self, plan, rpcs=()):
         """A gateway's leases with one of this plan, some of its ceiling spent by RPCs that wait."""
-        gateway = Gateway(**SETTINGS, seed=1)
-        gateway.started(100.0)
+        gateway = AdmissionController(**SETTINGS, seed=1)
+        gateway.start(100.0)
         customer = api.Customer("c", plan)
         lease = gateway.leases.of(customer, 110.0)
         lease.waiting += rpcs
@@ -168,7 +168,7 @@
 
     def test_what_is_given_has_one_holder(self):
         """Ceiling and credit are the new process's, but for what waits here; here neither grows any more."""
-        plan = api.Plan("p", rate=5.0, store=10.0, ceiling_rate=2.0, ceiling_burst=8.0)
+        plan = api.Plan("p", rate=5.0, burst=10.0, hard_limit_rate=2.0, hard_limit_burst=8.0)
         waits = api.Rpc(api.Method("m", 1.0, 2.0), api.Customer("c", plan), 3.0, 112.0, 110.0)
         old, lease = self.lease(plan, [waits])
         before, lease.held, lease.out = lease.fill_ceiling(110.0), 4.0, 2
@@ -176,8 +176,8 @@
             row for message in hot_restart.given(old, 110.0) for row in message.get("leases", ())
         ]
         rows = orjson.loads(orjson.dumps(rows))
-        new = Gateway(**SETTINGS, seed=2)
-        new.started(110.0)
+        new = AdmissionController(**SETTINGS, seed=2)
+        new.start(110.0)
         customers = {"c": api.Customer("c", plan)}
         number = hot_restart.taken(
             new, 110.0, rows + [{"customer": "c"}, {}], lambda name, *_: customers[name]
@@ -198,19 +198,19 @@
         gateway, lease = self.lease(api.Plan("open"))
         lease.held = lease.got = float("inf")
         messages = orjson.loads(orjson.dumps(hot_restart.given(gateway, 110.0)))
-        new = Gateway(**SETTINGS, seed=2)
-        new.started(110.0)
+        new = AdmissionController(**SETTINGS, seed=2)
+        new.start(110.0)
         customer = api.Customer("c", api.Plan("open"))
         hot_restart.taken(new, 110.0, messages[0]["leases"], lambda *_: customer)
         self.assertEqual(new.leases.of(customer, 110.0).held, 0.0)
         for _ in range(2):
-            new.place(110.0, api.Rpc(api.Method("m", 1.0, 2.0), customer, 3.0, 112.0, 110.0))
+            new.admit(110.0, api.Rpc(api.Method("m", 1.0, 2.0), customer, 3.0, 112.0, 110.0))
 
     def test_an_old_process_that_gives_nothing(self):
         """Its shares may still fill: a customer's ceiling fills in one process at a time."""
         gateway, _ = self.lease(api.Plan("q"))
         hot_restart.beside(gateway, 110.0)
-        plan = api.Plan("p", rate=5.0, store=10.0, ceiling_rate=2.0, ceiling_burst=8.0)
+        plan = api.Plan("p", rate=5.0, burst=10.0, hard_limit_rate=2.0, hard_limit_burst=8.0)
         lease = gateway.leases.of(api.Customer("d", plan), 111.0)
         self.assertEqual([lease.fill_ceiling(at) for at in (112.0, 119.9, 121.0)], [0.0, 0.0, 2.0])
 
@@ -226,13 +226,15 @@
         """Neither its ceiling nor what is out is lost or made anew; the window that runs goes on to its end, with what the
         new plan gives in so long, and the next is the new plan's."""
         customer = api.Customer(
-            "c", api.Plan("p", rate=5.0, store=10.0, ceiling_rate=2.0, ceiling_burst=8.0)
+            "c", api.Plan("p", rate=5.0, burst=10.0, hard_limit_rate=2.0, hard_limit_burst=8.0)
         )
-        gateway = Gateway(**SETTINGS, seed=1)
-        gateway.started(100.0)
+        gateway = AdmissionController(**SETTINGS, seed=1)
+        gateway.start(100.0)
         lease = gateway.leases.of(customer, 101.0)
         before, lease.out, lease.held = lease.fill_ceiling(101.0), 3, 4.0
-        customer.plan = api.Plan("p", rate=1.0, store=10.0, ceiling_rate=1.0, ceiling_burst=8.0)
+        customer.plan = api.Plan(
+            "p", rate=1.0, burst=10.0, hard_limit_rate=1.0, hard_limit_burst=8.0
+        )
         self.assertIs(gateway.leases.of(customer, 101.0), lease)
         self.assertEqual(
             (lease.out, lease.fill_ceiling(101.0), lease.allowance, lease.held),
@@ -242,7 +244,9 @@
         self.assertLessEqual(ends, 103.0)
         gateway.leases.of(customer, ends)
         self.assertEqual((lease.allowance, lease.held, lease.length), (10.0, 0.0, 10.0))
-        customer.plan = api.Plan("p", rate=1.0, store=10.0, ceiling_rate=1.0, ceiling_burst=1.0)
+        customer.plan = api.Plan(
+            "p", rate=1.0, burst=10.0, hard_limit_rate=1.0, hard_limit_burst=1.0
+        )
         self.assertEqual(gateway.leases.of(customer, 101.0).fill_ceiling(101.0), 1.0)
 
     def test_what_is_known_of_a_method_outlives_its_change_and_not_its_end(self):
@@ -251,23 +255,25 @@
         told["classes"][0]["effect"] = "side_effect"
         del told["classes"][1]
         now = config.renewed(before, config.settings(config.Section(told, "settings")))
-        gateway = Gateway(seed=1, counter=True, must_ask=False, **before.gateway)
-        host, customer = api.Host("h"), api.Customer("c", before.plans["basic"])
-        gateway.started(0.0)
-        gateway.listed(0.0, True, [api.Listing(host, "", "", 0, api.READY, 1.0, 0.0)])
+        gateway = AdmissionController(seed=1, uses_counter=True, must_watch=False, **before.gateway)
+        host, customer = api.Endpoint("h"), api.Customer("c", before.plans["basic"])
+        gateway.start(0.0)
+        gateway.on_endpoint_events(
+            0.0, True, [api.EndpointEvent(host, "", "", 0, api.READY, 1.0, 0.0)]
+        )
         for name in ("look", "lodge"):
-            call_out = api.CallOut(
+            attempt = api.SendAttempt(
                 api.Rpc(before.methods[name], customer, 1.0, 9.0, 1.0), host, 0, 1.0, 8.0
             )
-            gateway.fleet.sent(call_out, 1.0)
-            gateway.again(1.1, call_out, api.OK, over=True, took=0.07)
-        gateway.renewed(**now.gateway)
+            gateway.fleet.sent(attempt, 1.0)
+            gateway.on_attempt_ended(1.1, attempt, api.OK, over=True, took=0.07)
+        gateway.reconfigure(**now.gateway)
         look = now.methods["look"]
         self.assertIsNot(look, before.methods["look"])
         self.assertIs(now.methods["post"], before.methods["post"])
         self.assertIs(now.plans["basic"], before.plans["basic"])
         self.assertAlmostEqual(gateway.fleet.typical(look), 0.07)
-        self.assertNotIn(before.methods["lodge"].root, gateway.fleet.tooks)
+        self.assertNotIn(before.methods["lodge"].identity, gateway.fleet.tooks)
 
     def test_a_file_that_lacks_what_the_one_in_force_has(self):
         before = config.read(copy.deepcopy(TOLD))
--- a/tests/operation/lists.py
+++ b/tests/operation/lists.py
@@ -74,8 +74,8 @@
             costs.append(self.cost(lambda before=before, now=now: config.renewed(before, now)))
             after = config.renewed(before, now)
             other = [name for name, row in after.methods.items() if row is not before.methods[name]]
-            self.assertEqual((other, after.methods["m0"].utility), (["m0"], 2.0))
-            self.assertIs(after.methods["m0"].root, before.methods["m0"].root)
+            self.assertEqual((other, after.methods["m0"].priority_weight), (["m0"], 2.0))
+            self.assertIs(after.methods["m0"].identity, before.methods["m0"].identity)
             self.assertTrue(all(row is before.plans[name] for name, row in after.plans.items()))
         self.assertLessEqual(costs[1], 12 * costs[0])
 
@@ -137,8 +137,8 @@
         net.do_world("a", "b")
         net.do_connect("c")
         self.told, self.checked = [], []  # (turn, rows) and the turns of checked rows
-        self.tell, check = net.node.driver.gateway.listed, config.host_entry
-        net.node.driver.gateway.listed = self.listed
+        self.tell, check = net.node.driver.gateway.on_endpoint_events, config.host_entry
+        net.node.driver.gateway.on_endpoint_events = self.listed
         patch = mock.patch.object(
             config, "host_entry", lambda row: self.checked.append(net.turned) or check(row)
         )
@@ -175,7 +175,7 @@
         """The names in the order in which the module was told of them, each with its state."""
         by_host = {host: name for name, host in self.before.items()}
         return [
-            (by_host.get(row.host, row.host.address), row.state)
+            (by_host.get(row.endpoint, row.endpoint.address), row.state)
             for _, rows in self.told
             for row in rows
         ]
@@ -231,7 +231,7 @@
         self.in_force()
         self.assertEqual(({turn for turn, _ in self.told}, len(self.told)), (set(self.checked), 1))
         self.assertEqual(
-            [(row.state, row.host.address.endswith(":1")) for row in self.told[0][1]],
+            [(row.state, row.endpoint.address.endswith(":1")) for row in self.told[0][1]],
             [(api.READY, False), (api.DRAINING, True), (api.GONE, False)],
         )
 
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -10,7 +10,7 @@
 import unittest
 
 from petrellane.decisions import types as api
-from petrellane.decisions.controller import Gateway
+from petrellane.decisions.controller import AdmissionController
 from tests import known_red
 from tests.agreement.cases import CASES as AGREEMENT
 from tests.agreement.size import CASES as SIZE
@@ -30,26 +30,38 @@
 
 SETTINGS = dict(
     zone="z1",
-    counter=True,
+    uses_counter=True,
     counter_timeout=0.05,
     may_cancel=True,
-    max_wait=0.5,
-    cold=10.0,
-    cold_from=0.25,
-    cross_zone=0.0,
-    must_ask=False,
+    max_retry_after=0.5,
+    slow_start=10.0,
+    slow_start_minimum=0.25,
+    cross_zone_price=0.0,
+    must_watch=False,
 )
 PLAN_NAMES = dict(
-    burst="store",
-    ceiling="ceiling_rate",
-    top="ceiling_burst",
-    slack="ceiling_slack",
-    out="max_out",
-    cost="over_cost",
-    over="over_utility",
+    burst="burst",
+    ceiling="hard_limit_rate",
+    top="hard_limit_burst",
+    slack="hard_limit_slack",
+    out="max_in_flight",
+    cost="over_quota_cost",
+    over="over_quota_weight",
 )
+SETTING_NAMES = dict(
+    counter="uses_counter",
+    cold="slow_start",
+    cold_from="slow_start_minimum",
+    max_wait="max_retry_after",
+)
+CUSTOMER_NAMES = dict(first="first_gateway", spread="gateway_count")
 METHOD_NAMES = dict(
-    soft="soft_deadline", dl="deadline", scope="key_scope", keep="key_window", late="late_utility"
+    soft="latency_objective",
+    dl="deadline",
+    scope="key_scope",
+    keep="key_window",
+    late="late_priority_weight",
+    utility="priority_weight",
 )
 
 
@@ -86,24 +98,30 @@
     def take(self, steps):
         for step in steps:
             kind = type(step).__name__
-            if isinstance(step, api.Wake):
+            if isinstance(step, api.SetTimer):
                 self.wakes.append(
-                    (self.now + step.after, len(self.wakes), step.about, self.gateway)
+                    (self.now + step.delay, len(self.wakes), step.subject, self.gateway)
                 )
-            elif isinstance(step, api.Add):
+            elif isinstance(step, api.CounterAdd):
                 self.adds.append((step, self.gateway))
-            elif isinstance(step, api.Log):
+            elif isinstance(step, api.WriteLog):
                 self.log.append(step.text)
-            rpc = step.call_out.rpc if isinstance(step, api.Cancel) else getattr(step, "rpc", None)
+            rpc = (
+                step.attempt.rpc
+                if isinstance(step, api.CancelAttempt)
+                else getattr(step, "rpc", None)
+            )
             self.said.append((kind, rpc, step))
 
     def do_set(self, *words):
-        self.settings.update(options(words))
+        self.settings.update(
+            {SETTING_NAMES.get(key, key): val for key, val in options(words).items()}
+        )
 
     def do_method(self, name, effect, *words):
         given = {METHOD_NAMES.get(key, key): val for key, val in options(words).items()}
         self.methods[name] = api.Method(
-            name, **{"soft_deadline": 1.0, "deadline": 4.0, "effect": effect, **given}
+            name, **{"latency_objective": 1.0, "deadline": 4.0, "effect": effect, **given}
         )
 
     def do_plan(self, name, *words):
@@ -115,8 +133,8 @@
         self.begin()
 
     def begin(self):
-        self.gateway = Gateway(seed=self.seed, **self.settings)
-        self.take(self.gateway.started(self.now))
+        self.gateway = AdmissionController(seed=self.seed, **self.settings)
+        self.take(self.gateway.start(self.now))
         if self.hosts:
             self.list_all()
 
@@ -129,19 +147,19 @@
 
     def list_all(self):
         rows = [
-            api.Listing(h, h.zone, h.kind, h.pod, h.state, h.share, h.up_since)
+            api.EndpointEvent(h, h.zone, h.kind, h.pod, h.state, h.weight, h.started_at)
             for h in self.hosts.values()
         ]
-        self.take(self.gateway.listed(self.now, True, rows))
+        self.take(self.gateway.on_endpoint_events(self.now, True, rows))
 
     def do_host(self, *words):
         names = [word for word in words if "=" not in word]
         given = options(word for word in words if "=" in word)
         rows = []
         for name in names:
-            host = self.hosts.setdefault(name, api.Host(name))
+            host = self.hosts.setdefault(name, api.Endpoint(name))
             rows.append(
-                api.Listing(
+                api.EndpointEvent(
                     host,
                     given.get("zone", "z1"),
                     "std",
@@ -151,7 +169,7 @@
                     self.now - given["age"] if "age" in given else 0.0,
                 )
             )
-        self.take(self.gateway.listed(self.now, False, rows))
+        self.take(self.gateway.on_endpoint_events(self.now, False, rows))
 
     def do_list(self, *names):
         self.hosts = {name: self.hosts[name] for name in names}
@@ -159,7 +177,7 @@
 
     def do_customer(self, name, plan, *words):
         self.customers[name] = api.Customer(
-            name, self.plans[plan], **{k: int(v) for k, v in options(words).items()}
+            name, self.plans[plan], **{CUSTOMER_NAMES[k]: int(v) for k, v in options(words).items()}
         )
 
     def do_retune(self, name, plan):
@@ -175,7 +193,7 @@
             self.now + given.get("left", 4.0),
             self.now,
         )
-        self.take(self.gateway.place(self.now, rpc))
+        self.take(self.gateway.admit(self.now, rpc))
 
     def do_flood(self, count, method, customer, *words):
         given = options(words)
@@ -189,7 +207,7 @@
             if given.get("count") == "ok":
                 self.do_count("ok")
             rpc = self.rpcs[f"flood{index}"]
-            if "serve" in given and rpc.call_outs:
+            if "serve" in given and rpc.attempts:
                 self.end(rpc, given.get("as", api.OK), given["serve"])
             self.do_wait(str(given.get("every", 0)))
 
@@ -208,7 +226,7 @@
             self.wakes.remove(wake)
             self.now = max(self.now, wake[0])
             with self.acting(wake[3]):
-                self.take(self.gateway.woken(self.now, wake[2]))
+                self.take(self.gateway.on_timer(self.now, wake[2]))
         self.now = until
 
     def do_count(self, outcome, *words):
@@ -223,7 +241,7 @@
                     self.ledger.get(add.name, given.get("others", 0.0)) + add.amount
                 )
             with self.acting(asker):
-                self.take(self.gateway.counted(self.now, add, outcome, total))
+                self.take(self.gateway.on_counter_reply(self.now, add, outcome, total))
 
     @contextlib.contextmanager
     def acting(self, gateway):
@@ -232,11 +250,11 @@
         self.gateway = before
 
     def end(self, rpc, outcome, took=0.1, units=0.0):
-        call_out = rpc.call_outs[-1]
-        assert not call_out.outcome, "it has no call-out out"
+        attempt = rpc.attempts[-1]
+        assert not attempt.outcome, "it has no call-out out"
         self.take(
-            self.gateway.again(
-                self.now, call_out, outcome, over=outcome == api.OK, took=took, units=units
+            self.gateway.on_attempt_ended(
+                self.now, attempt, outcome, over=outcome == api.OK, took=took, units=units
             )
         )
 
@@ -245,15 +263,15 @@
 
     def do_serve(self):
         for rpc in self.rpcs.values():
-            if rpc.call_outs and not rpc.call_outs[-1].outcome:
+            if rpc.attempts and not rpc.attempts[-1].outcome:
                 self.end(rpc, api.OK)
 
     def do_leave(self, name):
-        self.take(self.gateway.left(self.now, self.rpcs[name]))
+        self.take(self.gateway.on_client_disconnected(self.now, self.rpcs[name]))
 
     def do_unknown(self, *words):
-        self.take(self.gateway.woken(self.now, "nobody"))
-        self.take(self.gateway.counted(self.now, api.Add(7, 1.0, 1.0), "odd", 0.0))
+        self.take(self.gateway.on_timer(self.now, "nobody"))
+        self.take(self.gateway.on_counter_reply(self.now, api.CounterAdd(7, 1.0, 1.0), "odd", 0.0))
 
     def do_expect(self, what, *words):
         if what == "log":
@@ -265,31 +283,33 @@
             assert kinds == [], kinds
             return
         wanted = {
-            "sent": "CallOut",
-            "pushed-back": "PushBack",
+            "sent": "SendAttempt",
+            "pushed-back": "Reject",
             "aborted": "Abort",
-            "cancelled": "Cancel",
+            "cancelled": "CancelAttempt",
         }[what]
         assert kinds and kinds[-1] == wanted, kinds
         on = options(words[1:]).get("on")
-        assert on is None or rpc.call_outs[-1].host.address in on.split(","), rpc.call_outs[
+        assert on is None or rpc.attempts[-1].endpoint.address in on.split(","), rpc.attempts[
             -1
         ].host.address
         self.said = [entry for entry in self.said if entry[1] is not rpc]
 
     def do_tally(self, kind, low, high):
         if kind == "asked":
-            number = sum(step.amount for name, _, step in self.said if name == "Add")
+            number = sum(step.amount for name, _, step in self.said if name == "CounterAdd")
         elif kind.startswith("on:"):
             number = sum(
-                name == "CallOut" and step.host.address in kind[3:].split(",")
+                name == "SendAttempt" and step.endpoint.address in kind[3:].split(",")
                 for name, _, step in self.said
             )
         elif kind == "hosts":
-            number = len({step.host for name, _, step in self.said if name == "CallOut"})
+            number = len({step.endpoint for name, _, step in self.said if name == "SendAttempt"})
         elif kind == "units":
             number = sum(
-                rpc.units for name, rpc, step in self.said if name == "CallOut" and step.number == 0
+                rpc.units
+                for name, rpc, step in self.said
+                if name == "SendAttempt" and step.number == 0
             )
         else:
             number = sum(name == kind for name, _, _ in self.said)
@@ -320,7 +340,9 @@
             self.do_customer(name, "basic", "spread=2")
         self.do_customer("bob", "capped", "spread=2")
         self.do_customer("eve", "open", "spread=2")
-        self.settings.update(options(words))
+        self.settings.update(
+            {SETTING_NAMES.get(key, key): val for key, val in options(words).items()}
+        )
         self.do_start()
         self.do_host("a", "b", "zone=z1", "pod=1")
         self.do_host("c", "d", "zone=z2", "pod=2")
--- a/tests/spread/cases.py
+++ b/tests/spread/cases.py
@@ -14,7 +14,7 @@
 
 from petrellane import invariants
 from petrellane.decisions import types as api
-from petrellane.decisions.controller import Gateway
+from petrellane.decisions.controller import AdmissionController
 from petrellane.load_distribution import commands, sources
 from petrellane.load_distribution.figures import Told, figures, herd, idle, span, swing, windows
 from petrellane.simulation import shrinking
@@ -367,34 +367,37 @@
 
     def pressure(self, takes, every=0.15):
         """The pressure after RPCs that took so long, one at a time, of a soft deadline of a second."""
-        gateway = Gateway(
+        gateway = AdmissionController(
             seed=1,
-            counter=False,
-            must_ask=False,
+            uses_counter=False,
+            must_watch=False,
             zone="z",
             counter_timeout=0.05,
             may_cancel=True,
-            max_wait=0.5,
-            cold=0.0,
-            cold_from=1.0,
-            cross_zone=0.0,
+            max_retry_after=0.5,
+            slow_start=0.0,
+            slow_start_minimum=1.0,
+            cross_zone_price=0.0,
         )
-        gateway.started(100.0)
-        gateway.listed(
+        gateway.start(100.0)
+        gateway.on_endpoint_events(
             100.0,
             True,
-            [api.Listing(api.Host(f"h{at}"), "z", "", 0, api.READY, 1.0, 0.0) for at in range(20)],
+            [
+                api.EndpointEvent(api.Endpoint(f"h{at}"), "z", "", 0, api.READY, 1.0, 0.0)
+                for at in range(20)
+            ],
         )
         method, customer = api.Method("m", 1.0, 4.0), api.Customer("c", api.Plan("p"))
         now = 100.0
         for took in takes:
             now += max(every, took)
             rpc = api.Rpc(method, customer, 1.0, now + 4.0, now)
-            call_out = next(
-                step for step in gateway.place(now, rpc) if isinstance(step, api.CallOut)
+            attempt = next(
+                step for step in gateway.admit(now, rpc) if isinstance(step, api.SendAttempt)
             )
-            gateway.again(
-                now + took, call_out, api.OK, over=True, took=took
+            gateway.on_attempt_ended(
+                now + took, attempt, api.OK, over=True, took=took
             )  # the next comes later
         return gateway.fleet.pressure(now + took)
 
