--- a/tests/lab/cases.py
+++ b/tests/lab/cases.py
@@ -1065,9 +1065,7 @@
         names = {row.rpartition("|")[2].strip() for row in rows}
         self.assertIn("petrellane.gateway.process", names)
         ours = {name.split(".")[1] for name in names if name.startswith("petrellane.")}
-        self.assertLessEqual(
-            ours, {"choice", "config", "gateway", "hosts", "interface", "net", "operation"}
-        )
+        self.assertLessEqual(ours, {"config", "decisions", "gateway", "net", "operation"})
         self.assertFalse(
             {name.partition(".")[0] for name in names}
             & {"typer", "click", "rich", "msgspec", "tomllib"}
