--- a/benchmarks/left.py
+++ b/benchmarks/left.py
@@ -6,7 +6,7 @@
 some time within their patience, while hosts fail half of what they take or turn all away, connections to hosts come up late
 (a third of them, by up to 1.5 s) or never, hosts are slow, the counter says nothing, and gateways are stopped for a while.
 In bursts, hundreds come to one gateway and leave it all at once, while others give it many commands in one go (`--quiet`:
-without these). What is counted is defined in docs/acceptance.md: attempts, first and further, that begin more than 0.1 s
+without these). What is counted is defined in docs/history/acceptance.md: attempts, first and further, that begin more than 0.1 s
 after their client's end. An attempt begins when a relay reads it, or when its connection has come up at the host, if that
 is later; the rig's own turns make that later by at most `rig`. `--build` plays another checkout's program. A row a seed,
 what was seen of each RPC behind a break, and one JSON line last; exit code 1 when an attempt began late.
--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -2,7 +2,7 @@
 
     python benchmarks/quota.py [--gateways 3,40,200] [--seeds 5] [--seconds 20] [--late 0.25] [--jobs N]
 
-The definition is in docs/acceptance.md. A row for each fleet and plan: medians over seeds with the least and the most. One
+The definition is in docs/history/acceptance.md. A row for each fleet and plan: medians over seeds with the least and the most. One
 JSON line last, with every run.
 """
 
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -116,7 +116,7 @@
     ] = "",
     seed: Annotated[int, typer.Option(help="Of the draws that tell what chance gives.")] = 0,
 ):
-    """How even load is over hosts: peaks, troughs, idle hosts, herds and swings; docs/spread.md defines them."""
+    """How even load is over hosts: peaks, troughs, idle hosts, herds and swings; docs/history/load-distribution.md defines them."""
     from petrellane.load_distribution import commands
     from petrellane.load_distribution.sources import SpreadError
 
@@ -147,7 +147,7 @@
 
 @app.command()
 def control(
-    file: Annotated[str, typer.Argument(help="A TOML file; docs/agreeing.md names its keys.")],
+    file: Annotated[str, typer.Argument(help="A TOML file; docs/changing-settings.md names its keys.")],
 ):
     """Run the control process that staff propose settings to, until SIGTERM."""
     from petrellane.config import ConfigError
@@ -246,7 +246,7 @@
 
 @lab_app.command("run")
 def lab_run(
-    file: Annotated[str, typer.Argument(help="A run file; docs/lab.md has the notation.")],
+    file: Annotated[str, typer.Argument(help="A run file; docs/testbed.md has the notation.")],
     records: Annotated[
         str, typer.Option(help="Write what was seen to this file, for `spread`.")
     ] = "",
@@ -271,7 +271,7 @@
 
 @lab_app.command("scale")
 def lab_scale(
-    file: Annotated[str, typer.Argument(help="A scale file; docs/lab.md has the notation.")],
+    file: Annotated[str, typer.Argument(help="A scale file; docs/testbed.md has the notation.")],
 ):
     """Run many hollow gateways beside some real ones, and tell what each role spends; exit code 1 when the run proves
     nothing."""
--- a/petrellane/simulation/quotas.py
+++ b/petrellane/simulation/quotas.py
@@ -1,6 +1,6 @@
 """What is let through beyond quotas over a whole fleet, and a policy that sees the true stores late to hold it against.
 
-The definition is in docs/acceptance.md. `Stores` is the truth, `Late` a way to decide in place of the module's, `spent` what
+The definition is in docs/history/acceptance.md. `Stores` is the truth, `Late` a way to decide in place of the module's, `spent` what
 a run's records say.
 """
 
