--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -147,7 +147,9 @@
 
 @app.command()
 def control(
-    file: Annotated[str, typer.Argument(help="A TOML file; docs/changing-settings.md names its keys.")],
+    file: Annotated[
+        str, typer.Argument(help="A TOML file; docs/changing-settings.md names its keys.")
+    ],
 ):
     """Run the control process that staff propose settings to, until SIGTERM."""
     from petrellane.config import ConfigError
