--- a/benchmarks/messages.py
+++ b/benchmarks/messages.py
@@ -132,7 +132,7 @@
 class Notes:
     """A journal that keeps nothing: the rules' own cost is asked for."""
 
-    def note(self, record, now):
+    def append(self, record, now):
         """Nothing."""
 
 
@@ -141,13 +141,16 @@
 
     def __init__(self, number):
         self.now, self.content = 0.0, settings(1, 1)
-        self.leader = coordinator.Leader("control", members(number), Notes(), 0.0)
+        self.leader = coordinator.Coordinator("control", members(number), Notes(), 0.0)
         first = ballots.Generation(
-            participant.FIRST, safe_settings.digest(self.content), self.content, members(number)
+            participant.INITIAL_BALLOT,
+            safe_settings.digest(self.content),
+            self.content,
+            members(number),
         )
-        self.states = dict.fromkeys(members(number), participant.State(first))
+        self.states = dict.fromkeys(members(number), participant.ParticipantState(first))
         self.sought = 0.0  # seconds of the rules until it leads
-        while self.leader.state != coordinator.LEADING:
+        while self.leader.state != coordinator.CoordinatorState.LEADING:
             self.sought += self.around()[1]
 
     def around(self):
@@ -155,16 +158,16 @@
         sent, spent = 0, 0.0
         for name in self.states:
             began = time.process_time()
-            message = self.leader.message(name, self.now)
+            message = self.leader.build_message(name, self.now)
             spent += time.process_time() - began
             if message is None:
                 continue
             sent += 1
-            self.states[name], answer = participant.heard(
+            self.states[name], answer = participant.handle_message(
                 self.states[name], message, lambda content: None
             )
             began = time.process_time()
-            self.leader.heard(name, message, answer, self.now)
+            self.leader.handle_answer(name, message, answer, self.now)
             spent += time.process_time() - began
         return sent, spent
 
@@ -178,9 +181,9 @@
             sent, spent = sent + more, spent + took
             if not more:
                 break
-        if change.outcome != coordinator.COMMITTED:
+        if change.outcome != coordinator.ChangeOutcome.COMMITTED:
             raise AssertionError(
-                f"change: expected it committed, found {change.outcome}: {change.why}"
+                f"change: expected it committed, found {change.outcome}: {change.reason}"
             )
         return spent * 1e3, sent / len(self.states)
 
@@ -215,7 +218,7 @@
 def sizes(told):
     """Bytes of each message."""
     for methods in (40, 400, METHODS):
-        content = safe_settings.canonical(settings(methods))
+        content = safe_settings.canonical_bytes(settings(methods))
         told.add(
             f"settings_bytes_{methods}",
             len(content),
@@ -223,7 +226,7 @@
             f"settings of {methods} methods and {PLANS} plans, canonical",
         )
     content, epoch = settings(METHODS), ballots.Epoch(7, "control")
-    one = safe_settings.canonical({"classes": content["classes"][:1]})
+    one = safe_settings.canonical_bytes({"classes": content["classes"][:1]})
     told.add(
         "delta_bytes",
         asked(
@@ -244,16 +247,16 @@
         generation = ballots.Generation(
             ballots.Ballot(12345, epoch), safe_settings.digest(content), content, members(number)
         )
-        state = participant.State(generation, epoch)
+        state = participant.ParticipantState(generation, epoch)
         told.add(
             f"state_bytes_{number}",
-            answered(orjson.dumps(state.told())),
+            answered(orjson.dumps(state.to_dict())),
             "bytes",
             f"what a gateway answers to a look, prepare or commit, {number} members",
         )
     told.add(
         "state_bytes_digest",
-        answered(orjson.dumps(state.told() | {"members": generation.digest})),
+        answered(orjson.dumps(state.to_dict() | {"members": generation.digest})),
         "bytes",
         "the same with a digest in place of the members' names (not built)",
     )
@@ -265,7 +268,7 @@
         "prepare_bytes",
         asked(
             {"do": "prepare", "base": {"number": 12344, "epoch": list(epoch)}}
-            | generation.told()
+            | generation.to_dict()
             | order
         ),
         "bytes",
@@ -273,17 +276,17 @@
     )
     told.add(
         "commit_bytes",
-        asked({"do": "commit"} | generation.named() | order),
+        asked({"do": "commit"} | generation.identity_to_dict() | order),
         "bytes",
         "commit to one that prepared, as a question",
     )
     told.add(
         "content_bytes",
-        asked({"do": "commit"} | generation.told() | order),
+        asked({"do": "commit"} | generation.to_dict() | order),
         "bytes",
         "commit to one that did not, whole, as a question",
     )
-    record = {"kind": "proposed", "generation": generation.told(), "by": "staff"}
+    record = {"kind": "proposed", "generation": generation.to_dict(), "by": "staff"}
     told.add(
         "record_bytes",
         len(orjson.dumps(record)),
@@ -292,7 +295,7 @@
     )
     told.add(
         "remember_bytes",
-        len(orjson.dumps(told_of(state._replace(possible=(generation,))))),
+        len(orjson.dumps(told_of(state._replace(prepared=(generation,))))),
         "bytes",
         "what a gateway writes to its disk while in doubt",
     )
@@ -335,30 +338,30 @@
 
 def steps(told, content, generation, whole):
     """Processor time of single steps at a gateway and at a control process."""
-    state = participant.State(generation, ballots.Epoch(7, "control"))
+    state = participant.ParticipantState(generation, ballots.Epoch(7, "control"))
     later = settings(METHODS, turn=1)
     message = {
         "do": "prepare",
         "epoch_of": [7, "control"],
-        "base": generation.named(),
+        "base": generation.identity_to_dict(),
     } | ballots.Generation(
         ballots.Ballot(12346, ballots.Epoch(7, "control")),
         safe_settings.digest(later),
         later,
-        generation.members,
-    ).told()
+        generation.roster,
+    ).to_dict()
     body = orjson.dumps(message)
-    after = participant.heard(state, message, lambda content: None)[0]
+    after = participant.handle_message(state, message, lambda content: None)[0]
     for name, what, step in (
         (
             "prepare_ms",
             "a prepare read and checked at a gateway, without the reading of settings",
-            lambda: participant.heard(state, orjson.loads(body), lambda content: None),
+            lambda: participant.handle_message(state, orjson.loads(body), lambda content: None),
         ),
         (
             "meet_ms",
             "the meet of two settings, while in doubt",
-            lambda: participant.admitted(after),
+            lambda: participant.admissible_settings(after),
         ),
         (
             "prepare_write_ms",
@@ -378,9 +381,9 @@
         (
             "look_ms",
             "an answer to a look made and sealed, and read and checked: the gateway's and control's halves",
-            lambda: participant.learnt_of(
+            lambda: participant.parse_peer_state(
                 message_authentication.answered(
-                    KEY, b"s", *reversed(message_authentication.answer(KEY, b"s", state.told()))
+                    KEY, b"s", *reversed(message_authentication.answer(KEY, b"s", state.to_dict()))
                 )
             ),
         ),
@@ -406,9 +409,9 @@
 def told_of(state):
     """What a gateway writes of its state."""
     return {
-        "in_force": state.in_force.told(),
+        "in_force": state.in_force.to_dict(),
         "promised": list(state.promised),
-        "possible": [one.told() for one in state.possible],
+        "possible": [one.to_dict() for one in state.prepared],
         "denied": [],
     }
 
--- a/petrellane/config_consensus/ballots.py
+++ b/petrellane/config_consensus/ballots.py
@@ -11,7 +11,7 @@
     control: str
 
 
-NOBODY = Epoch(0, "")
+NO_EPOCH = Epoch(0, "")
 
 
 class Ballot(NamedTuple):
@@ -22,27 +22,27 @@
 
 
 class Generation(NamedTuple):
-    """Settings under a number. `members` are the gateways, by name, that have to agree on the next one."""
+    """Settings under a number. `roster` are the gateways, by name, that have to agree on the next one."""
 
     ballot: Ballot
     digest: str
     content: dict
-    members: tuple = ()
+    roster: tuple = ()
 
     @property
     def number(self):
         return self.ballot.number
 
-    def named(self) -> dict[str, Any]:
+    def identity_to_dict(self) -> dict[str, Any]:
         """What names it, as JSON."""
         return {"number": self.number, "epoch": list(self.ballot.epoch), "digest": self.digest}
 
-    def told(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """All of it, as JSON."""
-        return self.named() | {"content": self.content, "members": list(self.members)}
+        return self.identity_to_dict() | {"content": self.content, "members": list(self.roster)}
 
 
-def epoch_of(told) -> Epoch:
+def parse_epoch(told) -> Epoch:
     """An epoch from JSON. Raises ValueError where it is none."""
     if (
         isinstance(told, (list, tuple))
@@ -56,17 +56,17 @@
     raise ValueError(f"epoch: expected a number and a name, found {str(told)[:40]}")
 
 
-def ballot_of(told) -> Ballot:
+def parse_ballot(told) -> Ballot:
     """What names a generation, from JSON. Raises ValueError."""
     number = told.get("number") if isinstance(told, dict) else None
     if type(number) is not int or not 0 <= number < 2**53:
         raise ValueError(f"number: expected a whole number from 0, found {str(number)[:40]}")
-    return Ballot(number, epoch_of(told.get("epoch")))
+    return Ballot(number, parse_epoch(told.get("epoch")))
 
 
-def generation_of(told, digest) -> Generation:
+def parse_generation(told, digest) -> Generation:
     """A generation from JSON, checked against its digest by `digest` (settings to text). Raises ValueError."""
-    ballot, content, members = ballot_of(told), told.get("content"), told.get("members", [])
+    ballot, content, members = parse_ballot(told), told.get("content"), told.get("members", [])
     if not isinstance(content, dict):
         raise ValueError(f"content: expected an object, found {str(content)[:40]}")
     if not isinstance(members, list) or not all(isinstance(name, str) for name in members):
@@ -87,8 +87,8 @@
     return len(members) // 2 + 1
 
 
-def enough(members, heard, self_known) -> bool:
+def intersects_every_majority(members, responders, remembers) -> bool:
     """Whether a gateway that starts has heard of enough others to meet every majority of the members: of each at least
     one has spoken, or is the gateway itself where it remembers what it said. One that is alone has nobody to ask."""
-    others = len(members) - majority(members) + (0 if self_known else 1)
-    return len(set(heard) & set(members)) >= min(others, len(members) - 1)
+    others = len(members) - majority(members) + (0 if remembers else 1)
+    return len(set(responders) & set(members)) >= min(others, len(members) - 1)
--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -13,7 +13,8 @@
 from petrellane.config import ConfigError, Section, lacks, settings
 from petrellane.config_consensus import coordinator as rules
 from petrellane.config_consensus import message_authentication, rpc_client, safe_settings
-from petrellane.config_consensus.coordinator import LEADING, SEEKING, Leader, NotNow
+from petrellane.config_consensus.coordinator import Coordinator, CoordinatorState
+from petrellane.config_consensus.errors import ProposalRejected
 from petrellane.config_consensus.journal import Journal
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
@@ -37,7 +38,7 @@
         self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
         self.scheduler.fault = self.log.fault
         self.journal = Journal(config.journal)
-        self.leader = Leader(
+        self.leader = Coordinator(
             config.name, config.members, self.journal, self.scheduler.now(), self.journal.records()
         )
         self.calls, self.told, self.parked, self.complained = {}, None, {}, 0.0
@@ -55,7 +56,7 @@
         self.tick()
 
     def staff_up(self):
-        for name in self.leader.everyone():
+        for name in self.leader.all_participants():
             if name not in self.workers:
                 self.workers.add(name)
                 self.scheduler.spawn(self.work, name)
@@ -94,7 +95,7 @@
     def tick(self):
         """What time alone brings: a change that is given up or may be decided now, a word to the log."""
         self.scheduler.after(self.TICK, self.tick)
-        self.noted(self.leader.judge, self.scheduler.now())
+        self.noted(self.leader.try_to_decide, self.scheduler.now())
         self.tell()
 
     def noted(self, call, *words):
@@ -126,7 +127,7 @@
             epoch=leads.epoch.number,
             number=leads.in_force.number if leads.in_force else None,
             under_way=leads.change.generation.number if leads.change else None,
-            why=leads.why,
+            why=leads.reason,
         )
         self.nudge()
 
@@ -138,7 +139,7 @@
     def work(self, name):
         """Carry to one gateway what it is due, one message at a time."""
         while True:
-            message, pause = self.leader.next(name, self.scheduler.now())
+            message, pause = self.leader.next_message(name, self.scheduler.now())
             if message is None:
                 self.park(name, pause)
                 continue
@@ -180,12 +181,12 @@
             if answer.get("refused") == "elsewhere":  # not the process that is the gateway now
                 down, why = False, "it starts, or another process follows it"
                 continue
-            self.noted(leads.heard, name, message, answer, self.scheduler.now())
+            self.noted(leads.handle_answer, name, message, answer, self.scheduler.now())
             return
         if down and addresses:
-            self.noted(leads.refused, name, message, self.scheduler.now())
+            self.noted(leads.handle_connection_refused, name, message, self.scheduler.now())
         else:
-            self.noted(leads.silent, name, message, self.scheduler.now(), why)
+            self.noted(leads.handle_no_answer, name, message, self.scheduler.now(), why)
 
     # Staff.
 
@@ -215,7 +216,7 @@
             return 200, self.status()
         if do == "history":
             return 200, {
-                "history": [change.told() for _, change in sorted(self.leader.history.items())]
+                "history": [change.to_dict() for _, change in sorted(self.leader.history.items())]
             }
         if do in ("show", "back"):
             found = self.generation(number)
@@ -225,7 +226,7 @@
                     "why": f"generation {number}: expected one of the history",
                 }
             if do == "show":
-                return 200, found.told()
+                return 200, found.to_dict()
             return self.propose(found.content, message)
         if do == "propose" and isinstance(message.get("settings"), dict):
             return self.propose(message["settings"], message)
@@ -250,12 +251,14 @@
         ]
         if self.leader.in_force and self.leader.in_force.number == number:
             return self.leader.in_force
-        kept = [change for change in found if change.outcome == rules.COMMITTED] or found
+        kept = [
+            change for change in found if change.outcome == rules.ChangeOutcome.COMMITTED
+        ] or found
         return kept[-1].generation if kept else None
 
     def propose(self, told, message):
         """Propose settings, once they would do anywhere."""
-        content, without = safe_settings.policy(told), message.get("without", [])
+        content, without = safe_settings.shared_settings(told), message.get("without", [])
         if not isinstance(without, list) or not all(isinstance(name, str) for name in without):
             return 400, {"refused": "form", "why": "without: expected a list of names"}
         try:
@@ -272,7 +275,7 @@
             change = self.leader.propose(
                 content, tuple(without), str(message.get("by", ""))[:64], self.scheduler.now()
             )
-        except NotNow as error:
+        except ProposalRejected as error:
             return 409, {"refused": "not now", "why": str(error)}
         except OSError as error:
             return 507, {"refused": "journal", "why": str(error)}
@@ -281,18 +284,20 @@
 
     def progress(self, change):
         """A change as it stands: its outcome, and where its settings are in force."""
-        ballot, seen = change.generation.ballot, self.leader.seen
+        ballot, seen = change.generation.ballot, self.leader.participant_states
         reached = [
             name
-            for name in self.leader.everyone()
+            for name in self.leader.all_participants()
             if name in seen and seen[name].in_force >= ballot
         ]
         owed = [
-            name for name in change.needed if name not in reached and name not in change.confirmed
+            name
+            for name in change.participants
+            if name not in reached and name not in change.confirmed_absent
         ]
-        return change.told() | {
+        return change.to_dict() | {
             "reached": len(reached),
-            "of": len(self.leader.everyone()),
+            "of": len(self.leader.all_participants()),
             "owed": sorted(owed),
             "control": self.leader.state,
         }
@@ -303,15 +308,17 @@
         return {
             "control": self.config.name,
             "state": leads.state,
-            "why": leads.why,
+            "why": leads.reason,
             "epoch": list(leads.epoch),
-            "in_force": leads.in_force.named() if leads.in_force else None,
+            "in_force": leads.in_force.identity_to_dict() if leads.in_force else None,
             "under_way": self.progress(leads.change) if leads.change else None,
             "calls": self.calls,
-            "settled": leads.state == LEADING and not leads.change and not leads.unknown,
-            "seeking": leads.state == SEEKING,
+            "settled": leads.state == CoordinatorState.LEADING
+            and not leads.change
+            and not leads.in_doubt,
+            "seeking": leads.state == CoordinatorState.SEEKING,
             "gateways": {
-                name: dict(zip(("state", "number"), leads.at(name), strict=True))
-                for name in leads.everyone()
+                name: dict(zip(("state", "number"), leads.describe_participant(name), strict=True))
+                for name in leads.all_participants()
             },
         }
--- a/petrellane/config_consensus/coordinator.py
+++ b/petrellane/config_consensus/coordinator.py
@@ -9,50 +9,59 @@
       absent   a member where nobody listens: the machine refused the connection. It counts as absent only while it does so
                after the last of the others has prepared; what starts there later asks before it serves
       decide   commit once all are prepared or absent, and the prepared are a majority of the old members and of the new;
-               else abort: at once where one refuses, after WAIT where one is silent. Noted, then told
-      tell     to all, until each has it; whoever comes back late is told then. Strays are denied
+               else abort: at once where one refuses, after CHANGE_TIMEOUT_S where one is silent. Noted, then told
+      tell     to all, until each has it; whoever comes back late is told then. Orphaned ballots are aborted
     deposed    another control process has a higher epoch: nothing more is sent
 
 A commit is told only after every member that serves has prepared, so none admits under the old generation alone from then
 on; an abort is told only where no commit ever will be. What was decided is in the journal before anybody is told.
 
-`next` gives the message that a member is due, `heard`, `refused` and `silent` take what came of it; `Journal.note` raises
+`next_message` gives the message that a member is due, `handle_answer`, `handle_connection_refused` and `handle_no_answer` take what came of it; `Journal.append` raises
 where a step could not be made durable, and the step has not been taken then.
 """
 
 import itertools
 import math
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from petrellane.config_consensus import safe_settings
 from petrellane.config_consensus.ballots import (
     Ballot,
     Epoch,
     Generation,
-    epoch_of,
-    generation_of,
     majority,
+    parse_epoch,
+    parse_generation,
 )
-from petrellane.config_consensus.participant import FENCE, FIRST, learnt_of
-
-SEEKING, LEADING, DEPOSED = "seeking", "leading", "deposed"
-PREPARING, COMMITTED, ABORTED, SUPERSEDED, UNKNOWN = (
-    "preparing",
-    "committed",
-    "aborted",
-    "superseded",
-    "unknown",
-)
-RISES = 5  # times that a control process takes a higher epoch while it seeks: two that start at once end it
-WAIT = 3.0  # seconds until a change is given up for members that say nothing
-LOOK = 1.0  # seconds, about, between looks at a member that is due nothing
-AGAIN = (
-    0.1  # seconds before a member that did not answer is asked again while a change is under way
-)
+from petrellane.config_consensus.errors import ProposalRejected
+from petrellane.config_consensus.participant import INITIAL_BALLOT, STALL_LIMIT_S, parse_peer_state
+
+
+class CoordinatorState(StrEnum):
+    """What a coordinator does with its epoch."""
+
+    SEEKING = "seeking"
+    LEADING = "leading"
+    DEPOSED = "deposed"
 
 
-class NotNow(Exception):
-    """A proposal that can't be taken; the text is one line."""
+class ChangeOutcome(StrEnum):
+    """What became of a change; PREPARING until it is decided."""
+
+    PREPARING = "preparing"
+    COMMITTED = "committed"
+    ABORTED = "aborted"
+    SUPERSEDED = "superseded"
+    UNKNOWN = "unknown"
+
+
+MAX_EPOCH_CLAIMS = 5  # times that a control process takes a higher epoch while it seeks: two that start at once end it
+CHANGE_TIMEOUT_S = 3.0  # seconds until a change is given up for members that say nothing
+POLL_INTERVAL_S = 1.0  # seconds, about, between looks at a member that is due nothing
+RETRY_INTERVAL_S = (
+    0.1  # seconds before a member that did not answer is asked again while a change is under way
+)
 
 
 @dataclass
@@ -61,69 +70,69 @@
 
     generation: Generation
     base: Ballot
-    needed: tuple
-    without: tuple
-    began: float
-    members_before: tuple
-    replies: dict = field(default_factory=dict)
-    first: int = 0  # the order of the last message before it
-    settled: int = 0  # and of the last one sent when the last of those that serve prepared
-    confirmed: set = field(default_factory=set)
-    outcome: str = PREPARING
-    why: str = ""
-    by: str = ""
-
-    def told(self):
+    participants: tuple
+    excluded: tuple
+    started_at: float
+    previous_roster: tuple
+    votes: dict = field(default_factory=dict)
+    first_message: int = 0  # the order of the last message before it
+    settled_message: int = 0  # and of the last one sent when the last of those that serve prepared
+    confirmed_absent: set = field(default_factory=set)
+    outcome: ChangeOutcome = ChangeOutcome.PREPARING
+    reason: str = ""
+    author: str = ""
+
+    def to_dict(self):
         ballot = self.generation.ballot
         return {
             "number": ballot.number,
             "epoch": list(ballot.epoch),
             "digest": self.generation.digest,
             "outcome": self.outcome,
-            "why": self.why,
-            "by": self.by,
-            "without": list(self.without),
-            "prepared": sorted(name for name, said in self.replies.items() if said == "prepared"),
-            "absent": sorted(self.confirmed),
+            "why": self.reason,
+            "by": self.author,
+            "without": list(self.excluded),
+            "prepared": sorted(name for name, said in self.votes.items() if said == "prepared"),
+            "absent": sorted(self.confirmed_absent),
         }
 
 
-class Leader:
+class Coordinator:
     """What one control process knows and does."""
 
     def __init__(self, name, members, journal, now, records=()):
-        self.name, self.members, self.journal = name, tuple(members), journal
-        self.state, self.why = SEEKING, ""
+        self.name, self.roster, self.journal = name, tuple(members), journal
+        self.state, self.reason = CoordinatorState.SEEKING, ""
         self.in_force = None  # the generation, once it is known
-        self.seen, self.asked_at = {}, {}
-        self.promised, self.down, self.fault = set(), {}, {}
-        self.unknown = (
+        self.participant_states, self.last_sent_at = {}, {}
+        self.promised_by, self.unreachable, self.retry_at = set(), {}, {}
+        self.in_doubt = (
             set()
         )  # ballots that may have been decided before us, which are neither told nor denied
-        self.whole = set()  # members that are to be told what is in force with its content
-        self.top = 0  # the highest number seen
-        self.roster = ()  # the last that was heard
-        self.order = itertools.count(1)
-        self.last = 0
-        self.change, self.history, self.decided = None, {}, {}
-        self.tried = -math.inf  # when a change began last
-        self.wanted = None  # a ballot of which the content is looked for, and who has it
+        self.needs_content = set()  # members that are to be told what is in force with its content
+        self.highest_number = 0  # the highest number seen
+        self.last_roster = ()  # the last that was heard
+        self.message_counter = itertools.count(1)
+        self.last_message = 0
+        self.change, self.history, self.decisions = None, {}, {}
+        self.last_change_at = -math.inf  # when a change began last
+        self.wanted_content = None  # a ballot of which the content is looked for, and who has it
         highest = 0
         for record in records:
-            highest = max(highest, self.remember(record))
-        self.epoch, self.rises = None, 0
-        self.rise(highest + 1, now)
+            highest = max(highest, self.replay(record))
+        self.epoch, self.epoch_claims = None, 0
+        self.claim_epoch(highest + 1, now)
 
     # What the journal tells.
 
-    def remember(self, record):
+    def replay(self, record):
         """Take up one record; the epoch number that it names, or 0."""
         kind = record["kind"]
         if kind == "epoch":
             return record["number"]
         if kind in ("proposed", "in_force"):
-            generation = generation_of(record["generation"], safe_settings.digest)
-            self.top = max(self.top, generation.number)
+            generation = parse_generation(record["generation"], safe_settings.digest)
+            self.highest_number = max(self.highest_number, generation.number)
             if kind == "in_force":
                 self.in_force = max(
                     filter(None, (self.in_force, generation)), key=lambda one: one.ballot
@@ -131,291 +140,319 @@
             else:
                 change = self.history[generation.ballot] = Change(
                     generation,
-                    FIRST,
+                    INITIAL_BALLOT,
                     (),
                     tuple(record.get("without", ())),
                     0.0,
                     (),
-                    by=record.get("by", ""),
+                    author=record.get("by", ""),
                 )
-                change.outcome, change.why = (
-                    UNKNOWN,
+                change.outcome, change.reason = (
+                    ChangeOutcome.UNKNOWN,
                     "the control process ended before it was decided",
                 )
         elif kind == "decided":
             ballot = Ballot(record["number"], Epoch(*record["epoch"]))
-            self.decided[ballot] = record["outcome"]
+            self.decisions[ballot] = ChangeOutcome(record["outcome"])
             if change := self.history.get(ballot):
-                change.outcome, change.why = record["outcome"], record["why"]
-                change.confirmed = set(record.get("absent", ()))
-                change.replies = dict.fromkeys(record.get("prepared", ()), "prepared")
-                if record["outcome"] == COMMITTED:
+                change.outcome, change.reason = ChangeOutcome(record["outcome"]), record["why"]
+                change.confirmed_absent = set(record.get("absent", ()))
+                change.votes = dict.fromkeys(record.get("prepared", ()), "prepared")
+                if record["outcome"] == ChangeOutcome.COMMITTED:
                     self.in_force = max(
                         filter(None, (self.in_force, change.generation)), key=lambda one: one.ballot
                     )
         return 0
 
-    def rise(self, number, now):
+    def claim_epoch(self, number, now):
         """Take a new epoch and ask everybody anew."""
-        epoch, self.rises = Epoch(number, self.name), self.rises + 1
-        self.journal.note({"kind": "epoch", "number": number, "control": self.name}, now)
-        self.epoch, self.promised, self.state = epoch, set(), SEEKING
+        epoch, self.epoch_claims = Epoch(number, self.name), self.epoch_claims + 1
+        self.journal.append({"kind": "epoch", "number": number, "control": self.name}, now)
+        self.epoch, self.promised_by, self.state = epoch, set(), CoordinatorState.SEEKING
 
     # What each member is due.
 
-    def everyone(self):
+    def all_participants(self):
         """Members old and new: those of our roster and those that what is in force names."""
-        named = self.in_force.members if self.in_force else ()
-        return tuple(dict.fromkeys((*self.members, *named)))
+        named = self.in_force.roster if self.in_force else ()
+        return tuple(dict.fromkeys((*self.roster, *named)))
 
-    def next(self, name, now):
+    def next_message(self, name, now):
         """The message that a member is due now; or None, and the seconds to wait at most."""
-        if now < self.fault.get(name, -math.inf):
-            return None, self.fault[name] - now
-        message = self.message(name, now)
-        return message, 0.0 if message else max(0.01, LOOK - (now - self.asked_at.get(name, -LOOK)))
+        if now < self.retry_at.get(name, -math.inf):
+            return None, self.retry_at[name] - now
+        message = self.build_message(name, now)
+        return message, 0.0 if message else max(
+            0.01, POLL_INTERVAL_S - (now - self.last_sent_at.get(name, -POLL_INTERVAL_S))
+        )
 
-    def message(self, name, now):
+    def build_message(self, name, now):
         """The message that a member is due, however soon after the last, with its order; None where it is due none."""
-        message = self.due(name, now) if self.state != DEPOSED else None
+        message = (
+            self.pending_message(name, now) if self.state != CoordinatorState.DEPOSED else None
+        )
         if message is not None:
-            self.asked_at[name], self.last = now, next(self.order)
-            message |= {"to": name, "epoch_of": list(self.epoch), "order": self.last}
+            self.last_sent_at[name], self.last_message = now, next(self.message_counter)
+            message |= {"to": name, "epoch_of": list(self.epoch), "order": self.last_message}
         return message
 
-    def due(self, name, now):
-        if self.state == SEEKING:
-            if self.wanted and name in self.wanted[1]:
+    def pending_message(self, name, now):
+        if self.state == CoordinatorState.SEEKING:
+            if self.wanted_content and name in self.wanted_content[1]:
                 return {
                     "do": "content",
-                    "number": self.wanted[0].number,
-                    "epoch": list(self.wanted[0].epoch),
+                    "number": self.wanted_content[0].number,
+                    "epoch": list(self.wanted_content[0].epoch),
                 }
-            return {"do": "promise"} if name not in self.promised or self.stale(name, now) else None
-        seen, change = self.seen.get(name), self.change
-        if name in self.whole:
-            return {"do": "commit"} | self.in_force.told()
+            return (
+                {"do": "promise"}
+                if name not in self.promised_by or self.is_poll_due(name, now)
+                else None
+            )
+        seen, change = self.participant_states.get(name), self.change
+        if name in self.needs_content:
+            return {"do": "commit"} | self.in_force.to_dict()
         if seen and seen.in_force < self.in_force.ballot:
-            held = seen.possible and self.in_force.ballot in seen.possible
-            return {"do": "commit"} | (self.in_force.named() if held else self.in_force.told())
-        kept = {change.generation.ballot, *self.unknown} if change else self.unknown
-        for ballot in seen.possible if seen else ():
+            held = seen.prepared and self.in_force.ballot in seen.prepared
+            return {"do": "commit"} | (
+                self.in_force.identity_to_dict() if held else self.in_force.to_dict()
+            )
+        kept = {change.generation.ballot, *self.in_doubt} if change else self.in_doubt
+        for ballot in seen.prepared if seen else ():
             if ballot not in kept and ballot > self.in_force.ballot:
                 return {"do": "deny", "number": ballot.number, "epoch": list(ballot.epoch)}
         if (
             change
-            and name in change.needed
-            and change.replies.get(name) != "prepared"
-            and (name not in change.confirmed)
+            and name in change.participants
+            and change.votes.get(name) != "prepared"
+            and (name not in change.confirmed_absent)
         ):
             return {
                 "do": "prepare",
                 "base": {"number": change.base.number, "epoch": list(change.base.epoch)},
-                **change.generation.told(),
+                **change.generation.to_dict(),
             }
-        return {"do": "promise"} if self.stale(name, now) else None
+        return {"do": "promise"} if self.is_poll_due(name, now) else None
 
-    def stale(self, name, now):
-        return now - self.asked_at.get(name, -LOOK) >= LOOK
+    def is_poll_due(self, name, now):
+        return now - self.last_sent_at.get(name, -POLL_INTERVAL_S) >= POLL_INTERVAL_S
 
     # What came of it.
 
-    def heard(self, name, message, answer, now):
+    def handle_answer(self, name, message, answer, now):
         """A member's answer to a message: what it remembers, a content, or why it refused."""
-        self.fault.pop(name, None)
-        self.down.pop(name, None)
-        if self.state == DEPOSED:
+        self.retry_at.pop(name, None)
+        self.unreachable.pop(name, None)
+        if self.state == CoordinatorState.DEPOSED:
             return
         if message["do"] == "content":
-            self.fetched(name, answer, now)
+            self.handle_content(name, answer, now)
             return
         if "refused" in answer:
-            self.turned_down(name, message, answer, now)
+            self.handle_rejection(name, message, answer, now)
             return
         try:
-            learnt = learnt_of(answer)
+            learnt = parse_peer_state(answer)
         except ValueError as error:
-            self.silent(name, message, now, f"answers out of form: {error}")
+            self.handle_no_answer(name, message, now, f"answers out of form: {error}")
             return
-        self.seen[name] = self.one_roster(learnt)
-        self.whole.discard(name)
-        self.top = max([self.top, learnt.in_force.number, *(one.number for one in learnt.possible)])
-        self.promised.add(name)
-        if self.state == SEEKING:
-            self.lead(now)
+        self.participant_states[name] = self.intern_roster(learnt)
+        self.needs_content.discard(name)
+        self.highest_number = max(
+            [self.highest_number, learnt.in_force.number, *(one.number for one in learnt.prepared)]
+        )
+        self.promised_by.add(name)
+        if self.state == CoordinatorState.SEEKING:
+            self.try_to_lead(now)
             return
         if (
             learnt.in_force > self.in_force.ballot
         ):  # it was decided before us, and we know it only now
             if self.change:
-                self.give_up(f"generation {learnt.in_force.number} is in force at {name}", now)
-            self.state = SEEKING
-            self.lead(now)
+                self.abort_change(f"generation {learnt.in_force.number} is in force at {name}", now)
+            self.state = CoordinatorState.SEEKING
+            self.try_to_lead(now)
             return
         change = self.change
-        if change and name in change.without and message["order"] > change.first:
-            self.give_up(f"{name} was counted out, and answers", now)
+        if change and name in change.excluded and message["order"] > change.first_message:
+            self.abort_change(f"{name} was counted out, and answers", now)
             return
         if (
             change
             and message["do"] == "prepare"
             and message["number"] == change.generation.number
             and (
-                change.generation.ballot in learnt.possible
+                change.generation.ballot in learnt.prepared
                 or learnt.in_force >= change.generation.ballot
             )
         ):
-            if change.replies.get(name) != "prepared":
-                change.replies[name] = "prepared"
-                change.confirmed.clear()  # whoever seemed absent is looked at once more
-                change.settled = self.last
-        self.judge(now)
+            if change.votes.get(name) != "prepared":
+                change.votes[name] = "prepared"
+                change.confirmed_absent.clear()  # whoever seemed absent is looked at once more
+                change.settled_message = self.last_message
+        self.try_to_decide(now)
 
-    def turned_down(self, name, message, answer, now):
+    def handle_rejection(self, name, message, answer, now):
         cause, why = answer["refused"], str(answer.get("why", ""))[:300]
         if cause == "epoch":
             try:
-                promised = epoch_of(answer.get("promised"))
+                promised = parse_epoch(answer.get("promised"))
             except ValueError:
                 promised = self.epoch
             if promised <= self.epoch:
                 return  # it was said to an earlier message of ours
-            if self.state == SEEKING and self.rises < RISES:
-                self.rise(promised.number + 1, now)
+            if self.state == CoordinatorState.SEEKING and self.epoch_claims < MAX_EPOCH_CLAIMS:
+                self.claim_epoch(promised.number + 1, now)
             else:
                 self.depose(f"{name} follows another control process: {why}")
             return
-        self.fault[name] = now + (AGAIN if self.change else LOOK)
+        self.retry_at[name] = now + (RETRY_INTERVAL_S if self.change else POLL_INTERVAL_S)
         if cause in ("behind", "unknown"):  # it is told what is in force first, whole
-            self.whole.add(name)
-            self.fault.pop(name)
+            self.needs_content.add(name)
+            self.retry_at.pop(name)
             return
         if self.change and message["do"] == "prepare":
-            self.give_up(f"refused by {name}: {why}", now)
+            self.abort_change(f"refused by {name}: {why}", now)
 
     def depose(self, why):
         """Another control process leads. What became of our change is its to find out."""
-        self.state, self.why = DEPOSED, why
+        self.state, self.reason = CoordinatorState.DEPOSED, why
         if self.change:
-            self.change.outcome, self.change.why = UNKNOWN, why
+            self.change.outcome, self.change.reason = ChangeOutcome.UNKNOWN, why
             self.change = None
 
-    def refused(self, name, message, now):
+    def handle_connection_refused(self, name, message, now):
         """Nobody listens where a member should: its machine refused the connection, at every address."""
-        self.fault[name] = now + (AGAIN if self.change or self.state == SEEKING else LOOK)
-        self.down[name] = "nobody listens there"
+        self.retry_at[name] = now + (
+            RETRY_INTERVAL_S
+            if self.change or self.state == CoordinatorState.SEEKING
+            else POLL_INTERVAL_S
+        )
+        self.unreachable[name] = "nobody listens there"
         change = self.change
-        if change and name in change.needed and change.replies.get(name) != "prepared":
-            change.replies[name] = "absent"
-            if message["order"] > change.settled:
-                change.confirmed.add(name)
-        self.judge(now)
+        if change and name in change.participants and change.votes.get(name) != "prepared":
+            change.votes[name] = "absent"
+            if message["order"] > change.settled_message:
+                change.confirmed_absent.add(name)
+        self.try_to_decide(now)
 
-    def silent(self, name, message, now, why="no answer"):
+    def handle_no_answer(self, name, message, now, why="no answer"):
         """No answer came, or none that can be read; whether the message arrived is not known."""
-        self.fault[name] = now + (AGAIN if self.change or self.state == SEEKING else LOOK)
-        self.down[name] = why
+        self.retry_at[name] = now + (
+            RETRY_INTERVAL_S
+            if self.change or self.state == CoordinatorState.SEEKING
+            else POLL_INTERVAL_S
+        )
+        self.unreachable[name] = why
         change = self.change
-        if change and change.replies.get(name) == "absent":
-            change.replies.pop(name)
-            change.confirmed.discard(name)
-        self.judge(now)
+        if change and change.votes.get(name) == "absent":
+            change.votes.pop(name)
+            change.confirmed_absent.discard(name)
+        self.try_to_decide(now)
 
     # Taking over.
 
-    def sets(self):
+    def quorum_rosters(self):
         """The sets of members of each of which a majority has to be heard; rosters that are one object are one set."""
-        named = {id(self.members): self.members}
+        named = {id(self.roster): self.roster}
         if self.in_force:
-            named[id(self.in_force.members)] = self.in_force.members
-        named |= {id(learnt.members): learnt.members for learnt in self.seen.values()}
+            named[id(self.in_force.roster)] = self.in_force.roster
+        named |= {id(learnt.roster): learnt.roster for learnt in self.participant_states.values()}
         return [one for one in named.values() if one]
 
-    def one_roster(self, learnt):
+    def intern_roster(self, learnt):
         """The same, with a roster that equals ours, that in force or the last one heard as the same object: else as many
         equal ones as there are members would be looked through at each answer."""
-        known = (self.members, self.in_force and self.in_force.members, self.roster)
-        self.roster = next((one for one in known if one == learnt.members), learnt.members)
-        return learnt._replace(members=self.roster)
+        known = (self.roster, self.in_force and self.in_force.roster, self.last_roster)
+        self.last_roster = next((one for one in known if one == learnt.roster), learnt.roster)
+        return learnt._replace(roster=self.last_roster)
 
-    def lead(self, now):
+    def try_to_lead(self, now):
         """Lead, once enough have promised and what is in force is known with its content."""
-        if any(len(self.promised & set(one)) < majority(one) for one in self.sets()):
+        if any(len(self.promised_by & set(one)) < majority(one) for one in self.quorum_rosters()):
             return
-        highest = max(self.seen[name].in_force for name in self.promised)
+        highest = max(self.participant_states[name].in_force for name in self.promised_by)
         if self.in_force is None or self.in_force.ballot < highest:
-            self.wanted = (
+            self.wanted_content = (
                 highest,
-                {name for name in self.promised if self.seen[name].in_force == highest},
+                {
+                    name
+                    for name in self.promised_by
+                    if self.participant_states[name].in_force == highest
+                },
             )
             return
-        self.wanted, self.state = None, LEADING
+        self.wanted_content, self.state = None, CoordinatorState.LEADING
         doubts = {
             one
-            for name in self.promised
-            for one in self.seen[name].possible
+            for name in self.promised_by
+            for one in self.participant_states[name].prepared
             if one > self.in_force.ballot
         }
-        self.unknown = {one for one in doubts if self.may_be_decided(one)}
-        self.supersede(now)
+        self.in_doubt = {one for one in doubts if self.may_be_decided(one)}
+        self.supersede_in_doubt(now)
 
-    def supersede(self, now):
+    def supersede_in_doubt(self, now):
         """What may have been decided is put behind: the settings in force come again under a later number."""
-        self.unknown = {one for one in self.unknown if one > self.in_force.ballot}
-        if self.unknown and not self.change:
-            self.begin(
+        self.in_doubt = {one for one in self.in_doubt if one > self.in_force.ballot}
+        if self.in_doubt and not self.change:
+            self.begin_change(
                 self.in_force.content,
                 (),
                 now,
                 "the control process",
                 "back to what is in force: nobody can tell "
-                f"whether generation {max(self.unknown).number} was decided",
+                f"whether generation {max(self.in_doubt).number} was decided",
             )
 
     def may_be_decided(self, ballot):
         """Whether a ballot that was prepared somewhere may be in force at a gateway that has not answered."""
-        if self.decided.get(ballot) in (ABORTED, SUPERSEDED):
+        if self.decisions.get(ballot) in (ChangeOutcome.ABORTED, ChangeOutcome.SUPERSEDED):
             return False
-        if any(ballot in self.seen[name].denied for name in self.promised):
+        if any(ballot in self.participant_states[name].aborted for name in self.promised_by):
             return False
-        members = self.in_force.members  # a majority of these had to prepare it
+        members = self.in_force.roster  # a majority of these had to prepare it
         never = [
             name
             for name in members
-            if name in self.promised and ballot not in self.seen[name].possible
+            if name in self.promised_by and ballot not in self.participant_states[name].prepared
         ]
         return len(never) <= len(members) - majority(members)
 
-    def fetched(self, name, answer, now):
+    def handle_content(self, name, answer, now):
         """The content that was looked for. A gateway's own file, number 0, is taken as it is there."""
         try:
-            generation = generation_of(answer, safe_settings.digest)
+            generation = parse_generation(answer, safe_settings.digest)
         except ValueError:  # it has moved on meanwhile
-            self.wanted = None
-            self.promised.discard(name)
+            self.wanted_content = None
+            self.promised_by.discard(name)
             return
-        if self.state == SEEKING and self.wanted and generation.ballot == self.wanted[0]:
-            self.journal.note({"kind": "in_force", "generation": generation.told()}, now)
-            self.in_force, self.wanted = generation, None
-            self.lead(now)
+        if (
+            self.state == CoordinatorState.SEEKING
+            and self.wanted_content
+            and generation.ballot == self.wanted_content[0]
+        ):
+            self.journal.append({"kind": "in_force", "generation": generation.to_dict()}, now)
+            self.in_force, self.wanted_content = generation, None
+            self.try_to_lead(now)
 
     # A change.
 
     def propose(self, content, without, by, now):
-        """Begin a change, or join the same one; the Change. Raises NotNow; Journal.note may raise."""
-        if self.state != LEADING:
-            raise NotNow(
-                f"{self.state}: {self.why or 'a majority of the gateways has not answered yet'}"
+        """Begin a change, or join the same one; the Change. Raises ProposalRejected; Journal.append may raise."""
+        if self.state != CoordinatorState.LEADING:
+            raise ProposalRejected(
+                f"{self.state}: {self.reason or 'a majority of the gateways has not answered yet'}"
             )
         digest = safe_settings.digest(content)
         if self.change:
             if self.change.generation.digest == digest:
                 return self.change
-            raise NotNow(f"generation {self.change.generation.number} is under way")
+            raise ProposalRejected(f"generation {self.change.generation.number} is under way")
         if (
             self.in_force.digest == digest
             and self.in_force.number
-            and set(self.members) == set(self.in_force.members)
+            and set(self.roster) == set(self.in_force.roster)
         ):
             return self.history.get(self.in_force.ballot) or Change(
                 self.in_force,
@@ -424,120 +461,123 @@
                 (),
                 now,
                 (),
-                outcome=COMMITTED,
-                why="in force already",
+                outcome=ChangeOutcome.COMMITTED,
+                reason="in force already",
             )
-        if unknown := sorted(set(without) - set(self.everyone())):
-            raise NotNow(f"without: expected names of the roster, found {unknown[0]}")
-        if len(set(self.members) - set(without)) < majority(self.members):
-            raise NotNow("without: expected a majority of the gateways to be left")
-        return self.begin(content, without, now, by, "")
-
-    def begin(self, content, without, now, by, why):
-        ballot = Ballot(max(self.top, self.in_force.number) + 1, self.epoch)
-        generation = Generation(ballot, safe_settings.digest(content), content, self.members)
-        self.journal.note(
+        if unknown := sorted(set(without) - set(self.all_participants())):
+            raise ProposalRejected(f"without: expected names of the roster, found {unknown[0]}")
+        if len(set(self.roster) - set(without)) < majority(self.roster):
+            raise ProposalRejected("without: expected a majority of the gateways to be left")
+        return self.begin_change(content, without, now, by, "")
+
+    def begin_change(self, content, without, now, by, why):
+        ballot = Ballot(max(self.highest_number, self.in_force.number) + 1, self.epoch)
+        generation = Generation(ballot, safe_settings.digest(content), content, self.roster)
+        self.journal.append(
             {
                 "kind": "proposed",
-                "generation": generation.told(),
+                "generation": generation.to_dict(),
                 "without": list(without),
                 "by": by,
                 "why": why,
             },
             now,
         )
-        self.top, self.tried = ballot.number, now
-        needed = tuple(name for name in self.everyone() if name not in without)
+        self.highest_number, self.last_change_at = ballot.number, now
+        needed = tuple(name for name in self.all_participants() if name not in without)
         self.change = self.history[ballot] = Change(
             generation,
             self.in_force.ballot,
             needed,
             tuple(without),
             now,
-            self.in_force.members,
-            why=why,
-            by=by,
-            first=self.last,
-            settled=self.last,
+            self.in_force.roster,
+            reason=why,
+            author=by,
+            first_message=self.last_message,
+            settled_message=self.last_message,
         )
         return self.change
 
-    def judge(self, now):
+    def try_to_decide(self, now):
         """Decide the change that is under way, if it can be; to be called often."""
         change = self.change
-        if self.state != LEADING:
+        if self.state != CoordinatorState.LEADING:
             return
         if not change:
-            if self.unknown and now - self.tried >= LOOK:
-                self.supersede(now)
+            if self.in_doubt and now - self.last_change_at >= POLL_INTERVAL_S:
+                self.supersede_in_doubt(now)
             return
         left = (
             name
-            for name in change.needed
-            if change.replies.get(name) != "prepared" and name not in change.confirmed
+            for name in change.participants
+            if change.votes.get(name) != "prepared" and name not in change.confirmed_absent
         )
         first = next(left, None)  # looked for anew at each answer, and mostly found at once
         if first is None:
-            done = {name for name in change.needed if change.replies.get(name) == "prepared"}
-            for members in filter(None, (change.members_before, self.members)):
+            done = {name for name in change.participants if change.votes.get(name) == "prepared"}
+            for members in filter(None, (change.previous_roster, self.roster)):
                 if len(done & set(members)) < majority(members):
-                    self.give_up(
+                    self.abort_change(
                         f"no majority: {len(done & set(members))} of {len(members)} gateways prepared, "
-                        f"nobody listens at {', '.join(sorted(change.confirmed)) or 'none'}",
+                        f"nobody listens at {', '.join(sorted(change.confirmed_absent)) or 'none'}",
                         now,
                     )
                     return
-            if change.without and now - change.began < 2 * FENCE:
+            if change.excluded and now - change.started_at < 2 * STALL_LIMIT_S:
                 return  # whoever was counted out and merely stands still is to notice that it did
-            self.decide(COMMITTED, change.why, now)
-        elif now - change.began >= WAIT:
-            self.give_up(
+            self.decide(ChangeOutcome.COMMITTED, change.reason, now)
+        elif now - change.started_at >= CHANGE_TIMEOUT_S:
+            self.abort_change(
                 "no word from "
                 + ", ".join(
-                    f"{name} ({self.down.get(name, 'no answer')})"
+                    f"{name} ({self.unreachable.get(name, 'no answer')})"
                     for name in sorted((first, *left))
                 ),
                 now,
             )
 
-    def give_up(self, why, now):
-        self.decide(ABORTED, why, now)
+    def abort_change(self, why, now):
+        self.decide(ChangeOutcome.ABORTED, why, now)
 
     def decide(self, outcome, why, now):
         change = self.change
         ballot = change.generation.ballot
-        self.journal.note(
+        self.journal.append(
             {
                 "kind": "decided",
                 "number": ballot.number,
                 "epoch": list(ballot.epoch),
                 "outcome": outcome,
                 "why": why,
-                "absent": sorted(change.confirmed),
+                "absent": sorted(change.confirmed_absent),
                 "prepared": sorted(
-                    name for name, said in change.replies.items() if said == "prepared"
+                    name for name, said in change.votes.items() if said == "prepared"
                 ),
             },
             now,
         )
-        change.outcome, change.why, self.decided[ballot] = outcome, why, outcome
+        change.outcome, change.reason, self.decisions[ballot] = outcome, why, outcome
         self.change = None
-        if outcome == COMMITTED:
+        if outcome == ChangeOutcome.COMMITTED:
             self.in_force = change.generation
             for other in self.history.values():
-                if other.outcome == UNKNOWN and other.generation.ballot < ballot:
-                    other.outcome, other.why = SUPERSEDED, f"by generation {ballot.number}"
+                if other.outcome == ChangeOutcome.UNKNOWN and other.generation.ballot < ballot:
+                    other.outcome, other.reason = (
+                        ChangeOutcome.SUPERSEDED,
+                        f"by generation {ballot.number}",
+                    )
 
-    def at(self, name):
+    def describe_participant(self, name):
         """Where a member stands, in a word, and the number in force there."""
-        seen = self.seen.get(name)
+        seen = self.participant_states.get(name)
         number = seen.in_force.number if seen else None
-        if name in self.down:
-            return self.down[name], number
+        if name in self.unreachable:
+            return self.unreachable[name], number
         if not seen:
             return "not heard yet", number
         if self.in_force and seen.in_force == self.in_force.ballot:
             if seen.digest != self.in_force.digest:
                 return "another content under this number", number
-            return "in doubt" if seen.possible else "in force", number
+            return "in doubt" if seen.prepared else "in force", number
         return "behind", number
--- a/petrellane/config_consensus/journal.py
+++ b/petrellane/config_consensus/journal.py
@@ -58,7 +58,7 @@
         except (sqlite3.DatabaseError, ValueError) as error:
             raise JournalError(f"{self.path}: expected records in JSON, found {error}") from None
 
-    def note(self, record, at):
+    def append(self, record, at):
         """Add a record; it is on the disk when this returns. Raises OSError, and nothing was added."""
         try:
             self.base.execute(
--- a/petrellane/config_consensus/participant.py
+++ b/petrellane/config_consensus/participant.py
@@ -1,24 +1,24 @@
 """One gateway's part in agreement, as rules free of I/O. On one page, what it remembers and what it answers:
 
-    remembered (State, durable before any answer that rests on it)
+    remembered (ParticipantState, durable before any answer that rests on it)
       promised   the highest epoch it has answered: lower ones are refused from then on
       in_force   the generation that it admits under
-      possible   generations prepared here, of which it doesn't know whether they were decided: while there are any it is
+      prepared   generations prepared here, of which it doesn't know whether they were decided: while there are any it is
                  in doubt, and admits what `in_force` and all of these allow
-      denied     the last ballots that it was told will never be in force
+      aborted    the last ballots that it was told will never be in force
 
     promise E              E >= promised                  promised = E, answer what is remembered
-    prepare E, G, base     E >= promised, G after in_force, in_force not before base, G takes here, G not denied
-                                                           G joins possible
-    commit E, G            G in possible, or comes with its content
-                                                           in_force = G, possible keeps what is after G
-    deny E, B              B not in force                  B leaves possible, joins denied
+    prepare E, G, base     E >= promised, G after in_force, in_force not before base, G takes here, G not aborted
+                                                           G joins prepared
+    commit E, G            G in prepared, or comes with its content
+                                                           in_force = G, prepared keeps what is after G
+    deny E, B              B not in force                  B leaves prepared, joins aborted
     learn P                what another gateway remembers: its in_force, if later than ours, becomes ours; what is
                            possible there and after that is possible here; what it knows denied is denied
 
 Said again, each has the same result. What is in force never goes back to an earlier ballot. A gateway *knows* what is
 in force once it has heard so many others that every majority has one of them; a control process's word is not enough, as
-another may have gone on without it. Before, and after having stood still, a gateway admits nothing. `heard` and `learn`
+another may have gone on without it. Before, and after having stood still, a gateway admits nothing. `handle_message` and `merge_peer_state`
 change nothing: they give what to remember, which takes effect once it is durable.
 """
 
@@ -26,82 +26,76 @@
 
 from petrellane.config_consensus import safe_settings
 from petrellane.config_consensus.ballots import (
-    NOBODY,
+    NO_EPOCH,
     Ballot,
     Epoch,
     Generation,
-    ballot_of,
-    enough,
-    epoch_of,
-    generation_of,
+    intersects_every_majority,
+    parse_ballot,
+    parse_epoch,
+    parse_generation,
 )
+from petrellane.config_consensus.errors import MessageRejected
 
-KEPT = 16  # ballots kept as denied: of changes that far back nobody speaks any more
-MOST = 8  # generations that may be possible at a time
-FENCE = 1.0  # seconds of standing still after which a gateway can have been counted out meanwhile
-ASK = 0.5  # seconds, about, between rounds of asking others while in doubt or unknowing
-FIRST = Ballot(0, NOBODY)
+MAX_ABORTED = 16  # ballots kept as denied: of changes that far back nobody speaks any more
+MAX_PREPARED = 8  # generations that may be possible at a time
+STALL_LIMIT_S = (
+    1.0  # seconds of standing still after which a gateway can have been counted out meanwhile
+)
+PEER_POLL_INTERVAL_S = (
+    0.5  # seconds, about, between rounds of asking others while in doubt or unknowing
+)
+INITIAL_BALLOT = Ballot(0, NO_EPOCH)
 
 
-class State(NamedTuple):
+class ParticipantState(NamedTuple):
     """What a gateway remembers."""
 
     in_force: Generation
-    promised: Epoch = NOBODY
-    possible: tuple = ()
-    denied: tuple = ()
+    promised: Epoch = NO_EPOCH
+    prepared: tuple = ()
+    aborted: tuple = ()
 
-    def told(self):
+    def to_dict(self):
         """As JSON, without contents."""
         return {
             "promised": list(self.promised),
-            "in_force": self.in_force.named(),
-            "possible": [one.named() for one in self.possible],
-            "denied": [{"number": one.number, "epoch": list(one.epoch)} for one in self.denied],
-            "members": list(self.in_force.members),
+            "in_force": self.in_force.identity_to_dict(),
+            "possible": [one.identity_to_dict() for one in self.prepared],
+            "denied": [{"number": one.number, "epoch": list(one.epoch)} for one in self.aborted],
+            "members": list(self.in_force.roster),
         }
 
-    def holds(self, ballot):
+    def find_generation(self, ballot):
         """The generation of a ballot, where it is in force or possible here."""
-        return next((one for one in (self.in_force, *self.possible) if one.ballot == ballot), None)
-
-
-class Refusal(Exception):
-    """A message that is turned down: HTTP status, cause, and one line."""
-
-    def __init__(self, status, cause, text, **more):
-        super().__init__(text)
-        self.status, self.cause, self.text, self.more = status, cause, text, more
+        return next((one for one in (self.in_force, *self.prepared) if one.ballot == ballot), None)
 
-    def told(self):
-        return {"refused": self.cause, "why": self.text, **self.more}
 
-
-def admitted(state):
+def admissible_settings(state):
     """The settings that a gateway admits under: those in force, or while in doubt what all allow."""
     met = state.in_force.content
-    for one in state.possible:
+    for one in state.prepared:
         met = safe_settings.meet(met, one.content)
     return met
 
 
-def heard(state, message, takes):
-    """A message of a control process or another gateway: what to remember, and the answer. `takes` says why settings will
-    not do here (one line), or None. Raises Refusal; whatever is out of form is one with status 400."""
+def handle_message(state, message, validate):
+    """A message of a control process or another gateway: what to remember, and the answer. `validate` says why settings will
+    not do here (one line), or None. Raises MessageRejected; whatever is out of form is one with status 400."""
     try:
         do = message.get("do")
         if do == "state":
-            return state, state.told()
+            return state, state.to_dict()
         if do == "content":
-            found = state.holds(ballot_of(message))
+            found = state.find_generation(parse_ballot(message))
             if not found:
-                raise Refusal(404, "unknown", "no such generation here")
-            return state, found.told()
+                raise MessageRejected(404, "unknown", "no such generation here")
+            return state, found.to_dict()
         if do not in ("promise", "prepare", "commit", "deny"):
-            raise Refusal(400, "form", f"do: expected a known word, found {str(do)[:40]}")
-        epoch = epoch_of(message.get("epoch_of"))
+            raise MessageRejected(400, "form", f"do: expected a known word, found {str(do)[:40]}")
+        epoch = parse_epoch(message.get("epoch_of"))
         if epoch < state.promised:
-            raise Refusal(
+            raise MessageRejected(
                 409,
                 "epoch",
                 f"epoch {epoch.number} of {epoch.control}: expected at least "
@@ -110,175 +104,186 @@
             )
         after = state._replace(promised=epoch)
         if do == "prepare":
-            after = prepared(
+            after = prepare(
                 after,
-                generation_of(message, safe_settings.digest),
-                ballot_of(message.get("base")),
-                takes,
+                parse_generation(message, safe_settings.digest),
+                parse_ballot(message.get("base")),
+                validate,
             )
         elif do == "commit":
-            after = committed(after, message, takes)
+            after = commit(after, message, validate)
         elif do == "deny":
-            after = denied(after, ballot_of(message))
-        return after, after.told()
+            after = abort(after, parse_ballot(message))
+        return after, after.to_dict()
     except ValueError as error:
-        raise Refusal(400, "form", str(error)) from None
+        raise MessageRejected(400, "form", str(error)) from None
 
 
-def prepared(state, generation, base, takes):
+def prepare(state, generation, base, validate):
     ballot = generation.ballot
-    if state.holds(ballot):
+    if state.find_generation(ballot):
         return state
     if ballot <= state.in_force.ballot:
-        raise Refusal(
+        raise MessageRejected(
             409, "past", f"generation {ballot.number}: {state.in_force.number} is in force"
         )
-    if ballot in state.denied:
-        raise Refusal(409, "past", f"generation {ballot.number}: it was given up")
+    if ballot in state.aborted:
+        raise MessageRejected(409, "past", f"generation {ballot.number}: it was given up")
     if state.in_force.ballot < base:
-        raise Refusal(
+        raise MessageRejected(
             409,
             "behind",
             f"generation {base.number} is not in force here, but {state.in_force.number}",
         )
-    if wrong := takes(generation.content):
-        raise Refusal(422, "settings", wrong)
-    if len(state.possible) >= MOST:
-        raise Refusal(409, "crowded", f"{MOST} generations are possible here already")
+    if wrong := validate(generation.content):
+        raise MessageRejected(422, "settings", wrong)
+    if len(state.prepared) >= MAX_PREPARED:
+        raise MessageRejected(
+            409, "crowded", f"{MAX_PREPARED} generations are possible here already"
+        )
     return state._replace(
-        possible=tuple(sorted((*state.possible, generation), key=lambda one: one.ballot))
+        prepared=tuple(sorted((*state.prepared, generation), key=lambda one: one.ballot))
     )
 
 
-def committed(state, message, takes):
-    ballot = ballot_of(message)
+def commit(state, message, validate):
+    ballot = parse_ballot(message)
     if ballot <= state.in_force.ballot:
         return state
-    found = state.holds(ballot)
+    found = state.find_generation(ballot)
     if found is None:
         if "content" not in message:
-            raise Refusal(409, "unknown", f"generation {ballot.number}: its content is not here")
-        found = generation_of(message, safe_settings.digest)
-        if wrong := takes(
+            raise MessageRejected(
+                409, "unknown", f"generation {ballot.number}: its content is not here"
+            )
+        found = parse_generation(message, safe_settings.digest)
+        if wrong := validate(
             found.content
         ):  # the decision holds; this gateway can't follow it, and says so
-            raise Refusal(422, "settings", wrong)
+            raise MessageRejected(422, "settings", wrong)
     return put_in_force(state, found)
 
 
 def put_in_force(state, generation):
     return state._replace(
         in_force=generation,
-        possible=tuple(one for one in state.possible if one.ballot > generation.ballot),
+        prepared=tuple(one for one in state.prepared if one.ballot > generation.ballot),
     )
 
 
-def denied(state, ballot):
-    if ballot <= state.in_force.ballot or ballot in state.denied:
+def abort(state, ballot):
+    if ballot <= state.in_force.ballot or ballot in state.aborted:
         return state
     return state._replace(
-        possible=tuple(one for one in state.possible if one.ballot != ballot),
-        denied=(*state.denied, ballot)[-KEPT:],
+        prepared=tuple(one for one in state.prepared if one.ballot != ballot),
+        aborted=(*state.aborted, ballot)[-MAX_ABORTED:],
     )
 
 
-class Learnt(NamedTuple):
+class PeerState(NamedTuple):
     """What another gateway remembers, as it told."""
 
     in_force: Ballot
     digest: str
-    possible: tuple
-    denied: tuple
-    members: tuple
+    prepared: tuple
+    aborted: tuple
+    roster: tuple
 
 
-def learnt_of(told):
+def parse_peer_state(told):
     """What another gateway told of itself. Raises ValueError."""
     rows = told.get("possible", []), told.get("denied", []), told.get("members", [])
     if not all(isinstance(row, list) for row in rows):
         raise ValueError("possible, denied, members: expected lists")
     force = told.get("in_force")
-    return Learnt(
-        ballot_of(force),
+    return PeerState(
+        parse_ballot(force),
         str(force.get("digest")),
-        tuple(map(ballot_of, rows[0])),
-        tuple(map(ballot_of, rows[1])),
+        tuple(map(parse_ballot, rows[0])),
+        tuple(map(parse_ballot, rows[1])),
         tuple(map(str, rows[2])),
     )
 
 
-def missing(state, learnt):
+def missing_ballots(state, learnt):
     """Ballots of which the content has to be fetched from a gateway before what it told can be learnt."""
     wanted = [learnt.in_force] if learnt.in_force > state.in_force.ballot else []
     wanted += [
         one
-        for one in learnt.possible
-        if one > max(learnt.in_force, state.in_force.ballot) and one not in state.denied
+        for one in learnt.prepared
+        if one > max(learnt.in_force, state.in_force.ballot) and one not in state.aborted
     ]
-    return [one for one in wanted if not state.holds(one)]
+    return [one for one in wanted if not state.find_generation(one)]
 
 
-def learn(state, learnt, fetched, takes):
+def merge_peer_state(state, learnt, fetched, validate):
     """What to remember after another gateway told what it does; `fetched` are the generations that were missing. Raises
-    Refusal where settings that are in force elsewhere will not do here."""
+    MessageRejected where settings that are in force elsewhere will not do here."""
     got = {one.ballot: one for one in fetched}
-    for ballot in learnt.denied:
-        if state.holds(ballot):
-            state = denied(state, ballot)
+    for ballot in learnt.aborted:
+        if state.find_generation(ballot):
+            state = abort(state, ballot)
     if learnt.in_force > state.in_force.ballot:
-        found = state.holds(learnt.in_force) or got.get(learnt.in_force)
+        found = state.find_generation(learnt.in_force) or got.get(learnt.in_force)
         if found:
-            if wrong := takes(found.content):
-                raise Refusal(422, "settings", wrong)
+            if wrong := validate(found.content):
+                raise MessageRejected(422, "settings", wrong)
             state = put_in_force(state, found)
-    for ballot in learnt.possible:
+    for ballot in learnt.prepared:
         found = got.get(ballot)
         if (
             found
             and ballot > state.in_force.ballot
-            and not state.holds(ballot)
-            and ballot not in state.denied
+            and not state.find_generation(ballot)
+            and ballot not in state.aborted
         ):
-            if takes(found.content) is None and len(state.possible) < MOST:
+            if validate(found.content) is None and len(state.prepared) < MAX_PREPARED:
                 state = state._replace(
-                    possible=tuple(sorted((*state.possible, found), key=lambda one: one.ballot))
+                    prepared=tuple(sorted((*state.prepared, found), key=lambda one: one.ballot))
                 )
     return state
 
 
-class Standing:
+class ParticipantStatus:
     """Whether a gateway may admit: it is a member, knows what is in force, and has not stood still since. Times are seconds
     of one steady clock; `remembers` is whether what it once said is still here."""
 
     def __init__(self, name, members, remembers, now):
         self.name, self.remembers = name, remembers
-        self.heard, self.looked, self.known = set(), now, False
-        self.since = 0  # times that it stood still: what was asked before says nothing after
-        self.of(members)
+        self.responders, self.last_checked, self.knows_in_force = set(), now, False
+        self.stall_count = 0  # times that it stood still: what was asked before says nothing after
+        self.set_roster(members)
 
-    def of(self, members):
+    def set_roster(self, members):
         """These are the members now. One that is not among them is told of no change, so it admits nothing."""
-        self.members = tuple(members)
-        if self.name not in self.members:
-            self.known = False
-        elif enough(self.members, self.heard, self.remembers):
-            self.known = True
+        self.roster = tuple(members)
+        if self.name not in self.roster:
+            self.knows_in_force = False
+        elif intersects_every_majority(self.roster, self.responders, self.remembers):
+            self.knows_in_force = True
 
-    def told(self, name, since):
+    def on_peer_answered(self, name, since):
         """Another gateway has answered what was asked at `since`, and all that it told is remembered here. An answer that
         lay here while we stood still may be older than what others did meanwhile."""
-        if since == self.since:
-            self.heard.add(name)
-            self.of(self.members)
+        if since == self.stall_count:
+            self.responders.add(name)
+            self.set_roster(self.roster)
 
-    def look(self, now):
+    def check_stall(self, now):
         """Told often. True where this gateway stood still for so long that others may have gone on without it."""
-        still, self.looked = now - self.looked > FENCE, max(now, self.looked)
+        still, self.last_checked = (
+            now - self.last_checked > STALL_LIMIT_S,
+            max(now, self.last_checked),
+        )
         if still:
-            self.heard, self.known, self.since = set(), False, self.since + 1
-            self.of(self.members)
+            self.responders, self.knows_in_force, self.stall_count = (
+                set(),
+                False,
+                self.stall_count + 1,
+            )
+            self.set_roster(self.roster)
         return still
 
-    def admits(self, now):
+    def may_admit(self, now):
         """Whether an RPC that is here now may be admitted."""
-        return self.known and now - self.looked <= FENCE
+        return self.knows_in_force and now - self.last_checked <= STALL_LIMIT_S
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -16,9 +16,14 @@
 import greenlet
 
 from petrellane.config_consensus import message_authentication, participant, rpc_client
-from petrellane.config_consensus.ballots import Generation, generation_of
-from petrellane.config_consensus.participant import FIRST, Refusal, Standing, State
-from petrellane.config_consensus.safe_settings import compared, digest, policy
+from petrellane.config_consensus.ballots import Generation, parse_generation
+from petrellane.config_consensus.errors import MessageRejected
+from petrellane.config_consensus.participant import (
+    INITIAL_BALLOT,
+    ParticipantState,
+    ParticipantStatus,
+)
+from petrellane.config_consensus.safe_settings import describe_changes, digest, shared_settings
 from petrellane.config_consensus.state_store import Store
 
 
@@ -40,10 +45,12 @@
         )
         self.settings, self.takes, self.adopt, self.chance = settings, takes, adopt, chance
         self.store, self.remembers, self.writable = Store(told.state, name), True, True
-        self.state = State(
-            Generation(FIRST, digest(settings), policy(settings), tuple(told.members))
+        self.state = ParticipantState(
+            Generation(
+                INITIAL_BALLOT, digest(settings), shared_settings(settings), tuple(told.members)
+            )
         )
-        self.standing = Standing(name, told.members, False, self.clock())
+        self.standing = ParticipantStatus(name, told.members, False, self.clock())
         self.part = False  # we answer and ask: this process is the gateway
         self.begin = None
         self.asking = self.over = self.busy = False
@@ -69,7 +76,7 @@
                 found
                 if found.in_force.number
                 else self.state._replace(
-                    promised=found.promised, possible=found.possible, denied=found.denied
+                    promised=found.promised, prepared=found.prepared, aborted=found.aborted
                 )
             )
         if self.bound():
@@ -80,21 +87,21 @@
         """Take part from now on, and call `begin` once it is known what is in force. `told` is what the process before
         said that it remembers: where our folder does not have it, we ask as one that remembers nothing."""
         self.load()
-        if told and told != self.state.told():
+        if told and told != self.state.to_dict():
             self.remembers = False
         self.begin, self.part = begin, True
         self.anew()
 
     def anew(self):
         """Know nothing, and ask."""
-        self.standing = Standing(self.name, self.members(), self.remembers, self.clock())
+        self.standing = ParticipantStatus(self.name, self.members(), self.remembers, self.clock())
         self.knows()
         self.ask()
 
     def members(self):
         """Who has to agree: whom the generation in force names, or our file where none was agreed on."""
         return (
-            self.state.in_force.members if self.state.in_force.number else tuple(self.told.members)
+            self.state.in_force.roster if self.state.in_force.number else tuple(self.told.members)
         )
 
     def leave(self):
@@ -112,7 +119,7 @@
 
     def bound(self):
         """Whether settings are agreed: with the first generation on, what a file says of them counts no more."""
-        return bool(self.state.in_force.number or self.state.possible)
+        return bool(self.state.in_force.number or self.state.prepared)
 
     # What is remembered, and in force.
 
@@ -163,11 +170,11 @@
 
     def put(self):
         """Admit under what is remembered."""
-        self.standing.of(self.members())
-        said = self.state.in_force.ballot, tuple(one.ballot for one in self.state.possible)
+        self.standing.set_roster(self.members())
+        said = self.state.in_force.ballot, tuple(one.ballot for one in self.state.prepared)
         if said != self.announced:
             self.announced = said
-            self.adopt(participant.admitted(self.state))
+            self.adopt(participant.admissible_settings(self.state))
             self.log.event(
                 "generation",
                 number=said[0].number,
@@ -175,7 +182,7 @@
                 digest=self.state.in_force.digest,
                 possible=[one.number for one in said[1]],
             )
-            if self.state.possible:
+            if self.state.prepared:
                 self.ask()
 
     def desk(self, fields, body):
@@ -191,8 +198,8 @@
             }
         with self.turn():
             try:
-                after, told = participant.heard(self.state, message, self.takes)
-            except Refusal as refusal:
+                after, told = participant.handle_message(self.state, message, self.takes)
+            except MessageRejected as refusal:
                 if refusal.cause == "settings":
                     self.log.event(
                         "agreement_refused",
@@ -200,7 +207,7 @@
                         number=message.get("number"),
                         error=refusal.text,
                     )
-                return refusal.status, refusal.told()
+                return refusal.status, refusal.to_dict()
             if after != self.state:
                 if not self.remember(after):
                     return 507, {
@@ -223,12 +230,17 @@
                 self.log.event(
                     "drift",
                     number=self.state.in_force.number,
-                    lines=compared(self.state.in_force.content, settings)[:20],
+                    lines=describe_changes(self.state.in_force.content, settings)[:20],
                 )
             return False
         self.settings = settings
         self.state = self.state._replace(
-            in_force=Generation(FIRST, digest(settings), policy(settings), tuple(self.told.members))
+            in_force=Generation(
+                INITIAL_BALLOT,
+                digest(settings),
+                shared_settings(settings),
+                tuple(self.told.members),
+            )
         )
         return True
 
@@ -236,15 +248,15 @@
 
     def admits(self):
         """Whether an RPC that is here now may be admitted."""
-        if self.standing.admits(self.clock()):
+        if self.standing.may_admit(self.clock()):
             return True
         self.look()
-        return self.standing.known
+        return self.standing.knows_in_force
 
     def look(self):
         """Told often: whether we stood still so long that others may have gone on without us."""
-        if self.standing.look(self.clock()) and self.part:
-            self.log.event("stood_still", known=self.standing.known)
+        if self.standing.check_stall(self.clock()) and self.part:
+            self.log.event("stood_still", known=self.standing.knows_in_force)
             if not self.busy:
                 self.load()  # a process that took our place may have written there
             self.ask()
@@ -267,37 +279,43 @@
             self.remember(
                 self.state
             )  # whether the folder can be written shows now, not in the first change
-        while self.part and not self.over and (not self.standing.known or self.state.possible):
-            if self.name not in self.standing.members and not outside:
+        while (
+            self.part
+            and not self.over
+            and (not self.standing.knows_in_force or self.state.prepared)
+        ):
+            if self.name not in self.standing.roster and not outside:
                 outside = True
                 self.log.event(
                     "not_on_roster",
                     number=self.state.in_force.number,
-                    members=len(self.standing.members),
+                    members=len(self.standing.roster),
                 )
-            if self.standing.known:  # a decision mostly comes by itself
-                self.scheduler.wait(participant.ASK * (0.5 + self.chance()))
-                if not self.state.possible and self.standing.known:
+            if self.standing.knows_in_force:  # a decision mostly comes by itself
+                self.scheduler.wait(participant.PEER_POLL_INTERVAL_S * (0.5 + self.chance()))
+                if not self.state.prepared and self.standing.knows_in_force:
                     break
             names = [
                 name
                 for name in self.told.members
                 if name != self.name
-                and (self.standing.known or outside or name not in self.standing.heard)
+                and (
+                    self.standing.knows_in_force or outside or name not in self.standing.responders
+                )
             ]
             names.sort(key=lambda name: self.chance())
-            self.round(names[: self.IN_DOUBT] if self.standing.known else names)
-            if not self.standing.known:
-                self.scheduler.wait(participant.ASK * (0.5 + self.chance()))
+            self.round(names[: self.IN_DOUBT] if self.standing.knows_in_force else names)
+            if not self.standing.knows_in_force:
+                self.scheduler.wait(participant.PEER_POLL_INTERVAL_S * (0.5 + self.chance()))
 
     def round(self, names):
         """Ask these, a few side by side, until we know."""
         left, busy = list(names), []
-        knew = self.standing.known
+        knew = self.standing.knows_in_force
 
         def some():
             try:
-                while left and (knew or not self.standing.known) and self.part:
+                while left and (knew or not self.standing.knows_in_force) and self.part:
                     self.learn_from(left.pop())
             finally:
                 busy.pop()
@@ -311,7 +329,7 @@
     def learn_from(self, name):
         """Ask one gateway, and take up what it knows and we do not."""
         self.look()
-        standing, since = self.standing, self.standing.since
+        standing, since = self.standing, self.standing.stall_count
         for address in self.told.members[name]:
             try:
                 call = partial(
@@ -325,10 +343,10 @@
                 told = call({"do": "state", "to": name}, self.PATIENCE)
                 if "refused" in told:
                     continue
-                learnt = participant.learnt_of(told)
-                wanted = participant.missing(self.state, learnt)
+                learnt = participant.parse_peer_state(told)
+                wanted = participant.missing_ballots(self.state, learnt)
                 fetched = [
-                    generation_of(
+                    parse_generation(
                         call(
                             {
                                 "do": "content",
@@ -343,29 +361,29 @@
                     for one in wanted
                 ]
                 with self.turn():
-                    after = participant.learn(self.state, learnt, fetched, self.takes)
+                    after = participant.merge_peer_state(self.state, learnt, fetched, self.takes)
                     if after != self.state:
                         if not self.remember(after):
                             self.state, self.remembers = after, False  # it holds for this life
                         self.put()
             except (rpc_client.Nobody, rpc_client.Silent, ValueError):
                 continue
-            except Refusal as refusal:
+            except MessageRejected as refusal:
                 self.log.event(
                     "agreement_refused", do="learn", gateway_asked=name, error=refusal.text
                 )
                 return
             self.look()  # an answer may have lain here while we stood still
-            standing.told(name, since)
+            standing.on_peer_answered(name, since)
             self.knows()
             return
 
     def knows(self):
         """Begin, where that was waited for and it is known now what is in force."""
-        if self.standing.known and self.begin:
+        if self.standing.knows_in_force and self.begin:
             begin, self.begin = self.begin, None
             self.put()
             self.log.event(
-                "agreed", number=self.state.in_force.number, asked=len(self.standing.heard)
+                "agreed", number=self.state.in_force.number, asked=len(self.standing.responders)
             )
             begin()
--- a/petrellane/config_consensus/safe_settings.py
+++ b/petrellane/config_consensus/safe_settings.py
@@ -1,13 +1,13 @@
 """What of a gateway's settings is agreed on: its canonical form, its digest, the meet of two, and what one changes.
 
 Settings are the JSON object that a gateway's file holds under `settings`. All of it is agreed on but what is each
-gateway's own (`OWN`). Functions here take and give plain JSON values and change none of them. None of them checks more
+gateway's own (`LOCAL_KEYS`). Functions here take and give plain JSON values and change none of them. None of them checks more
 than it needs: whether a gateway would take the settings is `petrellane.config`'s to say.
 
 The meet of two settings allows nothing that either forbids: a method that both have, by the fewer attempts and the
 shorter times, with an effect that lets it be tried again only where both do; a plan that both have, at the lower rate
 and ceiling. It is a greatest lower bound: commutative, associative, and the meet of a thing with itself is that thing,
-for settings in `full` form. A method whose command differs (an idempotent one takes the other command than the rest) is
+for settings in the form of `with_defaults`. A method whose command differs (an idempotent one takes the other command than the rest) is
 allowed by neither when both are in doubt, and is left out.
 """
 
@@ -15,7 +15,7 @@
 import json
 import math
 
-OWN = ("locality",)  # what a gateway knows of itself alone
+LOCAL_KEYS = ("locality",)  # what a gateway knows of itself alone
 
 QUERY = "pure"  # the effect whose RPCs come by the other command
 KEYED = "token"
@@ -27,14 +27,14 @@
 )  # from the scope in which a repeat is discarded nowhere to everywhere
 
 
-def policy(settings):
+def shared_settings(settings):
     """The part of some settings that is agreed on."""
-    return {key: value for key, value in settings.items() if key not in OWN}
+    return {key: value for key, value in settings.items() if key not in LOCAL_KEYS}
 
 
-def own(settings):
+def local_settings(settings):
     """The part of some settings that stays a gateway's own."""
-    return {key: value for key, value in settings.items() if key in OWN}
+    return {key: value for key, value in settings.items() if key in LOCAL_KEYS}
 
 
 def plain(value):
@@ -48,10 +48,10 @@
     return value
 
 
-def canonical(settings):
+def canonical_bytes(settings):
     """The bytes of the agreed part in canonical form: JSON with sorted keys, methods and plans in the order of their
     names, whole numbers without a fraction. Equal for settings that say the same in another order."""
-    told = plain(policy(settings))
+    told = plain(shared_settings(settings))
     for key in ("classes", "contracts"):
         if isinstance(told.get(key), list):
             told[key] = sorted(
@@ -65,7 +65,7 @@
 
 def digest(settings):
     """The name of what some settings say: 32 hex digits of blake2b over the canonical form."""
-    return hashlib.blake2b(canonical(settings), digest_size=16).hexdigest()
+    return hashlib.blake2b(canonical_bytes(settings), digest_size=16).hexdigest()
 
 
 # The full form: what is left to its default is told.
@@ -109,9 +109,9 @@
 TOP = {"discovery": "push", "replicasOfMe": 1_000_000}
 
 
-def full(settings):
+def with_defaults(settings):
     """The agreed part with every default told, and methods and plans in the order of their names."""
-    told = json.loads(canonical(settings))
+    told = json.loads(canonical_bytes(settings))
     for key, defaults in PARTS.items():
         told[key] = defaults | told.get(key, {})
     told = TOP | told
@@ -184,7 +184,7 @@
 
 def meet(one, other):
     """The settings that allow what both allow, in full form."""
-    one, other = full(one), full(other)
+    one, other = with_defaults(one), with_defaults(other)
     told = fields(one, other)
     for key in PARTS:
         told[key] = fields(one[key], other[key])
@@ -241,7 +241,7 @@
 
 def allows(wide, narrow):
     """Whether `wide` forbids nothing that `narrow` allows: the order of which `meet` is the lower bound."""
-    return meet(wide, narrow) == full(narrow)
+    return meet(wide, narrow) == with_defaults(narrow)
 
 
 # The comparison, in words.
@@ -278,9 +278,9 @@
 NONE_AT_ZERO = ("quotaRate", "ceilingRate", "maxOut")
 
 
-def compared(before, after):
+def describe_changes(before, after):
     """What changes for whom, a line each, in the order method, plan, the rest; none where both say the same."""
-    before, after = full(before), full(after)
+    before, after = with_defaults(before), with_defaults(after)
     said = []
     for key, kind in (("classes", "method"), ("contracts", "plan")):
         old, new = ({row["name"]: row for row in settings[key]} for settings in (before, after))
--- a/petrellane/config_consensus/state_store.py
+++ b/petrellane/config_consensus/state_store.py
@@ -11,8 +11,8 @@
 import orjson
 
 from petrellane.config_consensus import safe_settings
-from petrellane.config_consensus.ballots import ballot_of, epoch_of, generation_of
-from petrellane.config_consensus.participant import State
+from petrellane.config_consensus.ballots import parse_ballot, parse_epoch, parse_generation
+from petrellane.config_consensus.participant import ParticipantState
 
 VERSION = 1
 
@@ -47,11 +47,11 @@
 
     @staticmethod
     def state_of(content):
-        return State(
-            generation_of(content["in_force"], safe_settings.digest),
-            epoch_of(content["promised"]),
-            tuple(generation_of(one, safe_settings.digest) for one in content["possible"]),
-            tuple(map(ballot_of, content["denied"])),
+        return ParticipantState(
+            parse_generation(content["in_force"], safe_settings.digest),
+            parse_epoch(content["promised"]),
+            tuple(parse_generation(one, safe_settings.digest) for one in content["possible"]),
+            tuple(map(parse_ballot, content["denied"])),
         )
 
     def read(self, path):
@@ -79,10 +79,10 @@
     def save(self, state):
         """Remember; durable when it returns. Raises OSError, and what was remembered before still is."""
         content = {
-            "in_force": state.in_force.told(),
+            "in_force": state.in_force.to_dict(),
             "promised": list(state.promised),
-            "possible": [one.told() for one in state.possible],
-            "denied": [{"number": one.number, "epoch": list(one.epoch)} for one in state.denied],
+            "possible": [one.to_dict() for one in state.prepared],
+            "denied": [{"number": one.number, "epoch": list(one.epoch)} for one in state.aborted],
         }
         told = {
             "version": VERSION,
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -177,7 +177,7 @@
         generation = None
         if self.agent:
             self.agent.leave()
-            generation = self.agent.state.told()
+            generation = self.agent.state.to_dict()
         return hot_restart.given(self.driver.gateway, self.scheduler.now(), generation)
 
     def beside(self):
@@ -300,7 +300,9 @@
         """The configuration with settings that are agreed on, and what of them is our own. Raises ConfigError."""
         from petrellane.config_consensus import safe_settings
 
-        return settled(self.config, {**safe_settings.own(self.config.raw["settings"]), **content})
+        return settled(
+            self.config, {**safe_settings.local_settings(self.config.raw["settings"]), **content}
+        )
 
     def takes(self, content):
         """Why agreed settings will not do here, in one line; None where they do."""
--- a/petrellane/testbed/capacity.py
+++ b/petrellane/testbed/capacity.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from petrellane.config_consensus.coordinator import LOOK
+from petrellane.config_consensus.coordinator import POLL_INTERVAL_S
 from petrellane.decisions.controller import AHEAD, EXCHANGE, HEADROOM, IN_USE, KNOWN, MEMORY, WINDOW
 from petrellane.net.limits import Limits
 from petrellane.operation.backoff import SPACED
@@ -250,7 +250,7 @@
 
 def looks_bytes(book, answer="state_bytes_1200"):
     """Bytes a second of the looks of one control process at one gateway."""
-    return (book.message("look_bytes") + book.message(answer)) / LOOK
+    return (book.message("look_bytes") + book.message(answer)) / POLL_INTERVAL_S
 
 
 def watch_bytes(book):
@@ -450,8 +450,8 @@
         + book.message("look_ms") * gateways
     ) / MS
     rest = (
-        book.message(f"leader_look_ms_{number}") / MS / LOOK
-        + book.message("look_ms") / MS / LOOK * gateways
+        book.message(f"leader_look_ms_{number}") / MS / POLL_INTERVAL_S
+        + book.message("look_ms") / MS / POLL_INTERVAL_S * gateways
     )
     return [
         Row(
--- a/petrellane/testbed/hollow.py
+++ b/petrellane/testbed/hollow.py
@@ -142,8 +142,8 @@
         self.settle()
         if self.agent and self.fresh:
             standing = self.agent.standing
-            standing.heard.update(standing.members)
-            standing.of(standing.members)
+            standing.responders.update(standing.roster)
+            standing.set_roster(standing.roster)
             self.agent.knows()
 
     def watch(self, index):
--- a/tests/agreement/cases.py
+++ b/tests/agreement/cases.py
@@ -14,6 +14,7 @@
 from petrellane.config_consensus import (
     ballots,
     coordinator,
+    errors,
     journal,
     message_authentication,
     participant,
@@ -94,7 +95,7 @@
     def test_the_meet_is_a_greatest_lower_bound(self, one, other, third):
         both = safe_settings.meet(one, other)
         self.assertEqual(both, safe_settings.meet(other, one))
-        self.assertEqual(safe_settings.meet(one, one), safe_settings.full(one))
+        self.assertEqual(safe_settings.meet(one, one), safe_settings.with_defaults(one))
         self.assertEqual(
             safe_settings.meet(both, third),
             safe_settings.meet(one, safe_settings.meet(other, third)),
@@ -104,7 +105,7 @@
     @given(some_settings, some_settings)
     def test_the_meet_allows_nothing_that_either_forbids(self, one, other):
         met = safe_settings.meet(one, other)
-        for told in (safe_settings.full(one), safe_settings.full(other)):
+        for told in (safe_settings.with_defaults(one), safe_settings.with_defaults(other)):
             methods = {row["name"]: row for row in told["classes"]}
             for row in met["classes"]:
                 there = methods[row["name"]]
@@ -130,13 +131,13 @@
         mixed["classes"] = chance.sample(told["classes"], len(told["classes"]))
         mixed = {"locality": "own", **mixed, "unsaid": None}
         self.assertEqual(safe_settings.digest(told), safe_settings.digest(mixed))
-        self.assertEqual(safe_settings.compared(told, mixed), [])
+        self.assertEqual(safe_settings.describe_changes(told, mixed), [])
 
     @given(some_settings, some_settings)
     def test_a_change_is_told_and_only_a_change(self, one, other):
         self.assertEqual(
-            not safe_settings.compared(one, other),
-            safe_settings.full(one) == safe_settings.full(other),
+            not safe_settings.describe_changes(one, other),
+            safe_settings.with_defaults(one) == safe_settings.with_defaults(other),
         )
 
     def test_words_of_a_change(self):
@@ -150,7 +151,7 @@
             "limits": {"maxAttempts": 2},
         }
         self.assertEqual(
-            safe_settings.compared(before, after),
+            safe_settings.describe_changes(before, after),
             [
                 "method look: gone",
                 "method post: new, effect non-idempotent",
@@ -169,7 +170,7 @@
             )
             for at, told in enumerate(CONTENTS)
         ]
-        return participant.State(
+        return participant.ParticipantState(
             made[0], ballots.Epoch(1, "a"), tuple(made[at] for at in possible)
         ), made
 
@@ -178,10 +179,10 @@
             "do": do,
             "epoch_of": list(epoch),
             "base": {"number": 0, "epoch": [1, "a"]},
-            **generation.told(),
+            **generation.to_dict(),
             **more,
         }
-        return participant.heard(state, told, lambda content: None)
+        return participant.handle_message(state, told, lambda content: None)
 
     def test_a_late_commit_changes_nothing(self):
         state, made = self.state(1, 2)
@@ -191,8 +192,8 @@
     def test_what_was_prepared_later_stays_possible(self):
         state, made = self.state(1, 2)
         state, _ = self.hear(state, "commit", made[1])
-        self.assertEqual((state.in_force, state.possible), (made[1], (made[2],)))
-        self.assertEqual(participant.admitted(state), safe_settings.meet(NEW, OTHER))
+        self.assertEqual((state.in_force, state.prepared), (made[1], (made[2],)))
+        self.assertEqual(participant.admissible_settings(state), safe_settings.meet(NEW, OTHER))
 
     def test_what_is_refused(self):
         state, made = self.state()
@@ -212,18 +213,18 @@
         ):
             with (
                 self.subTest(cause=cause, **message),
-                self.assertRaises(participant.Refusal) as found,
+                self.assertRaises(errors.MessageRejected) as found,
             ):
                 self.hear(given_state, message.pop("do", "prepare"), later, **message)
             self.assertEqual(found.exception.cause, cause)
-        with self.assertRaises(participant.Refusal) as found:
-            participant.heard(
+        with self.assertRaises(errors.MessageRejected) as found:
+            participant.handle_message(
                 state,
                 {
                     "do": "prepare",
                     "epoch_of": [1, "a"],
                     "base": {"number": 0, "epoch": [1, "a"]},
-                    **later.told(),
+                    **later.to_dict(),
                 },
                 lambda content: "settings.classes: wrong",
             )
@@ -246,28 +247,28 @@
     def test_any_message_has_an_answer(self, message):
         state, _ = self.state(1)
         try:
-            after, told = participant.heard(state, message, lambda content: None)
+            after, told = participant.handle_message(state, message, lambda content: None)
             self.assertTrue(after.promised >= state.promised and "refused" not in told)
-        except participant.Refusal as refusal:
+        except errors.MessageRejected as refusal:
             self.assertIn(refusal.status, (400, 404, 409, 422))
 
     def test_who_stood_still_asks_again(self):
-        standing = participant.Standing("g0", ("g0", "g1", "g2"), True, 0.0)
-        self.assertFalse(standing.admits(0.1))
-        standing.told("g1", 0)
-        self.assertTrue(standing.admits(0.1))
+        standing = participant.ParticipantStatus("g0", ("g0", "g1", "g2"), True, 0.0)
+        self.assertFalse(standing.may_admit(0.1))
+        standing.on_peer_answered("g1", 0)
+        self.assertTrue(standing.may_admit(0.1))
         self.assertFalse(
-            standing.admits(0.1 + participant.FENCE)
+            standing.may_admit(0.1 + participant.STALL_LIMIT_S)
         )  # seen before anything else is told
-        self.assertTrue(standing.look(0.1 + participant.FENCE))
-        self.assertFalse(standing.known)
-        standing.told("g1", 0)  # an answer to what was asked before
-        self.assertFalse(standing.known)
-        standing.told("g1", standing.since)
-        self.assertTrue(standing.known)
-        standing.of(("g1", "g2"))
-        standing.told("g2", standing.since)
-        self.assertFalse(standing.known)  # no member: nobody tells it of changes
+        self.assertTrue(standing.check_stall(0.1 + participant.STALL_LIMIT_S))
+        self.assertFalse(standing.knows_in_force)
+        standing.on_peer_answered("g1", 0)  # an answer to what was asked before
+        self.assertFalse(standing.knows_in_force)
+        standing.on_peer_answered("g1", standing.stall_count)
+        self.assertTrue(standing.knows_in_force)
+        standing.set_roster(("g1", "g2"))
+        standing.on_peer_answered("g2", standing.stall_count)
+        self.assertFalse(standing.knows_in_force)  # no member: nobody tells it of changes
 
 
 class Orders(unittest.TestCase):
@@ -349,11 +350,11 @@
 class Leaders(unittest.TestCase):
     def lead(self, fleet, times=30):
         for _ in range(times):
-            fleet.now += coordinator.LOOK / 2
+            fleet.now += coordinator.POLL_INTERVAL_S / 2
             for name in fleet.members:
                 if fleet.due(fleet.leaders["a"], name):
                     fleet.take(("talk", "a", name))
-            fleet.leaders["a"].judge(fleet.now)
+            fleet.leaders["a"].try_to_decide(fleet.now)
         return fleet.leaders["a"]
 
     def fleet(self, members=3):
@@ -368,7 +369,7 @@
         change = leads.propose(NEW, ("g2",), "staff", fleet.now)
         self.lead(fleet)
         self.assertEqual(
-            (change.outcome, change.why), ("aborted", "g2 was counted out, and answers")
+            (change.outcome, change.reason), ("aborted", "g2 was counted out, and answers")
         )
 
     def test_one_that_is_counted_out_may_stand_still(self):
@@ -380,19 +381,19 @@
         while change.outcome == "preparing":
             self.lead(fleet, 1)
         self.assertEqual(change.outcome, "committed")
-        self.assertGreaterEqual(fleet.now - began, 2 * participant.FENCE)
+        self.assertGreaterEqual(fleet.now - began, 2 * participant.STALL_LIMIT_S)
 
     def test_what_can_not_be_proposed(self):
         fleet = self.fleet()
         leads = fleet.leaders["a"]
         for without in (("nobody",), ("g0", "g1")):
-            with self.assertRaises(coordinator.NotNow):
+            with self.assertRaises(errors.ProposalRejected):
                 leads.propose(NEW, without, "staff", fleet.now)
         first = leads.propose(NEW, (), "staff", fleet.now)
         self.assertIs(
             leads.propose(dict(NEW), (), "staff", fleet.now), first
         )  # the same one twice is one
-        with self.assertRaises(coordinator.NotNow):
+        with self.assertRaises(errors.ProposalRejected):
             leads.propose(OTHER, (), "staff", fleet.now)
         self.lead(fleet)
         self.assertEqual(first.outcome, "committed")
@@ -405,16 +406,16 @@
         leads.journal.fails = "before"
         with self.assertRaises(Exception):  # noqa: B017
             for name in fleet.members:
-                leads.heard(
+                leads.handle_answer(
                     name,
-                    leads.message(name, fleet.now),
-                    fleet.members[name].hear(leads.message(name, fleet.now)),
+                    leads.build_message(name, fleet.now),
+                    fleet.members[name].hear(leads.build_message(name, fleet.now)),
                     fleet.now,
                 )
         self.assertEqual(change.outcome, "preparing")
         self.assertEqual(leads.in_force.content, OLD)
         leads.journal.fails = ""
-        leads.judge(fleet.now)
+        leads.try_to_decide(fleet.now)
         self.assertEqual(change.outcome, "committed")
 
 
@@ -427,7 +428,7 @@
         state, made = Members().state()
         return [
             state,
-            state._replace(possible=(made[1],)),
+            state._replace(prepared=(made[1],)),
             participant.put_in_force(state, made[1]),
         ]
 
@@ -467,7 +468,7 @@
 
     def test_the_journal_keeps_what_was_noted(self):
         kept = journal.Journal(self.path())
-        kept.note({"kind": "epoch", "number": 1}, 5.0)
+        kept.append({"kind": "epoch", "number": 1}, 5.0)
         with self.assertRaises(journal.JournalError) as found:  # one process at a time
             journal.Journal(self.path())
         self.assertIn("another control process has it", str(found.exception))
@@ -479,7 +480,7 @@
     def test_a_journal_cut_at_any_byte_is_whole_or_refused(self):
         kept = journal.Journal(self.path())
         for at in range(40):
-            kept.note({"kind": "epoch", "number": at, "text": "x" * 200}, float(at))
+            kept.append({"kind": "epoch", "number": at, "text": "x" * 200}, float(at))
         kept.close()
         whole = open(self.path(), "rb").read()
         for length in [*range(0, len(whole), 509), len(whole) - 1]:
--- a/tests/agreement/planted.py
+++ b/tests/agreement/planted.py
@@ -25,11 +25,11 @@
     """Absent members are not looked at again after the last has prepared."""
 
     def planted(self, name, message, answer, now):
-        confirmed = set(self.change.confirmed) if self.change else set()
+        confirmed = set(self.change.confirmed_absent) if self.change else set()
         heard(self, name, message, answer, now)
         if self.change:
-            self.change.confirmed |= confirmed - {name}
-            self.judge(now)
+            self.change.confirmed_absent |= confirmed - {name}
+            self.try_to_decide(now)
 
     return planted
 
@@ -38,7 +38,7 @@
     """A member that says nothing counts as down."""
 
     def planted(self, name, message, now, why=""):
-        self.refused(name, message, now)
+        self.handle_connection_refused(name, message, now)
 
     return planted
 
@@ -48,11 +48,11 @@
 
     def planted(self, now):
         if (
-            self.state == coordinator.LEADING
+            self.state == coordinator.CoordinatorState.LEADING
             and self.change
-            and now - self.change.began >= coordinator.WAIT
+            and now - self.change.started_at >= coordinator.CHANGE_TIMEOUT_S
         ):
-            self.decide(coordinator.COMMITTED, "", now)
+            self.decide(coordinator.ChangeOutcome.COMMITTED, "", now)
         else:
             judge(self, now)
 
@@ -63,7 +63,7 @@
     """Whatever is not known to have been decided is denied."""
 
     def planted(self, now):
-        with patch.object(coordinator.Leader, "may_be_decided", lambda self, ballot: False):
+        with patch.object(coordinator.Coordinator, "may_be_decided", lambda self, ballot: False):
             lead(self, now)
 
     return planted
@@ -73,7 +73,7 @@
     """A gateway obeys any control process."""
 
     def planted(state, message, takes):
-        return heard(state._replace(promised=ballots.NOBODY), message, takes)
+        return heard(state._replace(promised=ballots.NO_EPOCH), message, takes)
 
     return planted
 
@@ -82,7 +82,7 @@
     """A gateway that starts learns what is in force, but not what is possible."""
 
     def planted(state, learnt):
-        return missing(state, learnt._replace(possible=()))
+        return missing(state, learnt._replace(prepared=()))
 
     return planted
 
@@ -106,21 +106,23 @@
 
 def keeps_the_denied(denied):
     """What was denied stays possible."""
-    return lambda state, ballot: state._replace(denied=(*state.denied, ballot)[-participant.KEPT :])
+    return lambda state, ballot: state._replace(
+        aborted=(*state.aborted, ballot)[-participant.MAX_ABORTED :]
+    )
 
 
 PLANTS = {
-    "absent at once": over(coordinator.Leader, "refused", absent_at_once),
-    "no second look": over(coordinator.Leader, "heard", no_second_look),
-    "silent is absent": over(coordinator.Leader, "silent", silent_is_absent),
-    "commits late": over(coordinator.Leader, "judge", commits_late),
-    "denies the unknown": over(coordinator.Leader, "lead", denies_the_unknown),
-    "no epochs": over(participant, "heard", no_epochs),
-    "no doubt learnt": over(participant, "missing", no_doubt_learnt),
+    "absent at once": over(coordinator.Coordinator, "handle_connection_refused", absent_at_once),
+    "no second look": over(coordinator.Coordinator, "handle_answer", no_second_look),
+    "silent is absent": over(coordinator.Coordinator, "handle_no_answer", silent_is_absent),
+    "commits late": over(coordinator.Coordinator, "try_to_decide", commits_late),
+    "denies the unknown": over(coordinator.Coordinator, "try_to_lead", denies_the_unknown),
+    "no epochs": over(participant, "handle_message", no_epochs),
+    "no doubt learnt": over(participant, "missing_ballots", no_doubt_learnt),
     "leads alone": over(coordinator, "majority", leads_alone),
-    "knows at once": over(participant, "enough", knows_at_once),
-    "one too few": over(participant, "enough", one_too_few),
-    "keeps the denied": over(participant, "denied", keeps_the_denied),
+    "knows at once": over(participant, "intersects_every_majority", knows_at_once),
+    "one too few": over(participant, "intersects_every_majority", one_too_few),
+    "keeps the denied": over(participant, "abort", keeps_the_denied),
 }
 
 
--- a/tests/agreement/size.py
+++ b/tests/agreement/size.py
@@ -4,7 +4,7 @@
 
 from petrellane.config_consensus import participant, safe_settings
 from petrellane.config_consensus.ballots import Generation
-from petrellane.config_consensus.coordinator import ABORTED, COMMITTED, LEADING, Leader
+from petrellane.config_consensus.coordinator import ChangeOutcome, Coordinator, CoordinatorState
 from tests.choosing import operations
 
 
@@ -21,7 +21,7 @@
 class Nothing:
     """A journal that keeps nothing."""
 
-    def note(self, record, now):
+    def append(self, record, now):
         """Take a record."""
 
 
@@ -31,34 +31,36 @@
     def __init__(self, number):
         self.names, self.content = tuple(Name(f"g{at}") for at in range(number)), {"classes": []}
         first = Generation(
-            participant.FIRST, safe_settings.digest(self.content), self.content, self.names
+            participant.INITIAL_BALLOT, safe_settings.digest(self.content), self.content, self.names
         )
-        self.states = dict.fromkeys(self.names, participant.State(first))
-        self.leader, self.now = Leader("c", self.names, Nothing(), 0.0), 0.0
+        self.states = dict.fromkeys(self.names, participant.ParticipantState(first))
+        self.leader, self.now = Coordinator("c", self.names, Nothing(), 0.0), 0.0
         self.down, self.cut = set(), set()  # who refuses connections, and who is not reached
 
     def answered(self):
         """Messages to each member, and their answers, until none is due any; how many went."""
         went = 0
         for name in self.names:
-            while message := self.leader.next(name, self.now)[0]:
+            while message := self.leader.next_message(name, self.now)[0]:
                 went += 1
                 if name in self.down or name in self.cut:
-                    (self.leader.refused if name in self.down else self.leader.silent)(
-                        name, message, self.now
-                    )
+                    (
+                        self.leader.handle_connection_refused
+                        if name in self.down
+                        else self.leader.handle_no_answer
+                    )(name, message, self.now)
                     continue
                 told = eval(
                     repr(message)
                 )  # as over a wire: nothing is the same object at the other side
-                self.states[name], answer = participant.heard(
+                self.states[name], answer = participant.handle_message(
                     self.states[name], told, lambda content: None
                 )
-                self.leader.heard(name, message, eval(repr(answer)), self.now)
+                self.leader.handle_answer(name, message, eval(repr(answer)), self.now)
         return went
 
     def seek(self):
-        while self.leader.state != LEADING and self.answered():
+        while self.leader.state != CoordinatorState.LEADING and self.answered():
             pass
 
     def change(self):
@@ -71,7 +73,7 @@
 def cost(number):
     """Operations of the leader alone until it leads, and for a change, for each member."""
     roster, counted = Roster(number), []
-    heard, due = roster.leader.heard, roster.leader.next
+    heard, due = roster.leader.handle_answer, roster.leader.next_message
     total = [0]
 
     def counting(call):
@@ -82,7 +84,7 @@
 
         return made
 
-    roster.leader.heard, roster.leader.next = counting(heard), counting(due)
+    roster.leader.handle_answer, roster.leader.next_message = counting(heard), counting(due)
     for step in (roster.seek, roster.change):
         total[0] = 0
         done = step()
@@ -93,7 +95,10 @@
 class Size(unittest.TestCase):
     def test_a_members_part_of_a_change_is_in_step_with_the_roster_at_most(self):
         (few, _, _), (many, roster, change) = cost(40), cost(160)
-        self.assertEqual((roster.leader.state, change.outcome), (LEADING, COMMITTED))
+        self.assertEqual(
+            (roster.leader.state, change.outcome),
+            (CoordinatorState.LEADING, ChangeOutcome.COMMITTED),
+        )
         self.assertEqual({state.in_force.number for state in roster.states.values()}, {1})
         for one, other in zip(
             few, many, strict=True
@@ -111,8 +116,8 @@
         for _ in range(40):  # four seconds
             roster.now += 0.1
             roster.answered()
-            roster.leader.judge(roster.now)
-        self.assertEqual(change.outcome, ABORTED)
+            roster.leader.try_to_decide(roster.now)
+        self.assertEqual(change.outcome, ChangeOutcome.ABORTED)
         self.assertEqual({one.in_force.number for one in roster.states.values()}, {0})
         roster.cut = set()
         for _ in range(20):
@@ -122,7 +127,9 @@
         for _ in range(40):
             roster.now += 0.1
             roster.answered()
-        self.assertEqual((change.outcome, change.confirmed), (COMMITTED, roster.down))
+        self.assertEqual(
+            (change.outcome, change.confirmed_absent), (ChangeOutcome.COMMITTED, roster.down)
+        )
         self.assertEqual(
             {roster.states[name].in_force.ballot for name in set(roster.names) - roster.down},
             {change.generation.ballot},
--- a/tests/agreement/world.py
+++ b/tests/agreement/world.py
@@ -4,7 +4,7 @@
 import copy
 import hashlib
 
-from petrellane.config_consensus import ballots, coordinator, participant, safe_settings
+from petrellane.config_consensus import ballots, coordinator, errors, participant, safe_settings
 
 OLD = {"classes": [{"name": "look", "effect": "pure", "giveUp": 4}], "contracts": []}
 NEW = {"classes": [{"name": "look", "effect": "pure", "giveUp": 2}], "contracts": []}
@@ -22,7 +22,7 @@
     def __init__(self):
         self.records, self.fails = [], ""
 
-    def note(self, record, now):
+    def append(self, record, now):
         if self.fails == "before":
             raise Torn
         self.records.append(record)
@@ -35,37 +35,45 @@
 
     def __init__(self, name, members):
         self.name, self.members, self.up = name, members, True
-        self.state = participant.State(
-            ballots.Generation(participant.FIRST, safe_settings.digest(OLD), OLD, members)
+        self.state = participant.ParticipantState(
+            ballots.Generation(participant.INITIAL_BALLOT, safe_settings.digest(OLD), OLD, members)
         )
-        self.standing = participant.Standing(name, members, True, 0.0)
-        self.standing.known = True
+        self.standing = participant.ParticipantStatus(name, members, True, 0.0)
+        self.standing.knows_in_force = True
 
     def hear(self, message):
         try:
-            self.state, answer = participant.heard(self.state, message, lambda content: None)
+            self.state, answer = participant.handle_message(
+                self.state, message, lambda content: None
+            )
             return answer
-        except participant.Refusal as refusal:
-            return refusal.told()
+        except errors.MessageRejected as refusal:
+            return refusal.to_dict()
 
     def crash(self):
-        self.up, self.standing.known = False, False
+        self.up, self.standing.knows_in_force = False, False
 
     def start(self):
-        self.up, self.standing = True, participant.Standing(self.name, self.members, True, 0.0)
+        self.up, self.standing = (
+            True,
+            participant.ParticipantStatus(self.name, self.members, True, 0.0),
+        )
 
     def ask(self, other):
         """Learn from another gateway, as one that starts or is in doubt does."""
-        learnt = participant.learnt_of(other.hear({"do": "state"}))
-        fetched = [other.state.holds(ballot) for ballot in participant.missing(self.state, learnt)]
-        self.state = participant.learn(self.state, learnt, fetched, lambda content: None)
-        self.standing.told(other.name, self.standing.since)
+        learnt = participant.parse_peer_state(other.hear({"do": "state"}))
+        fetched = [
+            other.state.find_generation(ballot)
+            for ballot in participant.missing_ballots(self.state, learnt)
+        ]
+        self.state = participant.merge_peer_state(self.state, learnt, fetched, lambda content: None)
+        self.standing.on_peer_answered(other.name, self.standing.stall_count)
 
     def admits(self):
         """The ballots of which all allow what is admitted here; None where nothing is admitted."""
         return (
-            {one.ballot for one in (self.state.in_force, *self.state.possible)}
-            if (self.up and self.standing.known)
+            {one.ballot for one in (self.state.in_force, *self.state.prepared)}
+            if (self.up and self.standing.knows_in_force)
             else None
         )
 
@@ -73,8 +81,8 @@
         return (
             self.state,
             self.up,
-            self.standing.known,
-            frozenset(self.standing.heard) if not self.standing.known else 0,
+            self.standing.knows_in_force,
+            frozenset(self.standing.responders) if not self.standing.knows_in_force else 0,
         )
 
 
@@ -96,7 +104,11 @@
                 told.append(("lead", control))
                 continue
             told += [("talk", control, name) for name in self.members if self.due(leads, name)]
-            if leads.state == coordinator.LEADING and not leads.change and self.budget["propose"]:
+            if (
+                leads.state == coordinator.CoordinatorState.LEADING
+                and not leads.change
+                and self.budget["propose"]
+            ):
                 told.append(("propose", control))
             if leads.change:
                 told.append(("time", control))
@@ -125,13 +137,13 @@
                 told.append(("crash", name))
             if not one.up:
                 told.append(("start", name))
-            elif not one.standing.known or one.state.possible:
+            elif not one.standing.knows_in_force or one.state.prepared:
                 told += [
                     ("ask", name, other)
                     for other, peer in self.members.items()
                     if other != name
                     and peer.up
-                    and (other not in one.standing.heard or one.state.possible)
+                    and (other not in one.standing.responders or one.state.prepared)
                 ]
         return (
             told
@@ -140,7 +152,10 @@
         )
 
     def due(self, leads, name):
-        return leads.state != coordinator.DEPOSED and leads.due(name, self.now) is not None
+        return (
+            leads.state != coordinator.CoordinatorState.DEPOSED
+            and leads.pending_message(name, self.now) is not None
+        )
 
     def take(self, step):
         """Take one step."""
@@ -159,7 +174,7 @@
         elif what == "refused":  # the word of a machine that refused, when it is heard
             leads, name, message = self.looks.pop(who)
             try:
-                self.leaders[leads].refused(name, message, self.now)
+                self.leaders[leads].handle_connection_refused(name, message, self.now)
             except Torn:
                 self.drop(leads)
         elif what == "lead":
@@ -167,7 +182,7 @@
             journal.fails = ""
             if self.budget["lose"] and len(journal.records) > 1:
                 self.budget["lose"], journal.records = 0, []
-            self.leaders[who] = coordinator.Leader(
+            self.leaders[who] = coordinator.Coordinator(
                 who, tuple(self.members), journal, self.now, list(journal.records)
             )
         elif what == "end":
@@ -193,9 +208,9 @@
             self.budget["propose"] -= 1
             leads.propose(CONTENTS[1 + list(self.leaders).index(control)], (), "staff", self.now)
         elif what == "time":
-            leads.judge(self.now + coordinator.WAIT)
+            leads.try_to_decide(self.now + coordinator.CHANGE_TIMEOUT_S)
         else:
-            message, one = leads.message(name, self.now), self.members[name]
+            message, one = leads.build_message(name, self.now), self.members[name]
             if what == "look":
                 self.budget["fault"] -= 1
                 self.looks.append((control, name, message))
@@ -203,17 +218,17 @@
             if what == "unheard" or not one.up and what != "talk":
                 self.budget["fault"] -= 1
                 self.late.append((control, name, message))  # it may come yet
-                leads.silent(name, message, self.now)
+                leads.handle_no_answer(name, message, self.now)
             elif not one.up:
-                leads.refused(name, message, self.now)
+                leads.handle_connection_refused(name, message, self.now)
             else:
                 answer = one.hear(message)
                 if what == "doubled":
                     self.late.append((control, name, message))
                 if what == "unanswered":
-                    leads.silent(name, message, self.now)
+                    leads.handle_no_answer(name, message, self.now)
                 else:
-                    leads.heard(name, message, answer, self.now)
+                    leads.handle_answer(name, message, answer, self.now)
                 self.budget["fault"] -= what != "talk"
 
     def broken(self):
@@ -239,15 +254,15 @@
                     one.change
                     and (
                         one.change.generation.ballot,
-                        tuple(sorted(one.change.replies.items())),
-                        sorted(one.change.confirmed),
+                        tuple(sorted(one.change.votes.items())),
+                        sorted(one.change.confirmed_absent),
                     ),
-                    sorted(one.seen.items()),
-                    sorted(one.promised),
-                    sorted(one.whole),
-                    sorted(one.unknown),
-                    one.wanted and one.wanted[0],
-                    one.rises,
+                    sorted(one.participant_states.items()),
+                    sorted(one.promised_by),
+                    sorted(one.needs_content),
+                    sorted(one.in_doubt),
+                    one.wanted_content and one.wanted_content[0],
+                    one.epoch_claims,
                 )
             )
             for one in self.leaders.values()
@@ -259,7 +274,7 @@
         late += tuple(
             (
                 name,
-                message["order"] > self.leaders[control].change.settled
+                message["order"] > self.leaders[control].change.settled_message
                 if self.leaders[control].change
                 else 0,
             )
@@ -285,7 +300,7 @@
         for name, one in self.members.items():
             fleet.members[name] = other = copy.copy(one)
             other.standing = copy.copy(one.standing)
-            other.standing.heard = set(one.standing.heard)
+            other.standing.responders = set(one.standing.responders)
         for name, journal in self.journals.items():
             fleet.journals[name] = other = copy.copy(journal)
             other.records = list(journal.records)
@@ -293,14 +308,26 @@
             fleet.leaders[name] = other = copy.copy(leads)
             if leads:
                 other.journal = fleet.journals[name]
-                for field in ("seen", "asked_at", "down", "fault", "decided"):
+                for field in (
+                    "participant_states",
+                    "last_sent_at",
+                    "unreachable",
+                    "retry_at",
+                    "decisions",
+                ):
                     setattr(other, field, dict(getattr(leads, field)))
-                other.promised, other.whole = set(leads.promised), set(leads.whole)
-                other.unknown = set(leads.unknown)
-                other.order = copy.copy(leads.order)
+                other.promised_by, other.needs_content = (
+                    set(leads.promised_by),
+                    set(leads.needs_content),
+                )
+                other.in_doubt = set(leads.in_doubt)
+                other.message_counter = copy.copy(leads.message_counter)
                 changes = {ballot: copy.copy(change) for ballot, change in leads.history.items()}
                 for change in changes.values():
-                    change.replies, change.confirmed = dict(change.replies), set(change.confirmed)
+                    change.votes, change.confirmed_absent = (
+                        dict(change.votes),
+                        set(change.confirmed_absent),
+                    )
                 other.history = changes
                 other.change = changes[leads.change.generation.ballot] if leads.change else None
         return fleet
@@ -317,24 +344,26 @@
         self.journals[first].fails = ""
         self.take(("lead", first))
         for _ in range(40):
-            self.now += coordinator.LOOK / 2
-            if self.leaders[first].state == coordinator.DEPOSED:  # staff start it again
+            self.now += coordinator.POLL_INTERVAL_S / 2
+            if (
+                self.leaders[first].state == coordinator.CoordinatorState.DEPOSED
+            ):  # staff start it again
                 self.take(("lead", first))
             for name in self.members:
                 if self.due(self.leaders[first], name):
                     self.take(("talk", first, name))
-            self.leaders[first].judge(self.now)
+            self.leaders[first].try_to_decide(self.now)
             if wrong := self.broken():
                 return wrong
         for one in self.members.values():  # whoever knows nothing yet asks once more
             for other in self.members.values() if one.admits() is None else ():
                 one.ask(other) if other is not one else None
         states = {
-            (one.state.in_force.ballot, len(one.state.possible)) for one in self.members.values()
+            (one.state.in_force.ballot, len(one.state.prepared)) for one in self.members.values()
         }
         if len(states) != 1 or next(iter(states))[1]:
             leads = self.leaders[first]
-            return f"not at one generation after a heal: {sorted(states)}, control {leads.state} {leads.epoch} {leads.why}"
+            return f"not at one generation after a heal: {sorted(states)}, control {leads.state} {leads.epoch} {leads.reason}"
         return (
             None
             if all(one.admits() for one in self.members.values())
--- a/tests/lab/planted.py
+++ b/tests/lab/planted.py
@@ -10,7 +10,7 @@
     from petrellane.config_consensus.journal import Journal
 
     kind, when = os.environ["LAB_STEP"].split()
-    note = Journal.note
+    note = Journal.append
 
     def planted(self, record, at):
         if when == "after":
@@ -20,7 +20,7 @@
         if when == "before":
             note(self, record, at)
 
-    Journal.note = planted
+    Journal.append = planted
 
 
 def saved():
@@ -54,40 +54,40 @@
 
 def knows_at_once():
     """A gateway that starts serves by its own file."""
-    participant.enough = lambda members, heard, self_known: True
+    participant.intersects_every_majority = lambda members, heard, self_known: True
 
 
 def never_stood_still():
     """A gateway that was stopped goes on as if nothing had been."""
-    participant.FENCE = 1e9
+    participant.STALL_LIMIT_S = 1e9
 
 
 def no_meet():
     """A gateway in doubt admits by what was in force before."""
-    participant.admitted = lambda state: state.in_force.content
+    participant.admissible_settings = lambda state: state.in_force.content
 
 
 def silent_is_absent():
     """A gateway that says nothing counts as down."""
-    coordinator.Leader.silent = lambda self, name, message, now, why="": self.refused(
-        name, message, now
+    coordinator.Coordinator.handle_no_answer = lambda self, name, message, now, why="": (
+        self.handle_connection_refused(name, message, now)
     )
 
 
 def majority_is_enough():
     """A change is decided once a majority has prepared it."""
-    judge = coordinator.Leader.judge
+    judge = coordinator.Coordinator.try_to_decide
 
     def planted(self, now):
         change = self.change
         if change and sum(
-            said == "prepared" for said in change.replies.values()
-        ) >= coordinator.majority(change.needed):
-            self.decide(coordinator.COMMITTED, "", now)
+            said == "prepared" for said in change.votes.values()
+        ) >= coordinator.majority(change.participants):
+            self.decide(coordinator.ChangeOutcome.COMMITTED, "", now)
         else:
             judge(self, now)
 
-    coordinator.Leader.judge = planted
+    coordinator.Coordinator.try_to_decide = planted
 
 
 def refuses():
