--- a/tests/sockets.py
+++ b/tests/integration/gateway/scenario.py
@@ -1,4 +1,4 @@
-"""Play the scenarios of tests/sockets: a whole gateway on loopback sockets, with its clients, hosts, counter and
+"""Play the scenarios of tests/integration/gateway/scenarios: a whole gateway on loopback sockets, with its clients, hosts, counter and
 discovery in the scenario's hands and a clock that only the scenario moves. The notation is in tests/README.md."""
 
 import copy
--- a/tests/operation/lists.py
+++ b/tests/integration/gateway/test_endpoint_lists.py
@@ -6,7 +6,7 @@
 
 from petrellane import config
 from petrellane.decisions import types as api
-from tests.sockets import Net
+from tests.integration.gateway.scenario import Net
 
 
 class Name(str):
--- a/tests/operation/upgrades.py
+++ b/tests/integration/operation/test_hot_restart.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from tests.operation.world import BIG, PATIENCE, World, answer
+from tests.integration.operation.world import BIG, PATIENCE, World, answer
 
 
 class Upgrades(unittest.TestCase):
--- a/tests/operation/longs.py
+++ b/tests/integration/operation/test_long_values.py
@@ -5,7 +5,7 @@
 import time
 import unittest
 
-from tests.operation.world import PATIENCE, World, answer, commands
+from tests.integration.operation.world import PATIENCE, World, answer, commands
 
 SIZE, MANY = 4 * 1024 * 1024, 32
 
--- a/tests/operation/world.py
+++ b/tests/integration/operation/world.py
@@ -14,7 +14,7 @@
 from petrellane.net import resp
 from petrellane.net.limits import Limits
 from petrellane.operation.hot_restart_transport import file_name
-from tests.sockets import TOLD, changed
+from tests.integration.gateway.scenario import TOLD, changed
 
 LIMITS = Limits(256, 1.0, 1.0, 1, 1.0)
 BIG = 300_000
--- a/tests/lab/cases.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -81,7 +81,7 @@
 
 def plant_in(party, plant, step=""):
     party.build, party.environ = (
-        {"module": "tests.lab.planted"},
+        {"module": "tests.integration.testbed.planted"},
         {"LAB_PLANT": plant, "LAB_STEP": step},
     )
 
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -1,4 +1,4 @@
-"""Play the scenarios of tests/scenarios against petrellane.decisions.controller alone, those of tests/sockets against a whole
+"""Play the scenarios of tests/unit/decisions/scenarios against petrellane.decisions.controller alone, those of tests/integration/gateway/scenarios against a whole
 gateway, and the cases of the fleet model; the notation is in tests/README.md."""
 
 import contextlib
@@ -12,21 +12,28 @@
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 from tests import known_red
-from tests.agreement.cases import CASES as AGREEMENT
-from tests.agreement.size import CASES as SIZE
-from tests.choosing import CASES as CHOOSING
-from tests.known_cases import KnownRed
-from tests.lab.capacity import CASES as CAPACITY
-from tests.lab.cases import CASES as PROCESSES
-from tests.lab.scale import CASES as SCALE
-from tests.lab.slopes import CASES as SLOPES
-from tests.model.cases import BadScenario, Judged, Model
-from tests.operation.cases import Backoffs, Calls, Settings, States, Succession, Waiting
-from tests.operation.lists import CASES as LISTS
-from tests.operation.longs import Longs
-from tests.operation.upgrades import Upgrades
-from tests.sockets import Net
-from tests.spread.cases import CASES as SPREAD
+from tests.integration.gateway.scenario import Net
+from tests.integration.gateway.test_endpoint_lists import CASES as LISTS
+from tests.integration.operation.test_hot_restart import Upgrades
+from tests.integration.operation.test_long_values import Longs
+from tests.integration.testbed.test_scale import CASES as SCALE
+from tests.integration.testbed.test_testbed import CASES as PROCESSES
+from tests.unit.config_consensus.test_config_consensus import CASES as AGREEMENT
+from tests.unit.config_consensus.test_cost import CASES as SIZE
+from tests.unit.decisions.test_load_balancing import CASES as CHOOSING
+from tests.unit.load_distribution.test_load_distribution import CASES as SPREAD
+from tests.unit.operation.test_operation import (
+    Backoffs,
+    Calls,
+    Settings,
+    States,
+    Succession,
+    Waiting,
+)
+from tests.unit.simulation.test_simulation import BadScenario, Judged, Model
+from tests.unit.test_known_red import KnownRed
+from tests.unit.testbed.test_capacity import CASES as CAPACITY
+from tests.unit.testbed.test_slopes import CASES as SLOPES
 
 SETTINGS = dict(
     zone="z1",
@@ -368,8 +375,8 @@
 
 
 for case, scene, folder, seeds in (
-    (Scenarios, Scene, "scenarios", 5),
-    (Sockets, Net, "sockets", 1),
+    (Scenarios, Scene, "unit/decisions/scenarios", 5),
+    (Sockets, Net, "integration/gateway/scenarios", 1),
 ):
     for scenario in sorted((pathlib.Path(__file__).parent / folder).glob("*.txt")):
         setattr(case, "test_" + scenario.stem.replace("-", "_"), test_of(scenario, scene, seeds))
--- a/tests/agreement/orders.py
+++ b/tests/unit/config_consensus/orders.py
@@ -1,13 +1,13 @@
 """Goes through all orders of events for a fleet of a size, for as long as it takes:
 
-    python -m tests.agreement.orders GATEWAYS CONTROLS [CRASHES [FAULTS [PROPOSALS [STATES]]]]
+    python -m tests.unit.config_consensus.orders GATEWAYS CONTROLS [CRASHES [FAULTS [PROPOSALS [STATES]]]]
 
 prints the states seen and the first break with its steps; exit code 1 where there is one.
 """
 
 import sys
 
-from tests.agreement.world import Fleet, explore
+from tests.unit.config_consensus.world import Fleet, explore
 
 
 def main(words):
--- a/tests/agreement/cases.py
+++ b/tests/unit/config_consensus/test_config_consensus.py
@@ -20,8 +20,8 @@
     safe_settings,
     state_store,
 )
-from tests.agreement.planted import PLANTS, planted
-from tests.agreement.world import CONTENTS, NEW, OLD, OTHER, Fleet, explore, walk
+from tests.unit.config_consensus.planted import PLANTS, planted
+from tests.unit.config_consensus.world import CONTENTS, NEW, OLD, OTHER, Fleet, explore, walk
 
 settings.register_profile(
     "same", derandomize=True, deadline=None, suppress_health_check=[HealthCheck.too_slow]
--- a/tests/agreement/size.py
+++ b/tests/unit/config_consensus/test_cost.py
@@ -5,7 +5,7 @@
 from petrellane.config_consensus import participant, safe_settings
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.coordinator import ABORTED, COMMITTED, LEADING, Leader
-from tests.choosing import operations
+from tests.unit.decisions.test_load_balancing import operations
 
 
 class Name(str):
--- a/tests/operation/cases.py
+++ b/tests/unit/operation/test_operation.py
@@ -18,7 +18,7 @@
 from petrellane.operation import hot_restart, management_calls
 from petrellane.operation.backoff import FAILED, SILENT, TURNED_AWAY, Backoff
 from petrellane.operation.lifecycle import DRAINED, ENDING, SERVING, Service
-from tests.sockets import TOLD
+from tests.integration.gateway.scenario import TOLD
 
 SETTINGS = dict(
     zone="z",
--- a/tests/model/cases.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -35,7 +35,7 @@
 from petrellane.simulation.scenario import ScenarioError, read, write
 from petrellane.simulation.scenario_generation import draw, followed, mutate
 from petrellane.simulation.timeline import timeline
-from tests.model.planted import CHANGES, needed, planted
+from tests.unit.simulation.planted import CHANGES, needed, planted
 
 HERE = pathlib.Path(__file__).parent
 SEEDS = 1500  # scenarios that CI plays, a third of them neighbours of the nearest
--- a/tests/known_cases.py
+++ b/tests/unit/test_known_red.py
@@ -50,7 +50,7 @@
 
     def test_exists(self):
         names = known_red.names_of(unittest.defaultTestLoader.loadTestsFromTestCase(KnownRed))
-        self.assertIn("tests.known_cases.KnownRed.test_exists", names)
+        self.assertIn("tests.unit.test_known_red.KnownRed.test_exists", names)
         self.assertEqual(known_red.missing([Known(names[0], "", "")], names), [])
         self.assertEqual(len(known_red.missing([ONE], names)), 1)
 
@@ -66,5 +66,5 @@
         case.run(result)
         self.assertEqual(
             [known_red.name_of(test) for test, _ in result.failures],
-            ["tests.known_cases.KnownRed.test_read"],
+            ["tests.unit.test_known_red.KnownRed.test_read"],
         )
