--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,7 @@
 	$(PYTHON) -m ruff check --select I --fix petrellane benchmarks tests
 
 test: lint
-	$(PYTHON) -m tests.runner
+	$(PYTHON) -m pytest -q -n 4 --dist loadgroup
 
 hunt: .venv/ready
 	$(PYTHON) -m petrellane hunt
--- /dev/null
+++ b/tests/integration/gateway/test_scenarios.py
@@ -0,0 +1,17 @@
+"""Each scenario file of a whole gateway on loopback sockets is played once."""
+
+import pathlib
+
+import pytest
+
+from tests.integration.gateway.scenario import Net
+from tests.scenario_files import play_with_seeds, scenario_files
+
+FOLDER = pathlib.Path(__file__).parent / "scenarios"
+SEEDS = 1
+
+
+@pytest.mark.parametrize("path", scenario_files(FOLDER), ids=lambda path: path.stem)
+def test_scenario(path: pathlib.Path) -> None:
+    """What the file expects holds."""
+    play_with_seeds(path, Net, SEEDS)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,21 +1,22 @@
-"""Tests that are known to fail for a real fault: read from KNOWN-RED.txt, and held against what a run told.
+"""The rules of KNOWN-RED.txt, which lists the tests that are known to fail for a real fault.
 
-The file has a line a test, `TEST | CAUSE | ISSUE`, three at most, where TEST is the test's full name, as in
-`tests.runner.Sockets.test_term`. A run passes over just these and prints each with its cause. It fails where the file is out
-of form, names a test that does not exist or one twice, or where a listed test passes: then its line is to go. No file, or an
-empty one, means that none is known.
+The file has a line for each test, `TEST | CAUSE | ISSUE`, three at most, where TEST is the test's pytest node id, as in
+`tests/integration/gateway/test_scenarios.py::test_scenario[term]`. A run passes over just these tests and prints each with
+its cause. It fails where the file is out of form, names a test that does not exist or one twice, or where a listed test
+passes: then its line is to go. No file, or an empty one, means that none is known.
+
+This module is free of pytest; `tests.known_red_plugin` applies the rules to a run.
 """
 
 import pathlib
-import unittest
 from collections.abc import Iterable
 from typing import NamedTuple
 
-FILE = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
+FILE_NAME = "KNOWN-RED.txt"
+MAX_LINES = 3
 
 
-class Known(NamedTuple):
+class KnownFailure(NamedTuple):
     """One line of the file."""
 
     test: str
@@ -23,68 +24,92 @@
     issue: str
 
 
-class BadFile(ValueError):
-    """The file is not as it has to be; the text says where, what was expected and what was found."""
+class BadFileError(ValueError):
+    """The file is out of form; the text says where, what was expected and what was found."""
+
 
+def read(text: str, name: str = FILE_NAME) -> list[KnownFailure]:
+    """Return the lines of the file.
 
-def read(text: str, name: str = FILE.name) -> list[Known]:
-    """The lines of the file; BadFile where one is out of form, or there are too many."""
-    known = []
+    Raises:
+        BadFileError: A line is out of form, a test is there twice, or there are too many lines.
+    """
+    known: list[KnownFailure] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         words = [word.strip() for word in line.split("|")]
         if len(words) != 3 or not all(words):
-            raise BadFile(
+            raise BadFileError(
                 f"{name}:{number}: expected 'TEST | CAUSE | ISSUE', found {line.strip()!r}"
             )
-        if any(one.test == words[0] for one in known):
-            raise BadFile(f"{name}:{number}: expected each test once, found {words[0]} again")
-        known.append(Known(*words))
-        if len(known) > MOST:
-            raise BadFile(f"{name}:{number}: expected {MOST} lines at most, found one more")
+        if any(entry.test == words[0] for entry in known):
+            raise BadFileError(f"{name}:{number}: expected each test once, found {words[0]} again")
+        known.append(KnownFailure(*words))
+        if len(known) > MAX_LINES:
+            raise BadFileError(
+                f"{name}:{number}: expected {MAX_LINES} lines at most, found one more"
+            )
     return known
 
 
-def load(path: pathlib.Path = FILE) -> list[Known]:
-    """What is known to fail; BadFile as `read` raises it."""
-    return read(path.read_text(), path.name) if path.exists() else []
+def load(path: pathlib.Path) -> list[KnownFailure]:
+    """Return what is known to fail; nothing where there is no file.
 
+    Raises:
+        BadFileError: As `read` raises it.
+    """
+    if not path.exists():
+        return []
+    return read(path.read_text(), path.name)
 
-def missing(known: Iterable[Known], names: Iterable[str]) -> list[str]:
-    """A line for each listed test that is none of these."""
-    names = set(names)
-    return [f"{FILE.name}: no such test: {one.test}" for one in known if one.test not in names]
 
+def missing(known: Iterable[KnownFailure], names: Iterable[str]) -> list[str]:
+    """Return a message for each listed test that is none of these."""
+    existing = set(names)
+    return [
+        f"{FILE_NAME}: no such test: {entry.test}" for entry in known if entry.test not in existing
+    ]
 
-def name_of(test: unittest.TestCase) -> str:
-    """The full name of a test, or of the test that a part of one belongs to, however the runner was started."""
-    return getattr(test, "test_case", test).id().replace("__main__.", "tests.runner.", 1)
 
+def name_of(node_id: str) -> str:
+    """Return a test's node id without the group that pytest-xdist appends to it, as in `test_a.py::test_b@group`."""
+    if node_id.rfind("@") > node_id.rfind("]"):
+        return node_id.rpartition("@")[0]
+    return node_id
+
+
+def describe(entry: KnownFailure) -> str:
+    """Return the line that a run prints for a listed test that failed."""
+    return f"known red: {entry.test}: {entry.cause} ({entry.issue})"
 
-def names_of(suite: unittest.TestSuite) -> list[str]:
-    """The full names of all tests of a suite."""
-    return [
-        name
-        for one in suite
-        for name in (names_of(one) if isinstance(one, unittest.TestSuite) else [name_of(one)])
-    ]
+
+def describe_passed(entry: KnownFailure) -> str:
+    """Return the message of the failure of a listed test that passed."""
+    return f"{entry.test} passes: take its line out of {FILE_NAME}"
 
 
 def judged(
-    known: Iterable[Known], ran: Iterable[str], failed: Iterable[str]
+    known: Iterable[KnownFailure], ran: Iterable[str], failed: Iterable[str]
 ) -> tuple[int, int, list[str]]:
-    """How many tests passed and failed, those that are known to fail apart, and what is to be printed: each of these with
-    its cause, or that it has passed, which counts as a failure."""
-    ran, failed, said = set(ran), set(failed), []
-    known = {one.test: one for one in known if one.test in ran}
-    red = failed & known.keys()
-    for name in sorted(known):
-        one = known[name]
-        said.append(
-            f"known red: {name}: {one.cause} ({one.issue})"
-            if name in red
-            else f"{name} passes: take its line out of {FILE.name}"
-        )
-    bad = len(failed - red) + len(known.keys() - red)
-    return len(ran) - len(red) - bad, bad, said
+    """Judge a run, or one test of it.
+
+    Args:
+        known: What is known to fail.
+        ran: The names of all tests that ran.
+        failed: The names of those of them that failed.
+
+    Returns:
+        How many tests passed and how many failed, neither of them with those that are known to fail and did; and what is
+        to be printed: each of these with its cause, and each listed test that passed, which counts as a failure.
+    """
+    all_ran = set(ran)
+    all_failed = set(failed)
+    listed = {entry.test: entry for entry in known if entry.test in all_ran}
+    red = all_failed & listed.keys()
+    messages = [
+        describe(entry) if name in red else describe_passed(entry)
+        for name, entry in sorted(listed.items())
+    ]
+    bad = len(all_failed - red) + len(listed.keys() - red)
+    return len(all_ran) - len(red) - bad, bad, messages
--- a/tests/unit/config_consensus/test_config_consensus.py
+++ b/tests/unit/config_consensus/test_config_consensus.py
@@ -7,7 +7,7 @@
 import tempfile
 import unittest
 
-from hypothesis import HealthCheck, given, settings
+from hypothesis import given, settings
 from hypothesis import strategies as some
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
@@ -23,10 +23,6 @@
 from tests.unit.config_consensus.planted import PLANTS, planted
 from tests.unit.config_consensus.world import CONTENTS, NEW, OLD, OTHER, Fleet, explore, walk
 
-settings.register_profile(
-    "same", derandomize=True, deadline=None, suppress_health_check=[HealthCheck.too_slow]
-)
-settings.load_profile("same")
 number = some.integers(0, 5)
 method = some.fixed_dictionaries(
     {
--- a/tests/runner.py
+++ b/tests/unit/decisions/scenario.py
@@ -1,39 +1,10 @@
-"""Play the scenarios of tests/unit/decisions/scenarios against petrellane.decisions.controller alone, those of tests/integration/gateway/scenarios against a whole
-gateway, and the cases of the fleet model; the notation is in tests/README.md."""
+"""The steps of the decisions' scenario files, played against `AdmissionController` alone; the notation is in tests/README.md."""
 
 import contextlib
-import pathlib
-import random
 import re
-import subprocess
-import sys
-import unittest
 
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
-from tests import known_red
-from tests.integration.gateway.scenario import Net
-from tests.integration.gateway.test_endpoint_lists import CASES as LISTS
-from tests.integration.operation.test_hot_restart import Upgrades
-from tests.integration.operation.test_long_values import Longs
-from tests.integration.testbed.test_scale import CASES as SCALE
-from tests.integration.testbed.test_testbed import CASES as PROCESSES
-from tests.unit.config_consensus.test_config_consensus import CASES as AGREEMENT
-from tests.unit.config_consensus.test_cost import CASES as SIZE
-from tests.unit.decisions.test_load_balancing import CASES as CHOOSING
-from tests.unit.load_distribution.test_load_distribution import CASES as SPREAD
-from tests.unit.operation.test_operation import (
-    Backoffs,
-    Calls,
-    Settings,
-    States,
-    Succession,
-    Waiting,
-)
-from tests.unit.simulation.test_simulation import BadScenario, Judged, Model
-from tests.unit.test_known_red import KnownRed
-from tests.unit.testbed.test_capacity import CASES as CAPACITY
-from tests.unit.testbed.test_slopes import CASES as SLOPES
 
 SETTINGS = dict(
     zone="z1",
@@ -80,17 +51,6 @@
     return {name: value(text) for name, text in (word.split("=", 1) for word in words)}
 
 
-def play(scene, path):
-    """Play the steps of a file, several with `;` between, one after the other."""
-    for number, line in enumerate(path.read_text().splitlines(), 1):
-        for step in line.split("#")[0].split(";"):
-            verb, *words = step.split() or [""]
-            try:
-                getattr(scene, "do_" + verb.replace("-", "_"))(*words) if verb else None
-            except (AssertionError, LookupError) as error:
-                raise AssertionError(f"{path.name}:{number}: {step.strip()}: {error!r}") from None
-
-
 class Scene:
     """One scenario: the gateway under test, and what it has said since the last `do` line."""
 
@@ -353,121 +313,3 @@
         self.do_start()
         self.do_host("a", "b", "zone=z1", "pod=1")
         self.do_host("c", "d", "zone=z2", "pod=2")
-
-
-class Scenarios(unittest.TestCase):
-    """Each scenario file, played with several seeds: what it expects must not hang on one draw."""
-
-
-class Sockets(unittest.TestCase):
-    """The scenarios of a whole gateway on sockets."""
-
-
-def test_of(path, scene, seeds):
-    def test(self):
-        for seed in range(seeds):
-            with contextlib.closing(
-                scene(random.Random(f"{path.name} {seed}").getrandbits(32))
-            ) as playing:
-                play(playing, path)
-
-    return test
-
-
-for case, scene, folder, seeds in (
-    (Scenarios, Scene, "unit/decisions/scenarios", 5),
-    (Sockets, Net, "integration/gateway/scenarios", 1),
-):
-    for scenario in sorted((pathlib.Path(__file__).parent / folder).glob("*.txt")):
-        setattr(case, "test_" + scenario.stem.replace("-", "_"), test_of(scenario, scene, seeds))
-
-
-GROUPS = {
-    "gateway": [
-        KnownRed,
-        Scenarios,
-        Sockets,
-        States,
-        Calls,
-        Succession,
-        Settings,
-        Waiting,
-        Backoffs,
-        Upgrades,
-        Longs,
-        *LISTS,
-        Model,
-        BadScenario,
-        Judged,
-        *CHOOSING,
-    ],
-    "agreement": AGREEMENT + SIZE + SPREAD + SLOPES + SCALE,
-    "capacity": CAPACITY,
-    "processes": PROCESSES,
-}
-
-
-class Result(unittest.TextTestResult):
-    """What became of the tests that ran, and their names."""
-
-    def __init__(self, *words, **more):
-        super().__init__(*words, **more)
-        self.ran = set()
-
-    def startTest(self, test):  # noqa: N802 - the library's name
-        super().startTest(test)
-        self.ran.add(known_red.name_of(test))
-
-
-def suite_of(name):
-    return unittest.TestSuite(map(unittest.defaultTestLoader.loadTestsFromTestCase, GROUPS[name]))
-
-
-def play_group(name):
-    """Run one group of tests and close with the plain line that counts them; those known to fail are not counted."""
-    result = unittest.TextTestRunner(verbosity=1, resultclass=Result).run(suite_of(name))
-    broken = {known_red.name_of(test) for test, _ in (*result.failures, *result.errors)}
-    passed, failed, said = known_red.judged(known_red.load(), result.ran, broken & result.ran)
-    failed += len(broken - result.ran)  # what a class of tests sets up is no test, and may fail
-    print(*said, f"{name}: {passed} passed, {failed} failed", sep="\n")
-    return 1 if failed or not passed else 0
-
-
-def main():
-    """Run the groups side by side, a process each, tell each whole, and close with the line that counts all."""
-    try:
-        known = known_red.load()
-    except known_red.BadFile as trouble:
-        print(trouble, "0 passed, 1 failed", sep="\n")
-        return 2
-    if len(sys.argv) > 1:
-        return play_group(sys.argv[1])
-    if wrong := known_red.missing(
-        known, [name for group in GROUPS for name in known_red.names_of(suite_of(group))]
-    ):
-        print(*wrong, f"0 passed, {len(wrong)} failed", sep="\n")
-        return 1
-    running = {
-        name: subprocess.Popen(
-            [sys.executable, "-m", "tests.runner", name],
-            stdout=subprocess.PIPE,
-            stderr=subprocess.STDOUT,
-            text=True,
-        )
-        for name in GROUPS
-    }
-    passed = failed = 0
-    for name, process in running.items():
-        said, _ = process.communicate()
-        print(said, end="")
-        found = re.search(rf"^{name}: (\d+) passed, (\d+) failed$", said, re.MULTILINE)
-        passed, failed = (
-            passed + int(found[1] if found else 0),
-            failed + int(found[2] if found else 1),
-        )
-    print(f"{passed} passed, {failed} failed")
-    return 1 if failed or not passed else 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -1,70 +1,204 @@
-"""What the runner makes of KNOWN-RED.txt."""
+"""The rules of KNOWN-RED.txt, and what a run of pytest makes of them."""
 
 import pathlib
-import tempfile
-import unittest
+from collections.abc import Callable
+
+import pytest
 
 from tests import known_red
-from tests.known_red import BadFile, Known
-
-ROW = "tests.a.B.test_c | the host's answer is lost | issue 7\n"
-ONE = Known("tests.a.B.test_c", "the host's answer is lost", "issue 7")
-
-
-class KnownRed(unittest.TestCase):
-    """Just the listed tests are passed over, and only while they fail."""
-
-    def test_read(self):
-        self.assertEqual(known_red.read("\n" + ROW), [ONE])
-        self.assertEqual(known_red.read(""), [])
-        with tempfile.TemporaryDirectory() as folder:
-            self.assertEqual(known_red.load(pathlib.Path(folder) / "KNOWN-RED.txt"), [])
-
-    def test_out_of_form(self):
-        four = "".join(ROW.replace("test_c", f"test_{number}") for number in range(4))
-        for text, told in (
-            (four, "3 lines at most"),
-            (ROW * 2, "again"),
-            ("a | | b\n", "expected 'TEST"),
-            ("tests.a.B.test_c | no issue\n", "expected 'TEST"),
-        ):
-            with self.assertRaisesRegex(BadFile, told):
-                known_red.read(text)
-
-    def test_passed_over(self):
-        ran = ["tests.a.B.test_c", "tests.a.B.test_d", "tests.a.B.test_e"]
-        self.assertEqual(
-            known_red.judged([ONE], ran, ran[:1]),
-            (2, 0, ["known red: tests.a.B.test_c: the host's answer is lost (issue 7)"]),
-        )
-        self.assertEqual(known_red.judged([ONE], ran, ran[:2])[:2], (1, 1))  # another one fails
-        self.assertEqual(known_red.judged([], ran, ran[:1])[:2], (2, 1))
-
-    def test_passes_though_listed(self):
-        passed, failed, said = known_red.judged([ONE], ["tests.a.B.test_c", "tests.a.B.test_d"], [])
-        self.assertEqual((passed, failed), (1, 1))
-        self.assertIn("tests.a.B.test_c passes", said[0])
-        self.assertEqual(
-            known_red.judged([ONE], ["tests.z.test_z"], []), (1, 0, [])
-        )  # it is of another group
-
-    def test_exists(self):
-        names = known_red.names_of(unittest.defaultTestLoader.loadTestsFromTestCase(KnownRed))
-        self.assertIn("tests.unit.test_known_red.KnownRed.test_exists", names)
-        self.assertEqual(known_red.missing([Known(names[0], "", "")], names), [])
-        self.assertEqual(len(known_red.missing([ONE], names)), 1)
-
-    def test_parts_are_of_their_test(self):
-        case = KnownRed("test_read")
-        result = unittest.TestResult()
-
-        def body():
-            with case.subTest(seed=1):
-                case.fail()
-
-        case.test_read = body
-        case.run(result)
-        self.assertEqual(
-            [known_red.name_of(test) for test, _ in result.failures],
-            ["tests.unit.test_known_red.KnownRed.test_read"],
-        )
+from tests.known_red import BadFileError, KnownFailure
+
+pytest_plugins = ["pytester"]
+
+TEST = "test_a.py::B::test_c"
+LINE = f"{TEST} | the host's answer is lost | issue 7\n"
+ENTRY = KnownFailure(TEST, "the host's answer is lost", "issue 7")
+PRINTED = f"known red: {TEST}: the host's answer is lost (issue 7)"
+
+ROOT = pathlib.Path(__file__).parent.parent.parent
+CONFTEST = """
+from tests.known_red_plugin import KnownRedPlugin
+
+def pytest_configure(config):
+    config.pluginmanager.register(KnownRedPlugin(config))
+"""
+TESTS = """
+import unittest
+
+class B(unittest.TestCase):
+    def test_c(self):
+        self.fail("the fault")
+
+    def test_d(self):
+        pass
+"""
+WORKERS = ("-n", "2", "--dist", "loadgroup")
+
+Run = Callable[..., pytest.RunResult]
+
+
+@pytest.fixture
+def run(pytester: pytest.Pytester) -> Run:
+    """Return a function that runs pytest in this process on a module of tests and a KNOWN-RED.txt, with more options."""
+
+    def run_pytest(tests: str, known: str, *options: str) -> pytest.RunResult:
+        prepare(pytester, tests, known)
+        return pytester.runpytest_inprocess("-p", "no:xdist", "-p", "no:hypothesispytest", *options)
+
+    return run_pytest
+
+
+@pytest.fixture(params=["one-process", "workers"])
+def run_anyhow(
+    request: pytest.FixtureRequest,
+    run: Run,
+    pytester: pytest.Pytester,
+    monkeypatch: pytest.MonkeyPatch,
+) -> Run:
+    """Return such a function for each way of running: with pytest-xdist, reports cross from workers to the controller."""
+    if request.param == "one-process":
+        return run
+    monkeypatch.setenv("PYTHONPATH", str(ROOT))
+
+    def run_pytest(tests: str, known: str, *options: str) -> pytest.RunResult:
+        prepare(pytester, tests, known)
+        return pytester.runpytest_subprocess(*WORKERS, *options)
+
+    return run_pytest
+
+
+def prepare(pytester: pytest.Pytester, tests: str, known: str) -> None:
+    """Write what a run needs: its set-up, one module of tests and the list."""
+    pytester.makeini("[pytest]\n")
+    pytester.makeconftest(CONFTEST)
+    pytester.makepyfile(test_a=tests)
+    (pytester.path / known_red.FILE_NAME).write_text(known)
+
+
+def test_read(tmp_path: pathlib.Path) -> None:
+    assert known_red.read("\n" + LINE) == [ENTRY]
+    assert known_red.read("") == []
+    assert known_red.load(tmp_path / "KNOWN-RED.txt") == []
+
+
+@pytest.mark.parametrize(
+    ("text", "message"),
+    [
+        (
+            "".join(LINE.replace("test_c", f"test_{number}") for number in range(4)),
+            "3 lines at most",
+        ),
+        (LINE * 2, "again"),
+        ("a | | b\n", "expected 'TEST"),
+        (f"{TEST} | no issue\n", "expected 'TEST"),
+    ],
+    ids=["four-lines", "twice", "no-cause", "no-issue"],
+)
+def test_out_of_form(text: str, message: str) -> None:
+    with pytest.raises(BadFileError, match=message):
+        known_red.read(text)
+
+
+def test_passed_over() -> None:
+    ran = [TEST, "test_a.py::B::test_d", "test_a.py::B::test_e"]
+    assert known_red.judged([ENTRY], ran, ran[:1]) == (2, 0, [PRINTED])
+    assert known_red.judged([ENTRY], ran, ran[:2])[:2] == (1, 1)  # another one fails
+    assert known_red.judged([], ran, ran[:1])[:2] == (2, 1)
+
+
+def test_passes_though_listed() -> None:
+    passed, failed, messages = known_red.judged([ENTRY], [TEST, "test_a.py::B::test_d"], [])
+    assert (passed, failed) == (1, 1)
+    assert f"{TEST} passes" in messages[0]
+    of_another_group = ["test_z.py::test_z"]
+    assert known_red.judged([ENTRY], of_another_group, []) == (1, 0, [])
+
+
+def test_exists(request: pytest.FixtureRequest) -> None:
+    names = [known_red.name_of(item.nodeid) for item in request.session.items]
+    assert "tests/unit/test_known_red.py::test_exists" in names
+    assert known_red.missing([KnownFailure(names[0], "", "")], names) == []
+    assert len(known_red.missing([ENTRY], names)) == 1
+
+
+def test_a_name_is_the_same_with_and_without_a_group() -> None:
+    assert known_red.name_of(f"{TEST}@gateway") == TEST
+    assert known_red.name_of(TEST) == TEST
+    assert known_red.name_of("test_a.py::test_c[a@b]") == "test_a.py::test_c[a@b]"
+    assert known_red.name_of("test_a.py::test_c[a@b]@gateway") == "test_a.py::test_c[a@b]"
+
+
+def test_a_run_passes_over_the_listed_test_and_prints_its_cause(run_anyhow: Run) -> None:
+    result = run_anyhow(TESTS, LINE)
+    result.assert_outcomes(passed=1, xfailed=1)
+    result.stdout.fnmatch_lines([PRINTED])
+    assert result.ret == pytest.ExitCode.OK
+
+
+def test_a_run_fails_where_another_test_fails(run: Run) -> None:
+    result = run(TESTS.replace("pass", "self.fail()"), LINE)
+    result.assert_outcomes(failed=1, xfailed=1)
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+
+
+def test_a_run_fails_where_nothing_is_listed(run: Run) -> None:
+    result = run(TESTS, "")
+    result.assert_outcomes(passed=1, failed=1)
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+
+
+@pytest.mark.parametrize("body", ["pass", "self.skipTest('no host')"])
+def test_a_run_fails_where_the_listed_test_passes_or_is_skipped(run_anyhow: Run, body: str) -> None:
+    result = run_anyhow(TESTS.replace('self.fail("the fault")', body), LINE)
+    result.assert_outcomes(passed=1, failed=1)
+    result.stdout.fnmatch_lines([f"*{TEST} passes: take its line out of KNOWN-RED.txt"])
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+
+
+def test_a_run_fails_where_a_listed_test_is_skipped_before_its_set_up(run: Run) -> None:
+    tests = TESTS.replace("    def test_c", "    @unittest.skip('no host')\n    def test_c")
+    result = run(tests, LINE)
+    result.assert_outcomes(passed=1, failed=1)
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+
+
+def test_a_run_fails_where_a_class_can_not_be_set_up(run: Run) -> None:
+    tests = (
+        TESTS + "\n    @classmethod\n    def setUpClass(cls):\n        raise OSError('no host')\n"
+    )
+    result = run(tests, LINE)
+    result.assert_outcomes(errors=2)
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+
+
+def test_parts_are_of_their_test(run_anyhow: Run) -> None:
+    parts = "for seed in (1, 2, 3):\n            with self.subTest(seed=seed): assert seed != 2"
+    result = run_anyhow(TESTS.replace('self.fail("the fault")', parts), LINE)
+    result.assert_outcomes(passed=1, xfailed=1)
+    result.stdout.fnmatch_lines([PRINTED])
+    assert result.ret == pytest.ExitCode.OK
+
+
+def test_a_run_fails_where_a_listed_test_with_parts_passes(run: Run) -> None:
+    parts = "for seed in (1, 2, 3):\n            with self.subTest(seed=seed): assert seed"
+    result = run(TESTS.replace('self.fail("the fault")', parts), LINE)
+    result.assert_outcomes(passed=1, failed=1)
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+
+
+def test_a_complete_run_ends_where_a_listed_test_does_not_exist(run_anyhow: Run) -> None:
+    result = run_anyhow(TESTS, LINE.replace("test_c", "test_x"))
+    result.stderr.fnmatch_lines(["*KNOWN-RED.txt: no such test: test_a.py::B::test_x"])
+    assert result.ret == pytest.ExitCode.USAGE_ERROR
+
+
+def test_a_run_of_a_part_says_nothing_of_the_rest(run: Run) -> None:
+    result = run(TESTS, LINE, "test_a.py::B::test_d")
+    result.assert_outcomes(passed=1)
+    assert result.ret == pytest.ExitCode.OK
+
+
+def test_a_run_ends_where_the_file_is_out_of_form(run: Run) -> None:
+    result = run(TESTS, f"{TEST} | no issue\n")
+    result.stderr.fnmatch_lines(["*KNOWN-RED.txt:1: expected 'TEST | CAUSE | ISSUE', found *"])
+    assert result.ret == pytest.ExitCode.USAGE_ERROR
