--- a/tests/integration/gateway/test_endpoint_lists.py
+++ b/tests/integration/gateway/test_endpoint_lists.py
@@ -329,6 +329,3 @@
         self.assertEqual(pools, {})
         self.net.do_connect("c")
         self.served("r2")
-
-
-CASES = [Slopes, HostLists]
--- a/tests/integration/testbed/test_scale.py
+++ b/tests/integration/testbed/test_scale.py
@@ -434,6 +434,3 @@
             if name.startswith(f"petrellane-scale-{os.getpid()}-")
         ]
         self.assertEqual(left, [])
-
-
-CASES = [Files, Figures, Discoveries, Alike, Runs]
--- a/tests/integration/testbed/test_testbed.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -1125,6 +1125,3 @@
             return file.read().rsplit(")", 1)[1].split()[0] != "Z"
     except OSError:
         return False
-
-
-CASES = [Changes, Ceilings, Kills, Staff, Relays, Order, Hosts, Starts, Runs]
--- a/tests/unit/config_consensus/test_config_consensus.py
+++ b/tests/unit/config_consensus/test_config_consensus.py
@@ -520,6 +520,3 @@
         other = message_authentication.question(b"k" * 16, {"do": "state", "to": "g0"})[1]
         with self.assertRaises(message_authentication.Unsealed):  # an answer to another question
             message_authentication.answered(b"k" * 16, other, mark, answer)
-
-
-CASES = [Policy, Members, Orders, LargerFleets, Planted, Leaders, Remembered, Sealed]
--- a/tests/unit/config_consensus/test_cost.py
+++ b/tests/unit/config_consensus/test_cost.py
@@ -127,6 +127,3 @@
             {roster.states[name].in_force.ballot for name in set(roster.names) - roster.down},
             {change.generation.ballot},
         )
-
-
-CASES = [Size]
--- a/tests/unit/decisions/test_load_balancing.py
+++ b/tests/unit/decisions/test_load_balancing.py
@@ -404,6 +404,3 @@
         hosts.listed(600.0, False, [row._replace(state=api.GONE) for row in rows])
         self.assertEqual((hosts.capacity(600.0), len(hosts), hosts.groups.members), (0.0, 0, {}))
         self.assertEqual(math.inf, hosts.warm_up(1.0) if hosts.warms(0.0, 0.5) is None else 0.0)
-
-
-CASES = [Same, Flat, Kept]
--- a/tests/unit/load_distribution/test_load_distribution.py
+++ b/tests/unit/load_distribution/test_load_distribution.py
@@ -435,6 +435,3 @@
         found = figures(told)
         self.assertEqual((found.gateways, found.hosts, found.idle), (12, 8, ()))
         self.assertLess(found.spans[1].excess, 1.4)
-
-
-CASES = [Chance, Planted, Sources, Thin, Few, Processes]
--- a/tests/unit/testbed/test_capacity.py
+++ b/tests/unit/testbed/test_capacity.py
@@ -393,6 +393,3 @@
         ):
             code, told, _ = self.run_on(change)
             self.assertEqual((code, told.count("\n"), told[: len(said)]), (2, 1, said))
-
-
-CASES = [Page, Marks, Arithmetic, Command]
--- a/tests/unit/testbed/test_slopes.py
+++ b/tests/unit/testbed/test_slopes.py
@@ -335,6 +335,3 @@
                     self.assertEqual(
                         row["unit"], {"cores": "cores", "memory_mb": "MB"}.get(figure, "ms")
                     )
-
-
-CASES = [Lines, Order, Script]
