--- a/benchmarks/scale_play.py
+++ b/benchmarks/scale_play.py
@@ -244,7 +244,7 @@
                     about,
                     api.FULL if full else api.OK,
                     over=not full,
-                    took=self.now - about.sent,
+                    took=self.now - about.sent_at,
                 )
                 self.costs.agains.append(cost)
             elif what == "counted":
