--- a/benchmarks/scale_play.py
+++ b/benchmarks/scale_play.py
@@ -1,6 +1,6 @@
 """One run of `benchmarks/scale.py`, in a process of its own: `python benchmarks/scale_play.py JSON`, one JSON line back.
 
-A module run has a whole gateway without sockets' peers: configuration, driver, host side and decisions as `serve` puts them
+A module run has a whole gateway without sockets' peers: configuration, executor, host side and decisions as `serve` puts them
 together, on a clock that is told. RPCs of made-up customers come evenly drawn, are answered after 10 to 100 ms (one in a
 hundred is turned away once), and a counter without faults answers within 2 ms. What a call of the decisions took is the
 thread's CPU time (`time.thread_time`), so that a busy machine does not count; a run ends at its simulated length or once
@@ -25,7 +25,7 @@
 from petrellane.config import Section, host_list, read, settings
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
-from petrellane.gateway.process import Node
+from petrellane.gateway.process import GatewayProcess
 from petrellane.net.scheduler import Scheduler
 
 EFFECTS = ("pure", "token", "side_effect")
@@ -121,7 +121,7 @@
 
 
 def changes(index, rows):
-    """Changes to a host list, as the driver is told of them."""
+    """Changes to a host list, as the executor is told of them."""
     return host_list(Section({"index": index, "endpoints": rows}, "list"))
 
 
@@ -274,7 +274,7 @@
         while len(times) < 5 and sum(times) < 300.0:
             times.append(timed(settings, Section(raw, "settings"))[1])
         self.figures["settings_read_ms"] = statistics.median(times)
-        self.node = Node(
+        self.node = GatewayProcess(
             read(
                 {
                     "name": "g0",
@@ -288,9 +288,9 @@
             os.open(os.devnull, os.O_WRONLY),
             scheduler=Scheduler(monotonic=self.clock),
         )
-        self.driver, self.gateway = self.node.driver, self.node.driver.gateway
+        self.executor, self.gateway = self.node.executor, self.node.executor.controller
         self.node.scheduler.offset = 0.0
-        self.driver.start(self.node.config.known)
+        self.executor.start(self.node.config.known)
         gc.collect()
         gc.freeze()  # as `serve` does
         times = []
@@ -302,24 +302,29 @@
             listed, told["hosts"]
         )
         self.traffic = Traffic(told["seed"], self.clock.told)
-        self.methods = list(self.driver.settings.methods.values())
-        self.plans, self.number = list(self.driver.settings.plans.values()), itertools.count()
+        self.methods = list(self.executor.settings.methods.values())
+        self.plans, self.number = list(self.executor.settings.plans.values()), itertools.count()
 
     def take(self, listed, known=None):
-        """Have the driver take a list over; the CPU milliseconds in all and of the longest turn. `known`: so many hosts
+        """Have the executor take a list over; the CPU milliseconds in all and of the longest turn. `known`: so many hosts
         must be known then."""
         scheduler, done, spent, end = self.node.scheduler, [], [], time.monotonic() + FACED
         self.clock.live = time.monotonic()
 
         def told():
-            self.node.listed(listed)
+            self.node.on_endpoint_list(listed)
             done.append(True)
 
         scheduler.spawn(told)
-        while not done or scheduler.ready or known is not None and len(self.driver.hosts) != known:
+        while (
+            not done
+            or scheduler.ready
+            or known is not None
+            and len(self.executor.endpoints) != known
+        ):
             if time.monotonic() > end:
                 raise SystemExit(
-                    f"list: expected it taken over in {FACED:g} s, found {len(self.driver.hosts)} hosts"
+                    f"list: expected it taken over in {FACED:g} s, found {len(self.executor.endpoints)} hosts"
                 )
             spent.append(timed(scheduler.turn, 0)[1])
         self.clock.told, self.clock.live = self.clock(), None
@@ -333,7 +338,7 @@
 
     def customer(self, number=None):
         number = self.traffic.random.randrange(self.told["customers"]) if number is None else number
-        return self.driver.customers.of(
+        return self.executor.customers.get_or_create(
             f"customer{number}", self.plans[number % len(self.plans)], 0, 4, self.traffic.now
         )
 
@@ -360,14 +365,14 @@
         return traffic.now - began
 
     def flips(self, times):
-        """CPU milliseconds of one host's change of state, by the driver, and by the decisions alone."""
+        """CPU milliseconds of one host's change of state, by the executor, and by the decisions alone."""
         by_driver, alone = [], []
         for number in range(times):
             which = number // 2 % self.told["hosts"]
             state = "terminating" if number % 2 == 0 else "in_service"
             by_driver.append(self.change([row_of_host(which, state)])[0])
         for number in range(times):
-            host = self.driver.hosts[f"host{number // 2 % self.told['hosts']}"]
+            host = self.executor.endpoints[f"host{number // 2 % self.told['hosts']}"]
             state = api.DRAINING if number % 2 == 0 else api.READY
             row = api.EndpointEvent(
                 host, host.zone, host.kind, host.pod, state, host.weight, host.started_at
@@ -387,10 +392,10 @@
                 host.weight,
                 host.started_at,
             )
-            for name, host in self.driver.hosts.items()
+            for name, host in self.executor.endpoints.items()
         ]
         fresh = AdmissionController(
-            seed=1, uses_counter=True, must_watch=False, **self.driver.settings.gateway
+            seed=1, uses_counter=True, must_watch=False, **self.executor.settings.gateway
         )
         return timed(fresh.on_endpoint_events, self.traffic.now, True, rows)[1]
 
--- a/petrellane/gateway/__init__.py
+++ b/petrellane/gateway/__init__.py
@@ -1,4 +1,5 @@
-"""The gateway on real sockets: clients, hosts, counter and discovery round the decisions.
+"""The gateway on real sockets: clients, endpoints, counter and discovery around the decisions.
 
-Embed it with `Node(config).run()`, or hand a scheduler of your own to Node; petrellane.cli is one user of it.
+Embed it with `GatewayProcess(config).run()`, or give the process a scheduler of your own;
+`petrellane.cli` is one user of it.
 """
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -1,309 +1,403 @@
-"""Calls the decisions with what the sockets tell, and carries out the steps they answer with."""
+"""Reports what happens on the sockets to the admission controller and executes its actions.
+
+This is the one place where the network and the decisions meet. It keeps the open requests, the
+known endpoints and the counts of the log's figures. It decides nothing: each event becomes one call
+of `AdmissionController`, and each action that the call returns goes to the service that carries it
+out. It promises that every request gets exactly one answer, also after a fault of the controller.
+"""
+
+from __future__ import annotations
 
 import math
 from collections import Counter
+from typing import TYPE_CHECKING, Any, Protocol
 
-from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
-from petrellane.gateway.client_request import BadField
+from petrellane.decisions.types import (
+    DEDUPLICATED,
+    GONE,
+    IDEMPOTENT,
+    OK,
+    READY,
+    Abort,
+    CancelAttempt,
+    CounterAdd,
+    Reject,
+    Rpc,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+    WriteLog,
+)
+from petrellane.gateway.client_request import InvalidFieldError
 from petrellane.gateway.customers import Customers
+from petrellane.gateway.endpoint_updates import endpoint_updates
+from petrellane.gateway.load_report import parse_load_report
 from petrellane.operation import hot_restart
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Mapping
 
-class Driver:
-    """The one place where the network and the module meet."""
+    from petrellane.config import Config, HostList, Settings
+    from petrellane.decisions.types import Customer, Endpoint, Method, Plan
+    from petrellane.gateway.client_request import ClientRequest
+    from petrellane.gateway.counter_client import CounterClient
+    from petrellane.gateway.endpoint_connection import PendingAttempt
+    from petrellane.gateway.endpoint_pools import EndpointPools
+    from petrellane.gateway.endpoint_updates import EndpointUpdate
+    from petrellane.gateway.response_relay import ResponseRelay
+    from petrellane.gateway.runtime import Runtime
+    from petrellane.net.limits import Limits
+    from petrellane.operation.hot_restart_transport import Handover
 
-    def __init__(self, config, scheduler, limits, log):
-        self.settings, self.scheduler, self.log, self.now = (
-            config.settings,
-            scheduler,
-            log,
-            scheduler.now,
-        )
-        self.limits = limits
-        self.gateway = AdmissionController(
+BUSY = b"-BUSY\r\n"
+FAULT = b"-ERR fault\r\n"
+ABORTED = b"-ERR aborted\r\n"
+
+MINIMUM_DURATION_S = 1e-6
+"""An attempt takes at least this long: the clock may not have moved since it was sent."""
+
+ROUND_UP = 0.999
+"""Added before a number of milliseconds is cut to an integer: a client waits no shorter."""
+
+
+class AdmissionGate(Protocol):
+    """Says whether RPCs may be admitted under the settings that are in force here."""
+
+    def admits(self) -> bool:
+        """Return False while other gateways may have left these settings behind."""
+
+
+class ActionExecutor:
+    """Turns events of the sockets into calls of the controller, and its actions into I/O.
+
+    Owned by `GatewayProcess`, for the life of the process. `endpoint_pools`, `counter_client`,
+    `handover` and `agent` are set by it before the first event; the last three stay None where the
+    configuration has no such part. Owns the open requests, the table of known endpoints and the
+    controller; opens no socket.
+    """
+
+    def __init__(self, config: Config, runtime: Runtime) -> None:
+        self.settings: Settings = config.settings
+        self.scheduler = runtime.scheduler
+        self.limits: Limits = runtime.limits
+        self.log = runtime.log
+        self.now: Callable[[], float] = runtime.scheduler.now
+        self.controller = AdmissionController(
             seed=config.seed,
             uses_counter=self.settings.uses_counter,
             must_watch=self.settings.must_watch,
             **self.settings.gateway,
         )
-        self.customers, self.hosts, self.exchanges = Customers(), {}, {}
-        self.ready, self.taking = (
-            set(),
-            False,
-        )  # hosts that are; whether a host list is being taken over
-        self.ids = {}  # id -> exchange, while it is open
-        self.to = Counter() if config.by_host else None  # call-outs by host since the last figures
-        self.tally = (
-            Counter()
-        )  # what came, went out and was answered since the last figures, by kind
-        self.last = math.inf  # when all that is open has its answer, where we end
-        self.upstream = self.counter = self.handover = self.agent = (
-            None  # set before the first event
-        )
-        self.carriers = {
-            api.SendAttempt: self.send_attempt,
-            api.Reject: self.push_back,
-            api.Abort: self.abort,
-            api.CancelAttempt: self.cancel,
-            api.CounterAdd: self.add,
-            api.SetTimer: self.wake,
-            api.WriteLog: self.note,
-            api.WatchEndpoints: self.subscribe,
+        self.customers = Customers()
+        self.endpoints: dict[str, Endpoint] = {}
+        self.ready_endpoints: set[Endpoint] = set()
+        self.applying_endpoint_list = False
+        self.requests: dict[Rpc, ClientRequest] = {}
+        self.requests_by_id: dict[bytes, ClientRequest] = {}
+        # Figures since the last line of the log, by kind; and attempts by endpoint, where wanted.
+        self.counts: Counter[str] = Counter()
+        self.attempts_by_address: Counter[str] | None = Counter() if config.by_host else None
+        # The time at which every open request has its answer, once the process is ending.
+        self.final_deadline = math.inf
+        self.endpoint_pools: EndpointPools
+        self.counter_client: CounterClient
+        self.handover: Handover | None = None
+        self.agent: AdmissionGate | None = None
+        self.handlers: dict[type, Callable[[Any], None]] = {
+            SendAttempt: self._send_attempt,
+            Reject: self._reject,
+            Abort: self._abort,
+            CancelAttempt: self._cancel_attempt,
+            CounterAdd: self._add_to_counter,
+            SetTimer: self._set_timer,
+            WriteLog: self._write_log,
+            WatchEndpoints: self._watch_endpoints,
         }
 
-    def carry_out(self, steps):
-        for step in steps:
-            self.carriers[type(step)](step)
-
-    def start(self, known):
-        self.carry_out(self.gateway.start(self.now()))
-        self.listed(known._replace(full=True))  # nobody waits yet
-
-    def renewed(self, settings, limits):
-        """Other settings from now on; what is open keeps the method that it came under."""
-        self.settings, self.limits = settings, limits
-        self.gateway.reconfigure(**settings.gateway)
-
-    def listed(self, told, others=None):
-        """A host list, changes to it, or None when asking failed. It is taken over a share of its rows in a turn, with
-        `others` called between: first what it names, then, of a whole list, the end of what it leaves out. Without `others`
-        it is taken over at once. While one list is `taking`, no other may be told."""
-        if told is None:
-            self.carry_out(self.gateway.on_endpoint_events(self.now(), False, None))
+    def execute(self, actions: Iterable[object]) -> None:
+        """Execute the controller's actions in their order."""
+        for action in actions:
+            self.handlers[type(action)](action)
+
+    def start(self, known: HostList) -> None:
+        """Start the controller with the endpoints that the configuration knows."""
+        self.execute(self.controller.start(self.now()))
+        self.on_endpoint_list(known._replace(full=True))  # no request can wait yet: at once
+
+    def reconfigure(self, settings: Settings, limits: Limits) -> None:
+        """Apply other settings from now on; open requests keep the method that they came under."""
+        self.settings = settings
+        self.limits = limits
+        self.controller.reconfigure(**settings.gateway)
+
+    # Endpoints.
+
+    def on_endpoint_list(
+        self, endpoint_list: HostList | None, yield_turn: Callable[[], object] | None = None
+    ) -> None:
+        """Apply an endpoint list or changes to it.
+
+        Rows are applied in chunks: first those that the list names, then, for a complete list, the
+        end of the endpoints that it leaves out. No other list may be given meanwhile, which
+        `applying_endpoint_list` says.
+
+        Args:
+            endpoint_list: What the registry answered; None when the request failed.
+            yield_turn: Called between chunks, so that other work has its turn. None: all at once.
+        """
+        if endpoint_list is None:
+            self.execute(self.controller.on_endpoint_events(self.now(), False, None))
             return
-        news, self.taking, piece = bool(told.entries or told.full and self.hosts), True, []
+        has_news = bool(endpoint_list.entries or (endpoint_list.full and self.endpoints))
+        self.applying_endpoint_list = True
+        chunk: list[EndpointUpdate] = []
         try:
-            for row in self.rows(told):
-                piece.append(row)
-                if others and len(piece) == self.limits.list_rows:
-                    self.take_over(piece)
-                    piece = []
-                    others()
-            self.take_over(piece)
+            for update in endpoint_updates(endpoint_list, self.endpoints):
+                chunk.append(update)
+                if yield_turn and len(chunk) == self.limits.list_rows:
+                    self._apply_endpoint_updates(chunk)
+                    chunk = []
+                    yield_turn()
+            self._apply_endpoint_updates(chunk)
         finally:
-            self.taking = False
-        if news:
+            self.applying_endpoint_list = False
+        if has_news:
             self.log.event(
                 "hosts",
-                index=told.index,
-                full=told.full,
-                changed=len(told.entries),
-                known=len(self.hosts),
-                ready=len(self.ready),
+                index=endpoint_list.index,
+                full=endpoint_list.full,
+                changed=len(endpoint_list.entries),
+                known=len(self.endpoints),
+                ready=len(self.ready_endpoints),
             )
 
-    def rows(self, told):
-        """What a list says of each host that it is about: its name, its address, and the row for the module."""
-        left = dict(self.hosts) if told.full else {}
-        for entry in told.entries:
-            address = "%s:%d" % entry.address
-            host = self.hosts.get(entry.name)
-            if host is None:
-                host = self.hosts[entry.name] = api.Endpoint(address)
-            host.address = address
-            left.pop(entry.name, None)
-            yield entry.name, entry.address, api.EndpointEvent(host, *entry[2:])
-        for name, host in left.items():
-            yield (
-                name,
-                None,
-                api.EndpointEvent(
-                    host, host.zone, host.kind, host.pod, api.GONE, host.weight, host.started_at
-                ),
-            )
-
-    def take_over(self, rows):
-        """Tell the module of some rows, then the host side of what became of their hosts."""
-        if not rows:
+    def _apply_endpoint_updates(self, updates: list[EndpointUpdate]) -> None:
+        """Report some updates to the controller, then what became of the endpoints to the pools."""
+        if not updates:
             return
-        self.carry_out(
-            self.gateway.on_endpoint_events(self.now(), False, [listing for _, _, listing in rows])
-        )
-        for name, address, listing in rows:
-            host = listing.endpoint
-            if host.state == api.READY:
-                self.ready.add(host)
+        events = [update.event for update in updates]
+        self.execute(self.controller.on_endpoint_events(self.now(), False, events))
+        for name, address, event in updates:
+            endpoint = event.endpoint
+            if endpoint.state == READY:
+                self.ready_endpoints.add(endpoint)
             else:
-                self.ready.discard(host)
-            if host.state != api.GONE:
-                self.upstream.listed(host, address)
-            elif self.hosts.pop(name, None):
-                self.upstream.gone(host)
-
-    def place(self, exchange):
-        """A client's RPC; BadField when it makes no sense."""
+                self.ready_endpoints.discard(endpoint)
+            if endpoint.state != GONE:
+                self.endpoint_pools.on_endpoint_changed(endpoint, address)
+            elif self.endpoints.pop(name, None):
+                self.endpoint_pools.on_endpoint_removed(endpoint)
+
+    # Requests.
+
+    def on_request(self, request: ClientRequest) -> None:
+        """Take a client's request in.
+
+        Raises:
+            InvalidFieldError: The request makes no sense under the settings in force.
+        """
         now = self.now()
-        if (
-            self.agent and not self.agent.admits()
-        ):  # before it is looked at under settings that others may have left
-            self.tally["pushed generation"] += 1
-            exchange.finish(b"-BUSY\r\n")
+        # Asked before the request is looked at under settings that other gateways may have left.
+        if self.agent and not self.agent.admits():
+            self.counts["pushed generation"] += 1
+            request.finish(BUSY)
             return
-        method = self.settings.methods.get(exchange.text("c"))
-        plan = self.settings.plans.get(exchange.text("t"))
-        if method is None:
-            raise BadField("c: no such method")
-        if plan is None:
-            raise BadField("t: no such plan")
-        if exchange.query != (method.effect == api.IDEMPOTENT):
-            raise BadField("c: its method takes the other command")
-        if method.effect == api.DEDUPLICATED:
-            exchange.text("k")
-        if exchange.id in self.ids:
-            raise BadField("id: its RPC is open")
-        units, gateways = exchange.units(self.settings.most_units), self.settings.gateways
-        first, spread = (
-            exchange.whole("first", 0, 0, gateways - 1),
-            exchange.whole("spread", 1, 1, gateways),
-        )
-        name = exchange.customer.decode()
-        customer = self.customers.of(name, plan, first, spread, now)
-        came = self.scheduler.since()  # its patience may have run while we stood still
-        deadline = min(came + min(exchange.patience, method.deadline), self.last)
-        rpc = exchange.rpc = api.Rpc(
+        method, plan = self._method_and_plan(request)
+        units = request.units(self.settings.most_units)
+        customer = self._customer(request, plan, now)
+        # Its timeout may have begun while this process stood still.
+        arrived_at = self.scheduler.since()
+        timeout = min(request.timeout, method.deadline)
+        rpc = Rpc(
             method,
             customer,
             units,
-            deadline,
-            came,
-            is_client_retry=exchange.named.get("r") == "1",
-            is_write=method.effect != api.IDEMPOTENT,
-        )
-        self.exchanges[rpc] = self.ids[exchange.id] = exchange
-        self.tally["rpcs"] += 1
-        self.tell(rpc, self.gateway.admit, now, rpc)
-
-    def taken(self, rows):
-        """Take over the leases that the process before has given up; how many."""
-        plans, now = self.settings.plans, self.now()
-        return hot_restart.taken(
-            self.gateway,
-            now,
-            rows,
-            lambda name, plan, first, spread: (
-                plan in plans and self.customers.of(name, plans[plan], first, spread, now)
-            ),
+            min(arrived_at + timeout, self.final_deadline),
+            arrived_at,
+            is_client_retry=request.fields.get("r") == "1",
+            is_write=method.effect != IDEMPOTENT,
         )
+        request.rpc = rpc
+        self.requests[rpc] = request
+        self.requests_by_id[request.id] = request
+        self.counts["rpcs"] += 1
+        self._notify_controller(rpc, self.controller.admit, now, rpc)
+
+    def _method_and_plan(self, request: ClientRequest) -> tuple[Method, Plan]:
+        """Return what the settings say of a request, once its fields have been checked."""
+        method = self.settings.methods.get(request.text("c"))
+        plan = self.settings.plans.get(request.text("t"))
+        if method is None:
+            raise InvalidFieldError("c: no such method")
+        if plan is None:
+            raise InvalidFieldError("t: no such plan")
+        if request.is_query != (method.effect == IDEMPOTENT):
+            raise InvalidFieldError("c: its method takes the other command")
+        if method.effect == DEDUPLICATED:
+            request.text("k")
+        if request.id in self.requests_by_id:
+            raise InvalidFieldError("id: its RPC is open")
+        return method, plan
+
+    def _customer(self, request: ClientRequest, plan: Plan, now: float) -> Customer:
+        """Return the customer that a request is of."""
+        gateways = self.settings.gateways
+        first_gateway = request.integer("first", 0, 0, gateways - 1)
+        gateway_count = request.integer("spread", 1, 1, gateways)
+        name = request.customer.decode()
+        return self.customers.get_or_create(name, plan, first_gateway, gateway_count, now)
 
-    def settled(self, name, number):
-        """So many RPCs of a customer that the process before still had have ended."""
-        for customer in self.customers.named(name):
-            number -= hot_restart.settled(self.gateway, self.now(), customer, number)
+    def _notify_controller(
+        self, rpc: Rpc, call: Callable[..., Iterable[object]], *args: object, **named: object
+    ) -> None:
+        """Make a call of the controller about an RPC and execute its actions.
 
-    def tell(self, rpc, call, *words, **more):
-        """Tell the module of an RPC. A fault of ours is logged, and the RPC has its answer all the same."""
+        A fault in the controller is logged, and the RPC is answered all the same.
+        """
         try:
-            self.carry_out(call(*words, **more))
-        except Exception as error:
+            self.execute(call(*args, **named))
+        except Exception as error:  # whatever the fault is, the client is owed an answer
             self.log.fault(error)
-            self.finish(rpc, b"-ERR fault\r\n")
-
-    def left(self, exchange):
-        """A client has gone away before its answer."""
-        if self.exchanges.pop(exchange.rpc, None):
-            del self.ids[exchange.id]
-            self.carry_out(self.gateway.on_client_disconnected(self.now(), exchange.rpc))
-            self.upstream.left(exchange.rpc.attempts, self.gateway.may_cancel)
-
-    def last_answers(self):
-        """We may be killed soon: whatever is open has no time left, for the module as for its attempts."""
-        for rpc in list(self.exchanges):
+            self._finish(rpc, FAULT)
+
+    def on_client_disconnected(self, request: ClientRequest) -> None:
+        """End a request whose client has gone away before its answer."""
+        rpc = request.rpc
+        if rpc is None or rpc not in self.requests:
+            return
+        del self.requests[rpc]
+        del self.requests_by_id[request.id]
+        self.execute(self.controller.on_client_disconnected(self.now(), rpc))
+        self.endpoint_pools.on_client_disconnected(rpc.attempts, self.controller.may_cancel)
+
+    def expire_open_requests(self) -> None:
+        """Let the time of all open requests end now, as the process may be killed soon."""
+        for rpc in list(self.requests):
             rpc.deadline = min(rpc.deadline, self.now())
-            self.upstream.run_out(rpc.attempts)
-            if rpc in self.exchanges:  # it waits, and was never sent
-                self.tell(rpc, self.gateway.on_timer, self.now(), rpc)
+            self.endpoint_pools.expire(rpc.attempts)
+            if rpc in self.requests:  # it waits without an attempt
+                self._notify_controller(rpc, self.controller.on_timer, self.now(), rpc)
+
+    def on_response_started(
+        self, pending: PendingAttempt, relay: ResponseRelay, length: int
+    ) -> bool:
+        """Begin to pass on a long response as it comes; return False where nobody waits for it.
 
-    def begun(self, pending, passage, length):
-        """A long answer has begun, which the client gets as it comes; False where nobody waits for it. For the module
-        the RPC is answered now: how soon a client reads says nothing of a host."""
+        For the controller the RPC is answered now: how soon a client reads says nothing about an
+        endpoint.
+        """
         attempt = pending.attempt
-        exchange = self.exchanges.get(attempt.rpc)
-        if exchange:
-            exchange.passage, passage.flush = passage, exchange.answered
-            self.tally["long"] += 1
-            self.gateway.finish(attempt.rpc)
-            self.carry_out(self.gateway.on_response_started(self.now(), attempt, passing=True))
-            self.finish(attempt.rpc, b"$%d\r\n" % length)
-        return exchange is not None
-
-    def ended(self, pending, outcome, value, figures):
-        """An attempt's outcome; the first ok answers the client by itself."""
-        attempt, now = pending.attempt, self.now()
-        self.tally["out " + outcome] += 1
-        if outcome == api.OK:
-            self.finish(attempt.rpc, b"$%d\r\n" % len(value), value, b"\r\n")
-        over, report = attempt.rpc not in self.exchanges, self.figures(figures, self.limits.figure)
-        cost = report.pop("cost", 0.0)
-        self.tell(
+        request = self.requests.get(attempt.rpc)
+        if request is None:
+            return False
+        request.relay = relay
+        relay.on_data = request.owner.on_answered
+        self.counts["long"] += 1
+        self.controller.finish(attempt.rpc)
+        self.execute(self.controller.on_response_started(self.now(), attempt, passing=True))
+        self._finish(attempt.rpc, b"$%d\r\n" % length)
+        return True
+
+    def on_attempt_ended(
+        self, pending: PendingAttempt, outcome: str, value: bytes, report: bytes
+    ) -> None:
+        """Report an attempt's outcome; the first that is ok answers the client by itself.
+
+        Args:
+            pending: The attempt that ended.
+            outcome: What became of it.
+            value: The response, where the outcome is ok and it was not relayed.
+            report: The endpoint's load report, `name=number` pairs with commas between.
+        """
+        attempt = pending.attempt
+        now = self.now()
+        self.counts["out " + outcome] += 1
+        if outcome == OK:
+            self._finish(attempt.rpc, b"$%d\r\n" % len(value), value, b"\r\n")
+        is_over = attempt.rpc not in self.requests
+        figures = parse_load_report(report, self.limits.figure)
+        cost = figures.pop("cost", 0.0)
+        self._notify_controller(
             attempt.rpc,
-            self.gateway.on_attempt_ended,
+            self.controller.on_attempt_ended,
             now,
             attempt,
             outcome,
-            over=over,
-            took=max(1e-6, now - attempt.sent_at),
-            usage=int(report.pop("used", -1)) + 1,
+            over=is_over,
+            took=max(MINIMUM_DURATION_S, now - attempt.sent_at),
+            usage=int(figures.pop("used", -1)) + 1,
             units=cost if cost <= self.settings.most_units else 0.0,
-            report=report,
+            report=figures,
         )
 
-    @staticmethod
-    def figures(text, most):
-        """Names and numbers, `a=1,b=2`; what is none, or none that a host can mean, is left out."""
-        found = {}
-        for part in text.decode("latin-1").split(",") if text else ():
-            name, _, number = part.partition("=")
-            try:
-                value = float(number)
-            except ValueError:
-                continue
-            if 0 <= value <= most:
-                found[name] = value
-        return found
-
-    def counted(self, add, outcome, total):
-        self.tally["add " + outcome] += 1
-        self.carry_out(self.gateway.on_counter_reply(self.now(), add, outcome, total))
-
-    def finish(self, rpc, *answer):
-        exchange = self.exchanges.pop(rpc, None)
-        if exchange:
-            del self.ids[exchange.id]
-            exchange.finish(*answer)
+    def on_counter_reply(self, add: CounterAdd, outcome: str, total: float) -> None:
+        """Report what became of an addition to the shared counter."""
+        self.counts["add " + outcome] += 1
+        self.execute(self.controller.on_counter_reply(self.now(), add, outcome, total))
+
+    def _finish(self, rpc: Rpc, *answer: bytes) -> None:
+        """Give an RPC its answer, unless it has one or its client has gone."""
+        request = self.requests.pop(rpc, None)
+        if request:
+            del self.requests_by_id[request.id]
+            request.finish(*answer)
             if self.handover:
                 self.handover.owed(rpc.customer.name)
 
-    def send_attempt(self, step):
-        exchange = self.exchanges.get(step.rpc)
-        if exchange:
-            self.tally["call_outs"] += 1
-            if self.to is not None:
-                self.to[step.endpoint.address] += 1
-            self.upstream.send(exchange, step)
+    # Hot restart.
 
-    def push_back(self, step):
-        self.tally["pushed " + step.reason] += 1
-        wait = int(step.retry_after * 1e3 + 0.999)
-        self.finish(step.rpc, b"-BUSY %d\r\n" % wait if wait else b"-BUSY\r\n")
+    def import_leases(self, rows: Iterable[Mapping[str, Any]]) -> int:
+        """Take over the leases that the predecessor has given up; return how many."""
+        plans = self.settings.plans
+        now = self.now()
 
-    def abort(self, step):
-        self.tally["aborted"] += 1
-        self.finish(step.rpc, b"-ERR aborted\r\n")
+        def customer_of(name: str, plan: str, first: int, count: int) -> Customer | None:
+            if plan not in plans:
+                return None
+            return self.customers.get_or_create(name, plans[plan], first, count, now)
 
-    def cancel(self, step):
-        self.upstream.cancel(step.attempt)
+        taken: int = hot_restart.taken(self.controller, now, rows, customer_of)
+        return taken
 
-    def add(self, step):
-        self.counter.post(step)
+    def on_predecessor_requests_ended(self, name: str, number: int) -> None:
+        """Note that so many requests of a customer, still open at the predecessor, have ended."""
+        for customer in self.customers.with_name(name):
+            number -= hot_restart.settled(self.controller, self.now(), customer, number)
 
-    def wake(self, step):
-        self.scheduler.after(
-            step.delay, lambda: self.carry_out(self.gateway.on_timer(self.now(), step.subject))
-        )
+    # Handlers of actions.
+
+    def _send_attempt(self, action: SendAttempt) -> None:
+        request = self.requests.get(action.rpc)
+        if request:
+            self.counts["call_outs"] += 1
+            if self.attempts_by_address is not None:
+                self.attempts_by_address[action.endpoint.address] += 1
+            self.endpoint_pools.send(request, action)
+
+    def _reject(self, action: Reject) -> None:
+        self.counts["pushed " + action.reason] += 1
+        retry_after_ms = int(action.retry_after * 1e3 + ROUND_UP)
+        self._finish(action.rpc, b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms else BUSY)
+
+    def _abort(self, action: Abort) -> None:
+        self.counts["aborted"] += 1
+        self._finish(action.rpc, ABORTED)
+
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        self.endpoint_pools.cancel(action.attempt)
+
+    def _add_to_counter(self, action: CounterAdd) -> None:
+        self.counter_client.send(action)
+
+    def _set_timer(self, action: SetTimer) -> None:
+        def on_timer() -> None:
+            self.execute(self.controller.on_timer(self.now(), action.subject))
+
+        self.scheduler.after(action.delay, on_timer)
 
-    def note(self, step):
-        self.log.event("mode", text=step.text)
+    def _write_log(self, action: WriteLog) -> None:
+        self.log.event("mode", text=action.text)
 
-    def subscribe(self, step):
-        """The watch is on from the start and begins anew by itself."""
+    def _watch_endpoints(self, action: WatchEndpoints) -> None:
+        """Do nothing: the watch is on from the start and restarts by itself."""
--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -1,185 +1,253 @@
-"""The shared counter: adds go out on few connections, each on an idle one where there is one, since an answer that is
-spoilt ends its connection and with it whatever waits behind; they end late by our own clock."""
+"""The client of the shared counter.
+
+Additions go out on few connections, each on an idle one where there is one: an answer that is
+malformed ends its connection, and with it whatever waits behind. They end late by our own clock.
+When an addition is made, and of how much, is decided elsewhere.
+"""
+
+from __future__ import annotations
 
 import math
 from collections import deque
 from functools import partial
+from typing import TYPE_CHECKING
 
-from petrellane.decisions import types as api
+from petrellane.decisions.types import ERROR, FULL, LATE, OK, RESET, UNREACHABLE, CounterAdd
 from petrellane.net import resp
 from petrellane.net.stream import Closed, Stream
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
-class Call:
-    """One add on its way."""
+    from petrellane.gateway.client_request import Span
+    from petrellane.gateway.runtime import Address, Runtime
+    from petrellane.net.scheduler import Timer
 
-    __slots__ = ("add", "at", "timer", "mark", "told")
+# Types of answers, by their first byte.
+BULK_STRING = ord("$")
+ERROR_LINE = ord("-")
 
-    def __init__(self, add, at):
-        self.add, self.at, self.timer, self.mark, self.told = add, at, None, None, False
 
+class PendingAdd:
+    """One addition, from `CounterClient.send` until its outcome is reported.
 
-class Link:
-    """One connection to the counter."""
+    `end_offset` is the number of bytes that its connection's stream has sent once the addition is
+    completely out; None while it is not written.
+    """
+
+    __slots__ = ("add", "end_offset", "is_reported", "sent_at", "timer")
+
+    def __init__(self, add: CounterAdd, sent_at: float) -> None:
+        self.add = add
+        self.sent_at = sent_at
+        self.timer: Timer  # set at once by who makes it
+        self.end_offset: int | None = None
+        self.is_reported = False
 
-    def __init__(self, counter):
-        self.counter, self.address, self.stream, self.calls = (
-            counter,
-            counter.address,
-            None,
-            deque(),
-        )
-        self.used = counter.scheduler.now()
 
-    def run(self):
+class CounterConnection:
+    """One connection to the counter; answers come in the order of the additions.
+
+    Made and listed by its `CounterClient`, until `end`. Owns its stream with the socket, and the
+    additions on it.
+    """
+
+    def __init__(self, client: CounterClient) -> None:
+        self.client = client
+        self.address = client.address
+        self.stream: Stream | None = None
+        self.pending: deque[PendingAdd] = deque()
+        self.last_used_at: float = client.scheduler.now()
+
+    def run(self) -> None:
         """Dial, write what waits, and read answers until the connection ends."""
-        counter = self.counter
         try:
-            self.stream = Stream.dial(
-                counter.scheduler, counter.limits, self.address, counter.limits.counter_timeout
-            )
-            for call in [call for call in self.calls if call.told]:
-                self.calls.remove(call)  # its time is over, and it was never written
-            for call in self.calls:
-                self.write(call)
-            while self in counter.links:  # it may have been ended while it dialed
-                self.read()
-                if not self.calls and self.address != counter.address:
-                    break
-                self.stream.fill()
-            self.end("not used any more")
-        except resp.Malformed as trouble:
-            if self.calls:  # the answer to this one came: it was added, to what total is not known
-                counter.tell(self.calls.popleft(), api.ERROR, 0.0)
-            self.end(str(trouble))
-        except (OSError, Closed) as trouble:
-            self.end(str(trouble))
-
-    def post(self, call):
-        self.calls.append(call)
+            self._serve()
+        except resp.Malformed:
+            if self.pending:  # its answer came: it was added, to what total is not known
+                self.client.report(self.pending.popleft(), ERROR, 0.0)
+            self.end()
+        except (OSError, Closed):
+            self.end()
+
+    def _serve(self) -> None:
+        client = self.client
+        stream = Stream.dial(
+            client.scheduler, client.limits, self.address, client.limits.counter_timeout
+        )
+        self.stream = stream
+        for pending in [pending for pending in self.pending if pending.is_reported]:
+            self.pending.remove(pending)  # its time is over, and it was never written
+        for pending in self.pending:
+            self._write(stream, pending)
+        while self in client.connections:  # it may have been ended while it dialed
+            self._read_answers(stream)
+            if not self.pending and self.address != client.address:
+                break
+            stream.fill()
+        self.end()
+
+    def send(self, pending: PendingAdd) -> None:
+        """Send an addition, once the connection is up."""
+        self.pending.append(pending)
         if self.stream:
-            self.write(call)
+            self._write(self.stream, pending)
 
-    def write(self, call):
-        add = call.add
+    def _write(self, stream: Stream, pending: PendingAdd) -> None:
+        add = pending.add
         amount = f"{add.amount:.7f}".rstrip("0").rstrip(".")
-        self.stream.write(
-            resp.words(
-                b"CNT.ADD", b"%d" % add.name, amount.encode(), b"%d" % max(1, int(add.ttl * 1e3))
-            )
-        )
-        call.mark, self.used = self.stream.queued, self.counter.scheduler.now()
-
-    def read(self):
-        """Take the answers that have come whole; that to a late call goes by in its place."""
-        buffer = self.stream.buffer
-        while found := resp.answer(buffer, 0, self.counter.limits):
+        ttl_ms = max(1, int(add.ttl * 1e3))
+        stream.write(resp.words(b"CNT.ADD", b"%d" % add.name, amount.encode(), b"%d" % ttl_ms))
+        pending.end_offset = stream.queued
+        self.last_used_at = self.client.scheduler.now()
+
+    def _read_answers(self, stream: Stream) -> None:
+        """Take the answers that have come completely; that to a late addition goes by."""
+        buffer = stream.buffer
+        while found := resp.answer(buffer, 0, self.client.limits):
             kind, content, end = found
-            if not self.calls:
+            if not self.pending:
                 raise resp.Malformed("an answer to nothing")
-            outcome, total = self.meaning(buffer, kind, content)
+            outcome, total = self._decode_answer(buffer, kind, content)
             del buffer[:end]
-            self.counter.tell(self.calls.popleft(), outcome, total)
+            self.client.report(self.pending.popleft(), outcome, total)
 
     @staticmethod
-    def meaning(buffer, kind, content):
-        if kind == 0x24 and content:
+    def _decode_answer(buffer: bytearray, kind: int, content: Span | None) -> tuple[str, float]:
+        """Return an answer's outcome and total.
+
+        Raises:
+            Malformed: It has none of the forms of an answer.
+        """
+        if kind == BULK_STRING and content:
             try:
                 total = float(bytes(buffer[slice(*content)]))
             except ValueError:
                 total = math.nan
             if not math.isfinite(total):
                 raise resp.Malformed("a total out of form")
-            return api.OK, total
-        if kind != 0x2D:
+            return OK, total
+        if kind != ERROR_LINE:
             raise resp.Malformed("an answer out of form")
-        return api.FULL, 0.0  # turned away or refused: nothing was added
+        return FULL, 0.0  # rejected: nothing was added
 
-    def stuck(self, now):
-        """Whether an answer has been due for so long that no call should wait behind it."""
-        return bool(self.calls) and now - self.calls[0].at > self.counter.limits.counter_timeout
+    def is_stuck(self, now: float) -> bool:
+        """Return whether an answer is due for so long that nothing should wait behind it."""
+        timeout = self.client.limits.counter_timeout
+        return bool(self.pending) and now - self.pending[0].sent_at > timeout
 
-    def end(self, reason):
-        """The connection is over, and what is out on it with it."""
+    def end(self) -> None:
+        """Close the connection, and report the additions on it as the socket proves them."""
         if self.stream:
             self.stream.close()
-        if self in self.counter.links:
-            self.counter.links.remove(self)
-        calls, self.calls = self.calls, deque()
-        for call in calls:
-            whole = call.mark is not None and call.mark <= self.stream.sent
-            self.counter.tell(call, api.RESET if whole else api.UNREACHABLE, 0.0)
-
-
-class Counter:
-    """Carries out adds; `counted` hears of each, once."""
-
-    def __init__(self, scheduler, limits, address, counted):
-        self.scheduler, self.limits, self.address, self.counted = (
-            scheduler,
-            limits,
-            address,
-            counted,
-        )
-        self.links = []
-        scheduler.after(limits.look, self.look)
-
-    def post(self, add):
-        call = Call(add, self.scheduler.now())
-        call.timer = self.scheduler.after(self.limits.counter_timeout, partial(self.late, call))
-        self.link(call.at).post(call)
-
-    def move(self, address):
-        """The counter is at another address now. What is written on old connections is settled there; what is not
-        goes to the new address."""
-        self.address, links = address, list(self.links)
-        for link in links:
-            calls, link.calls = (
-                link.calls,
-                deque(call for call in link.calls if call.mark is not None),
+        if self in self.client.connections:
+            self.client.connections.remove(self)
+        unanswered = self.pending
+        self.pending = deque()
+        for pending in unanswered:
+            is_written = (
+                self.stream is not None
+                and pending.end_offset is not None
+                and pending.end_offset <= self.stream.sent
             )
-            if not link.calls:
-                link.end("not used any more")
-            for call in calls:
-                if call.mark is None and not call.told:
-                    self.link(self.scheduler.now()).post(call)
-
-    def link(self, now):
-        """An idle connection, or a new one, or the one with the fewest calls on it."""
-        here = [link for link in self.links if link.address == self.address]
-        for link in sorted((link for link in here if not link.calls), key=lambda link: -link.used):
-            if (
-                link.stream.quiet() and not link.stream.buffer
-            ):  # the last one used first: others can be retired
-                return link
-            link.end("spoilt or ended by the counter")
-            here.remove(link)
-        if len(here) >= self.limits.counter_connections:
-            if usable := [link for link in here if not link.stuck(now)]:
-                return min(usable, key=lambda link: len(link.calls))
-            here[0].end("silent")
-        link = Link(self)
-        self.links.append(link)
-        self.scheduler.spawn(link.run)
-        return link
-
-    def late(self, call):
-        self.tell(call, api.LATE if call.mark else api.UNREACHABLE, 0.0)
-
-    def tell(self, call, outcome, total):
-        if not call.told:
-            call.told = True
-            call.timer.cancel()
-            self.scheduler.soon(self.counted, call.add, outcome, total)
-
-    def look(self):
+            self.client.report(pending, RESET if is_written else UNREACHABLE, 0.0)
+
+
+class CounterClient:
+    """Executes additions to the shared counter.
+
+    Made by `GatewayProcess` where a counter is configured, for the life of the process. Owns its
+    connections, the additions' timers, and a timer that retires idle connections.
+    """
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        address: Address,
+        on_reply: Callable[[CounterAdd, str, float], object],
+    ) -> None:
+        """Begin with no connection.
+
+        Args:
+            runtime: Scheduler, limits and log.
+            address: Where the counter is.
+            on_reply: Called once per addition with its outcome and, where that is ok, the total.
+        """
+        self.scheduler = runtime.scheduler
+        self.limits = runtime.limits
+        self.address = address
+        self.on_reply = on_reply
+        self.connections: list[CounterConnection] = []
+        self.scheduler.after(self.limits.look, self._retire_idle)
+
+    def send(self, add: CounterAdd) -> None:
+        """Send an addition; its outcome is reported once."""
+        pending = PendingAdd(add, self.scheduler.now())
+        on_late = partial(self._on_late, pending)
+        pending.timer = self.scheduler.after(self.limits.counter_timeout, on_late)
+        self._connection_for(pending.sent_at).send(pending)
+
+    def move(self, address: Address) -> None:
+        """Use another address from now on.
+
+        What is written on old connections is settled there; what is not goes to the new address.
+        """
+        self.address = address
+        for connection in list(self.connections):
+            before = connection.pending
+            connection.pending = deque(
+                pending for pending in before if pending.end_offset is not None
+            )
+            if not connection.pending:
+                connection.end()
+            for pending in before:
+                if pending.end_offset is None and not pending.is_reported:
+                    self._connection_for(self.scheduler.now()).send(pending)
+
+    def _connection_for(self, now: float) -> CounterConnection:
+        """Return an idle connection, a new one, or the one with the fewest additions on it."""
+        usable = [each for each in self.connections if each.address == self.address]
+        # The last one used first, so that others can be retired.
+        idle = [connection for connection in usable if not connection.pending]
+        for connection in sorted(idle, key=_last_used_at, reverse=True):
+            stream = connection.stream
+            if stream and stream.quiet() and not stream.buffer:
+                return connection
+            connection.end()  # spoilt, or ended by the counter
+            usable.remove(connection)
+        if len(usable) >= self.limits.counter_connections:
+            answering = [connection for connection in usable if not connection.is_stuck(now)]
+            if answering:
+                return min(answering, key=_pending_count)
+            usable[0].end()  # the counter is silent on it
+        connection = CounterConnection(self)
+        self.connections.append(connection)
+        self.scheduler.spawn(connection.run)
+        return connection
+
+    def _on_late(self, pending: PendingAdd) -> None:
+        self.report(pending, LATE if pending.end_offset else UNREACHABLE, 0.0)
+
+    def report(self, pending: PendingAdd, outcome: str, total: float) -> None:
+        """Report what became of an addition, once, at the end of this turn."""
+        if not pending.is_reported:
+            pending.is_reported = True
+            pending.timer.cancel()
+            self.scheduler.soon(self.on_reply, pending.add, outcome, total)
+
+    def _retire_idle(self) -> None:
         """Retire idle connections before the counter does."""
-        self.scheduler.after(self.limits.look, self.look)
+        self.scheduler.after(self.limits.look, self._retire_idle)
         before = self.scheduler.now() - self.limits.counter_idle_timeout
-        for link in list(self.links):
-            if (
-                link.stream
-                and (not link.calls or link.address != self.address)
-                and link.used < before
-            ):
-                link.end("idle")
+        for connection in list(self.connections):
+            is_idle = not connection.pending or connection.address != self.address
+            if connection.stream and is_idle and connection.last_used_at < before:
+                connection.end()
+
+
+def _last_used_at(connection: CounterConnection) -> float:
+    return connection.last_used_at
+
+
+def _pending_count(connection: CounterConnection) -> int:
+    return len(connection.pending)
--- /dev/null
+++ b/petrellane/gateway/endpoint_updates.py
@@ -0,0 +1,51 @@
+"""What an endpoint list says of each endpoint that it is about, as events for the controller."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from petrellane.decisions.types import GONE, Endpoint, EndpointEvent
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from petrellane.config import HostList
+    from petrellane.gateway.runtime import Address
+
+
+class EndpointUpdate(NamedTuple):
+    """One row of an endpoint list: whom it names, where it is (None: gone), and the event."""
+
+    name: str
+    address: Address | None
+    event: EndpointEvent
+
+
+def endpoint_updates(
+    endpoint_list: HostList, known: dict[str, Endpoint]
+) -> Iterator[EndpointUpdate]:
+    """Yield an update for each endpoint that a list names or, if complete, leaves out.
+
+    Endpoints that the list names for the first time are added to `known`.
+    """
+    missing = dict(known) if endpoint_list.full else {}
+    for entry in endpoint_list.entries:
+        address = f"{entry.address[0]}:{entry.address[1]}"
+        endpoint = known.get(entry.name)
+        if endpoint is None:
+            endpoint = Endpoint(address)
+            known[entry.name] = endpoint
+        endpoint.address = address
+        missing.pop(entry.name, None)
+        yield EndpointUpdate(entry.name, entry.address, EndpointEvent(endpoint, *entry[2:]))
+    for name, endpoint in missing.items():
+        event = EndpointEvent(
+            endpoint,
+            endpoint.zone,
+            endpoint.kind,
+            endpoint.pod,
+            GONE,
+            endpoint.weight,
+            endpoint.started_at,
+        )
+        yield EndpointUpdate(name, None, event)
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -1,8 +1,14 @@
-"""The host list: a watch that goes on for as long as discovery answers, and begins anew where it does not. When it is called
-next is decided in `petrellane/operation/backoff.py`.
+"""The watch of the endpoint list: it goes on while discovery answers, and restarts when it fails.
 
-A list is checked to its last row before any of it is told, so that one of no form changes nothing, and the next call asks on
-from its version once it is in force. It is checked a share of rows in a turn, and told by a call that may wait likewise."""
+When discovery is asked next is decided in `petrellane/operation/backoff.py`. A list is checked to
+its last row before any of it is passed on, so that a malformed one changes nothing; the next
+request asks for changes since its version once it is in force. Rows are checked a chunk in a turn,
+and the list is passed on by a call that may wait likewise.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Protocol
 
 import orjson
 
@@ -12,117 +18,187 @@
 from petrellane.net.stream import Closed, Stream
 from petrellane.operation import backoff
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from petrellane.gateway.runtime import Address, Runtime
+
 PATH = "/registry/instances"
+STATUS_OK = 200
+
+
+class DiscoveryRejectedError(Malformed):
+    """Discovery is there and answers with an error status: it has more to do than it can."""
 
 
-class TurnedAway(Malformed):
-    """Discovery is there and does not answer us: it has more to do than it can."""
+class EndpointListConsumer(Protocol):
+    """Whom the lists are for."""
 
+    def on_endpoint_list(self, endpoint_list: HostList | None) -> None:
+        """Apply a list, which may wait for other turns; None says that a request failed."""
 
-class Discovery:
-    """Tells `listed` of each list, and of None when a call failed; one log line tells that discovery is away, and one that
-    it is back. A call has one time for its dialing and its whole answer, however that comes. A list is told when none is
-    being taken over, which `busy` tells."""
+    def is_applying_endpoint_list(self) -> bool:
+        """Return whether a list is being applied, during which no other may be given."""
 
-    def __init__(self, scheduler, limits, log, address, index, listed, random, busy=lambda: False):
-        self.scheduler, self.limits, self.log, self.address = scheduler, limits, log, address
-        self.index, self.listed, self.busy = index, listed, busy
+
+class EndpointWatch:
+    """One watch of the list at one address.
+
+    Made by `GatewayProcess`, which runs it in a greenlet of its own and ends it when discovery
+    moves. Owns the connection to discovery. One line of the log says that discovery is away, and
+    one that it is back. A request has one time for its dial and its answer, however that comes.
+    """
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        address: Address,
+        index: int | None,
+        consumer: EndpointListConsumer,
+        random: Callable[[], float],
+    ) -> None:
+        """Prepare to watch.
+
+        Args:
+            runtime: Scheduler, limits and log.
+            address: Where discovery is.
+            index: The version that is in force; None asks for a complete list.
+            consumer: Whom the lists are for.
+            random: Draws from 0 to 1, for the backoff.
+        """
+        self.scheduler = runtime.scheduler
+        self.limits = runtime.limits
+        self.log = runtime.log
+        self.address = address
+        self.index = index
+        self.consumer = consumer
         self.backoff = backoff.Backoff(
             random,
-            limits.watch_next,
-            limits.watch_next if index is not None else limits.watch_first,
-            limits.watch_hold,
-            limits.watch_grace,
-            limits.watch_timeout,
-            limits.backoff_first,
+            self.limits.watch_next,
+            self.limits.watch_next if index is not None else self.limits.watch_first,
+            self.limits.watch_hold,
+            self.limits.watch_grace,
+            self.limits.watch_timeout,
+            self.limits.backoff_first,
         )
-        self.stream, self.over = None, False
+        self.stream: Stream | None = None
+        self.is_ended = False
 
-    def end(self):
-        """Watch no longer: whatever still comes is not told."""
-        self.over = True
+    def end(self) -> None:
+        """Stop watching: whatever still comes is not passed on."""
+        self.is_ended = True
         if self.stream:
             self.stream.close()
 
-    def run(self):
-        """Watch until the end. The connection is closed before a pause, as nobody reads from it meanwhile: what the peer had
-        ended would be ready at every poll."""
-        now = self.scheduler.now
-        while not self.over:
-            stream = None
-            try:
-                until = self.backoff.begin(now(), self.index is not None)
-                stream = self.stream = Stream.dial(
-                    self.scheduler, self.limits, self.address, until - now()
-                )
-                while self.heard(*self.watch(stream, until)) and not self.over:
-                    until = self.backoff.begin(now(), self.index is not None)
-            except (OSError, Closed, Malformed, ConfigError, ValueError) as trouble:
-                if self.over:
-                    return
-                if not self.backoff.away:
-                    self.log.event("discovery_away", error=str(trouble))
-                    self.listed(None)
-                outcome = (
-                    backoff.SILENT
-                    if isinstance(trouble, TimeoutError)
-                    else (
-                        backoff.TURNED_AWAY if isinstance(trouble, TurnedAway) else backoff.FAILED
-                    )
-                )
-            else:
-                continue
-            finally:
-                if stream:
-                    stream.close()
-            self.scheduler.wait(self.backoff.pause(outcome, now()))
-
-    def watch(self, stream, until):
-        """One call: the list or the changes, and whether the connection goes on."""
-        limits, path = self.limits, PATH
-        if self.index is not None:  # an index of 0 is one too
-            path += (
-                f"?from={self.index}&hold_ms={int(self.backoff.hold(self.scheduler.now()) * 1e3)}"
+    def run(self) -> None:
+        """Watch until the end."""
+        while not self.is_ended:
+            error = self._watch_until_failure()
+            if error is not None:
+                self.scheduler.wait(self._pause_after(error))
+
+    def _watch_until_failure(self) -> Exception | None:
+        """Watch on one connection.
+
+        The connection is closed before a pause, as nobody reads from it meanwhile: what the peer
+        had ended would be ready at every poll.
+
+        Returns:
+            The failure; None where the connection just does not go on, or at the end.
+        """
+        stream = None
+        try:
+            until = self._begin_request()
+            stream = Stream.dial(
+                self.scheduler, self.limits, self.address, until - self.scheduler.now()
             )
-        stream.write(http.get(path, "%s:%d" % self.address))
+            self.stream = stream
+            while self._apply(*self._request(stream, until)) and not self.is_ended:
+                until = self._begin_request()
+        except (OSError, Closed, Malformed, ConfigError, ValueError) as error:
+            if self.is_ended:
+                return None
+            self._report_failure(error)
+            return error
+        finally:
+            if stream:
+                stream.close()
+        return None
+
+    def _begin_request(self) -> float:
+        """Return the time by which a request that begins now has to be answered."""
+        until: float = self.backoff.begin(self.scheduler.now(), self.index is not None)
+        return until
+
+    def _report_failure(self, error: Exception) -> None:
+        """Report the first failure in a row."""
+        if not self.backoff.away:
+            self.log.event("discovery_away", error=str(error))
+            self.consumer.on_endpoint_list(None)
+
+    def _pause_after(self, error: Exception) -> float:
+        """Return how long to wait after a failure, in seconds."""
+        outcome = backoff.FAILED
+        if isinstance(error, TimeoutError):
+            outcome = backoff.SILENT
+        elif isinstance(error, DiscoveryRejectedError):
+            outcome = backoff.TURNED_AWAY
+        pause: float = self.backoff.pause(outcome, self.scheduler.now())
+        return pause
+
+    def _request(self, stream: Stream, until: float) -> tuple[HostList, bool]:
+        """Ask once; return the list or its changes, and whether the connection goes on."""
+        limits = self.limits
+        path = PATH
+        if self.index is not None:  # an index of 0 is one too
+            hold_ms = int(self.backoff.hold(self.scheduler.now()) * 1e3)
+            path += f"?from={self.index}&hold_ms={hold_ms}"
+        stream.write(http.get(path, f"{self.address[0]}:{self.address[1]}"))
         while not (found := http.head(stream.buffer, limits)):
             http.more(stream, until)
         status, fields, end = found
-        if status != 200:  # what it says besides may have no end
-            raise TurnedAway(f"status {status}")
+        if status != STATUS_OK:  # what else it says may have no end
+            raise DiscoveryRejectedError(f"status {status}")
         del stream.buffer[:end]
-        return self.checked(
-            Section(orjson.loads(http.body(stream, fields, limits, until)), "list")
-        ), http.lasts(fields)
-
-    def checked(self, told):
-        """A host list, checked a share of its rows in a turn. Raises ConfigError, and Closed where we end meanwhile."""
-        found = HostList(told.whole("index"), told.flag("snapshot"), [])
-        for entry in host_entries(told):
-            found.entries.append(entry)
-            if not len(found.entries) % self.limits.list_rows:
-                self.others()
-        return found
-
-    def others(self):
-        """Others have their turn; Closed where we have been ended in it."""
+        endpoint_list = self.decode(http.body(stream, fields, limits, until))
+        return endpoint_list, http.lasts(fields)
+
+    def decode(self, body: bytes) -> HostList:
+        """Return the list of an answer's body, checked a chunk of its rows in a turn.
+
+        Raises:
+            ConfigError: A row is malformed.
+            ValueError: The body is no JSON.
+            Closed: The watch has ended meanwhile.
+        """
+        section = Section(orjson.loads(body), "list")
+        endpoint_list = HostList(section.whole("index"), section.flag("snapshot"), [])
+        for entry in host_entries(section):
+            endpoint_list.entries.append(entry)
+            if not len(endpoint_list.entries) % self.limits.list_rows:
+                self._yield_turn()
+        return endpoint_list
+
+    def _yield_turn(self) -> None:
+        """Let others have their turn; raise Closed where the watch has ended in it."""
         self.scheduler.wait(0)
-        if self.over:
+        if self.is_ended:
             raise Closed("ended here")
 
-    def heard(self, told, lasting):
-        """Pass on what a call told; whether the connection goes on."""
-        if self.index is not None and told.index < self.index and not told.full:
-            self.log.event("discovery_restarted", before=self.index, index=told.index)
+    def _apply(self, endpoint_list: HostList, is_lasting: bool) -> bool:
+        """Pass on what a request brought; return whether the connection goes on."""
+        index = endpoint_list.index
+        if self.index is not None and index < self.index and not endpoint_list.full:
+            self.log.event("discovery_restarted", before=self.index, index=index)
             self.index = None  # its numbers began anew: what they count from is not what we have
-            return lasting
+            return is_lasting
         if self.backoff.away:
-            self.log.event("discovery_back", index=told.index)
-        self.backoff.told(bool(told.entries))
-        while self.busy():
-            self.others()
-        self.listed(told)
-        self.index = told.index
-        if not told.entries:  # the watch goes on all the same; guards against answers without end
+            self.log.event("discovery_back", index=index)
+        self.backoff.told(bool(endpoint_list.entries))
+        while self.consumer.is_applying_endpoint_list():
+            self._yield_turn()
+        self.consumer.on_endpoint_list(endpoint_list)
+        self.index = index
+        if not endpoint_list.entries:  # guards against answers without end
             self.scheduler.wait(self.limits.watch_pause)
-        return lasting
+        return is_lasting
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -1,23 +1,29 @@
-"""One gateway, put together from its parts."""
+"""One gateway as a process: makes its services, connects them, starts and ends them.
+
+Embed it with `GatewayProcess(config).run()`, or give it a scheduler of your own.
+"""
+
+from __future__ import annotations
 
 import gc
 import math
-import select
 import signal
-import socket
 import sys
 import time
-from collections import Counter as Tally
-from dataclasses import replace
+from collections import Counter
 from functools import partial
-
-from petrellane.config import ConfigError, load, settled
-from petrellane.gateway.action_executor import Driver
-from petrellane.gateway.client_listener import Server
-from petrellane.gateway.counter_client import Counter
-from petrellane.gateway.endpoint_pool import Upstream
-from petrellane.gateway.endpoint_watch import Discovery
-from petrellane.gateway.response_relay import Account
+from typing import TYPE_CHECKING, Any
+
+from petrellane.config import ConfigError, load
+from petrellane.gateway.action_executor import ActionExecutor
+from petrellane.gateway.client_listener import ClientListener
+from petrellane.gateway.configuration_changes import ConfigurationChanges
+from petrellane.gateway.counter_client import CounterClient
+from petrellane.gateway.endpoint_pools import EndpointPools
+from petrellane.gateway.endpoint_watch import EndpointWatch
+from petrellane.gateway.response_relay import BufferBudget
+from petrellane.gateway.runtime import Runtime
+from petrellane.gateway.signals import SignalWatch
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
@@ -26,105 +32,177 @@
 from petrellane.operation.lifecycle import Service
 from petrellane.operation.management_api import Management
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+
+    from petrellane.config import Config, HostList
+    from petrellane.config_consensus.participant_service import Agent
+
+STANDARD_OUTPUT = 1
+EXIT_OK = 0
+EXIT_BAD_CONFIGURATION = 2
 
-class Node:
-    """A gateway that serves until it is told to end."""
 
-    def __init__(self, config, log_descriptor=1, limits=None, scheduler=None):
-        self.config, self.limits = config, limits or Limits.of(config)
+class GatewayProcess:
+    """A gateway that serves until it is ended.
+
+    One per process, except in tests and embeddings that give it a scheduler. Owns every service of
+    the daemon, the log and, unless it was given one, the scheduler.
+    """
+
+    def __init__(
+        self,
+        config: Config,
+        log_descriptor: int = STANDARD_OUTPUT,
+        limits: Limits | None = None,
+        scheduler: Scheduler | None = None,
+    ) -> None:
+        """Make all services; nothing is opened before `start`.
+
+        Without `limits`, those that the configuration sets are taken.
+        """
+        self.config = config
+        self.limits: Limits = limits or Limits.of(config)
         self.scheduler = scheduler or Scheduler()
-        self.scheduler.fault = lambda error: self.log.fault(error)
+        self.scheduler.fault = self._log_fault
         self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
-        self.driver = Driver(config, self.scheduler, self.limits, self.log)
-        account = Account(self.limits)
+        self.runtime = Runtime(self.scheduler, self.limits, self.log)
+        self.configuration = ConfigurationChanges(self)
+        self.executor = ActionExecutor(config, self.runtime)
         self.service = Service(
             self.limits.change_over,
             self.limits.last_command,
             self.limits.kill_after,
             self.limits.kill_longest,
         )
-        self.server = Server(
-            self.scheduler,
-            self.limits,
-            self.log,
-            self.service,
-            self.driver.place,
-            self.driver.left,
-            lambda more: self.upstream.make_room(more),
-            account,
+        buffer_budget = BufferBudget(self.limits)
+        self._make_client_side(buffer_budget)
+        self._make_endpoint_side(buffer_budget)
+        self.agent: Agent | None = None
+        if config.agreement:
+            self._make_agent()
+        self.is_ending = False
+        self.is_taking_over = False
+        self.handover: Handover | None = None
+        if config.listen_fd is not None:
+            self._make_handover()
+        self.signals: SignalWatch | None = None
+
+    def _make_client_side(self, buffer_budget: BufferBudget) -> None:
+        self.client_listener = ClientListener(
+            self.runtime, self.service, self.executor, self._make_room, buffer_budget
         )
         self.management = Management(
             self.scheduler,
             self.limits,
             self.service,
-            self.changed,
-            lambda trouble: self.server.make_way(trouble),
+            self._on_lifecycle_changed,
+            self.client_listener.free_descriptors,
         )
-        self.upstream = self.driver.upstream = Upstream(
-            self.scheduler,
-            self.limits,
-            account,
-            lambda: len(self.server.clients),
-            self.driver.begun,
-            self.driver.ended,
+
+    def _make_endpoint_side(self, buffer_budget: BufferBudget) -> None:
+        config = self.config
+        self.endpoint_pools = EndpointPools(
+            self.runtime, buffer_budget, self._client_count, self.executor
         )
+        self.executor.endpoint_pools = self.endpoint_pools
+        self.counter_client: CounterClient | None = None
         if config.counter:
-            self.driver.counter = Counter(
-                self.scheduler, self.limits, config.counter, self.driver.counted
-            )
-        self.discovery = self.watch(config.known.index if config.known.entries else None)
-        self.agent = None
-        if config.agreement:  # imported where it is asked for: a gateway alone starts without it
-            from petrellane.config_consensus.message_authentication import PATH
-            from petrellane.config_consensus.participant_service import Agent
-
-            self.agent = self.driver.agent = Agent(
-                self.scheduler,
-                self.limits,
-                self.log,
-                config.agreement,
-                config.name,
-                config.raw["settings"],
-                self.takes,
-                self.adopt,
-                self.driver.gateway.random,
-            )
-            self.management.handlers[PATH] = self.agent.desk
-        self.ending = self.succeeding = False
-        self.handover = None
-        if config.listen_fd is not None:
-            self.handover = self.driver.handover = Handover(
-                self.scheduler,
-                self.limits,
-                self.log,
-                config.name,
-                self.give,
-                self.hand,
-                self.driver.taken,
-                self.server.adopt,
-                self.driver.settled,
-                self.beside,
+            self.counter_client = CounterClient(
+                self.runtime, config.counter, self.executor.on_counter_reply
             )
+            self.executor.counter_client = self.counter_client
+        self.endpoint_watch = self.make_watch(config.known.index if config.known.entries else None)
 
-    def watch(self, index):
-        return Discovery(
+    def _make_agent(self) -> None:
+        # Imported where it is asked for: a gateway alone starts without it.
+        from petrellane.config_consensus.message_authentication import PATH
+        from petrellane.config_consensus.participant_service import Agent
+
+        self.agent = Agent(
+            self.scheduler,
+            self.limits,
+            self.log,
+            self.config.agreement,
+            self.config.name,
+            self.config.raw["settings"],
+            self.configuration.check_agreed,
+            self.configuration.adopt_agreed,
+            self.executor.controller.random,
+        )
+        self.executor.agent = self.agent
+        self.management.handlers[PATH] = self.agent.desk
+
+    def _make_handover(self) -> None:
+        self.handover = Handover(
             self.scheduler,
             self.limits,
             self.log,
+            self.config.name,
+            self._export_state,
+            self._set_successor,
+            self.executor.import_leases,
+            self.client_listener.adopt,
+            self.executor.on_predecessor_requests_ended,
+            self._on_predecessor_still_running,
+        )
+        self.executor.handover = self.handover
+
+    def make_watch(self, index: int | None) -> EndpointWatch:
+        """Return a watch of the endpoint list from a version on; None: from a complete list on."""
+        return EndpointWatch(
+            self.runtime._replace(limits=self.limits),
             self.config.discovery,
             index,
-            self.listed,
-            self.driver.gateway.random,
-            lambda: self.driver.taking,
+            self,
+            self.executor.controller.random,
         )
 
-    def listed(self, told):
-        """Discovery has told of a list, or its call failed."""
-        self.driver.listed(told, lambda: self.scheduler.wait(0))
-        if told:
-            self.succeed()
+    def services_with_limits(self) -> list[Any]:
+        """Return the services whose limits follow the settings."""
+        services = [
+            self.client_listener,
+            self.endpoint_pools,
+            self.management,
+            self.endpoint_watch,
+            self.counter_client,
+            self.agent,
+        ]
+        return [service for service in services if service]
+
+    def _make_room(self, number: int) -> bool:
+        return self.endpoint_pools.make_room(number)
+
+    def _client_count(self) -> int:
+        return len(self.client_listener.clients)
+
+    def _log_fault(self, error: Exception) -> None:
+        self.log.fault(error)
+
+    # The endpoint list.
+
+    def on_endpoint_list(self, endpoint_list: HostList | None) -> None:
+        """Apply a list from discovery, or note that a request for it failed (None)."""
+        self.executor.on_endpoint_list(endpoint_list, self._yield_turn)
+        if endpoint_list:
+            self.take_over()
+
+    def is_applying_endpoint_list(self) -> bool:
+        """Return whether a list is being applied, during which no other may be given."""
+        return self.executor.applying_endpoint_list
+
+    def restart_watch(self) -> None:
+        """Watch at the configured address, which has changed, from a complete list on."""
+        self.endpoint_watch.end()
+        self.endpoint_watch = self.make_watch(None)
+        self.scheduler.spawn(self.endpoint_watch.run)
+
+    def _yield_turn(self) -> None:
+        self.scheduler.wait(0)
+
+    # Start.
 
-    def run(self):
+    def run(self) -> None:
         """Serve until `end`, and until all that was taken is answered."""
         self.start()
         gc.collect()
@@ -133,230 +211,151 @@
         self.log.event("ended")
         self.log.flush()
 
-    def start(self):
-        """Listen, and watch the host list; the scheduler does the rest."""
-        self.driver.start(self.config.known)
+    def start(self) -> None:
+        """Listen, and watch the endpoint list; the scheduler does the rest."""
+        self.executor.start(self.config.known)
         if self.agent:
             self.agent.load()
-        self.scheduler.spawn(self.discovery.run)
+        self.scheduler.spawn(self.endpoint_watch.run)
         if self.config.management:
             self.management.listen(self.config.management)
-        self.beat()
-        self.tell()
-        if self.handover:
-            self.server.inherit(self.config.listen_fd)
-            self.scheduler.after(self.limits.listed, self.succeed)
+        self.run_heartbeat()
+        self.log_figures()
+        if self.config.listen_fd is not None:
+            self.client_listener.inherit(self.config.listen_fd)
+            self.scheduler.after(self.limits.listed, self.take_over)
         else:
-            self.server.listen(self.config.listen, now=not self.agent)
-            self.settle()
+            self.client_listener.listen(self.config.listen, connectable=not self.agent)
+            self.begin_serving()
+
+    def begin_serving(self) -> None:
+        """Serve clients, once it is known which settings are in force.
 
-    def settle(self):
-        """Serve, once it is known what is in force where settings are agreed on. Staff and other gateways find us
-        listening before we ask: whoever goes on without us asks again after we have."""
+        Operators and other gateways find this one listening before it asks: whoever goes on without
+        it asks again after it has.
+        """
         if self.agent:
-            self.agent.start(self.serve, self.handover and self.handover.generation)
+            self.agent.start(self._serve_clients, self.handover and self.handover.generation)
         else:
-            self.serve()
-
-    def succeed(self):
-        """Follow the process before, where there is one: once, when we know where hosts are."""
-        if self.handover and not self.succeeding:
-            self.succeeding = True
-            self.handover.ask(self.settle)
+            self._serve_clients()
 
-    def serve(self):
-        """Take clients."""
-        self.server.attend()
+    def _serve_clients(self) -> None:
+        self.client_listener.start_accepting()
         self.service.begin()
-        self.log.event("started", listen="%s:%d" % self.config.listen, hosts=len(self.driver.hosts))
-
-    def give(self):
-        """Give up what the process that follows is to have, and say what it was."""
-        for pool in self.upstream.pools.values():
-            pool.retire(math.inf)
-        generation = None
-        if self.agent:
-            self.agent.leave()
-            generation = self.agent.state.told()
-        return hot_restart.given(self.driver.gateway, self.scheduler.now(), generation)
-
-    def beside(self):
-        """The process before gave nothing, and may go on."""
-        hot_restart.beside(self.driver.gateway, self.scheduler.now())
-
-    def hand(self, heir):
-        """Another process follows; None: it is gone again."""
-        self.service.followed = bool(heir)
-        self.server.hand(heir)
-        if not heir:
-            hot_restart.resumed(self.driver.gateway, self.scheduler.now())
-            if self.agent:
-                self.agent.back()
+        host, port = self.config.listen
+        self.log.event("started", listen=f"{host}:{port}", hosts=len(self.executor.endpoints))
 
-    def beat(self):
-        """Never let a poll last long: one that overruns tells that the process stood still."""
-        self.scheduler.after(self.limits.beat, self.beat)
+    def run_heartbeat(self) -> None:
+        """Never let a poll last long: one that overruns shows that the process stood still."""
+        self.scheduler.after(self.limits.beat, self.run_heartbeat)
         if self.agent:
             self.agent.look()
 
-    def tell(self):
-        """Log what was counted since the last time, where there is anything; a line a second at most."""
-        self.scheduler.after(self.limits.figures, self.tell)
-        tally, self.driver.tally = self.driver.tally, Tally()
-        tally.update(self.upstream.tally)
-        self.upstream.tally.clear()
-        if self.driver.to is not None:
-            tally["to"], self.driver.to = dict(self.driver.to), Tally()
-        if tally:
+    def log_figures(self) -> None:
+        """Log what was counted since the last line, if anything; a line a second at most."""
+        self.scheduler.after(self.limits.figures, self.log_figures)
+        executor = self.executor
+        counts = executor.counts
+        executor.counts = Counter()
+        counts.update(self.endpoint_pools.counts)
+        self.endpoint_pools.counts.clear()
+        figures: dict[str, Any] = dict(counts)
+        if executor.attempts_by_address is not None:
+            figures["to"] = dict(executor.attempts_by_address)
+            executor.attempts_by_address = Counter()
+        if figures:
+            pools = self.endpoint_pools.pools.values()
+            controller = executor.controller
             self.log.event(
                 "figures",
-                **tally,
+                **figures,
                 cpu=round(time.process_time(), 3),
                 turn=round(self.scheduler.longest, 3),
-                clients=len(self.server.clients),
-                connections=self.upstream.open,
-                busy=sum(len(pool.busy) for pool in self.upstream.pools.values()),
-                pressure=round(self.driver.gateway.pressure, 3),
-                crowded=int(self.driver.gateway.leases.crowded(self.scheduler.now())),
+                clients=len(self.client_listener.clients),
+                connections=self.endpoint_pools.open_connections,
+                busy=sum(len(pool.busy) for pool in pools),
+                pressure=round(controller.pressure, 3),
+                crowded=int(controller.leases.crowded(self.scheduler.now())),
             )
         self.scheduler.longest = 0.0
 
-    def obey(self, signals):
-        """Make these calls, by their numbers, on signals, which must wake the poll."""
-        ours, theirs = socket.socketpair()
-        for sock in (ours, theirs):
-            sock.setblocking(False)
-        self.signals = ours, theirs
-        signal.set_wakeup_fd(theirs.fileno(), warn_on_full_buffer=False)
-        for number in signals:
-            signal.signal(number, lambda *_: None)
-
-        def rung(events):
-            for number in ours.recv(64):
-                if number in signals:
-                    signals[number]()
-
-        self.scheduler.register(ours.fileno(), select.POLLIN, rung)
-        signal.pthread_sigmask(
-            signal.SIG_UNBLOCK, signals
-        )  # what came since the start of the process is heard now
-
-    def reload(self, load):
-        """Take up what can be taken up of a configuration read anew: the settings, and the addresses of discovery and the
-        counter; all else is as at the start. One that is wrong changes nothing."""
-        try:
-            config = load(self.config)
-        except ConfigError as error:
-            self.log.event("reload_refused", error=str(error))
-            return
-        counter = config.counter or self.config.counter
-        moved = [
-            key
-            for key, before, now in (
-                ("discovery", self.config.discovery, config.discovery),
-                ("counter", self.config.counter, counter),
-            )
-            if before and before != now
-        ]
-        before, now = self.config.settings, config.settings
-        if self.agent and not self.agent.drifts(config.raw["settings"]):
-            now = before
-        self.config = replace(
-            self.config, discovery=config.discovery, counter=counter, raw=config.raw
-        )
-        self.put(now)
-        if "counter" in moved:
-            self.driver.counter.move(counter)
-        if (
-            "discovery" in moved
-        ):  # the list is asked for whole, whatever version the old address gave
-            self.discovery.end()
-            self.discovery = self.watch(None)
-            self.scheduler.spawn(self.discovery.run)
-        self.log.event(
-            "reloaded",
-            moved=moved,
-            methods=self.differ(before.methods, now.methods),
-            plans=self.differ(before.plans, now.plans),
-        )
+    # Hot restart.
 
-    def put(self, settings):
-        """Put settings in force."""
-        self.config = replace(self.config, settings=settings)
-        self.limits = self.limits.renewed(self.config)
-        for part in (
-            self.server,
-            self.upstream,
-            self.management,
-            self.discovery,
-            self.driver.counter,
-            self.agent,
-        ):
-            if part:
-                part.limits = self.limits
-        self.driver.renewed(settings, self.limits)
-
-    def agreed(self, content):
-        """The configuration with settings that are agreed on, and what of them is our own. Raises ConfigError."""
-        from petrellane.config_consensus import safe_settings
-
-        return settled(self.config, {**safe_settings.own(self.config.raw["settings"]), **content})
-
-    def takes(self, content):
-        """Why agreed settings will not do here, in one line; None where they do."""
-        try:
-            self.agreed(content)
-        except ConfigError as error:
-            return str(error)
-        return None
-
-    def adopt(self, content):
-        """Put agreed settings in force; `takes` has looked at them."""
-        before, now = self.config.settings, self.agreed(content).settings
-        self.put(now)
-        self.log.event(
-            "settings",
-            methods=self.differ(before.methods, now.methods),
-            plans=self.differ(before.plans, now.plans),
-        )
+    def take_over(self) -> None:
+        """Take over from the predecessor, if any: once, when it is known where endpoints are."""
+        if self.handover and not self.is_taking_over:
+            self.is_taking_over = True
+            self.handover.ask(self.begin_serving)
 
-    @staticmethod
-    def differ(before, now):
-        """The names that came, went or stand for something else."""
-        return sorted(
-            name for name in before.keys() | now.keys() if before.get(name) is not now.get(name)
+    def _export_state(self) -> list[dict[str, object]]:
+        """Give up what the successor is to have, and return what it was."""
+        for pool in self.endpoint_pools.pools.values():
+            pool.retire(math.inf)
+        generation = None
+        if self.agent:
+            self.agent.leave()
+            generation = self.agent.state.told()
+        messages: list[dict[str, object]] = hot_restart.given(
+            self.executor.controller, self.scheduler.now(), generation
         )
+        return messages
+
+    def _on_predecessor_still_running(self) -> None:
+        """Note that the predecessor gave nothing, and may go on."""
+        hot_restart.beside(self.executor.controller, self.scheduler.now())
+
+    def _set_successor(self, successor: Handover | None) -> None:
+        """Give way to a successor, or go on when it is gone (None)."""
+        self.service.followed = bool(successor)
+        self.client_listener.set_successor(successor)
+        if not successor:
+            hot_restart.resumed(self.executor.controller, self.scheduler.now())
+            if self.agent:
+                self.agent.back()
 
-    def changed(self):
-        """Staff have had the gateway emptied, or taken into service again."""
-        self.log.event(
-            self.service.state, clients=len(self.server.clients), open=len(self.driver.exchanges)
-        )
-        self.server.drain()
+    # Signals, drain and end.
 
-    def end(self):
-        """Go on as before through the change-over, let clients go when they are owed nothing, then stop."""
-        if not self.ending:
-            self.ending = True
-            self.service.end(self.scheduler.now())
-            self.log.event(
-                "ending", clients=len(self.server.clients), open=len(self.driver.exchanges)
-            )
-            by = self.service.answers_by(
-                max((one.deadline for one in self.config.settings.methods.values()), default=0.0)
-            )
-            self.scheduler.after(max(0.0, by - self.scheduler.now()), self.driver.last_answers)
-            self.driver.last = by
-            if self.server.heir:  # clients go to the next process, not away
-                self.server.end(self.stop)
-                return
-            left = self.service.since + self.limits.change_over - self.scheduler.now()
-            self.scheduler.after(max(0.0, left), lambda: self.server.end(self.stop))
-
-    def stop(self):
-        """Nothing is owed to anybody any more."""
+    def handle_signals(self, calls: Mapping[int, Callable[[], object]]) -> None:
+        """Make these calls on signals, by their numbers."""
+        self.signals = SignalWatch(self.scheduler, calls)
+
+    def reload(self, load: Callable[[Config], Config]) -> None:
+        """Apply what may change in service of a configuration read anew; see its class."""
+        self.configuration.reload(load)
+
+    def _on_lifecycle_changed(self) -> None:
+        """Note that operators have drained the gateway, or taken it into service again."""
+        self._log_open(self.service.state)
+        self.client_listener.drain()
+
+    def _log_open(self, event: str) -> None:
+        self.log.event(event, clients=self._client_count(), open=len(self.executor.requests))
+
+    def end(self) -> None:
+        """Serve through the change-over, close clients that are owed nothing, then stop."""
+        if self.is_ending:
+            return
+        self.is_ending = True
+        self.service.end(self.scheduler.now())
+        self._log_open("ending")
+        deadlines = [method.deadline for method in self.config.settings.methods.values()]
+        final_deadline = self.service.answers_by(max(deadlines, default=0.0))
+        time_left = max(0.0, final_deadline - self.scheduler.now())
+        self.scheduler.after(time_left, self.executor.expire_open_requests)
+        self.executor.final_deadline = final_deadline
+        if self.client_listener.successor:  # clients go to the next process, not away
+            self._end_clients()
+            return
+        change_over = self.service.since + self.limits.change_over - self.scheduler.now()
+        self.scheduler.after(max(0.0, change_over), self._end_clients)
+
+    def _end_clients(self) -> None:
+        self.client_listener.end(self._stop)
+
+    def _stop(self) -> None:
+        """Stop the scheduler, as nothing is owed to anybody any more."""
         if self.handover and self.handover.busy():
-            self.scheduler.after(self.limits.let_go, self.stop)
+            self.scheduler.after(self.limits.let_go, self._stop)
             return
         self.management.end()
         if self.agent:
@@ -366,20 +365,26 @@
         self.scheduler.stop()
 
 
-def serve(environ):
-    """Serve until SIGTERM by the configuration that the PROXY_* variables name, which SIGHUP has read anew. Returns the exit
-    code of the process: 2, after one line on standard error, where the configuration will not do."""
+def serve(environ: Mapping[str, str]) -> int:
+    """Serve until SIGTERM by the configuration that the PROXY_* variables name.
+
+    SIGHUP has it read anew.
+
+    Returns:
+        The exit code of the process: 2, after one line on standard error, where the configuration
+        will not do.
+    """
     try:
-        node = Node(load(environ))
+        process = GatewayProcess(load(environ))
     except ConfigError as error:
         print(f"petrellane: {error}", file=sys.stderr)
-        return 2
-    node.obey(
+        return EXIT_BAD_CONFIGURATION
+    process.handle_signals(
         {
-            signal.SIGTERM: node.end,
-            signal.SIGINT: node.end,
-            signal.SIGHUP: lambda: node.reload(partial(load, environ)),
+            signal.SIGTERM: process.end,
+            signal.SIGINT: process.end,
+            signal.SIGHUP: partial(process.reload, partial(load, environ)),
         }
     )
-    node.run()
-    return 0
+    process.run()
+    return EXIT_OK
--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -1,116 +1,185 @@
-"""Long values on their way: what waits of each, and the one account that all of them share.
+"""Long responses on their way from an endpoint to a client, and the memory that they may use.
 
-A value that is longer than a short one is never held whole. `Passage` stands between the host that gives it and the
-client that takes it; what waits for a slow client stops the reading of its host, and nothing else.
+A response above the size of a short one is never held completely. A `ResponseRelay` stands between
+the endpoint that gives it and the client that takes it; what waits for a slow client stops the
+reading from its endpoint, and nothing else. `BufferBudget` bounds what waits in all.
 """
 
+from __future__ import annotations
+
+import enum
 import socket
 from collections import deque
+from typing import TYPE_CHECKING
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
-class Account:
-    """Bytes that may wait in all, shared by those that have some: passages have a window each, and bodies of commands,
-    which are kept whole, have what they need while there is room."""
-
-    def __init__(self, limits):
-        self.limits, self.passages, self.bodies, self.kept = limits, set(), {}, 0
-
-    def window(self):
-        """The bytes that may wait of one passage."""
-        share = (self.limits.waiting - self.kept) // max(1, len(self.passages))
-        return max(self.limits.window_least, min(self.limits.window, share))
+    from petrellane.net.limits import Limits
+    from petrellane.net.stream import Stream
 
-    def keep(self, whose, size):
-        """So many bytes of a body are kept now; 0 when it is over."""
-        self.kept += size - self.bodies.get(whose, 0)
-        if size:
-            self.bodies[whose] = size  # in its old place: the first one stays the first
-        else:
-            self.bodies.pop(whose, None)
+CRLF = b"\r\n"
 
-    def room(self, whose):
-        """Whether more of a body may be read: while there is room, and always for the one that came first, so that
-        one gets done."""
-        return self.kept < self.limits.waiting or next(iter(self.bodies), whose) is whose
 
+class BufferBudget:
+    """The bytes that may wait in all, for long responses and for long commands.
 
-class Passage:
-    """One long value. `hold` is told whether the host's connection is to be read no more; `gone` that no client takes
-    the value any more."""
+    One budget per process, made by `GatewayProcess` and shared by both sides. Each relay has a
+    window. A command's body is kept completely, and has what it needs while there is room.
+    """
 
-    def __init__(self, account, now, hold, gone):
-        self.account, self.now, self.hold, self.gone = account, now, hold, gone
-        self.pieces, self.waiting, self.stream = deque(), 0, None
-        self.flush = lambda: None  # set by who takes it
-        self.held = self.whole = self.broken = self.sink = False
-        self.moved, self.sent = now(), 0  # when bytes moved last, and how many the client had then
-        account.passages.add(self)
+    def __init__(self, limits: Limits) -> None:
+        self.limits = limits
+        self.relays: set[ResponseRelay] = set()
+        self.bodies: dict[object, int] = {}
+        self.reserved = 0
 
-    # The host's side.
+    def window(self) -> int:
+        """Return the bytes that may wait in one relay."""
+        share = (self.limits.waiting - self.reserved) // max(1, len(self.relays))
+        return max(self.limits.window_least, min(self.limits.window, share))
 
-    def push(self, data):
-        """More has come from the host."""
-        if not self.sink:
-            self.moved = self.now()
+    def reserve(self, owner: object, size: int) -> None:
+        """Set the bytes of a body that are kept for an owner; 0 ends its reservation."""
+        self.reserved += size - self.bodies.get(owner, 0)
+        if size:
+            self.bodies[owner] = size  # in its old place: the first one stays the first
+        else:
+            self.bodies.pop(owner, None)
+
+    def has_room(self, owner: object) -> bool:
+        """Return whether more of an owner's body may be read.
+
+        It may while there is room, and always for the owner that came first, so that one completes.
+        """
+        return self.reserved < self.limits.waiting or next(iter(self.bodies), owner) is owner
+
+
+class RelayState(enum.Enum):
+    """Whether more of a long response is to come from its endpoint."""
+
+    OPEN = "open"
+    COMPLETE = "complete"
+    BROKEN = "broken"
+
+
+class ResponseRelay:
+    """One long response.
+
+    Made by the `EndpointConnection` that reads it, which calls `push` and then `end` or `fail`.
+    The client's connection takes what waits, and drops the relay when its client goes. It owns the
+    bytes that wait, and is counted in the budget until the endpoint or the client is done with it.
+    """
+
+    def __init__(
+        self,
+        budget: BufferBudget,
+        now: Callable[[], float],
+        hold: Callable[[bool], object],
+        on_unwanted: Callable[[], object],
+    ) -> None:
+        """Begin a response.
+
+        Args:
+            budget: The memory that it shares with others.
+            now: The clock, in seconds.
+            hold: Told whether reading from the endpoint's connection is to pause.
+            on_unwanted: Called once no client takes the response any more.
+        """
+        self.budget = budget
+        self.now = now
+        self.hold = hold
+        self.on_unwanted = on_unwanted
+        self.on_data: Callable[[], object] = self._no_client
+        self.pieces: deque[bytes] = deque()
+        self.waiting = 0
+        self.stream: Stream | None = None
+        self.state = RelayState.OPEN
+        self.is_held = False
+        self.is_discarding = False
+        # When bytes moved last, and how many bytes the client's stream had sent then.
+        self.last_progress = now()
+        self.sent = 0
+        budget.relays.add(self)
+
+    def _no_client(self) -> None:
+        """Stand in for `on_data` until a client takes the response."""
+
+    # The endpoint's side.
+
+    def push(self, data: bytes) -> None:
+        """Take more of the response from the endpoint."""
+        if not self.is_discarding:
+            self.last_progress = self.now()
             self.pieces.append(data)
             self.waiting += len(data)
-            self.flush()
-            self.weigh()
-
-    def end(self):
-        """It has come whole, and what followed it was in form."""
-        self.over("whole")
-
-    def fail(self):
-        """The host gives no more."""
-        self.over("broken")
-
-    def over(self, how):
-        self.account.passages.discard(self)
-        if not (self.whole or self.broken):
-            setattr(self, how, True)
-            self.pieces += [b"\r\n"] * self.whole
-            self.flush()
-
-    def expire(self):
-        """Nothing has moved for too long, whoever is to blame: the client's connection ends, and what the host still
-        gives is passed over."""
+            self.on_data()
+            self.adjust_reading()
+
+    def end(self) -> None:
+        """End the response: it is complete, and what followed it was well formed."""
+        self._close(RelayState.COMPLETE)
+
+    def fail(self) -> None:
+        """End the response: the endpoint gives no more of it."""
+        self._close(RelayState.BROKEN)
+
+    def _close(self, state: RelayState) -> None:
+        self.budget.relays.discard(self)
+        if self.state is RelayState.OPEN:
+            self.state = state
+            if state is RelayState.COMPLETE:
+                self.pieces.append(CRLF)
+            self.on_data()
+
+    def expire(self) -> None:
+        """Give up a response of which nothing has moved for too long, whoever is to blame.
+
+        The client's connection ends, and what the endpoint still gives is discarded.
+        """
         self.fail()
-        self.sink, self.waiting = True, 0
-        self.pieces.clear()
-        if self.held:
-            self.held = False
+        self._discard()
+        if self.is_held:
+            self.is_held = False
             self.hold(False)
-        self.gone()
+        self.on_unwanted()
 
     # The client's side.
 
-    def take(self, stream):
-        """All that waits, for this stream, to which more will go."""
+    def take(self, stream: Stream) -> list[bytes]:
+        """Return all that waits, for a stream to which more will go."""
         if self.stream is None:
-            self.stream, self.sent, stream.relief = stream, stream.sent, self.weigh
+            self.stream = stream
+            self.sent = stream.sent
+            stream.relief = self.adjust_reading
             stream.bound(socket.SO_SNDBUF)
-        pieces, self.waiting = list(self.pieces), 0
+        pieces = list(self.pieces)
+        self.waiting = 0
         self.pieces.clear()
         return pieces
 
-    def drop(self):
-        """The client is gone: what still comes is passed over."""
-        self.sink, self.waiting = True, 0
+    def drop(self) -> None:
+        """Discard what still comes, as the client is gone."""
+        self._discard()
+        self.budget.relays.discard(self)
+        if self.state is RelayState.OPEN:
+            self.adjust_reading()
+            self.on_unwanted()
+
+    def _discard(self) -> None:
+        self.is_discarding = True
+        self.waiting = 0
         self.pieces.clear()
-        self.account.passages.discard(self)
-        if not (self.whole or self.broken):
-            self.weigh()
-            self.gone()
-
-    def weigh(self):
-        """Stop or go on reading from the host, by what waits."""
-        waits = self.waiting
-        if self.stream and not self.sink:
-            waits += self.stream.queued - self.stream.sent
+
+    def adjust_reading(self) -> None:
+        """Pause or resume reading from the endpoint, by what waits here and in the stream."""
+        waiting = self.waiting
+        if self.stream and not self.is_discarding:
+            waiting += self.stream.queued - self.stream.sent
             if self.stream.sent > self.sent:
-                self.sent, self.moved = self.stream.sent, self.now()
-        held = waits > self.account.window()
-        if held != self.held and not (self.whole or self.broken):
-            self.held = held
-            self.hold(held)
+                self.sent = self.stream.sent
+                self.last_progress = self.now()
+        should_hold = waiting > self.budget.window()
+        if should_hold != self.is_held and self.state is RelayState.OPEN:
+            self.is_held = should_hold
+            self.hold(should_hold)
--- a/petrellane/testbed/hollow.py
+++ b/petrellane/testbed/hollow.py
@@ -1,7 +1,7 @@
 """Hollow gateways, hundreds in one process on one scheduler: all that a gateway is but its clients and hosts.
 
-Each is a `Node` as `serve` runs it: the watch of the host list, the links to the counter, the management listener, the
-agent, the driver with the decisions. What differs: it listens for no clients, RPCs are drawn here and handed to its driver
+Each is a `GatewayProcess` as `serve` runs it: the watch of the host list, the links to the counter, the management listener, the
+agent, the executor with the decisions. What differs: it listens for no clients, RPCs are drawn here and handed to its executor
 as a client's bytes would be; call-outs go to no socket but end ok after a drawn time (`Answering`); what its module knows
 of the host list are `SEEN` hosts, the share of one service of 250 among 13,000, while the list comes and is read whole.
 Without its module it holds no host at all, and no RPC comes.
@@ -21,11 +21,10 @@
 
 from petrellane.config import Section, host_list, read
 from petrellane.decisions import types as api
-from petrellane.gateway import endpoint_watch
-from petrellane.gateway.client_request import Exchange
-from petrellane.gateway.endpoint_watch import Discovery
-from petrellane.gateway.process import Node
-from petrellane.net import http, resp
+from petrellane.gateway.client_request import ClientRequest, Command
+from petrellane.gateway.endpoint_watch import EndpointWatch
+from petrellane.gateway.process import GatewayProcess
+from petrellane.net import resp
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
@@ -55,20 +54,20 @@
 
     def __init__(self, scheduler, limits, ended, rng):
         self.scheduler, self.limits, self.ended, self.random = scheduler, limits, ended, rng
-        self.pools, self.tally, self.open, self.out = (
+        self.pools, self.counts, self.open_connections, self.out = (
             {},
             Tally(),
             0,
             {},
         )  # as figures and hand-over read them
 
-    def listed(self, host, address):
+    def on_endpoint_changed(self, host, address):
         """Nobody dials."""
 
-    def gone(self, host):
+    def on_endpoint_removed(self, host):
         """Nobody is connected."""
 
-    def send(self, exchange, attempt):
+    def send(self, request, attempt):
         took = min(self.random.expovariate(1 / WORK), attempt.timeout)
         self.out[attempt] = self.scheduler.after(took, lambda: self.over(attempt, api.OK))
 
@@ -80,43 +79,31 @@
     def cancel(self, attempt):
         self.scheduler.soon(self.over, attempt, api.CANCELLED)
 
-    def left(self, attempts, may_cancel=True):
+    def on_client_disconnected(self, attempts, may_cancel=True):
         """No client leaves."""
 
-    def run_out(self, attempts):
+    def expire(self, attempts):
         for attempt in attempts:
             self.over(attempt, api.LATE)
 
 
-class Watch(Discovery):
+class Watch(EndpointWatch):
     """The watch of the list as it is, but that a whole list is read once for all gateways of the process that get the same:
     each would spend a tenth of a second on 13,000 hosts, one after the other on one core. `whole` has the last one."""
 
     whole = {}
 
-    def watch(self, stream, until):
+    def decode(self, body):
         """As there."""
-        limits, path = self.limits, endpoint_watch.PATH
-        if self.index is not None:
-            path += (
-                f"?from={self.index}&hold_ms={int(self.backoff.hold(self.scheduler.now()) * 1e3)}"
-            )
-        stream.write(http.get(path, "%s:%d" % self.address))
-        while not (found := http.head(stream.buffer, limits)):
-            http.more(stream, until)
-        status, fields, end = found
-        if status != 200:
-            raise endpoint_watch.TurnedAway(f"status {status}")
-        del stream.buffer[:end]
-        body = bytes(http.body(stream, fields, limits, until))
+        body = bytes(body)
         told = self.whole.get(body) or host_list(Section(orjson.loads(body), "list"))
         if told.full and body not in self.whole:
             self.whole.clear()
             self.whole[body] = told
-        return told, http.lasts(fields)
+        return told
 
 
-class Hollow(Node):
+class Hollow(GatewayProcess):
     """One hollow gateway, which tells its `crowd` of each list. `fresh`: it has a list of before, and knows what is in
     force, as one of a fleet that has been at rest; else it asks for both, as after a start."""
 
@@ -124,37 +111,31 @@
         super().__init__(config, limits=crowd.limits, scheduler=crowd.scheduler)
         self.crowd, self.number, self.fresh, self.first = crowd, number, fresh, config.known
         self.heard_of = config.known.index if fresh else None
-        self.upstream = self.driver.upstream = Answering(
-            self.scheduler, self.limits, self.driver.ended, crowd.random
+        self.endpoint_pools = self.executor.endpoint_pools = Answering(
+            self.scheduler, self.limits, self.executor.on_attempt_ended, crowd.random
         )
-        self.driver.log, self.driver.tally = Quiet(self.log), crowd.tally
+        self.executor.log, self.executor.counts = Quiet(self.log), crowd.tally
 
     def start(self):
         """As a node does, but that nobody listens for clients."""
-        self.driver.start(self.seen(self.first))
+        self.executor.start(self.seen(self.first))
         if self.agent:
             self.agent.load()
-        self.scheduler.spawn(self.discovery.run)
+        self.scheduler.spawn(self.endpoint_watch.run)
         if self.config.management:
             self.management.listen(self.config.management)
-        self.beat()
-        self.tell()
-        self.settle()
+        self.run_heartbeat()
+        self.log_figures()
+        self.begin_serving()
         if self.agent and self.fresh:
             standing = self.agent.standing
             standing.heard.update(standing.members)
             standing.of(standing.members)
             self.agent.knows()
 
-    def watch(self, index):
+    def make_watch(self, index):
         return Watch(
-            self.scheduler,
-            self.limits,
-            self.log,
-            self.config.discovery,
-            index,
-            self.listed,
-            self.driver.gateway.random,
+            self.runtime, self.config.discovery, index, self, self.executor.controller.random
         )
 
     def seen(self, told):
@@ -165,15 +146,15 @@
         wanted = [(first + at) % hosts for at in range(min(SEEN, hosts))]
         return told._replace(entries=[entries[number] for number in wanted if number in entries])
 
-    def listed(self, told):
+    def on_endpoint_list(self, told):
         if told is None:
-            self.driver.listed(None)
+            self.executor.on_endpoint_list(None)
             return
-        self.driver.listed(self.seen(told))
+        self.executor.on_endpoint_list(self.seen(told))
         before, self.heard_of = self.heard_of, told.index
         self.crowd.listed(before, told.index)
 
-    def tell(self):
+    def log_figures(self):
         """What was counted is told for the whole process, with the meter's figures."""
 
 
@@ -246,7 +227,8 @@
             f"c={name},t=sold,d={method['giveUp'] // 1000},first={first},spread={spread}{'' if query else key}".encode(),
         )
         spans, end = resp.command(words, 0, node.limits)
-        node.driver.place(Exchange(query, words, 0, spans, end, self.crowd.answered, lambda: False))
+        request = ClientRequest(words, Command(0, spans, end), self.crowd, is_query=query)
+        node.executor.on_request(request)
 
 
 class Crowd:
@@ -295,9 +277,12 @@
             self.last = told, {int(entry.name[1:]): entry for entry in told.entries}
         return self.last[1]
 
-    def answered(self):
+    def on_answered(self):
         self.answers += 1
 
+    def is_client_gone(self):
+        return False
+
     def listed(self, before, index):
         """One gateway has a list of this index now, and had another before."""
         now = round(self.scheduler.now(), 4)
--- a/tests/lab/planted.py
+++ b/tests/lab/planted.py
@@ -92,9 +92,9 @@
 
 def refuses():
     """A gateway of an older build, which does not know what it is told."""
-    from petrellane.gateway.process import Node
+    from petrellane.gateway.configuration_changes import ConfigurationChanges
 
-    takes = Node.takes
+    takes = ConfigurationChanges.check_agreed
 
     def planted(self, content):
         return (
@@ -103,7 +103,7 @@
             else takes(self, content)
         )
 
-    Node.takes = planted
+    ConfigurationChanges.check_agreed = planted
 
 
 def takes_the_file():
@@ -141,17 +141,17 @@
 
 def waits_for_discovery():
     """A gateway that serves once discovery has told it of a list."""
-    from petrellane.gateway.process import Node
+    from petrellane.gateway.process import GatewayProcess
 
-    listed, settle = Node.listed, Node.settle
-    Node.settle = lambda self: None
+    listed, settle = GatewayProcess.on_endpoint_list, GatewayProcess.begin_serving
+    GatewayProcess.begin_serving = lambda self: None
 
     def planted(self, told):
         listed(self, told)
         if told:
             settle(self)
 
-    Node.listed = planted
+    GatewayProcess.on_endpoint_list = planted
 
 
 def runs_twice():
--- a/tests/lab/scale.py
+++ b/tests/lab/scale.py
@@ -14,8 +14,8 @@
 import orjson
 
 from petrellane.config import read
-from petrellane.gateway.client_request import Exchange
-from petrellane.gateway.process import Node
+from petrellane.gateway.client_request import ClientRequest, Command
+from petrellane.gateway.process import GatewayProcess
 from petrellane.net import resp
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
@@ -268,8 +268,8 @@
         return crowd.nodes[0]
 
     def real(self, told):
-        node = Node(read(told), self.log, scheduler=self.scheduler)
-        self.addCleanup(lambda: node.server.listener.close())
+        node = GatewayProcess(read(told), self.log, scheduler=self.scheduler)
+        self.addCleanup(lambda: node.client_listener.listener.close())
         return node
 
     def seen(self, make):
@@ -286,13 +286,16 @@
                 b"c=look,t=sold,d=1000,first=0,spread=1",
             )
             spans, end = resp.command(words, 0, node.limits)
-            node.driver.place(
-                Exchange(True, words, 0, spans, end, lambda: answers.append(1), lambda: False)
+            owner = SimpleNamespace(
+                on_answered=lambda: answers.append(1), is_client_gone=lambda: False
+            )
+            node.executor.on_request(
+                ClientRequest(words, Command(0, spans, end), owner, is_query=True)
             )
         self.until(lambda: discovery.heads and len(answers) == 3 and len(counter.asked) >= 2)
         for one in (discovery, counter):
             one.close()
-        node.discovery.end()
+        node.endpoint_watch.end()
         return [head.replace(discovery.text, "there") for head in discovery.heads[:1]], [
             (parts[0], parts[1], float(parts[2])) for parts in counter.asked[:2]
         ]
--- a/tests/operation/cases.py
+++ b/tests/operation/cases.py
@@ -13,7 +13,7 @@
 from petrellane import config
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
-from petrellane.gateway.response_relay import Account
+from petrellane.gateway.response_relay import BufferBudget
 from petrellane.net.limits import Limits
 from petrellane.operation import hot_restart, management_calls
 from petrellane.operation.backoff import FAILED, SILENT, TURNED_AWAY, Backoff
@@ -296,26 +296,27 @@
 
 
 class Waiting(unittest.TestCase):
-    """The account of bytes that wait."""
+    """The budget of bytes that wait."""
 
     def test_bodies_beyond_the_room_come_one_after_the_other(self):
         """The first body goes on when there is no room, and stays the first however often it grows."""
-        account = Account(Limits(256, 1.0, 1.0, 1, 1.0, waiting=1000))
+        budget = BufferBudget(Limits(256, 1.0, 1.0, 1, 1.0, waiting=1000))
         for size in (300, 600):
-            account.keep("first", size)
-            account.keep("second", size)
+            budget.reserve("first", size)
+            budget.reserve("second", size)
         self.assertEqual(
-            (account.room("first"), account.room("second"), account.room("third")),
+            (budget.has_room("first"), budget.has_room("second"), budget.has_room("third")),
             (True, False, False),
         )
-        account.keep("first", 900)
-        self.assertEqual((account.room("first"), account.room("second")), (True, False))
-        account.keep("first", 0)
+        budget.reserve("first", 900)
+        self.assertEqual((budget.has_room("first"), budget.has_room("second")), (True, False))
+        budget.reserve("first", 0)
         self.assertEqual(
-            (account.room("second"), account.room("third"), account.kept), (True, True, 600)
+            (budget.has_room("second"), budget.has_room("third"), budget.reserved),
+            (True, True, 600),
         )
-        account.keep("second", 0)
-        self.assertEqual((account.kept, account.bodies), (0, {}))
+        budget.reserve("second", 0)
+        self.assertEqual((budget.reserved, budget.bodies), (0, {}))
 
 
 class Backoffs(unittest.TestCase):
--- a/tests/operation/lists.py
+++ b/tests/operation/lists.py
@@ -137,8 +137,8 @@
         net.do_world("a", "b")
         net.do_connect("c")
         self.told, self.checked = [], []  # (turn, rows) and the turns of checked rows
-        self.tell, check = net.node.driver.gateway.on_endpoint_events, config.host_entry
-        net.node.driver.gateway.on_endpoint_events = self.listed
+        self.tell, check = net.node.executor.controller.on_endpoint_events, config.host_entry
+        net.node.executor.controller.on_endpoint_events = self.listed
         patch = mock.patch.object(
             config, "host_entry", lambda row: self.checked.append(net.turned) or check(row)
         )
@@ -169,7 +169,7 @@
         self.net.until("a list", holds)
 
     def in_force(self):
-        self.until(lambda: self.net.node.discovery.index == self.net.index)
+        self.until(lambda: self.net.node.endpoint_watch.index == self.net.index)
 
     def names(self):
         """The names in the order in which the module was told of them, each with its state."""
@@ -196,12 +196,12 @@
         self.says(True, self.row("a", "in_service"), *self.many(), self.row("b", "in_service"))
         self.until(lambda: self.checked)
         self.served("r1")
-        self.assertEqual((self.told, node.discovery.index, self.net.watch), ([], 1, None))
+        self.assertEqual((self.told, node.endpoint_watch.index, self.net.watch), ([], 1, None))
         self.until(lambda: len(self.told) > 2)
         self.served("r2")
-        self.assertTrue(node.driver.taking)
+        self.assertTrue(node.executor.applying_endpoint_list)
         self.assertEqual(
-            (node.discovery.index, self.net.watch, self.net.lines("hosts")[1:]), (1, None, [])
+            (node.endpoint_watch.index, self.net.watch, self.net.lines("hosts")[1:]), (1, None, [])
         )
         self.in_force()
         self.assertEqual(self.longest(), (self.SHARE, self.SHARE))
@@ -222,7 +222,8 @@
         rows = [row for _, rows in self.told for row in rows]
         self.assertEqual([row.state for row in rows], [api.READY] + [api.GONE] * 401)
         self.assertEqual(
-            (list(self.net.node.driver.hosts), len(self.net.node.driver.ready)), (["b"], 1)
+            (list(self.net.node.executor.endpoints), len(self.net.node.executor.ready_endpoints)),
+            (["b"], 1),
         )
         self.served("r1")
 
@@ -236,7 +237,7 @@
         )
 
     def test_a_list_whose_last_row_is_of_no_form_changes_nothing(self):
-        before = dict(self.net.node.driver.hosts)
+        before = dict(self.net.node.executor.endpoints)
         self.says(True, *self.many(), self.row("a", weight=-1))
         self.until(lambda: self.net.lines("discovery_away"))
         (line,) = self.net.lines("discovery_away")
@@ -245,13 +246,14 @@
             "list.endpoints[400].weight: expected a number from 0, found -1",
         )
         self.assertEqual(
-            (self.told, self.net.node.driver.hosts, self.longest()[1]), ([], before, self.SHARE)
+            (self.told, self.net.node.executor.endpoints, self.longest()[1]),
+            ([], before, self.SHARE),
         )
         self.net.do_watch("from=1&")
         self.served("r1")
 
     def test_a_change_right_behind_a_long_list_comes_after_it(self):
-        self.before = dict(self.net.node.driver.hosts)
+        self.before = dict(self.net.node.executor.endpoints)
         self.says(True, *self.many(), self.row("a", "in_service"), self.row("b", "in_service"))
         self.net.peers[-1].sock.send(
             self.answer(False, self.row("a")).encode()
@@ -260,7 +262,7 @@
         self.assertEqual(
             self.names()[-3:], [("a", api.READY), ("b", api.READY), ("a", api.DRAINING)]
         )
-        self.assertEqual(len(self.net.node.driver.ready), 1)
+        self.assertEqual(len(self.net.node.executor.ready_endpoints), 1)
         for rpc in ("r1", "r2", "r3"):
             self.served(rpc)
             self.assertEqual(self.net.host_of(rpc).at, "b")
@@ -270,17 +272,17 @@
         self.until(lambda: len(self.checked) > 2 * self.SHARE)
         self.net.do_moves("discovery")
         self.net.do_tells("whole", "a")
-        self.assertEqual(list(self.net.node.driver.hosts), ["a"])
+        self.assertEqual(list(self.net.node.executor.endpoints), ["a"])
         self.assertEqual([len(rows) for _, rows in self.told], [2])
         self.assertLess(len(self.checked), self.MANY)
         self.served("r1")
 
     def test_a_list_that_is_being_taken_over_is_in_force_before_that_of_the_next_discovery(self):
         """And what the one between told, which was left while it waited for that, is dropped."""
-        self.before = dict(self.net.node.driver.hosts)
+        self.before = dict(self.net.node.executor.endpoints)
         self.says(True, *self.many(), self.row("a", "in_service"))
         self.until(lambda: len(self.told) > 2)
-        old = self.net.node.discovery
+        old = self.net.node.endpoint_watch
         self.net.do_moves("discovery")
         self.checked.clear()
         self.says(True, self.row("w"))
@@ -288,7 +290,7 @@
         self.net.do_moves("discovery")
         self.says(True, self.row("b", "in_service"))
         self.in_force()
-        self.assertEqual((old.over, old.index), (True, 2))
+        self.assertEqual((old.is_ended, old.index), (True, 2))
         names = self.names()
         self.assertEqual(
             names[self.MANY : self.MANY + 3],
@@ -301,14 +303,17 @@
         self.assertEqual(
             [state for _, state in names[self.MANY + 3 :]], [api.GONE] * (self.MANY + 1)
         )
-        self.assertEqual(list(self.net.node.driver.hosts), ["b"])
+        self.assertEqual(list(self.net.node.executor.endpoints), ["b"])
         self.served("r1")
 
     def test_a_change_costs_what_it_names(self):
         self.says(True, *self.many(), self.row("a", "in_service"), self.row("b", "in_service"))
         self.in_force()
-        driver = self.net.node.driver
-        driver.hosts, driver.ready = Table(driver.hosts), Group(driver.ready)
+        executor = self.net.node.executor
+        executor.endpoints, executor.ready_endpoints = (
+            Table(executor.endpoints),
+            Group(executor.ready_endpoints),
+        )
         self.says(False, self.row("a"), self.row("x7", "terminated"), self.row("x8", "in_service"))
         self.in_force()
         self.assertLessEqual(
@@ -318,7 +323,7 @@
     def test_hosts_have_a_pool_while_it_holds_anything(self):
         self.says(True, *self.many(), self.row("a", "in_service"))
         self.in_force()
-        pools = self.net.node.upstream.pools
+        pools = self.net.node.endpoint_pools.pools
         self.assertEqual(pools, {})
         self.served("r1")
         self.assertEqual(
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -17,11 +17,12 @@
 import threading
 import time
 from collections import Counter
+from types import SimpleNamespace
 
 from benchmarks import fleet_count
 from petrellane import config
-from petrellane.gateway.endpoint_watch import Discovery
-from petrellane.gateway.process import Node
+from petrellane.gateway.endpoint_watch import EndpointWatch
+from petrellane.gateway.process import GatewayProcess
 from petrellane.net import resp
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
@@ -196,8 +197,8 @@
             sock.close()
         if self.node:
             self.node.management.end()
-            if self.node.server.listener:
-                self.node.server.listener.close()
+            if self.node.client_listener.listener:
+                self.node.client_listener.listener.close()
         self.log.close()
 
     def listen(self, name, backlog=64):
@@ -313,7 +314,7 @@
         self.told = told
         told = config.read(told)
         limits = Limits.of(told)
-        self.node = Node(
+        self.node = GatewayProcess(
             told,
             self.log.fileno(),
             Limits(**{**vars(limits), **self.limits}),
@@ -321,9 +322,9 @@
         )
         self.node.scheduler.poll = Poll(self.node.scheduler.poll)
         self.node.start()
-        self.node.upstream.ended = self.heard
-        self.node.driver.counter.counted = self.counted
-        self.address = self.node.server.listener.getsockname()
+        self.node.endpoint_pools.on_attempt_ended = self.heard
+        self.node.executor.counter_client.on_reply = self.counted
+        self.address = self.node.client_listener.listener.getsockname()
         self.until("a watch", lambda: self.watch)
 
     def entry(self, name, address, state="in_service"):
@@ -390,9 +391,12 @@
                 return listener.accept()
 
         management.listener = starved = Starved()
-        before = len(self.node.server.clients)
+        before = len(self.node.client_listener.clients)
         self.do_call("GET", "/-/ready", status)
-        assert starved.times > 1 and len(self.node.server.clients) < before, (starved.times, before)
+        assert starved.times > 1 and len(self.node.client_listener.clients) < before, (
+            starved.times,
+            before,
+        )
         management.listener = listener
 
     def do_short(self, left=0):
@@ -463,7 +467,7 @@
 
     def do_starve(self, name):
         """A client comes while there is no descriptor left, and is served once there is."""
-        listener = self.node.server.listener
+        listener = self.node.client_listener.listener
 
         class Starved:
             fileno = listener.fileno
@@ -473,17 +477,17 @@
                 self.times += 1
                 raise OSError(errno.EMFILE, "no descriptor")
 
-        starved = self.node.server.listener = Starved()
+        starved = self.node.client_listener.listener = Starved()
         self.clients[name] = Peer(socket.create_connection(self.address))
         self.do_logged("no_descriptor")
         self.do_wait(0.2)
         assert 2 <= starved.times <= 20, starved.times  # neither given up nor tried without a pause
-        self.node.server.listener = listener
+        self.node.client_listener.listener = listener
         self.do_wait(0.05)
 
     def do_fault(self, name):
         """The module's next call of this name raises."""
-        gateway, call = self.node.driver.gateway, getattr(self.node.driver.gateway, name)
+        gateway, call = self.node.executor.controller, getattr(self.node.executor.controller, name)
 
         def raises(*words, **more):
             setattr(gateway, name, call)
@@ -568,7 +572,9 @@
 
     def do_leave(self, name):
         self.clients[name].sock.close()
-        self.until(f"{name} being gone", lambda: len(self.node.server.clients) < len(self.clients))
+        self.until(
+            f"{name} being gone", lambda: len(self.node.client_listener.clients) < len(self.clients)
+        )
         del self.clients[name]
 
     def do_goes(self, name):
@@ -579,7 +585,9 @@
         here = self.clients[name].sock.getsockname()
         self.turn()  # whose peer has closed as well is forgotten
         (client,) = [
-            one for one in self.node.server.clients if one.stream.sock.getpeername() == here
+            one
+            for one in self.node.client_listener.clients
+            if one.stream.sock.getpeername() == here
         ]
         return client
 
@@ -634,7 +642,7 @@
     def do_host_crosses(self, name, *text):
         """The same of a host's bytes, on each connection to it that is idle."""
         ends = {peer.sock.getpeername(): peer.sock for peer in self.host_peers() if peer.at == name}
-        for pool in self.node.upstream.pools.values():
+        for pool in self.node.endpoint_pools.pools.values():
             for stream in [
                 connection.stream
                 for connection in pool.idle
@@ -666,24 +674,28 @@
 
     def do_clients(self, number):
         """So many clients are still connected."""
-        self.until(f"{number} clients", lambda: len(self.node.server.clients) == int(number))
+        self.until(
+            f"{number} clients", lambda: len(self.node.client_listener.clients) == int(number)
+        )
 
     def do_amid(self, name, seconds):
         """In the turn in which the next RPC is read, and before it is looked at, this client goes and so much time passes."""
-        driver, place = self.node.driver, self.node.server.place
+        executor, on_request = self.node.executor, self.node.client_listener.on_request
 
-        def amid(exchange):
-            self.node.server.place = place
+        def amid(request):
+            self.node.client_listener.on_request = on_request
             self.do_goes(name)
             self.time += float(seconds)
-            driver.place(exchange)
+            executor.on_request(request)
 
-        self.node.server.place = amid
+        self.node.client_listener.on_request = amid
 
     def do_owed(self, name, number):
         """The gateway has read so much of this client that it owes it so many answers."""
         client = self.server_client(name)
-        self.until(f"{number} answers owed to {name}", lambda: len(client.owed) == int(number))
+        self.until(
+            f"{number} answers owed to {name}", lambda: len(client.pending_replies) == int(number)
+        )
 
     def do_turns(self, number, order="forward"):
         """So many turns, each of which takes what is ready as it came to be watched, or backward."""
@@ -753,7 +765,7 @@
     def fence(self):
         for _ in range(5):
             self.turn()
-        if self.node.ending or not self.node.service.welcomes:  # nobody new stays
+        if self.node.is_ending or not self.node.service.welcomes:  # nobody new stays
             return
         if "fence" not in self.clients:
             self.do_connect("fence")
@@ -813,8 +825,8 @@
             self.do_send(name, rpc, "look", f"who={each}")
             self.do_takes(rpc)
             self.do_answers(rpc, "${60000}")
-            self.until("its end", lambda: not self.node.driver.exchanges)
-            if any(client.stream.unsent for client in self.node.server.clients):
+            self.until("its end", lambda: not self.node.executor.requests)
+            if any(client.stream.unsent for client in self.node.client_listener.clients):
                 return
         raise AssertionError("the kernel takes it all")
 
@@ -831,7 +843,7 @@
                 pass
             self.turn(0)
         self.given = given
-        (stalled,) = self.node.upstream.account.passages
+        (stalled,) = self.node.endpoint_pools.buffer_budget.relays
         assert stalled.stream.sent < int(most), stalled.stream.sent
 
     def do_drains(self, rpc):
@@ -842,8 +854,8 @@
     def do_waits_within(self, number):
         """Of all long values, at most so many bytes wait here."""
         waits = sum(
-            passage.waiting + (passage.stream.queued - passage.stream.sent if passage.stream else 0)
-            for passage in self.node.upstream.account.passages
+            relay.waiting + (relay.stream.queued - relay.stream.sent if relay.stream else 0)
+            for relay in self.node.endpoint_pools.buffer_budget.relays
         )
         assert waits <= int(number) and bool(waits) == bool(int(number)), waits
 
@@ -912,8 +924,8 @@
 
     def do_kept(self, low, high):
         """So many bytes of bodies are kept."""
-        assert int(low) <= self.node.upstream.account.kept <= int(high), (
-            self.node.upstream.account.kept
+        assert int(low) <= self.node.endpoint_pools.buffer_budget.reserved <= int(high), (
+            self.node.endpoint_pools.buffer_budget.reserved
         )
 
     def do_breaks(self, rpc):
@@ -931,13 +943,13 @@
         assert found == list(wanted), found
 
     def heard(self, attempt, outcome, *words):
-        rpc = attempt.exchange.head.split(b"\r\n")[-2].decode()
+        rpc = attempt.request.head.split(b"\r\n")[-2].decode()
         self.outcomes.setdefault(rpc, []).append(outcome)
-        self.node.driver.ended(attempt, outcome, *words)
+        self.node.executor.on_attempt_ended(attempt, outcome, *words)
 
     def counted(self, add, outcome, total):
         self.added.append(outcome)
-        self.node.driver.counted(add, outcome, total)
+        self.node.executor.on_counter_reply(add, outcome, total)
 
     def do_added(self, *wanted):
         """The outcomes of the adds since the last such line."""
@@ -1013,7 +1025,7 @@
         self.do_says(
             "HTTP/1.1 200 OK\\r\\nContent-Length:\\s%d\\r\\n\\r\\n%s" % (len(body), body.decode())
         )
-        self.until("the change", lambda: self.node.discovery.index == self.index)
+        self.until("the change", lambda: self.node.endpoint_watch.index == self.index)
 
     def do_says(self, *text):
         """Discovery answers the watch that is out with these bytes."""
@@ -1068,14 +1080,15 @@
         """So many gateways' watches are all turned away for some seconds: in any one second but the first at most
         so many ask again."""
         scheduler, calls, end = self.node.scheduler, [], self.time + float(seconds)
+        nobody = SimpleNamespace(
+            on_endpoint_list=lambda endpoint_list: None, is_applying_endpoint_list=lambda: False
+        )
         for seed in range(int(number)):
-            crowd = Discovery(
-                scheduler,
-                self.node.limits,
-                self.node.log,
+            crowd = EndpointWatch(
+                self.node.runtime,
                 self.node.config.discovery,
                 1,
-                lambda told: None,
+                nobody,
                 random.Random(seed).random,
             )
             scheduler.spawn(crowd.run)
