--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -54,11 +54,8 @@
 FAULT = b"-ERR fault\r\n"
 ABORTED = b"-ERR aborted\r\n"
 
-MINIMUM_DURATION_S = 1e-6
-"""An attempt takes at least this long: the clock may not have moved since it was sent."""
-
-ROUND_UP = 0.999
-"""Added before a number of milliseconds is cut to an integer: a client waits no shorter."""
+MINIMUM_DURATION_S = 1e-6  # of an attempt: the clock may not have moved since it was sent
+ROUND_UP = 0.999  # added before milliseconds are cut to an integer: a client waits no shorter
 
 
 class AdmissionGate(Protocol):
@@ -95,7 +92,7 @@
         self.applying_endpoint_list = False
         self.requests: dict[Rpc, ClientRequest] = {}
         self.requests_by_id: dict[bytes, ClientRequest] = {}
-        # Figures since the last line of the log, by kind; and attempts by endpoint, where wanted.
+        # Figures since the last line of the log; attempts by endpoint where the settings ask.
         self.counts: Counter[str] = Counter()
         self.attempts_by_address: Counter[str] | None = Counter() if config.by_host else None
         # The time at which every open request has its answer, once the process is ending.
@@ -136,11 +133,10 @@
     def on_endpoint_list(
         self, endpoint_list: HostList | None, yield_turn: Callable[[], object] | None = None
     ) -> None:
-        """Apply an endpoint list or changes to it.
+        """Apply an endpoint list or changes to it, in chunks.
 
-        Rows are applied in chunks: first those that the list names, then, for a complete list, the
-        end of the endpoints that it leaves out. No other list may be given meanwhile, which
-        `applying_endpoint_list` says.
+        First come the rows that the list names, then, for a complete list, the end of the endpoints
+        that it leaves out. No other list may be given while `applying_endpoint_list` is set.
 
         Args:
             endpoint_list: What the registry answered; None when the request failed.
