--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -83,7 +83,7 @@
         from petrellane.config_consensus import safe_settings
 
         config = self.process.config
-        merged = {**safe_settings.own(config.raw["settings"]), **content}
+        merged = {**safe_settings.local_settings(config.raw["settings"]), **content}
         result: Config = settled(config, merged)
         return result
 
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -294,7 +294,7 @@
         generation = None
         if self.agent:
             self.agent.leave()
-            generation = self.agent.state.told()
+            generation = self.agent.state.to_dict()
         messages: list[dict[str, object]] = hot_restart.given(
             self.executor.controller, self.scheduler.now(), generation
         )
--- a/petrellane/testbed/hollow.py
+++ b/petrellane/testbed/hollow.py
@@ -129,8 +129,8 @@
         self.begin_serving()
         if self.agent and self.fresh:
             standing = self.agent.standing
-            standing.heard.update(standing.members)
-            standing.of(standing.members)
+            standing.responders.update(standing.roster)
+            standing.set_roster(standing.roster)
             self.agent.knows()
 
     def make_watch(self, index):
