--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -18,8 +18,8 @@
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.operation.lifecycle import Service
-from petrellane.operation.management_api import Management
+from petrellane.operation.lifecycle import Lifecycle
+from petrellane.operation.management_api import ManagementServer
 
 
 class Control:
@@ -42,8 +42,8 @@
         )
         self.calls, self.told, self.parked, self.complained = {}, None, {}, 0.0
         self.nonces = {}  # of the last calls: one that was listened to must do nothing when it is said again
-        self.desk = Management(
-            self.scheduler, self.limits, Service(0.0, 0.0), lambda: None, lambda trouble: None
+        self.desk = ManagementServer(
+            self.scheduler, self.limits, Lifecycle(0.0, 0.0), lambda: None, lambda trouble: None
         )
         self.desk.handlers[message_authentication.STAFF] = self.heard
         self.desk.listen(config.listen)
@@ -70,7 +70,7 @@
             epoch=self.leader.epoch.number,
         )
         self.scheduler.run()
-        self.desk.end()
+        self.desk.close()
         self.journal.close()
         self.log.event("ended")
         self.log.flush()
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -177,7 +177,7 @@
     def taken(self, rows):
         """Take over the leases that the process before has given up; how many."""
         plans, now = self.settings.plans, self.now()
-        return hot_restart.taken(
+        return hot_restart.import_leases(
             self.gateway,
             now,
             rows,
@@ -189,7 +189,7 @@
     def settled(self, name, number):
         """So many RPCs of a customer that the process before still had have ended."""
         for customer in self.customers.named(name):
-            number -= hot_restart.settled(self.gateway, self.now(), customer, number)
+            number -= hot_restart.release_in_flight(self.gateway, self.now(), customer, number)
 
     def tell(self, rpc, call, *words, **more):
         """Tell the module of an RPC. A fault of ours is logged, and the RPC has its answer all the same."""
@@ -272,7 +272,7 @@
             del self.ids[exchange.id]
             exchange.finish(*answer)
             if self.handover:
-                self.handover.owed(rpc.customer.name)
+                self.handover.report_request_ended(rpc.customer.name)
 
     def send_attempt(self, step):
         exchange = self.exchanges.get(step.rpc)
--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -11,7 +11,7 @@
 from petrellane.gateway.client_request import BadField, Exchange, Reply
 from petrellane.net import resp
 from petrellane.net.stream import Closed, Stream, accepted, listening
-from petrellane.operation.lifecycle import ENDING
+from petrellane.operation.lifecycle import LifecycleState
 
 QUERY = b"SVC.QUERY"
 SERVED = {QUERY, b"SVC.SUBMIT"}
@@ -203,11 +203,11 @@
             self.look_after()
 
     def look_after(self):
-        self.draining = not self.service.welcomes
+        self.draining = not self.service.passes_health_check
         if self.draining:
             for client in list(self.clients):
                 client.let_go()
-            if self.service.emptied(len(self.clients)):
+            if self.service.complete_drain(len(self.clients)):
                 self.log.event(self.service.state)
             self.scheduler.after(self.limits.let_go, self.look_after)
 
@@ -350,7 +350,9 @@
         if server.heir and not self.closing:
             self.stream.detach()
             self.offered, self.passed = True, None
-            server.heir.pass_on(self.stream.sock, self.stream.buffer, self.asked, self.judged)
+            server.heir.offer_connection(
+                self.stream.sock, self.stream.buffer, self.asked, self.judged
+            )
             while self.passed is None:
                 self.park()
             if self.passed:
@@ -434,7 +436,7 @@
 
     def take(self, buffer, start, spans, end):
         verb, service = bytes(buffer[slice(*spans[0])]).upper(), self.server.service
-        if verb in SERVED and not service.takes(
+        if verb in SERVED and not service.accepts_command(
             self.server.scheduler.now(), self.came, bool(self.owed)
         ):
             self.reply(REFUSED)
@@ -453,7 +455,7 @@
             except BadField as trouble:
                 exchange.finish(error(str(trouble)))
         else:
-            unwelcome = verb == PING and not service.welcomes
+            unwelcome = verb == PING and not service.passes_health_check
             self.reply(UNWELCOME if unwelcome else AT_ONCE.get(verb) or error("unknown command"))
 
     def reply(self, answer):
@@ -520,7 +522,7 @@
         elif self.offered or self.server.heir and not self.closing:
             pass  # it goes to another process
         elif (
-            self.server.service.lets_go(now)
+            self.server.service.closes_idle_connections(now)
             and self.goes(now)
             and self.idle()
             or not (
@@ -529,7 +531,7 @@
                 or self.stream.unsent
                 or self.stream.buffer
                 and not self.half
-                or self.server.service.takes(now, self.came)
+                or self.server.service.accepts_command(now, self.came)
             )
         ):
             self.closing = True  # it has all its answers, and our end tells that what it sends from now on is not taken
@@ -540,6 +542,6 @@
         limits = self.server.limits
         return (
             self.asked
-            or self.server.service.state == ENDING
+            or self.server.service.state == LifecycleState.ENDING
             or now - self.since >= limits.drain_idle
         )
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -10,7 +10,7 @@
 from petrellane.net import http
 from petrellane.net.resp import Malformed
 from petrellane.net.stream import Closed, Stream
-from petrellane.operation import backoff
+from petrellane.operation.backoff import Backoff, PollFailure, PollTimes
 
 PATH = "/registry/instances"
 
@@ -27,14 +27,16 @@
     def __init__(self, scheduler, limits, log, address, index, listed, random, busy=lambda: False):
         self.scheduler, self.limits, self.log, self.address = scheduler, limits, log, address
         self.index, self.listed, self.busy = index, listed, busy
-        self.backoff = backoff.Backoff(
+        self.backoff = Backoff(
             random,
-            limits.watch_next,
-            limits.watch_next if index is not None else limits.watch_first,
-            limits.watch_hold,
-            limits.watch_grace,
-            limits.watch_timeout,
-            limits.backoff_first,
+            PollTimes(
+                max_interval=limits.watch_next,
+                first_interval=limits.watch_next if index is not None else limits.watch_first,
+                max_hold=limits.watch_hold,
+                grace=limits.watch_grace,
+                poll_timeout=limits.watch_timeout,
+                initial_pause=limits.backoff_first,
+            ),
         )
         self.stream, self.over = None, False
 
@@ -51,23 +53,25 @@
         while not self.over:
             stream = None
             try:
-                until = self.backoff.begin(now(), self.index is not None)
+                until = self.backoff.start_poll(now(), self.index is not None)
                 stream = self.stream = Stream.dial(
                     self.scheduler, self.limits, self.address, until - now()
                 )
                 while self.heard(*self.watch(stream, until)) and not self.over:
-                    until = self.backoff.begin(now(), self.index is not None)
+                    until = self.backoff.start_poll(now(), self.index is not None)
             except (OSError, Closed, Malformed, ConfigError, ValueError) as trouble:
                 if self.over:
                     return
-                if not self.backoff.away:
+                if not self.backoff.is_failing:
                     self.log.event("discovery_away", error=str(trouble))
                     self.listed(None)
                 outcome = (
-                    backoff.SILENT
+                    PollFailure.TIMED_OUT
                     if isinstance(trouble, TimeoutError)
                     else (
-                        backoff.TURNED_AWAY if isinstance(trouble, TurnedAway) else backoff.FAILED
+                        PollFailure.REJECTED
+                        if isinstance(trouble, TurnedAway)
+                        else PollFailure.FAILED
                     )
                 )
             else:
@@ -75,15 +79,13 @@
             finally:
                 if stream:
                     stream.close()
-            self.scheduler.wait(self.backoff.pause(outcome, now()))
+            self.scheduler.wait(self.backoff.pause_after(outcome, now()))
 
     def watch(self, stream, until):
         """One call: the list or the changes, and whether the connection goes on."""
         limits, path = self.limits, PATH
         if self.index is not None:  # an index of 0 is one too
-            path += (
-                f"?from={self.index}&hold_ms={int(self.backoff.hold(self.scheduler.now()) * 1e3)}"
-            )
+            path += f"?from={self.index}&hold_ms={int(self.backoff.remaining_hold(self.scheduler.now()) * 1e3)}"
         stream.write(http.get(path, "%s:%d" % self.address))
         while not (found := http.head(stream.buffer, limits)):
             http.more(stream, until)
@@ -116,9 +118,9 @@
             self.log.event("discovery_restarted", before=self.index, index=told.index)
             self.index = None  # its numbers began anew: what they count from is not what we have
             return lasting
-        if self.backoff.away:
+        if self.backoff.is_failing:
             self.log.event("discovery_back", index=told.index)
-        self.backoff.told(bool(told.entries))
+        self.backoff.on_success(bool(told.entries))
         while self.busy():
             self.others()
         self.listed(told)
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -22,9 +22,9 @@
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
 from petrellane.operation import hot_restart
-from petrellane.operation.hot_restart_transport import Handover
-from petrellane.operation.lifecycle import Service
-from petrellane.operation.management_api import Management
+from petrellane.operation.hot_restart_transport import HotRestartHandlers, HotRestartTransport
+from petrellane.operation.lifecycle import Lifecycle
+from petrellane.operation.management_api import ManagementServer
 
 
 class Node:
@@ -37,7 +37,7 @@
         self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
         self.driver = Driver(config, self.scheduler, self.limits, self.log)
         account = Account(self.limits)
-        self.service = Service(
+        self.service = Lifecycle(
             self.limits.change_over,
             self.limits.last_command,
             self.limits.kill_after,
@@ -53,7 +53,7 @@
             lambda more: self.upstream.make_room(more),
             account,
         )
-        self.management = Management(
+        self.management = ManagementServer(
             self.scheduler,
             self.limits,
             self.service,
@@ -93,17 +93,19 @@
         self.ending = self.succeeding = False
         self.handover = None
         if config.listen_fd is not None:
-            self.handover = self.driver.handover = Handover(
+            self.handover = self.driver.handover = HotRestartTransport(
                 self.scheduler,
                 self.limits,
                 self.log,
                 config.name,
-                self.give,
-                self.hand,
-                self.driver.taken,
-                self.server.adopt,
-                self.driver.settled,
-                self.beside,
+                HotRestartHandlers(
+                    export_state=self.give,
+                    on_successor=self.hand,
+                    import_leases=self.driver.taken,
+                    adopt_connection=self.server.adopt,
+                    release_in_flight=self.driver.settled,
+                    on_predecessor_still_running=self.beside,
+                ),
             )
 
     def watch(self, index):
@@ -162,12 +164,12 @@
         """Follow the process before, where there is one: once, when we know where hosts are."""
         if self.handover and not self.succeeding:
             self.succeeding = True
-            self.handover.ask(self.settle)
+            self.handover.request_transfer(self.settle)
 
     def serve(self):
         """Take clients."""
         self.server.attend()
-        self.service.begin()
+        self.service.start()
         self.log.event("started", listen="%s:%d" % self.config.listen, hosts=len(self.driver.hosts))
 
     def give(self):
@@ -178,18 +180,18 @@
         if self.agent:
             self.agent.leave()
             generation = self.agent.state.told()
-        return hot_restart.given(self.driver.gateway, self.scheduler.now(), generation)
+        return hot_restart.export_leases(self.driver.gateway, self.scheduler.now(), generation)
 
     def beside(self):
         """The process before gave nothing, and may go on."""
-        hot_restart.beside(self.driver.gateway, self.scheduler.now())
+        hot_restart.predecessor_still_running(self.driver.gateway, self.scheduler.now())
 
     def hand(self, heir):
         """Another process follows; None: it is gone again."""
-        self.service.followed = bool(heir)
+        self.service.has_successor = bool(heir)
         self.server.hand(heir)
         if not heir:
-            hot_restart.resumed(self.driver.gateway, self.scheduler.now())
+            hot_restart.resume(self.driver.gateway, self.scheduler.now())
             if self.agent:
                 self.agent.back()
 
@@ -338,11 +340,11 @@
         """Go on as before through the change-over, let clients go when they are owed nothing, then stop."""
         if not self.ending:
             self.ending = True
-            self.service.end(self.scheduler.now())
+            self.service.begin_shutdown(self.scheduler.now())
             self.log.event(
                 "ending", clients=len(self.server.clients), open=len(self.driver.exchanges)
             )
-            by = self.service.answers_by(
+            by = self.service.final_answer_time(
                 max((one.deadline for one in self.config.settings.methods.values()), default=0.0)
             )
             self.scheduler.after(max(0.0, by - self.scheduler.now()), self.driver.last_answers)
@@ -355,10 +357,10 @@
 
     def stop(self):
         """Nothing is owed to anybody any more."""
-        if self.handover and self.handover.busy():
+        if self.handover and self.handover.has_unsent:
             self.scheduler.after(self.limits.let_go, self.stop)
             return
-        self.management.end()
+        self.management.close()
         if self.agent:
             self.agent.end()
         if self.handover:
--- a/petrellane/operation/backoff.py
+++ b/petrellane/operation/backoff.py
@@ -1,78 +1,165 @@
-"""When discovery is called next, and how long a call may take, as rules free of I/O.
+"""When discovery is polled next, and how long a poll may take.
 
-`Backoff` is told when a call begins and what became of it, and answers with times. It promises that a call begins at most
-`most` seconds after the one before it began, whatever became of that: held, given up as silent, failed half way, refused,
-turned away. So where an answer takes `told - most` seconds or less, no change is news for longer than `told` seconds after
-discovery had it and could be called. Sockets, the list and the log are left to others.
+Rules free of I/O: `Backoff` learns when a poll starts and how it ends, and answers with times. It
+promises that a poll starts at most `max_interval` seconds after the one before started, whatever
+the outcome of that one. So where an answer takes `t` seconds or less, every change is known at
+most `max_interval + t` seconds after discovery had it and could be reached. Sockets, the endpoint
+list and the log are left to others.
 
-What many gateways do at some time must not come in step, and whoever comes back too soon keeps discovery overbooked. But no
-pause may be longer than `most`. So what all meet at once (a refusal, news) is followed by a draw over most of that time,
-which spreads them, and what comes after that by draws from its upper end, which costs the fewest calls.
+Polls of many gateways must not come in step, and gateways that come back too soon keep discovery
+overloaded; yet no pause may be longer than `max_interval`. So what all gateways meet at once (a
+rejection, a change) is followed by a draw over most of that interval, which spreads them; further
+draws are from its upper end, which costs the fewest polls.
 """
 
-SILENT, FAILED, TURNED_AWAY = "silent", "failed", "turned away"
-SPREAD, SPACED = (
-    0.2,
-    0.8,
-)  # a draw is from this part of its range up: to spread a crowd, and once it is spread
+import enum
+from collections.abc import Callable
+from dataclasses import dataclass
 
+SPREADING_DRAW_MINIMUM = 0.2
+"""Lower end of a draw, as a fraction of its maximum, that spreads gateways which are in step."""
 
-class Backoff:
-    """All in seconds; `random` draws from 0 to 1. `most` is from the beginning of a call to that of the next, `at_first` the
-    same before the first list. A call that may wait for news is held for `hold` at most, and its answer may come `grace`
-    later; one that waits for none has `silent`. `first` is the pause after a first failure, about. Raises ValueError where
-    these can't hold together."""
+SPREAD_DRAW_MINIMUM = 0.8
+"""Lower end of a draw, as a fraction of its maximum, of a gateway that is out of step."""
+
+
+class PollFailure(enum.Enum):
+    """Why a poll brought no endpoint list."""
+
+    TIMED_OUT = "silent"
+    FAILED = "failed"
+    REJECTED = "turned away"
+
+
+@dataclass(frozen=True)
+class PollTimes:
+    """The times of polls, all in seconds.
 
-    def __init__(self, random, most, at_first, hold, grace, silent, first):
-        if max(hold + grace, silent) + 1.5 * first > most or silent + 1.5 * first > at_first:
+    Attributes:
+        max_interval: From the start of a poll to that of the next, at most.
+        first_interval: The same before the first list.
+        max_hold: How long discovery may hold a poll that waits for changes.
+        grace: How much later the answer to such a poll may arrive.
+        poll_timeout: The time of a poll that waits for no changes.
+        initial_pause: The pause after a first failure, about.
+    """
+
+    max_interval: float
+    first_interval: float
+    max_hold: float
+    grace: float
+    poll_timeout: float
+    initial_pause: float
+
+    def __post_init__(self) -> None:
+        """Check that there is room for a pause between polls.
+
+        Raises:
+            ValueError: There is none.
+        """
+        longest_poll = max(self.max_hold + self.grace, self.poll_timeout)
+        longest_pause = 1.5 * self.initial_pause
+        if (
+            longest_poll + longest_pause > self.max_interval
+            or self.poll_timeout + longest_pause > self.first_interval
+        ):
             raise ValueError(
-                f"expected calls of {hold} + {grace} and {silent} s that leave room for a pause of "
-                f"{1.5 * first} within {most} and {at_first} s"
+                f"expected calls of {self.max_hold} + {self.grace} and {self.poll_timeout} s that "
+                f"leave room for a pause of {longest_pause} within {self.max_interval} and "
+                f"{self.first_interval} s"
             )
-        self.random, self.most, self.between = random, most, at_first
-        self.longest, self.grace, self.silent, self.first = hold, grace, silent, first
-        self.away = False  # the last call brought no list
-        self.proof = (
-            False  # the next call waits for no news: an answer to it proves that discovery is there
-        )
-        self.spread = False  # we have drawn a time of our own since all others met what we met
-        self.size = first
-        self.began = self.held = self.until = 0.0
-
-    def begin(self, now, watches):
-        """A call begins, with the dialing of its connection where that is needed. It `watches` where it asks for what is
-        newer than a version, and may then be held; a whole list comes at once. Returns when the call counts as silent."""
-        waits = watches and not self.proof
-        self.began, self.held = now, self.draw(self.longest) if waits else 0.0
-        self.until = now + (self.held + self.grace if waits else self.silent)
-        return self.until
-
-    def hold(self, now):
-        """How long the call may be held that is written now: what dialing took is gone."""
-        return max(0.0, min(self.held, self.until - self.grace - now))
-
-    def told(self, news):
-        """The call brought a list: with none or with news, which all that watch have at the same time; whoever has been
-        away has it at a time of its own."""
-        self.spread = self.spread and (self.away or not news)
-        self.away = self.proof = False
-        self.size, self.between = self.first, self.most
-
-    def pause(self, outcome, now):
-        """Seconds until the next call, after one that brought no list.
-
-        What follows silence or a failure waits for no news, so that discovery that is silent is told from one that has
-        none. One that was turned away knows that it is there, and a call to prove it is one more to be turned away."""
-        size = {SILENT: self.first, FAILED: self.size, TURNED_AWAY: self.most}[
-            outcome
-        ]  # silence was a pause itself
-        self.size = self.first if outcome == SILENT else min(2 * size, self.most)
-        self.spread = self.spread and self.away
-        self.away, self.proof = True, outcome != TURNED_AWAY
-        room = max(self.first / 2, self.began + self.between - now)
-        return size * (0.5 + self.random()) if 1.5 * size <= room else self.draw(room)
-
-    def draw(self, most):
-        """A time of our own, up to so long."""
-        least, self.spread = SPACED if self.spread else SPREAD, True
-        return most * (least + (1 - least) * self.random())
+
+
+class Backoff:
+    """The poll schedule of one gateway; its discovery client owns it.
+
+    Attributes:
+        times: The times that polls keep.
+        is_failing: Whether the last poll brought no list.
+        deadline: Unix time at which the poll in progress counts as timed out.
+    """
+
+    def __init__(self, random: Callable[[], float], times: PollTimes) -> None:
+        """Start before the first poll; `random` draws from 0 to 1."""
+        self.times = times
+        self.is_failing = False
+        self.deadline = 0.0
+        self._random = random
+        self._interval = times.first_interval
+        self._next_pause = times.initial_pause
+        # The next poll waits for no changes: an answer to it proves that discovery is reachable.
+        self._probes_next = False
+        # We have drawn a time of our own since the last event that all gateways met at once.
+        self._is_spread = False
+        self._started_at = 0.0
+        self._hold = 0.0
+
+    def start_poll(self, now: float, is_watch: bool) -> float:
+        """Start a poll, with the dialing of its connection where that is needed.
+
+        Args:
+            now: Unix time.
+            is_watch: Whether the poll asks for changes since a version, and so may be held; a
+                complete list comes at once.
+
+        Returns:
+            The Unix time at which the poll counts as timed out.
+        """
+        self._started_at = now
+        if is_watch and not self._probes_next:
+            self._hold = self._draw(self.times.max_hold)
+            self.deadline = now + (self._hold + self.times.grace)
+        else:
+            self._hold = 0.0
+            self.deadline = now + self.times.poll_timeout
+        return self.deadline
+
+    def remaining_hold(self, now: float) -> float:
+        """Seconds that discovery may hold the poll that is sent now: dialing took its part."""
+        return max(0.0, min(self._hold, self.deadline - self.times.grace - now))
+
+    def on_success(self, has_changes: bool) -> None:
+        """The poll brought a list.
+
+        Changes reach all watching gateways at the same time; a gateway whose polls failed before
+        gets them at a time of its own.
+        """
+        self._is_spread = self._is_spread and (self.is_failing or not has_changes)
+        self.is_failing = False
+        self._probes_next = False
+        self._next_pause = self.times.initial_pause
+        self._interval = self.times.max_interval
+
+    def pause_after(self, failure: PollFailure, now: float) -> float:
+        """Seconds until the next poll, after one that brought no list.
+
+        The poll after a timeout or failure waits for no changes, so that discovery that is
+        unreachable can be told from one that has no changes. A gateway that was rejected knows
+        that discovery is reachable, and a poll to prove it would only be rejected again.
+        """
+        pause = self._pause_length(failure)
+        if failure is PollFailure.TIMED_OUT:
+            self._next_pause = self.times.initial_pause
+        else:
+            self._next_pause = min(2 * pause, self.times.max_interval)
+        self._is_spread = self._is_spread and self.is_failing
+        self.is_failing = True
+        self._probes_next = failure is not PollFailure.REJECTED
+        remaining = max(self.times.initial_pause / 2, self._started_at + self._interval - now)
+        if 1.5 * pause <= remaining:
+            return pause * (0.5 + self._random())
+        return self._draw(remaining)
+
+    def _pause_length(self, failure: PollFailure) -> float:
+        """The pause before jitter; a timeout was a pause itself."""
+        if failure is PollFailure.TIMED_OUT:
+            return self.times.initial_pause
+        if failure is PollFailure.REJECTED:
+            return self.times.max_interval
+        return self._next_pause
+
+    def _draw(self, maximum: float) -> float:
+        """A time of our own, up to so many seconds."""
+        minimum = SPREAD_DRAW_MINIMUM if self._is_spread else SPREADING_DRAW_MINIMUM
+        self._is_spread = True
+        return maximum * (minimum + (1 - minimum) * self._random())
--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -1,139 +1,246 @@
-"""How one process of a gateway follows another, as rules free of I/O.
+"""How one process of a gateway takes over from another without a gap: a hot restart.
 
-Two processes of one gateway are one gateway to everybody else: each lease, each share of a ceiling and each client
-connection has one holder at a time. What is given was first given up, so that what gets lost on the way is held by
-nobody. A connection goes over in three steps: offered, got, yours. The new process reads from it after the third one
-alone, and the old one may take it back until the second has come.
+Rules free of I/O. To everybody else the two processes, predecessor and successor, are one gateway:
+each lease, each share of a hard limit and each client connection has one holder at a time. The
+predecessor gives things up before it sends them, so that what is lost on the way has no holder.
+A connection is handed over in three steps: offered, received, released. The successor reads from it
+after the third step only, and the predecessor may withdraw it until the second one.
+
+Sockets and time limits are left to `hot_restart_transport`, the form of the messages to
+`hot_restart_messages`, the state of a lease to the decisions.
 """
 
 import math
 from collections import Counter
-
-VERSION = 1
-CHUNK = 100  # leases in one message
-BESIDE = 10.0  # seconds after which a process that was followed is gone: told to end within 6, killed 3.7 later
-
-
-def asks():
-    """What the new process says first."""
-    return {"ask": VERSION}
-
-
-def answers_to(message):
-    """What the old process says to the first message: None where it gives what it has, else a refusal."""
-    return None if message.get("ask") == VERSION else {"refused": VERSION}
-
-
-def given(gateway, now, generation=None):
-    """The messages that tell all leases of a module's gateway, which gives them up; the last one says so. The first tells
-    which settings are agreed on, where any are; a build that does not know that word passes it over."""
+from collections.abc import Callable, Iterable
+from typing import Generic, NamedTuple, TypeVar
+
+from petrellane.decisions.controller import AdmissionController
+from petrellane.decisions.types import Customer
+from petrellane.operation.hot_restart_messages import (
+    PROTOCOL_VERSION,
+    ConnectionOffer,
+    ConnectionReceived,
+    ConnectionReleased,
+    ConnectionRetained,
+    ConsensusState,
+    JsonObject,
+    LeaseBatch,
+    LeaseRecord,
+    LeasesComplete,
+    Message,
+    TransferRefusal,
+    TransferRequest,
+    decode_lease,
+    encode_lease,
+    in_flight_of,
+)
+
+LEASES_PER_MESSAGE = 100
+
+PREDECESSOR_GONE_AFTER_S = 10.0
+"""A predecessor is gone by then: it is told to end within 6 s and killed 3.7 s later."""
+
+CustomerLookup = Callable[[str, str, int, int], Customer | None]
+"""The customer of a name, plan, first gateway and gateway count; None where there is no plan."""
+
+ItemT = TypeVar("ItemT")
+
+
+def answer_transfer_request(request: TransferRequest) -> TransferRefusal | None:
+    """The refusal of a request of another version; None where the transfer may begin."""
+    if request.version == PROTOCOL_VERSION:
+        return None
+    return TransferRefusal(PROTOCOL_VERSION)
+
+
+def export_leases(
+    controller: AdmissionController, now: float, generation: JsonObject | None = None
+) -> list[Message]:
+    """Give up all leases of the predecessor.
+
+    Args:
+        controller: The predecessor's decisions, which hold the leases no more after this.
+        now: Unix time.
+        generation: The settings that are agreed on, where there are any.
+
+    Returns:
+        The messages to send, in order; the last one is a `LeasesComplete`.
+    """
     rows = [
-        {
-            "customer": customer.name,
-            "plan": customer.plan.name,
-            "first": customer.first_gateway,
-            "spread": customer.gateway_count,
-            "lease": finite(lease.given(now)),
-        }
-        for customer, lease in gateway.leases.leases.items()
+        encode_lease(
+            LeaseRecord(
+                customer.name,
+                customer.plan.name,
+                customer.first_gateway,
+                customer.gateway_count,
+                _replace_infinities(lease.given(now)),
+            )
+        )
+        for customer, lease in controller.leases.leases.items()
     ]
-    first = [{"generation": generation}] if generation else []
-    return (
-        first
-        + [{"leases": rows[at : at + CHUNK]} for at in range(0, len(rows), CHUNK)]
-        + [{"given": len(rows)}]
+    messages: list[Message] = []
+    if generation:
+        messages.append(ConsensusState(generation))
+    messages.extend(
+        LeaseBatch(rows[start : start + LEASES_PER_MESSAGE])
+        for start in range(0, len(rows), LEASES_PER_MESSAGE)
     )
+    messages.append(LeasesComplete(len(rows)))
+    return messages
 
 
-def finite(told):
-    """The same with 0 for what has no end: where a plan has no quota, credit is never looked at."""
+def _replace_infinities(state: JsonObject) -> JsonObject:
+    """The same with 0 for infinity, which JSON lacks: credit of a plan without quota is unused."""
     return {
         name: 0.0 if isinstance(value, float) and not math.isfinite(value) else value
-        for name, value in told.items()
+        for name, value in state.items()
     }
 
 
-def taken(gateway, now, rows, customer_of):
-    """Take over leases as they were told; `customer_of` gives the customer of a row, None where its plan is unknown.
-    The number taken; a row of no form is held by nobody."""
-    number = 0
+def import_leases(
+    controller: AdmissionController,
+    now: float,
+    rows: Iterable[JsonObject],
+    find_customer: CustomerLookup,
+) -> int:
+    """Take over the leases that a predecessor gave up.
+
+    A malformed row, or one of an unknown plan, has no holder from then on.
+
+    Returns:
+        How many leases were taken over.
+    """
+    count = 0
     for row in rows:
         try:
-            customer = customer_of(
-                row["customer"], row["plan"], int(row["first"]), int(row["spread"])
+            record = decode_lease(row)
+            customer = find_customer(
+                record.customer, record.plan, record.first_gateway, record.gateway_count
             )
             if customer:
-                gateway.leases.of(customer, now).taken(row["lease"])
-                number += 1
+                controller.leases.of(customer, now).taken(record.state)
+                count += 1
         except (KeyError, TypeError, ValueError):
             continue
-    return number
+    return count
+
 
+def release_in_flight(
+    controller: AdmissionController, now: float, customer: Customer, count: int
+) -> int:
+    """Some attempts of a customer that were in flight at the predecessor have ended.
 
-def settled(gateway, now, customer, number):
-    """So many call-outs of a customer, taken over as out, are out no more; how many of them its lease had."""
-    lease = gateway.leases.of(customer, now)
-    before, lease.out = lease.out, max(0, lease.out - number)
-    return before - lease.out
+    Returns:
+        How many of them the customer's lease counted.
+    """
+    lease = controller.leases.of(customer, now)
+    in_flight_before = lease.out
+    lease.out = max(0, lease.out - count)
+    return int(in_flight_before - lease.out)
 
 
-def beside(gateway, now):
-    """A process before may still hold its shares, as it gave none: ours of ceilings stay empty until it is surely gone."""
-    gateway.leases.born = now + BESIDE
+def predecessor_still_running(controller: AdmissionController, now: float) -> None:
+    """A predecessor gave up nothing, and may still use its shares of hard limits.
 
+    Ours stay empty until it is surely gone.
+    """
+    controller.leases.born = now + PREDECESSOR_GONE_AFTER_S
 
-def resumed(gateway, now):
-    """What was given is gone: shares of ceilings grow again, from nothing."""
-    for lease in gateway.leases.leases.values():
+
+def resume(controller: AdmissionController, now: float) -> None:
+    """The successor is gone, and what was given up with it: shares grow again, from nothing."""
+    for lease in controller.leases.leases.values():
         lease.filled = min(lease.filled, now)
 
 
-class Giver:
-    """The old process's end: which connections are offered and not yet got."""
+class HandoffSender(Generic[ItemT]):
+    """The predecessor's end: which connections are offered and not yet received.
+
+    Lives as long as the link to one successor.
+
+    Attributes:
+        offered: What is offered, by the number of the offer.
+    """
 
-    def __init__(self):
-        self.offered, self.number = {}, 0
+    def __init__(self) -> None:
+        self.offered: dict[int, ItemT] = {}
+        self._last_number = 0
 
-    def offer(self, thing):
-        """Offer something; its number."""
-        self.number += 1
-        self.offered[self.number] = thing
-        return self.number
+    def offer(self, item: ItemT) -> int:
+        """Offer an item; its number."""
+        self._last_number += 1
+        self.offered[self._last_number] = item
+        return self._last_number
 
-    def withdraw(self, number):
-        """Take back what was not got in time; False where it was got."""
+    def withdraw(self, number: int) -> bool:
+        """Withdraw an offer; False where it was received before."""
         return self.offered.pop(number, None) is not None
 
-    def got(self, number):
-        """The other end has it. What was offered, now to be let go of, and the word for the other end."""
-        thing = self.offered.pop(number, None)
-        return thing, {"yours" if thing else "kept": number}
-
-
-class Taker:
-    """The new process's end: what it got and does not own yet."""
-
-    def __init__(self):
-        self.pending, self.rows, self.outs = {}, [], Counter()
-
-    def told(self, message, thing=None):
-        """A message from the old process, with what came along. The answer to it, if any; what is ours now; and
-        what is to be dropped."""
-        if "client" in message and thing is not None:
-            self.pending[message["client"]] = thing
-            return {"got": message["client"]}, None, None
-        if "leases" in message:
-            self.rows += message["leases"]
-            self.outs.update({row["customer"]: row["lease"]["out"] for row in message["leases"]})
-        owned = self.pending.pop(message.get("yours"), None)
-        return None, owned, thing or self.pending.pop(message.get("kept"), None)
-
-    def ended(self, customer):
-        """An RPC of this customer has ended there; whether it was out when leases were given."""
-        self.outs[customer] -= 1
-        return self.outs[customer] >= 0
-
-    def broken(self):
-        """The old process is gone: what it did not make ours is nobody's, and is to be dropped."""
-        pending, self.pending = list(self.pending.values()), {}
+    def on_received(
+        self, number: int
+    ) -> tuple[ItemT | None, ConnectionReleased | ConnectionRetained]:
+        """The successor has an item.
+
+        Returns:
+            The item, which the predecessor has to let go of, or None where it was withdrawn; and
+            the message that tells the successor which.
+        """
+        item = self.offered.pop(number, None)
+        if item is None:
+            return None, ConnectionRetained(number)
+        return item, ConnectionReleased(number)
+
+
+class ReceiverStep(NamedTuple, Generic[ItemT]):
+    """What follows from a message: an answer, an item that is ours now, an item to drop."""
+
+    reply: ConnectionReceived | None = None
+    owned: ItemT | None = None
+    dropped: ItemT | None = None
+
+
+class HandoffReceiver(Generic[ItemT]):
+    """The successor's end: what it has received and does not own yet.
+
+    Lives as long as the link to the predecessor.
+
+    Attributes:
+        lease_rows: Rows of leases that are received and not imported.
+        in_flight: By customer, how many attempts the predecessor still has in flight.
+    """
+
+    def __init__(self) -> None:
+        self.lease_rows: list[JsonObject] = []
+        self.in_flight: Counter[str] = Counter()
+        self._pending: dict[int, ItemT] = {}
+
+    def on_message(self, message: Message | None, item: ItemT | None = None) -> ReceiverStep[ItemT]:
+        """Handle a message of the predecessor.
+
+        Args:
+            message: None stands for a message that this version does not know.
+            item: The connection that came with it, if any.
+        """
+        if isinstance(message, ConnectionOffer) and item is not None:
+            self._pending[message.number] = item
+            return ReceiverStep(reply=ConnectionReceived(message.number))
+        if isinstance(message, LeaseBatch):
+            self.lease_rows += message.rows
+            self.in_flight.update(dict(in_flight_of(row) for row in message.rows))
+        if isinstance(message, ConnectionReleased):
+            return ReceiverStep(owned=self._pending.pop(message.number, None), dropped=item)
+        if isinstance(message, ConnectionRetained) and item is None:
+            return ReceiverStep(dropped=self._pending.pop(message.number, None))
+        return ReceiverStep(dropped=item)
+
+    def on_request_ended(self, customer: str) -> bool:
+        """A request of a customer has ended there; whether its lease came with it in flight."""
+        self.in_flight[customer] -= 1
+        return self.in_flight[customer] >= 0
+
+    def on_sender_lost(self) -> list[ItemT]:
+        """The predecessor is gone; the connections that it did not release are to be dropped."""
+        pending = list(self._pending.values())
+        self._pending = {}
         return pending
--- a/petrellane/operation/lifecycle.py
+++ b/petrellane/operation/lifecycle.py
@@ -1,96 +1,167 @@
-"""The states of a gateway between its start and its end, as rules free of I/O.
+"""The lifecycle of a gateway process: starting, serving, draining, drained, ending.
 
-`Service` is told of calls and signals with the time at which they came, and answers plain questions. It promises that
-each call has one stated result in each state; closing connections and telling callers is left to others.
+Rules free of I/O. `Lifecycle` receives management calls and signals together with the time at
+which they arrived, and answers plain questions. Each call has one defined result in each state.
+Closing connections and notifying callers is left to the services that own them.
 
-    starting --begin--> serving
+    starting --start--> serving
     serving --drain--> draining --(no client left)--> drained --resume--> serving
-    any of them --end--> ending, from which nothing leads back
+    any state --begin_shutdown--> ending, from which nothing leads back
 """
 
+import enum
 import math
 
-STARTING, SERVING, DRAINING, DRAINED, ENDING = (
-    "starting",
-    "serving",
-    "draining",
-    "drained",
-    "ending",
-)
 
-
-class Service:
-    """Whether this gateway takes clients. Times are Unix seconds; `change_over` and `last_command` are seconds after a
-    drain or an end began: until the first, clients still come and are served as before; from the second on, a
-    connection that was there takes no new command while it drains. An ending process may be killed `kill_after` seconds and
-    the longest deadline (at most `kill_longest`) after it was told; what is open then is answered before."""
-
-    def __init__(self, change_over, last_command, kill_after=math.inf, kill_longest=math.inf):
-        self.change_over, self.last_command = change_over, last_command
-        self.kill_after, self.kill_longest = kill_after, kill_longest
-        self.state, self.since = STARTING, 0.0
-        self.followed = False  # another process takes the clients, and gets those that are here
+class LifecycleState(enum.StrEnum):
+    """A state of the process; the values appear in management answers and in the log."""
+
+    STARTING = "starting"
+    SERVING = "serving"
+    DRAINING = "draining"
+    DRAINED = "drained"
+    ENDING = "ending"
+
+
+REPORTED_WITH_SUCCESSOR = "followed"
+"""What management answers say of a serving process whose clients go to its successor."""
+
+# Tuples at module level: they are read for each command, and `in` compares identities first.
+_IN_SERVICE = (LifecycleState.STARTING, LifecycleState.SERVING)
+_PASSES_HEALTH_CHECK = (*_IN_SERVICE, LifecycleState.ENDING)
+_RESUMABLE = (LifecycleState.DRAINING, LifecycleState.DRAINED)
+
+
+class Lifecycle:
+    """Whether this process accepts clients and their commands.
+
+    One per process, owned by the gateway, from its start to its end.
+
+    Attributes:
+        state: The current state.
+        since: Unix time at which the last drain or shutdown began.
+        has_successor: Whether another process takes over the clients, after a hot restart.
+    """
+
+    def __init__(
+        self,
+        change_over_s: float,
+        last_command_s: float,
+        kill_after_s: float = math.inf,
+        max_deadline_s: float = math.inf,
+    ) -> None:
+        """Start in the state `STARTING`.
+
+        Args:
+            change_over_s: Seconds after the begin of a drain or shutdown in which clients still
+                arrive and are served as before.
+            last_command_s: Seconds after the begin of a drain from which on an open connection
+                accepts no new command.
+            kill_after_s: An ending process may be killed this long, plus the longest deadline,
+                after the shutdown began; what is open then is answered before.
+            max_deadline_s: A longer deadline counts as this in that sum.
+        """
+        self.change_over_s = change_over_s
+        self.last_command_s = last_command_s
+        self.kill_after_s = kill_after_s
+        self.max_deadline_s = max_deadline_s
+        self.state = LifecycleState.STARTING
+        self.since = 0.0
+        self.has_successor = False
 
     @property
-    def told(self):
-        """The state as staff are told it."""
-        return "followed" if self.followed and self.state == SERVING else self.state
-
-    def begin(self):
-        """It takes clients from now on, unless it was told something else before."""
-        if self.state == STARTING:
-            self.state = SERVING
+    def reported_state(self) -> str:
+        """The state as management answers give it."""
+        if self.has_successor and self.state is LifecycleState.SERVING:
+            return REPORTED_WITH_SUCCESSOR
+        return self.state
 
     @property
-    def ready(self):
-        """Whether it takes clients and will go on to."""
-        return self.state == SERVING and not self.followed
+    def is_ready(self) -> bool:
+        """Whether the process accepts clients and will go on to."""
+        return self.state is LifecycleState.SERVING and not self.has_successor
 
     @property
-    def welcomes(self):
-        """Whether a client that asks is told to come. One that ends is left by its platform, not by its clients."""
-        return self.state in (STARTING, SERVING, ENDING)
-
-    def drain(self, now):
-        """Empty the gateway. Said again, the first call's times hold; while it ends, it empties all the same."""
-        if self.state in (STARTING, SERVING):
-            self.state, self.since = DRAINING, now
+    def passes_health_check(self) -> bool:
+        """Whether a client's health check (PING) succeeds.
+
+        It does while the process ends: the platform takes such a process out of service, the
+        clients need not.
+        """
+        return self.state in _PASSES_HEALTH_CHECK
+
+    def start(self) -> None:
+        """Serve from now on, unless a drain or a shutdown was requested before."""
+        if self.state is LifecycleState.STARTING:
+            self.state = LifecycleState.SERVING
+
+    def drain(self, now: float) -> bool:
+        """Let all clients go; a repeated call keeps the times of the first one.
+
+        Returns:
+            True always: a process that is ending empties all the same.
+        """
+        if self.state in _IN_SERVICE:
+            self.state = LifecycleState.DRAINING
+            self.since = now
         return True
 
-    def resume(self):
-        """Take clients again; False when it is ending, does not take any yet, or another process does."""
-        if self.state in (DRAINING, DRAINED):
-            self.state = SERVING
-        return self.ready
-
-    def end(self, now):
-        """Let clients go for good; a drain that is on has had its change-over, or goes on with it."""
-        if self.state != ENDING:
-            self.since = now if self.state in (STARTING, SERVING) else self.since
-            self.state = ENDING
-
-    def emptied(self, clients):
-        """So many clients are connected; True when this call finds that a drain is done."""
-        if self.state == DRAINING and not clients:
-            self.state = DRAINED
+    def resume(self) -> bool:
+        """Accept clients again after a drain.
+
+        Returns:
+            Whether the process is ready now: not while it starts or ends or has a successor.
+        """
+        if self.state in _RESUMABLE:
+            self.state = LifecycleState.SERVING
+        return self.is_ready
+
+    def begin_shutdown(self, now: float) -> None:
+        """End for good; a drain in progress keeps the time at which it began."""
+        if self.state is LifecycleState.ENDING:
+            return
+        if self.state in _IN_SERVICE:
+            self.since = now
+        self.state = LifecycleState.ENDING
+
+    def complete_drain(self, client_count: int) -> bool:
+        """Become drained when no client is left.
+
+        Returns:
+            True when this call completed the drain.
+        """
+        if self.state is LifecycleState.DRAINING and not client_count:
+            self.state = LifecycleState.DRAINED
             return True
         return False
 
-    def lets_go(self, now):
-        """Whether a connection that is owed nothing ends."""
-        return self.state not in (STARTING, SERVING) and now - self.since >= self.change_over
-
-    def takes(self, now, came, owed=False):
-        """Whether a connection that came then takes a new command; one that is refused is told so. While we end, a command
-        that had begun is taken, and none behind others that are still owed: it would keep the connection for ever."""
-        if self.state == ENDING:
-            return not (owed and self.lets_go(now))
-        return self.state in (STARTING, SERVING) or now - max(self.since, came) < self.last_command
-
-    def answers_by(self, longest):
-        """When all that is open has its answer at last, given the longest deadline; never, unless we end."""
-        return (
-            self.since + min(longest, self.kill_longest) + self.kill_after
-            if self.state == ENDING
-            else math.inf
-        )
+    def closes_idle_connections(self, now: float) -> bool:
+        """Whether a connection with no reply pending is closed."""
+        return self.state not in _IN_SERVICE and now - self.since >= self.change_over_s
+
+    def accepts_command(
+        self, now: float, connected_at: float, has_pending_replies: bool = False
+    ) -> bool:
+        """Whether a connection accepts a new command; one that is refused gets an answer.
+
+        An ending process accepts a command that had begun to arrive, but none behind replies that
+        are still pending: such a connection would never end.
+        """
+        if self.state is LifecycleState.ENDING:
+            return not (has_pending_replies and self.closes_idle_connections(now))
+        if self.state in _IN_SERVICE:
+            return True
+        return now - max(self.since, connected_at) < self.last_command_s
+
+    def final_answer_time(self, longest_deadline: float) -> float:
+        """The Unix time by which all that is open is answered.
+
+        Args:
+            longest_deadline: Seconds, the longest deadline of any method.
+
+        Returns:
+            Infinity unless the process is ending.
+        """
+        if self.state is not LifecycleState.ENDING:
+            return math.inf
+        return self.since + min(longest_deadline, self.max_deadline_s) + self.kill_after_s
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -1,83 +1,137 @@
-"""Where staff call: HTTP/1.1, one call a connection, answered however busy the gateway is.
+"""The management listener: HTTP/1.1, one request per connection, answered however busy we are.
 
-What a call means is in `calls`, what it does in `states`; here are sockets alone. Callers that never finish are bounded
-in number (the oldest half-way one makes room) and in time. Other parts may have a desk here: a path whose calls have a
-body, and are answered by a call of theirs.
+Service: it owns the sockets. What a request means is in `management_requests`, what it does in
+`lifecycle`. Connections are bounded in number (the oldest incomplete request makes way) and in
+time. Other parts register handlers: paths whose requests have a body.
 """
 
 import select
+import socket
+from collections.abc import Callable, Iterator, Mapping
 
+from petrellane.net.limits import Limits
+from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Closed, Stream, accepted, listening
-from petrellane.operation import management_calls
+from petrellane.operation import management_requests
+from petrellane.operation.lifecycle import Lifecycle
+from petrellane.operation.management_requests import RequestError, Response
 
+Headers = Mapping[bytes, bytes]
+Handler = Callable[[Headers, bytes], tuple[int, bytes, Mapping[str, str]]]
+"""Answers the header fields and body of a request with the parts of a `Response`."""
 
-class Management:
-    """Listens for callers; `changed` is told after each call that was carried out, `make_way` of a caller for whom no
-    descriptor was left, and tells whether it has freed one."""
+_HEAD_END = b"\r\n\r\n"
 
-    def __init__(self, scheduler, limits, service, changed, make_way):
-        self.scheduler, self.limits, self.service = scheduler, limits, service
-        self.changed, self.make_way = changed, make_way
-        self.callers, self.answered, self.listener = {}, {}, None
-        self.attending = False
-        self.handlers = {}  # path -> what answers (fields, body) with a status, a body and fields
 
-    def listen(self, address):
-        """Listen at an address; raises OSError where that can't be."""
+class ManagementServer:
+    """Accepts management requests; the process owns it from its start to its end.
+
+    Attributes:
+        limits: Sizes and times; replaced when the configuration changes.
+        handlers: Path of a POST request to the handler that answers it.
+        callers: Connections whose request is incomplete, oldest first.
+        answered: Connections that got their answer and are not closed yet, oldest first.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        limits: Limits,
+        lifecycle: Lifecycle,
+        on_state_changed: Callable[[], None],
+        free_descriptor: Callable[[OSError], bool | None],
+    ) -> None:
+        """Wire the parts; nothing listens yet.
+
+        Args:
+            scheduler: Runs a greenlet per request.
+            limits: Sizes and times.
+            lifecycle: What requests report and change.
+            on_state_changed: Called after each request that changed the state.
+            free_descriptor: Called when no descriptor is left for a connection; returns whether it
+                has freed one.
+        """
+        self.limits = limits
+        self.handlers: dict[bytes, Handler] = {}
+        self.callers: dict[Stream, None] = {}
+        self.answered: dict[Stream, None] = {}
+        self.listener: socket.socket | None = None
+        self._scheduler = scheduler
+        self._lifecycle = lifecycle
+        self._on_state_changed = on_state_changed
+        self._free_descriptor = free_descriptor
+        self._is_accepting = False
+
+    def listen(self, address: tuple[str, int]) -> None:
+        """Listen at an address.
+
+        Raises:
+            OSError: The address can't be had.
+        """
         self.listener = listening(address, self.limits.backlog)
-        self.attend()
-
-    def attend(self):
-        if self.listener and not self.attending:
-            self.attending = True
-            self.scheduler.register(self.listener.fileno(), select.POLLIN, self.accept, urgent=True)
-
-    def rest(self):
-        if self.attending:
-            self.attending = False
-            self.scheduler.unregister(self.listener.fileno())
-
-    def short(self, trouble):
-        """No descriptor is left. Where none can be freed, accept again soon: the listener would be ready at every poll."""
-        if not self.make_way(trouble):
-            self.rest()
-            self.scheduler.after(self.limits.out_of_descriptors, self.attend)
-
-    def end(self):
-        """Listen no longer."""
+        self.resume_accepting()
+
+    def resume_accepting(self) -> None:
+        """Accept connections, where we listen."""
+        if self.listener and not self._is_accepting:
+            self._is_accepting = True
+            self._scheduler.register(
+                self.listener.fileno(), select.POLLIN, self._accept, urgent=True
+            )
+
+    def pause_accepting(self) -> None:
+        """Leave new connections in the listener's backlog."""
+        if self.listener and self._is_accepting:
+            self._is_accepting = False
+            self._scheduler.unregister(self.listener.fileno())
+
+    def close(self) -> None:
+        """Stop listening."""
         if self.listener:
-            self.rest()
+            self.pause_accepting()
             self.listener.close()
             self.listener = None
 
-    def accept(self, events=0):
-        for sock in accepted(self.listener, self.limits.accepts, self.short):
-            for streams in (
-                self.answered,
-                self.callers,
-            ):  # whoever has its answer makes room before one that is half way
-                if streams and len(self.callers) + len(self.answered) >= self.limits.callers:
-                    first = next(iter(streams))
-                    del streams[first]
-                    first.close()
-            stream = Stream(self.scheduler, self.limits, sock, urgent=True)
+    def _on_descriptor_shortage(self, error: OSError) -> None:
+        """Accept again soon where no descriptor can be freed: every poll would report us ready."""
+        if not self._free_descriptor(error):
+            self.pause_accepting()
+            self._scheduler.after(self.limits.out_of_descriptors, self.resume_accepting)
+
+    def _accept(self, _events: int = 0) -> None:
+        for sock in self._accepted():
+            self._make_room()
+            stream = Stream(self._scheduler, self.limits, sock, urgent=True)
             self.callers[stream] = None
-            self.scheduler.spawn(self.serve, stream)
+            self._scheduler.spawn(self._serve, stream)
 
-    def serve(self, stream):
-        """One call: its head, its answer, then the end; what follows a head is passed over."""
-        until = self.scheduler.now() + self.limits.call
+    def _accepted(self) -> Iterator[socket.socket]:
+        sockets: Iterator[socket.socket] = accepted(
+            self.listener, self.limits.accepts, self._on_descriptor_shortage
+        )
+        return sockets
+
+    def _make_room(self) -> None:
+        """Close the oldest connection, one that got its answer before one that did not."""
+        for streams in (self.answered, self.callers):
+            if streams and len(self.callers) + len(self.answered) >= self.limits.callers:
+                oldest = next(iter(streams))
+                del streams[oldest]
+                oldest.close()
+
+    def _serve(self, stream: Stream) -> None:
+        """Answer one request, then end; what follows its head is read and ignored."""
+        deadline = self._scheduler.now() + self.limits.call
         try:
-            stream.write(self.heard(stream, until))
-            self.callers.pop(stream, None)  # it is no longer half way
+            stream.write(self._answer(stream, deadline))
+            self.callers.pop(stream, None)
             self.answered[stream] = None
             stream.finish()
-            until = self.scheduler.now() + (
-                self.limits.call if stream.unsent else self.limits.linger
-            )
-            while (left := until - self.scheduler.now()) > 0:
+            linger = self.limits.call if stream.unsent else self.limits.linger
+            deadline = self._scheduler.now() + linger
+            while (remaining := deadline - self._scheduler.now()) > 0:
                 stream.buffer.clear()
-                stream.fill(left)
+                stream.fill(remaining)
         except (Closed, TimeoutError):
             pass
         finally:
@@ -85,35 +139,44 @@
                 streams.pop(stream, None)
             stream.close()
 
-    def heard(self, stream, until):
-        """Read a call and carry it out; the bytes that answer it."""
+    def _answer(self, stream: Stream, deadline: float) -> bytes:
+        """Read a request and execute it; the bytes that answer it."""
         try:
-            while (end := stream.buffer.find(b"\r\n\r\n")) < 0:
-                if len(stream.buffer) > self.limits.head:
-                    return management_calls.answer(431, self.service.told)
-                stream.fill(max(0.0, until - self.scheduler.now()))
-            head = bytes(stream.buffer[:end])
-            path, status = management_calls.understood(
-                head, management_calls.PATHS | dict.fromkeys(self.handlers, b"POST")
-            )
+            head = self._read_head(stream, deadline)
+            methods = management_requests.METHODS | dict.fromkeys(self.handlers, b"POST")
+            path = management_requests.parse_path(head, methods)
             if path in self.handlers:
-                return self.at_desk(stream, path, management_calls.fields_of(head), end + 4, until)
+                return self._answer_by_handler(stream, path, head, deadline)
+        except RequestError as error:
+            status = error.status
         except TimeoutError:
-            return management_calls.answer(408, self.service.told)
-        if path:
-            before = self.service.state
-            status = management_calls.obeyed(self.service, path, self.scheduler.now())
-            if self.service.state != before:
-                self.changed()
-        return management_calls.answer(status, self.service.told)
-
-    def at_desk(self, stream, path, fields, start, until):
-        """Read a body that begins there, and have it answered."""
-        length, status = management_calls.length_of(fields, self.limits.body)
-        if status:
-            return management_calls.answer(status, self.service.told)
+            status = 408
+        else:
+            status = self._execute(path)
+        return management_requests.encode_state(status, self._lifecycle.reported_state)
+
+    def _read_head(self, stream: Stream, deadline: float) -> bytes:
+        """Read up to the empty line, which stays in the buffer with all before it."""
+        while (end := stream.buffer.find(_HEAD_END)) < 0:
+            if len(stream.buffer) > self.limits.head:
+                raise RequestError(431)
+            stream.fill(max(0.0, deadline - self._scheduler.now()))
+        return bytes(stream.buffer[:end])
+
+    def _answer_by_handler(
+        self, stream: Stream, path: bytes, head: bytes, deadline: float
+    ) -> bytes:
+        headers = management_requests.parse_headers(head)
+        length = management_requests.parse_body_length(headers, self.limits.body)
+        start = len(head) + len(_HEAD_END)
         while len(stream.buffer) < start + length:
-            stream.fill(max(0.0, until - self.scheduler.now()))
-        return management_calls.whole(
-            *self.handlers[path](fields, bytes(stream.buffer[start : start + length]))
-        )
+            stream.fill(max(0.0, deadline - self._scheduler.now()))
+        body = bytes(stream.buffer[start : start + length])
+        return management_requests.encode_response(Response(*self.handlers[path](headers, body)))
+
+    def _execute(self, path: bytes) -> int:
+        state_before = self._lifecycle.state
+        status = management_requests.execute(self._lifecycle, path, self._scheduler.now())
+        if self._lifecycle.state != state_before:
+            self._on_state_changed()
+        return status
--- a/petrellane/simulation/discovery.py
+++ b/petrellane/simulation/discovery.py
@@ -4,11 +4,16 @@
 from collections import Counter, deque
 
 from petrellane.decisions import types as api
-from petrellane.operation.backoff import FAILED, SILENT, TURNED_AWAY, Backoff
+from petrellane.operation.backoff import Backoff, PollFailure, PollTimes
 from petrellane.simulation.event_queue import chance
 
-TIMES = dict(
-    most=5.0, at_first=5.0, hold=3.8, grace=1.0, silent=2.0, first=0.1
+TIMES = PollTimes(
+    max_interval=5.0,
+    first_interval=5.0,
+    max_hold=3.8,
+    grace=1.0,
+    poll_timeout=2.0,
+    initial_pause=0.1,
 )  # as petrellane/net/limits.py has them
 
 
@@ -123,14 +128,14 @@
         self.discovery, self.node, self.life, self.version = discovery, node, node.life, version
         self.heap, self.number, self.watching = discovery.fleet.heap, 0, False
         self.backoff = Backoff(
-            chance(discovery.fleet.world.seed, "calls", node.name, node.life).random, **TIMES
+            chance(discovery.fleet.world.seed, "calls", node.name, node.life).random, TIMES
         )
 
     def begin(self):
         self.number += 1
-        self.backoff.begin(self.heap.now, self.version is not None)
+        self.backoff.start_poll(self.heap.now, self.version is not None)
         self.watching = True
-        self.after(self.backoff.hold(self.heap.now), self.none)
+        self.after(self.backoff.remaining_hold(self.heap.now), self.none)
 
     def after(self, seconds, call, *words):
         """Later, unless this call is over by then."""
@@ -146,13 +151,13 @@
         self.begin()
         self.watching = False
         if discovery.trouble["refused"]:
-            self.fails(FAILED)
+            self.fails(PollFailure.FAILED)
         elif discovery.trouble["silent"]:
             self.number += 1
-            self.after(self.backoff.until - self.heap.now, self.fails, SILENT)
+            self.after(self.backoff.deadline - self.heap.now, self.fails, PollFailure.TIMED_OUT)
         elif discovery.turns_away():
             discovery.refused[second] += 1
-            self.fails(TURNED_AWAY)
+            self.fails(PollFailure.REJECTED)
         else:
             self.watching = True
             self.look()
@@ -180,19 +185,19 @@
 
     def over(self, news):
         self.number, self.watching = self.number + 1, False
-        self.backoff.told(news)
+        self.backoff.on_success(news)
         self.after(
             2 * self.discovery.fleet.world.latency, self.call
         )  # the answer, and the call behind it
 
     def fails(self, outcome):
         self.number, self.watching = self.number + 1, False
-        self.after(self.backoff.pause(outcome, self.heap.now), self.call)
+        self.after(self.backoff.pause_after(outcome, self.heap.now), self.call)
 
     def breaks(self, kind):
         """Its watch gets no answer any more: it ends at once, or nothing is heard of it."""
         if self.watching and kind == "silent":
             self.number, self.watching = self.number + 1, False
-            self.after(self.backoff.until - self.heap.now, self.fails, SILENT)
+            self.after(self.backoff.deadline - self.heap.now, self.fails, PollFailure.TIMED_OUT)
         elif self.watching:
-            self.fails(FAILED)
+            self.fails(PollFailure.FAILED)
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -15,7 +15,7 @@
     Taken,
     Told,
 )
-from petrellane.operation import hot_restart
+from petrellane.operation import hot_restart, hot_restart_messages
 from petrellane.simulation.event_queue import chance
 from petrellane.simulation.hosts import PendingAttempt
 
@@ -94,28 +94,29 @@
 
     def given(self):
         """Give up all leases, and say what they were, as the process that follows would read it."""
-        return orjson.loads(orjson.dumps(hot_restart.given(self.gateway, self.clock())))
+        messages = hot_restart.export_leases(self.gateway, self.clock())
+        return orjson.loads(orjson.dumps([hot_restart_messages.encode(one) for one in messages]))
 
     def resumed(self):
         """The one that followed is gone: go on with what is left."""
-        hot_restart.resumed(self.gateway, self.clock())
+        hot_restart.resume(self.gateway, self.clock())
 
     def taken_over(self, old, messages):
         """Go on with what another process gave up; what it still has out counts until it tells that it ended."""
-        self.taker, plans = hot_restart.Taker(), self.fleet.plans
+        self.taker, plans = hot_restart.HandoffReceiver(), self.fleet.plans
         for message in messages:
-            self.taker.told(message)
+            self.taker.on_message(hot_restart_messages.decode(message))
         old.heir = self
 
         def customer(name, plan, first, spread):
             return self.customers.setdefault(name, api.Customer(name, plans[plan], first, spread))
 
-        hot_restart.taken(self.gateway, self.clock(), self.taker.rows, customer)
+        hot_restart.import_leases(self.gateway, self.clock(), self.taker.lease_rows, customer)
 
     def settled(self, name):
         """An RPC that the process before had has ended there."""
-        if self.alive and self.taker and self.taker.ended(name):
-            hot_restart.settled(self.gateway, self.clock(), self.customers[name], 1)
+        if self.alive and self.taker and self.taker.on_request_ended(name):
+            hot_restart.release_in_flight(self.gateway, self.clock(), self.customers[name], 1)
 
     def pause(self):
         if self.alive and not self.paused:
--- a/petrellane/testbed/capacity.py
+++ b/petrellane/testbed/capacity.py
@@ -20,7 +20,7 @@
 from petrellane.config_consensus.coordinator import LOOK
 from petrellane.decisions.controller import AHEAD, EXCHANGE, HEADROOM, IN_USE, KNOWN, MEMORY, WINDOW
 from petrellane.net.limits import Limits
-from petrellane.operation.backoff import SPACED
+from petrellane.operation.backoff import SPREAD_DRAW_MINIMUM
 
 DAY, HOUR, MS, MB, GB = 86_400.0, 3600.0, 1e3, 1e6, 1e9
 MIB = 2**20 / MB  # the run tells of memory in 2^20 bytes
@@ -221,8 +221,8 @@
 
 
 def calls_at_rest(book):
-    """Watches of one gateway a second where there is no news: each hold is drawn from SPACED of its longest time up."""
-    return Figure(2 / ((1 + SPACED) * Limits.watch_hold), ("backoff.py",))
+    """Watches of one gateway a second where there is no news: each hold is drawn from SPREAD_DRAW_MINIMUM of its longest time up."""
+    return Figure(2 / ((1 + SPREAD_DRAW_MINIMUM) * Limits.watch_hold), ("backoff.py",))
 
 
 def change_bytes(book):
--- a/petrellane/testbed/hollow.py
+++ b/petrellane/testbed/hollow.py
@@ -98,9 +98,7 @@
         """As there."""
         limits, path = self.limits, endpoint_watch.PATH
         if self.index is not None:
-            path += (
-                f"?from={self.index}&hold_ms={int(self.backoff.hold(self.scheduler.now()) * 1e3)}"
-            )
+            path += f"?from={self.index}&hold_ms={int(self.backoff.remaining_hold(self.scheduler.now()) * 1e3)}"
         stream.write(http.get(path, "%s:%d" % self.address))
         while not (found := http.head(stream.buffer, limits)):
             http.more(stream, until)
@@ -335,11 +333,11 @@
     def unreachable(self):
         """Connections to the management listeners of some come up, and nobody takes them."""
         for node in self.cut:
-            node.management.rest()
+            node.management.pause_accepting()
 
     def reachable(self):
         for node in self.cut:
-            node.management.attend()
+            node.management.resume_accepting()
 
     def figures(self):
         """Sums since the start, for the meter's line."""
--- a/tests/model/cases.py
+++ b/tests/model/cases.py
@@ -29,6 +29,7 @@
     Up,
 )
 from petrellane.net.limits import Limits
+from petrellane.operation.backoff import PollTimes
 from petrellane.simulation.discovery import TIMES
 from petrellane.simulation.fleet import Fleet
 from petrellane.simulation.property_search import cut_down, hunt
@@ -101,14 +102,14 @@
         """Sixty gateways, at the calls that discovery serves a little less than one a second for each."""
         self.assertEqual(
             TIMES,
-            {
-                "most": Limits.watch_next,
-                "at_first": Limits.watch_next,
-                "hold": Limits.watch_hold,
-                "grace": Limits.watch_grace,
-                "silent": Limits.watch_timeout,
-                "first": Limits.backoff_first,
-            },
+            PollTimes(
+                max_interval=Limits.watch_next,
+                first_interval=Limits.watch_next,
+                max_hold=Limits.watch_hold,
+                grace=Limits.watch_grace,
+                poll_timeout=Limits.watch_timeout,
+                initial_pause=Limits.backoff_first,
+            ),
         )
         for trouble in ("refused", "silent", "turned away"):
             with self.subTest(trouble):
--- a/tests/operation/cases.py
+++ b/tests/operation/cases.py
@@ -15,9 +15,9 @@
 from petrellane.decisions.controller import AdmissionController
 from petrellane.gateway.response_relay import Account
 from petrellane.net.limits import Limits
-from petrellane.operation import hot_restart, management_calls
-from petrellane.operation.backoff import FAILED, SILENT, TURNED_AWAY, Backoff
-from petrellane.operation.lifecycle import DRAINED, ENDING, SERVING, Service
+from petrellane.operation import hot_restart, hot_restart_messages, management_requests
+from petrellane.operation.backoff import Backoff, PollFailure, PollTimes
+from petrellane.operation.lifecycle import Lifecycle, LifecycleState
 from tests.sockets import TOLD
 
 SETTINGS = dict(
@@ -37,16 +37,16 @@
     def test_each_call_in_each_state(self):
         """What each call answers, and the state that follows."""
         for before, call, answer, after in (
-            (SERVING, "drain", True, "draining"),
-            (SERVING, "resume", True, SERVING),
+            (LifecycleState.SERVING, "drain", True, "draining"),
+            (LifecycleState.SERVING, "resume", True, LifecycleState.SERVING),
             ("draining", "drain", True, "draining"),
-            ("draining", "resume", True, SERVING),
-            (DRAINED, "drain", True, DRAINED),
-            (DRAINED, "resume", True, SERVING),
-            (ENDING, "drain", True, ENDING),
-            (ENDING, "resume", False, ENDING),
+            ("draining", "resume", True, LifecycleState.SERVING),
+            (LifecycleState.DRAINED, "drain", True, LifecycleState.DRAINED),
+            (LifecycleState.DRAINED, "resume", True, LifecycleState.SERVING),
+            (LifecycleState.ENDING, "drain", True, LifecycleState.ENDING),
+            (LifecycleState.ENDING, "resume", False, LifecycleState.ENDING),
         ):
-            service = Service(0.5, 1.8)
+            service = Lifecycle(0.5, 1.8)
             service.state = before
             said = service.drain(10.0) if call == "drain" else service.resume()
             self.assertEqual((said, service.state), (answer, after), (before, call))
@@ -54,42 +54,46 @@
     @given(some.lists(some.sampled_from(["drain", "resume", "end", "empty"]), max_size=12))
     def test_nothing_leads_back_from_the_end(self, told):
         """Whatever is called, a gateway that ends goes on ending, and one that isn't ready lets clients go in time."""
-        service, now, ending = Service(0.5, 1.8), 100.0, False
-        service.begin()
+        service, now, ending = Lifecycle(0.5, 1.8), 100.0, False
+        service.start()
         for what in told:
             now += 0.1
             {
                 "drain": lambda now=now: service.drain(now),
                 "resume": service.resume,
-                "end": lambda now=now: service.end(now),
-                "empty": lambda: service.emptied(0),
+                "end": lambda now=now: service.begin_shutdown(now),
+                "empty": lambda: service.complete_drain(0),
             }[what]()
             ending = ending or what == "end"
-            self.assertEqual(service.state == ENDING, ending)
-            self.assertEqual(service.ready, service.state == SERVING)
-            self.assertEqual(service.lets_go(now + 0.6), not service.ready)
+            self.assertEqual(service.state == LifecycleState.ENDING, ending)
+            self.assertEqual(service.is_ready, service.state == LifecycleState.SERVING)
+            self.assertEqual(service.closes_idle_connections(now + 0.6), not service.is_ready)
 
     def test_said_again_a_drain_keeps_its_times(self):
-        service = Service(0.5, 1.8)
+        service = Lifecycle(0.5, 1.8)
         service.drain(10.0)
         service.drain(11.0)
-        self.assertTrue(service.lets_go(10.5))
-        self.assertFalse(service.takes(11.9, came=3.0))
+        self.assertTrue(service.closes_idle_connections(10.5))
+        self.assertFalse(service.accepts_command(11.9, connected_at=3.0))
         self.assertTrue(
-            service.takes(11.9, came=11.0)
+            service.accepts_command(11.9, connected_at=11.0)
         )  # it came late and asks in vain, but is heard
 
     def test_ending_takes_nothing_behind_what_is_owed(self):
-        service = Service(0.5, 1.8, 0.5, 3.0)
-        service.begin()
-        self.assertEqual(service.answers_by(1.0), math.inf)
-        service.end(10.0)
-        self.assertTrue(service.takes(10.4, 3.0, owed=True))  # as before, through the change-over
-        self.assertTrue(service.takes(12.0, 3.0, owed=False))  # a command that had begun
-        self.assertFalse(service.takes(10.6, 3.0, owed=True))
-        self.assertEqual(service.answers_by(1.0), 11.5)
+        service = Lifecycle(0.5, 1.8, 0.5, 3.0)
+        service.start()
+        self.assertEqual(service.final_answer_time(1.0), math.inf)
+        service.begin_shutdown(10.0)
+        self.assertTrue(
+            service.accepts_command(10.4, 3.0, has_pending_replies=True)
+        )  # as before, through the change-over
+        self.assertTrue(
+            service.accepts_command(12.0, 3.0, has_pending_replies=False)
+        )  # a command that had begun
+        self.assertFalse(service.accepts_command(10.6, 3.0, has_pending_replies=True))
+        self.assertEqual(service.final_answer_time(1.0), 11.5)
         self.assertEqual(
-            service.answers_by(9.0), 13.5
+            service.final_answer_time(9.0), 13.5
         )  # a kill waits no longer than for three seconds
 
 
@@ -107,16 +111,24 @@
             (b"GET /-/ready HTTP/1.1\r\nno colon", 400),
             (b"*1\r\n$4\r\nPING", 400),
         ):
-            path, found = management_calls.understood(head)
+            path, found = self.verdict(head)
             self.assertEqual((bool(path), found), (not status, status), head)
 
     @given(some.binary(max_size=200))
     def test_any_bytes_have_a_verdict(self, head):
-        path, status = management_calls.understood(head)
+        path, status = self.verdict(head)
         self.assertTrue(
-            path in management_calls.PATHS if path else status in management_calls.REASONS
+            path in management_requests.METHODS if path else status in management_requests.REASONS
         )
 
+    @staticmethod
+    def verdict(head):
+        """The path of a request and 0, or None and the status that refuses it."""
+        try:
+            return management_requests.parse_path(head), 0
+        except management_requests.RequestError as error:
+            return None, error.status
+
 
 class Succession(unittest.TestCase):
     @given(
@@ -131,30 +143,39 @@
     def test_a_connection_has_one_reader(self, told, cut):
         """Offers, words on their way both ways, and times that run out, in any order: nobody reads what another does,
         and when the link is cut nothing has two holders."""
-        giver, taker, to_new, to_old = hot_restart.Giver(), hot_restart.Taker(), [], []
+        giver, taker, to_new, to_old = (
+            hot_restart.HandoffSender(),
+            hot_restart.HandoffReceiver(),
+            [],
+            [],
+        )
         here, there = set(), set()
         things = iter(range(100))
         for what, which in told:
             if what == "offer":
                 thing = next(things)
-                to_new.append(({"client": giver.offer(thing)}, thing))
+                to_new.append(
+                    (hot_restart_messages.ConnectionOffer(giver.offer(thing), False), thing)
+                )
             elif what == "back" and giver.offered:
                 number = sorted(giver.offered)[which % len(giver.offered)]
                 here.add(giver.offered[number])
                 giver.withdraw(number)
             elif what == "to_new" and to_new:
                 message, thing = to_new.pop(0)
-                answer, ours, dropped = taker.told(message, None if thing is None else (thing,))
+                answer, ours, dropped = taker.on_message(
+                    message, None if thing is None else (thing,)
+                )
                 there |= set(ours or ())
                 self.assertFalse(set(dropped or ()) & there)
                 to_old += [answer] if answer else []
             elif what == "to_old" and to_old:
-                _, answer = giver.got(to_old.pop(0)["got"])
+                _, answer = giver.on_received(to_old.pop(0).number)
                 to_new.append((answer, None))
             self.assertFalse(here & there)
         if cut:
             here |= set(giver.offered.values())
-            dropped = {thing for (thing,) in taker.broken()}
+            dropped = {thing for (thing,) in taker.on_sender_lost()}
             self.assertFalse(here & there or dropped & there)
 
     def lease(self, plan, rpcs=()):
@@ -172,14 +193,15 @@
         waits = api.Rpc(api.Method("m", 1.0, 2.0), api.Customer("c", plan), 3.0, 112.0, 110.0)
         old, lease = self.lease(plan, [waits])
         before, lease.held, lease.out = lease.fill_ceiling(110.0), 4.0, 2
-        rows = [
-            row for message in hot_restart.given(old, 110.0) for row in message.get("leases", ())
+        messages = [
+            hot_restart_messages.encode(one) for one in hot_restart.export_leases(old, 110.0)
         ]
+        rows = [row for message in messages for row in message.get("leases", ())]
         rows = orjson.loads(orjson.dumps(rows))
         new = AdmissionController(**SETTINGS, seed=2)
         new.start(110.0)
         customers = {"c": api.Customer("c", plan)}
-        number = hot_restart.taken(
+        number = hot_restart.import_leases(
             new, 110.0, rows + [{"customer": "c"}, {}], lambda name, *_: customers[name]
         )
         follows = new.leases.of(customers["c"], 110.0)
@@ -188,20 +210,23 @@
         self.assertAlmostEqual(lease.ceiling + follows.fill_ceiling(110.0), before)
         self.assertEqual(lease.fill_ceiling(150.0), 3.0)
         self.assertAlmostEqual(follows.fill_ceiling(111.0), min(before - 3.0 + 2.0, 8.0))
-        hot_restart.settled(new, 110.0, customers["c"], 5)
+        hot_restart.release_in_flight(new, 110.0, customers["c"], 5)
         self.assertEqual(follows.out, 0)
-        hot_restart.resumed(old, 150.0)  # the new one is gone: what it had is nobody's
+        hot_restart.resume(old, 150.0)  # the new one is gone: what it had is nobody's
         self.assertAlmostEqual(lease.fill_ceiling(151.0), 5.0)
 
     def test_a_plan_without_a_quota(self):
         """Its credit has no end, which no message can say: it goes over as nothing, and is never looked at."""
         gateway, lease = self.lease(api.Plan("open"))
         lease.held = lease.got = float("inf")
-        messages = orjson.loads(orjson.dumps(hot_restart.given(gateway, 110.0)))
+        messages = [
+            hot_restart_messages.encode(one) for one in hot_restart.export_leases(gateway, 110.0)
+        ]
+        messages = orjson.loads(orjson.dumps(messages))
         new = AdmissionController(**SETTINGS, seed=2)
         new.start(110.0)
         customer = api.Customer("c", api.Plan("open"))
-        hot_restart.taken(new, 110.0, messages[0]["leases"], lambda *_: customer)
+        hot_restart.import_leases(new, 110.0, messages[0]["leases"], lambda *_: customer)
         self.assertEqual(new.leases.of(customer, 110.0).held, 0.0)
         for _ in range(2):
             new.admit(110.0, api.Rpc(api.Method("m", 1.0, 2.0), customer, 3.0, 112.0, 110.0))
@@ -209,14 +234,43 @@
     def test_an_old_process_that_gives_nothing(self):
         """Its shares may still fill: a customer's ceiling fills in one process at a time."""
         gateway, _ = self.lease(api.Plan("q"))
-        hot_restart.beside(gateway, 110.0)
+        hot_restart.predecessor_still_running(gateway, 110.0)
         plan = api.Plan("p", rate=5.0, burst=10.0, hard_limit_rate=2.0, hard_limit_burst=8.0)
         lease = gateway.leases.of(api.Customer("d", plan), 111.0)
         self.assertEqual([lease.fill_ceiling(at) for at in (112.0, 119.9, 121.0)], [0.0, 0.0, 2.0])
 
     def test_another_version_is_refused(self):
-        self.assertIsNone(hot_restart.answers_to(hot_restart.asks()))
-        self.assertEqual(hot_restart.answers_to({"ask": 0}), {"refused": hot_restart.VERSION})
+        version = hot_restart_messages.PROTOCOL_VERSION
+        request = hot_restart_messages.TransferRequest(version)
+        self.assertIsNone(hot_restart.answer_transfer_request(request))
+        refusal = hot_restart.answer_transfer_request(hot_restart_messages.TransferRequest(0))
+        self.assertEqual(hot_restart_messages.encode(refusal), {"refused": version})
+
+    def test_messages_keep_their_wire_form(self):
+        """Processes of two versions talk to each other: keys and their order stay."""
+        messages = hot_restart_messages
+        for message, text in (
+            (messages.TransferRequest(1), b'{"ask":1}'),
+            (messages.TransferRefusal(1), b'{"refused":1}'),
+            (messages.ConsensusState({"a": 1}), b'{"generation":{"a":1}}'),
+            (messages.LeaseBatch([{"customer": "c"}]), b'{"leases":[{"customer":"c"}]}'),
+            (messages.LeasesComplete(3), b'{"given":3}'),
+            (messages.ConnectionOffer(7, True), b'{"client":7,"asked":true}'),
+            (messages.ConnectionOffer(7, False), b'{"client":7,"asked":false}'),
+            (messages.ConnectionReceived(7), b'{"got":7}'),
+            (messages.ConnectionReleased(7), b'{"yours":7}'),
+            (messages.ConnectionRetained(7), b'{"kept":7}'),
+            (messages.RequestEnded("c"), b'{"ended":"c"}'),
+        ):
+            with self.subTest(text):
+                self.assertEqual(orjson.dumps(messages.encode(message)), text)
+                decoded = messages.decode(orjson.loads(text))
+                self.assertEqual((type(decoded), decoded), (type(message), message))
+        record = messages.LeaseRecord("c", "p", 3, 2, {"out": 1})
+        row = b'{"customer":"c","plan":"p","first":3,"spread":2,"lease":{"out":1}}'
+        self.assertEqual(orjson.dumps(messages.encode_lease(record)), row)
+        self.assertEqual(messages.decode_lease(orjson.loads(row)), record)
+        self.assertIsNone(messages.decode({"another": 1}))
 
 
 class Settings(unittest.TestCase):
@@ -324,18 +378,28 @@
     def backoff(self, draw, at_first=Limits.watch_next):
         return Backoff(
             draw,
-            Limits.watch_next,
-            at_first,
-            Limits.watch_hold,
-            Limits.watch_grace,
-            Limits.watch_timeout,
-            Limits.backoff_first,
+            PollTimes(
+                Limits.watch_next,
+                at_first,
+                Limits.watch_hold,
+                Limits.watch_grace,
+                Limits.watch_timeout,
+                Limits.backoff_first,
+            ),
         )
 
     @given(
         some.lists(
             some.tuples(
-                some.sampled_from([FAILED, SILENT, TURNED_AWAY, "news", "none"]),
+                some.sampled_from(
+                    [
+                        PollFailure.FAILED,
+                        PollFailure.TIMED_OUT,
+                        PollFailure.REJECTED,
+                        "news",
+                        "none",
+                    ]
+                ),
                 some.floats(0, 1),
                 some.booleans(),
             ),
@@ -358,25 +422,26 @@
                 self.assertLessEqual(
                     now - began, (Limits.watch_first if moved else Limits.watch_next) + 1e-9
                 )
-            began, until = now, backoff.begin(now, watches and not moved)
+            began, until = now, backoff.start_poll(now, watches and not moved)
             self.assertLessEqual(until - began, Limits.watch_next)
             dialed = began + share * share * (until - began)
             self.assertLessEqual(
-                dialed + backoff.hold(dialed), max(dialed, until - backoff.grace) + 1e-9
+                dialed + backoff.remaining_hold(dialed),
+                max(dialed, until - backoff.times.grace) + 1e-9,
             )
-            now = until if outcome == SILENT else began + share * (until - began)
-            if outcome in (FAILED, SILENT, TURNED_AWAY):
-                pause = backoff.pause(outcome, now)
+            now = until if outcome == PollFailure.TIMED_OUT else began + share * (until - began)
+            if outcome in (PollFailure.FAILED, PollFailure.TIMED_OUT, PollFailure.REJECTED):
+                pause = backoff.pause_after(outcome, now)
                 self.assertGreater(pause, 0.0)
                 now += pause
             else:
-                backoff.told(outcome == "news")
+                backoff.on_success(outcome == "news")
                 moved = False
 
     def test_times_that_leave_no_room_are_refused(self):
         for most, at_first, hold in ((5.0, 3.0, 4.0), (5.0, 2.0, 3.8)):
             with self.assertRaises(ValueError):
-                Backoff(random.random, most, at_first, hold, 1.0, 2.0, 0.1)
+                Backoff(random.random, PollTimes(most, at_first, hold, 1.0, 2.0, 0.1))
 
     def test_a_crowd_that_is_turned_away_comes_back_spread(self):
         """Two hundred at once, time and again: no second but the first sees many more than its part, and in the long run a
@@ -386,8 +451,8 @@
             backoff, now = self.backoff(random.Random(seed).random), 0.0
             while now < 60:
                 seconds[int(now)] += 1
-                backoff.begin(now, True)
-                now += backoff.pause(TURNED_AWAY, now)
+                backoff.start_poll(now, True)
+                now += backoff.pause_after(PollFailure.REJECTED, now)
         self.assertLess(max(count for second, count in seconds.items() if second), 75)
         self.assertLess(sum(seconds[second] for second in range(10, 60)) / 50, 46)
 
@@ -396,11 +461,11 @@
         seconds = Counter()
         for seed in range(200):
             backoff, now = self.backoff(random.Random(seed).random), 0.0
-            backoff.told(True)
+            backoff.on_success(True)
             while now < 60:
-                backoff.begin(now, True)
-                now += backoff.hold(now)
-                backoff.told(False)
+                backoff.start_poll(now, True)
+                now += backoff.remaining_hold(now)
+                backoff.on_success(False)
                 seconds[int(now)] += 1
         self.assertLess(max(count for second, count in seconds.items()), 95)
         self.assertLess(sum(seconds[second] for second in range(10, 60)) / 50, 60)
--- a/tests/operation/world.py
+++ b/tests/operation/world.py
@@ -13,7 +13,7 @@
 
 from petrellane.net import resp
 from petrellane.net.limits import Limits
-from petrellane.operation.hot_restart_transport import file_name
+from petrellane.operation.hot_restart_transport import socket_name
 from tests.sockets import TOLD, changed
 
 LIMITS = Limits(256, 1.0, 1.0, 1, 1.0)
@@ -161,7 +161,7 @@
 
     def socket(self):
         """Where the next process asks."""
-        return os.path.join(self.folder, file_name(self.told["name"]))
+        return os.path.join(self.folder, socket_name(self.told["name"]))
 
     @staticmethod
     def end(process):
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -26,7 +26,7 @@
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Stream, listening
-from petrellane.operation.hot_restart_transport import Handover
+from petrellane.operation.hot_restart_transport import HotRestartHandlers, HotRestartTransport
 
 PATIENCE = 20.0  # seconds of real time after which what is expected counts as never coming
 TOLD = {
@@ -195,7 +195,7 @@
         ]:
             sock.close()
         if self.node:
-            self.node.management.end()
+            self.node.management.close()
             if self.node.server.listener:
                 self.node.server.listener.close()
         self.log.close()
@@ -412,26 +412,28 @@
     def do_follows(self):
         """The gateway asks for what a process before has, goes on, and offers what it has to one that follows."""
         begun, nothing = [], lambda *words: None
-        self.handover = Handover(
+        self.handover = HotRestartTransport(
             self.node.scheduler,
             self.node.limits,
             self.node.log,
             f"short-{os.getpid()}",
-            lambda: [],
-            nothing,
-            nothing,
-            nothing,
-            nothing,
-            nothing,
+            HotRestartHandlers(
+                export_state=lambda: [],
+                on_successor=nothing,
+                import_leases=nothing,
+                adopt_connection=nothing,
+                release_in_flight=nothing,
+                on_predecessor_still_running=nothing,
+            ),
         )
-        self.handover.ask(lambda: begun.append(True))
+        self.handover.request_transfer(lambda: begun.append(True))
         self.until("the begin", lambda: begun)
 
     def do_followed(self):
         """A process that follows calls while no descriptor is left, and is heard once there is one."""
-        self.handover.offer()
+        self.handover.listen()
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
-            path = self.handover.path()
+            path = self.handover.socket_path()
             self.do_short()
             sock.connect(path)
             self.do_turns_most(40)
@@ -753,7 +755,7 @@
     def fence(self):
         for _ in range(5):
             self.turn()
-        if self.node.ending or not self.node.service.welcomes:  # nobody new stays
+        if self.node.ending or not self.node.service.passes_health_check:  # nobody new stays
             return
         if "fence" not in self.clients:
             self.do_connect("fence")
