--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -18,7 +18,7 @@
 
 import typer
 
-from petrellane.config import Section, settings
+from petrellane.config import Section, parse_settings
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 
@@ -36,9 +36,12 @@
 
 def play(hosts: int, rpcs: int, seed: int) -> float:
     """CPU microseconds per RPC."""
-    told, rng = settings(Section(SETTINGS, "settings")), random.Random(seed)
+    told, rng = parse_settings(Section(SETTINGS, "settings")), random.Random(seed)
     gateway = AdmissionController(
-        seed=seed, uses_counter=told.uses_counter, must_watch=told.must_watch, **told.gateway
+        seed=seed,
+        uses_counter=told.uses_counter,
+        must_watch=told.must_watch,
+        **told.controller_options,
     )
     now, due, order = 1000.0, [], itertools.count()
     customers = [api.Customer(f"c{number}", told.plans["plan"], 0, 4) for number in range(200)]
--- a/benchmarks/messages.py
+++ b/benchmarks/messages.py
@@ -22,7 +22,7 @@
 import orjson
 import typer
 
-from petrellane.config import Section, host_list
+from petrellane.config import Section, parse_endpoint_list
 from petrellane.config_consensus import (
     ballots,
     coordinator,
@@ -387,7 +387,7 @@
         (
             "list_read_ms",
             f"a whole list of {HOSTS:,} hosts read and checked",
-            lambda: host_list(Section(orjson.loads(whole), "list")),
+            lambda: parse_endpoint_list(Section(orjson.loads(whole), "list")),
         ),
     ):
         value, runs = timed(step)
--- a/benchmarks/scale_play.py
+++ b/benchmarks/scale_play.py
@@ -22,7 +22,7 @@
 
 import orjson
 
-from petrellane.config import Section, host_list, read, settings
+from petrellane.config import Section, parse_config, parse_endpoint_list, parse_settings
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 from petrellane.gateway.process import Node
@@ -122,7 +122,7 @@
 
 def changes(index, rows):
     """Changes to a host list, as the driver is told of them."""
-    return host_list(Section({"index": index, "endpoints": rows}, "list"))
+    return parse_endpoint_list(Section({"index": index, "endpoints": rows}, "list"))
 
 
 class Clock:
@@ -272,10 +272,10 @@
         self.before, raw = resident(), orjson.loads(words)
         times = []
         while len(times) < 5 and sum(times) < 300.0:
-            times.append(timed(settings, Section(raw, "settings"))[1])
+            times.append(timed(parse_settings, Section(raw, "settings"))[1])
         self.figures["settings_read_ms"] = statistics.median(times)
         self.node = Node(
-            read(
+            parse_config(
                 {
                     "name": "g0",
                     "seed": "1",
@@ -295,7 +295,7 @@
         gc.freeze()  # as `serve` does
         times = []
         while len(times) < 5 and sum(times) < 100.0:
-            listed, took = timed(lambda: host_list(Section(orjson.loads(rows), "list")))
+            listed, took = timed(lambda: parse_endpoint_list(Section(orjson.loads(rows), "list")))
             times.append(took)
         self.figures["list_parse_ms"] = statistics.median(times)
         self.figures["list_whole_ms"], self.figures["list_turn_ms"] = self.take(
@@ -390,7 +390,7 @@
             for name, host in self.driver.hosts.items()
         ]
         fresh = AdmissionController(
-            seed=1, uses_counter=True, must_watch=False, **self.driver.settings.gateway
+            seed=1, uses_counter=True, must_watch=False, **self.driver.settings.controller_options
         )
         return timed(fresh.on_endpoint_events, self.traffic.now, True, rows)[1]
 
--- a/petrellane/benchlink/instance.py
+++ b/petrellane/benchlink/instance.py
@@ -39,7 +39,7 @@
     """An instance: turns events into calls of its gateway, and what these return into actions."""
 
     def __init__(self, number, seed, settings):
-        told = config.settings(config.Section(json.loads(settings), "settings"))
+        told = config.parse_settings(config.Section(json.loads(settings), "settings"))
         self.number = number
         self.methods, self.plans, self.report_fields = told.methods, told.plans, told.report_fields
         self.hosts, self.rpcs, self.handles = {}, {}, {}
@@ -48,7 +48,10 @@
         self.adds = defaultdict(deque)
         self.wakes, self.nonce = {}, 0
         self.gateway = AdmissionController(
-            seed=seed, uses_counter=told.uses_counter, must_watch=told.must_watch, **told.gateway
+            seed=seed,
+            uses_counter=told.uses_counter,
+            must_watch=told.must_watch,
+            **told.controller_options,
         )
 
     def start(self, now):
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -150,13 +150,12 @@
     file: Annotated[str, typer.Argument(help="A TOML file; docs/agreeing.md names its keys.")],
 ):
     """Run the control process that staff propose settings to, until SIGTERM."""
-    from petrellane.config import ConfigError
-    from petrellane.config import control as read
+    from petrellane.config import ConfigError, load_control_config
     from petrellane.config_consensus.control_service import Control
     from petrellane.config_consensus.journal import JournalError
 
     try:
-        process = Control(read(file))
+        process = Control(load_control_config(file))
     except (ConfigError, JournalError) as error:
         refuse(error)
     except OSError as error:
@@ -167,12 +166,11 @@
 
 def of_control(call, file, *words):
     """Do something with a control process, and end with its exit code."""
-    from petrellane.config import ConfigError
-    from petrellane.config import control as read
+    from petrellane.config import ConfigError, load_control_config
     from petrellane.config_consensus import commands as told
 
     try:
-        raise typer.Exit(getattr(told, call)(told.Control(read(file)), *words))
+        raise typer.Exit(getattr(told, call)(told.Control(load_control_config(file)), *words))
     except ConfigError as error:
         refuse(error)
 
--- /dev/null
+++ b/petrellane/config/__init__.py
@@ -0,0 +1,49 @@
+"""Configuration: the one place where it is read, checked and given defaults.
+
+`section` reads typed values and names the key in its errors; `settings`, `endpoints` and
+`consensus` know the parts; `process` puts them together for one gateway; `reload` decides what may
+change in service. The names below are what other packages use.
+"""
+
+from petrellane.config.consensus import (
+    ConsensusConfig,
+    ControlConfig,
+    Roster,
+    load_control_config,
+)
+from petrellane.config.endpoints import (
+    EndpointEntry,
+    EndpointListUpdate,
+    iter_endpoint_entries,
+    parse_endpoint_entry,
+    parse_endpoint_list,
+)
+from petrellane.config.process import Config, load, load_settings_file, parse_config
+from petrellane.config.reload import check_no_key_removed, reload_settings
+from petrellane.config.section import Address, ConfigError, JsonObject, Section
+from petrellane.config.settings import ControllerOptions, Settings, parse_settings
+
+__all__ = [
+    "Address",
+    "Config",
+    "ConfigError",
+    "ConsensusConfig",
+    "ControlConfig",
+    "ControllerOptions",
+    "EndpointEntry",
+    "EndpointListUpdate",
+    "JsonObject",
+    "Roster",
+    "Section",
+    "Settings",
+    "check_no_key_removed",
+    "iter_endpoint_entries",
+    "load",
+    "load_control_config",
+    "load_settings_file",
+    "parse_config",
+    "parse_endpoint_entry",
+    "parse_endpoint_list",
+    "parse_settings",
+    "reload_settings",
+]
--- /dev/null
+++ b/petrellane/config/consensus.py
@@ -0,0 +1,159 @@
+"""What processes need to agree on settings: the shared key and where each of them listens.
+
+Reads the section `agreement` of a gateway's file, and the TOML file of a control process.
+"""
+
+import os
+from dataclasses import dataclass
+
+from petrellane.config.section import Address, ConfigError, Section, abbreviate, parse_address
+
+Roster = dict[str, list[Address]]
+"""The management addresses of each gateway by its name; several where processes hot restart."""
+
+MIN_KEY_BYTES = 16
+MAX_KEY_BYTES = 4096
+MAX_NAME_LENGTH = 64
+_CONTROL_KEYS = {"name", "listen", "journal", "key_file", "gateways"}
+
+
+@dataclass(frozen=True)
+class ConsensusConfig:
+    """What a gateway needs to take part in agreement on settings.
+
+    Attributes:
+        key: The key that all processes share.
+        state: A folder that outlives the gateway.
+        members: The gateways.
+    """
+
+    key: bytes
+    state: str
+    members: Roster
+
+
+@dataclass(frozen=True)
+class ControlConfig:
+    """The configuration of a control process.
+
+    Attributes:
+        name: Its name.
+        listen: Where operators reach it.
+        journal: The path of its journal.
+        key: The key that all processes share.
+        members: The gateways.
+    """
+
+    name: str
+    listen: Address
+    journal: str
+    key: bytes
+    members: Roster
+
+
+def parse_consensus(
+    section: Section, name: str, management: Address | None
+) -> ConsensusConfig | None:
+    """The section `agreement` of a gateway's file; None where there is none.
+
+    Args:
+        section: The whole file.
+        name: The gateway's name.
+        management: Where its management listens.
+
+    Raises:
+        ConfigError: Something is missing or wrong.
+    """
+    if section.value.get("agreement") is None:
+        return None
+    agreement = section.section("agreement")
+    if not management:
+        raise ConfigError.missing("management", "HOST:PORT, as agreement needs it")
+    members = parse_roster(agreement.section("members"))
+    if name not in members:
+        raise ConfigError("agreement.members", f"{name} among them", abbreviate(sorted(members)))
+    state = agreement.text("state")
+    if not os.path.isdir(state):
+        raise ConfigError("agreement.state", "a folder", abbreviate(state))
+    key = read_key_file(agreement.text("key_file"), "agreement.key_file")
+    return ConsensusConfig(key, state, members)
+
+
+def parse_roster(section: Section) -> Roster:
+    """Gateways by name, each with one address or several; no address twice.
+
+    Raises:
+        ConfigError: Something is missing or wrong.
+    """
+    members: Roster = {}
+    owners: dict[Address, str] = {}
+    for name, value in section.value.items():
+        path = section.path_of(name)
+        members[name] = _parse_addresses(value, path)
+        for address in members[name]:
+            if address in owners:
+                raise ConfigError(path, "an address of its own", f"that of {owners[address]}")
+            owners[address] = name
+    if not members:
+        raise ConfigError(section.path, "at least one gateway", "none")
+    return members
+
+
+def _parse_addresses(value: object, path: str) -> list[Address]:
+    items = value if isinstance(value, list) else [value]
+    texts = [item for item in items if isinstance(item, str)]
+    if not items or len(texts) < len(items):
+        raise ConfigError(path, "HOST:PORT or a list of these", abbreviate(value))
+    return [parse_address(text, path) for text in texts]
+
+
+def read_key_file(path: str, key: str) -> bytes:
+    """The shared key that a file holds, without white space around it.
+
+    Raises:
+        ConfigError: The file, which `key` names, can't be read or holds too little.
+    """
+    try:
+        with open(path, "rb") as file:
+            shared_key = file.read(MAX_KEY_BYTES).strip()
+    except OSError as error:
+        raise ConfigError(key, f"a readable file at {path}", reason=str(error.strerror)) from None
+    if len(shared_key) < MIN_KEY_BYTES:
+        raise ConfigError(key, f"at least {MIN_KEY_BYTES} bytes in {path}", str(len(shared_key)))
+    return shared_key
+
+
+def load_control_config(path: str) -> ControlConfig:
+    """The configuration of a control process from a TOML file.
+
+    Paths in the file start at its folder.
+
+    Raises:
+        ConfigError: Something is missing or wrong.
+    """
+    section = _read_toml(path)
+    folder = os.path.dirname(os.path.abspath(path))
+    name = section.text("name")
+    if not 0 < len(name) <= MAX_NAME_LENGTH:
+        raise ConfigError("name", f"1 to {MAX_NAME_LENGTH} characters", abbreviate(name))
+    if unknown_keys := sorted(section.value.keys() - _CONTROL_KEYS):
+        raise ConfigError(unknown_keys[0], "no such key")
+    return ControlConfig(
+        name=name,
+        listen=section.address("listen"),
+        journal=os.path.join(folder, section.text("journal")),
+        key=read_key_file(os.path.join(folder, section.text("key_file")), "key_file"),
+        members=parse_roster(section.section("gateways")),
+    )
+
+
+def _read_toml(path: str) -> Section:
+    import tomllib  # it takes 4 ms, which the start of a gateway does without
+
+    try:
+        with open(path, "rb") as file:
+            return Section(tomllib.load(file))
+    except OSError as error:
+        raise ConfigError(path, "a readable file", reason=str(error.strerror)) from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise ConfigError(path, "TOML", reason=str(error)) from None
--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -11,7 +11,7 @@
 
 import greenlet
 
-from petrellane.config import settings_file
+from petrellane.config import load_settings_file
 from petrellane.config_consensus import message_authentication, rpc_client, safe_settings
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
@@ -137,7 +137,13 @@
 
 def propose(control, path, without, wait, less, as_json):
     return change(
-        control, wait, as_json, "propose", settings=settings_file(path), without=without, less=less
+        control,
+        wait,
+        as_json,
+        "propose",
+        settings=load_settings_file(path),
+        without=without,
+        less=less,
     )
 
 
@@ -203,7 +209,7 @@
                 return code
             found.append(told["content"])
         else:
-            found.append(settings_file(which))
+            found.append(load_settings_file(which))
     lines = safe_settings.compared(*found)
     say({"lines": lines}, as_json, "\n".join(lines) or "they say the same")
     return DONE
--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -10,7 +10,7 @@
 
 import greenlet
 
-from petrellane.config import ConfigError, Section, lacks, settings
+from petrellane.config import ConfigError, Section, check_no_key_removed, parse_settings
 from petrellane.config_consensus import coordinator as rules
 from petrellane.config_consensus import message_authentication, rpc_client, safe_settings
 from petrellane.config_consensus.coordinator import LEADING, SEEKING, Leader, NotNow
@@ -259,11 +259,11 @@
         if not isinstance(without, list) or not all(isinstance(name, str) for name in without):
             return 400, {"refused": "form", "why": "without: expected a list of names"}
         try:
-            settings(Section(content, "settings"))
+            parse_settings(Section(content, "settings"))
             if self.leader.in_force and self.leader.in_force.number and not message.get("less"):
-                lacks(self.leader.in_force.content, content, "settings")
+                check_no_key_removed(self.leader.in_force.content, content, "settings")
             if self.leader.in_force:
-                settings(
+                parse_settings(
                     Section(safe_settings.meet(self.leader.in_force.content, content), "settings")
                 )
         except (ConfigError, ValueError, TypeError, AttributeError, KeyError) as error:
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -2,6 +2,7 @@
 
 import math
 from collections import Counter
+from dataclasses import replace
 
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
@@ -25,7 +26,7 @@
             seed=config.seed,
             uses_counter=self.settings.uses_counter,
             must_watch=self.settings.must_watch,
-            **self.settings.gateway,
+            **self.settings.controller_options,
         )
         self.customers, self.hosts, self.exchanges = Customers(), {}, {}
         self.ready, self.taking = (
@@ -33,7 +34,9 @@
             False,
         )  # hosts that are; whether a host list is being taken over
         self.ids = {}  # id -> exchange, while it is open
-        self.to = Counter() if config.by_host else None  # call-outs by host since the last figures
+        self.to = (
+            Counter() if config.figures_by_endpoint else None
+        )  # call-outs by host since the last figures
         self.tally = (
             Counter()
         )  # what came, went out and was answered since the last figures, by kind
@@ -58,12 +61,12 @@
 
     def start(self, known):
         self.carry_out(self.gateway.start(self.now()))
-        self.listed(known._replace(full=True))  # nobody waits yet
+        self.listed(replace(known, full=True))  # nobody waits yet
 
     def renewed(self, settings, limits):
         """Other settings from now on; what is open keeps the method that it came under."""
         self.settings, self.limits = settings, limits
-        self.gateway.reconfigure(**settings.gateway)
+        self.gateway.reconfigure(**settings.controller_options)
 
     def listed(self, told, others=None):
         """A host list, changes to it, or None when asking failed. It is taken over a share of its rows in a turn, with
@@ -152,7 +155,7 @@
             exchange.text("k")
         if exchange.id in self.ids:
             raise BadField("id: its RPC is open")
-        units, gateways = exchange.units(self.settings.most_units), self.settings.gateways
+        units, gateways = exchange.units(self.settings.max_units), self.settings.gateway_count
         first, spread = (
             exchange.whole("first", 0, 0, gateways - 1),
             exchange.whole("spread", 1, 1, gateways),
@@ -244,7 +247,7 @@
             over=over,
             took=max(1e-6, now - attempt.sent_at),
             usage=int(report.pop("used", -1)) + 1,
-            units=cost if cost <= self.settings.most_units else 0.0,
+            units=cost if cost <= self.settings.max_units else 0.0,
             report=report,
         )
 
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from petrellane.config import ConfigError, HostList, Section, host_entries
+from petrellane.config import ConfigError, EndpointListUpdate, Section, iter_endpoint_entries
 from petrellane.net import http
 from petrellane.net.resp import Malformed
 from petrellane.net.stream import Closed, Stream
@@ -99,8 +99,8 @@
 
     def checked(self, told):
         """A host list, checked a share of its rows in a turn. Raises ConfigError, and Closed where we end meanwhile."""
-        found = HostList(told.whole("index"), told.flag("snapshot"), [])
-        for entry in host_entries(told):
+        found = EndpointListUpdate(told.integer("index"), told.flag("snapshot"), [])
+        for entry in iter_endpoint_entries(told):
             found.entries.append(entry)
             if not len(found.entries) % self.limits.list_rows:
                 self.others()
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from functools import partial
 
-from petrellane.config import ConfigError, load, settled
+from petrellane.config import ConfigError, load
 from petrellane.gateway.action_executor import Driver
 from petrellane.gateway.client_listener import Server
 from petrellane.gateway.counter_client import Counter
@@ -74,7 +74,7 @@
             )
         self.discovery = self.watch(config.known.index if config.known.entries else None)
         self.agent = None
-        if config.agreement:  # imported where it is asked for: a gateway alone starts without it
+        if config.consensus:  # imported where it is asked for: a gateway alone starts without it
             from petrellane.config_consensus.message_authentication import PATH
             from petrellane.config_consensus.participant_service import Agent
 
@@ -82,7 +82,7 @@
                 self.scheduler,
                 self.limits,
                 self.log,
-                config.agreement,
+                config.consensus,
                 config.name,
                 config.raw["settings"],
                 self.takes,
@@ -302,7 +302,9 @@
         """The configuration with settings that are agreed on, and what of them is our own. Raises ConfigError."""
         from petrellane.config_consensus import safe_settings
 
-        return settled(self.config, {**safe_settings.own(self.config.raw["settings"]), **content})
+        return self.config.with_settings(
+            {**safe_settings.own(self.config.raw["settings"]), **content}
+        )
 
     def takes(self, content):
         """Why agreed settings will not do here, in one line; None where they do."""
--- a/petrellane/testbed/hollow.py
+++ b/petrellane/testbed/hollow.py
@@ -19,7 +19,7 @@
 
 import orjson
 
-from petrellane.config import Section, host_list, read
+from petrellane.config import Section, parse_config, parse_endpoint_list
 from petrellane.decisions import types as api
 from petrellane.gateway import endpoint_watch
 from petrellane.gateway.client_request import Exchange
@@ -107,7 +107,7 @@
             raise endpoint_watch.TurnedAway(f"status {status}")
         del stream.buffer[:end]
         body = bytes(http.body(stream, fields, limits, until))
-        told = self.whole.get(body) or host_list(Section(orjson.loads(body), "list"))
+        told = self.whole.get(body) or parse_endpoint_list(Section(orjson.loads(body), "list"))
         if told.full and body not in self.whole:
             self.whole.clear()
             self.whole[body] = told
@@ -158,10 +158,10 @@
     def seen(self, told):
         """What of a list its module knows: the hosts of its share, by their numbers."""
         if not self.crowd.module:
-            return told._replace(entries=[])
+            return replace(told, entries=[])
         first, hosts, entries = self.number * SEEN, self.crowd.hosts, self.crowd.numbered(told)
         wanted = [(first + at) % hosts for at in range(min(SEEN, hosts))]
-        return told._replace(entries=[entries[number] for number in wanted if number in entries])
+        return replace(told, entries=[entries[number] for number in wanted if number in entries])
 
     def listed(self, told):
         if told is None:
@@ -256,18 +256,18 @@
         self.random, self.nodes, self.answers = random.Random(told["seed"]), [], 0
         self.arrivals, self.counting, self.last = {}, False, (None, {})
         with open(told["file"], "rb") as file:
-            base = read(orjson.loads(file.read()))
+            base = parse_config(orjson.loads(file.read()))
         self.limits = Limits.of(base)
         for number in told["numbers"]:
             name = f"g{number}"
             config = replace(base, name=name, seed=told["seed"] * 10_000 + number, management=None)
-            if base.agreement:
+            if base.consensus:
                 state = os.path.join(told["folder"], name)
                 os.makedirs(state, exist_ok=True)
                 config = replace(
                     config,
-                    management=base.agreement.members[name][0],
-                    agreement=replace(base.agreement, state=state),
+                    management=base.consensus.members[name][0],
+                    consensus=replace(base.consensus, state=state),
                 )
             self.nodes.append(Hollow(self, config, number, told["fresh"]))
         self.cut = [node for node in self.nodes if node.number < told["cut"]]
--- a/tests/lab/scale.py
+++ b/tests/lab/scale.py
@@ -13,7 +13,7 @@
 import msgspec
 import orjson
 
-from petrellane.config import read
+from petrellane.config import parse_config
 from petrellane.gateway.client_request import Exchange
 from petrellane.gateway.process import Node
 from petrellane.net import resp
@@ -268,7 +268,7 @@
         return crowd.nodes[0]
 
     def real(self, told):
-        node = Node(read(told), self.log, scheduler=self.scheduler)
+        node = Node(parse_config(told), self.log, scheduler=self.scheduler)
         self.addCleanup(lambda: node.server.listener.close())
         return node
 
--- a/tests/operation/cases.py
+++ b/tests/operation/cases.py
@@ -304,12 +304,16 @@
         self.assertEqual(gateway.leases.of(customer, 101.0).fill_ceiling(101.0), 1.0)
 
     def test_what_is_known_of_a_method_outlives_its_change_and_not_its_end(self):
-        before = config.settings(config.Section(TOLD["settings"], "settings"))
+        before = config.parse_settings(config.Section(TOLD["settings"], "settings"))
         told = copy.deepcopy(TOLD["settings"])
         told["classes"][0]["effect"] = "side_effect"
         del told["classes"][1]
-        now = config.renewed(before, config.settings(config.Section(told, "settings")))
-        gateway = AdmissionController(seed=1, uses_counter=True, must_watch=False, **before.gateway)
+        now = config.reload_settings(
+            before, config.parse_settings(config.Section(told, "settings"))
+        )
+        gateway = AdmissionController(
+            seed=1, uses_counter=True, must_watch=False, **before.controller_options
+        )
         host, customer = api.Endpoint("h"), api.Customer("c", before.plans["basic"])
         gateway.start(0.0)
         gateway.on_endpoint_events(
@@ -321,7 +325,7 @@
             )
             gateway.fleet.sent(attempt, 1.0)
             gateway.on_attempt_ended(1.1, attempt, api.OK, over=True, took=0.07)
-        gateway.reconfigure(**now.gateway)
+        gateway.reconfigure(**now.controller_options)
         look = now.methods["look"]
         self.assertIsNot(look, before.methods["look"])
         self.assertIs(now.methods["post"], before.methods["post"])
@@ -330,7 +334,7 @@
         self.assertNotIn(before.methods["lodge"].identity, gateway.fleet.tooks)
 
     def test_a_file_that_lacks_what_the_one_in_force_has(self):
-        before = config.read(copy.deepcopy(TOLD))
+        before = config.parse_config(copy.deepcopy(TOLD))
         for path in (
             ["name"],
             ["settings", "limits"],
@@ -343,10 +347,10 @@
                 place = place[step]
             del place[path[-1]]
             with self.assertRaisesRegex(config.ConfigError, "^" + ".".join(path) + ": missing"):
-                config.read(told, None, before)
+                config.parse_config(told, None, before)
         told = copy.deepcopy(TOLD)
         del told["known"]  # the last host list is no setting
-        config.read(told, None, before)
+        config.parse_config(told, None, before)
 
 
 class Waiting(unittest.TestCase):
--- a/tests/operation/lists.py
+++ b/tests/operation/lists.py
@@ -5,6 +5,7 @@
 from unittest import mock
 
 from petrellane import config
+from petrellane.config import endpoints
 from petrellane.decisions import types as api
 from tests.sockets import Net
 
@@ -61,7 +62,8 @@
 
     def test_settings_are_read_in_step_with_their_rows(self):
         few, many = (
-            self.cost(lambda rows=rows: config.settings(rows)) for rows in (told(40), told(400))
+            self.cost(lambda rows=rows: config.parse_settings(rows))
+            for rows in (told(40), told(400))
         )
         self.assertGreater(few, 0)
         self.assertLessEqual(many, 12 * few)
@@ -70,9 +72,14 @@
         """Also where the first method says another thing; all else keeps its object, and that one its root."""
         costs = []
         for number in (40, 400):
-            before, now = config.settings(told(number)), config.settings(told(number, worth=2.0))
-            costs.append(self.cost(lambda before=before, now=now: config.renewed(before, now)))
-            after = config.renewed(before, now)
+            before, now = (
+                config.parse_settings(told(number)),
+                config.parse_settings(told(number, worth=2.0)),
+            )
+            costs.append(
+                self.cost(lambda before=before, now=now: config.reload_settings(before, now))
+            )
+            after = config.reload_settings(before, now)
             other = [name for name, row in after.methods.items() if row is not before.methods[name]]
             self.assertEqual((other, after.methods["m0"].priority_weight), (["m0"], 2.0))
             self.assertIs(after.methods["m0"].identity, before.methods["m0"].identity)
@@ -105,7 +112,7 @@
             rows = told(400)
             rows.value["classes"][-1] |= wrong
             with self.assertRaises(config.ConfigError) as raised:
-                config.settings(rows)
+                config.parse_settings(rows)
             self.assertTrue(str(raised.exception).startswith(text), str(raised.exception)[:99])
 
 
@@ -137,10 +144,12 @@
         net.do_world("a", "b")
         net.do_connect("c")
         self.told, self.checked = [], []  # (turn, rows) and the turns of checked rows
-        self.tell, check = net.node.driver.gateway.on_endpoint_events, config.host_entry
+        self.tell, check = net.node.driver.gateway.on_endpoint_events, config.parse_endpoint_entry
         net.node.driver.gateway.on_endpoint_events = self.listed
         patch = mock.patch.object(
-            config, "host_entry", lambda row: self.checked.append(net.turned) or check(row)
+            endpoints,
+            "parse_endpoint_entry",
+            lambda row: self.checked.append(net.turned) or check(row),
         )
         patch.start()
         self.addCleanup(patch.stop)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -271,7 +271,7 @@
 
     def do_refused(self, *words):
         try:
-            config.read(self.told)
+            config.parse_config(self.told)
         except config.ConfigError as error:
             assert " ".join(words) in str(error) and "\n" not in str(error), error
             return
@@ -311,7 +311,7 @@
         ]
         told["seed"] = f"{self.seed:x}"
         self.told = told
-        told = config.read(told)
+        told = config.parse_config(told)
         limits = Limits.of(told)
         self.node = Node(
             told,
@@ -1166,7 +1166,9 @@
             self.watch = None if name == "discovery" else self.watch
             self.told[name] = self.listen(name)
         self.node.reload(
-            lambda before: config.read(self.told, {"PROXY_DISCOVERY": "127.0.0.1:1"}, before)
+            lambda before: config.parse_config(
+                self.told, {"PROXY_DISCOVERY": "127.0.0.1:1"}, before
+            )
         )
 
     def do_breaks_counter(self):
@@ -1222,12 +1224,14 @@
 
     def do_spoils(self, word):
         """A configuration that is wrong, then SIGHUP."""
-        self.node.reload(lambda before: config.read(changed(self.told, [word]), None, before))
+        self.node.reload(
+            lambda before: config.parse_config(changed(self.told, [word]), None, before)
+        )
 
     def do_settings(self, *words):
         """SIGHUP with these keys changed, and the file left so."""
         self.told = changed(self.told, words)
-        self.node.reload(lambda before: config.read(self.told, None, before))
+        self.node.reload(lambda before: config.parse_config(self.told, None, before))
 
     def do_hup(self):
         """A whole process: SIGHUP, also with a file that is wrong, then SIGTERM at once."""
