--- a/petrellane/gateway/client_handoff.py
+++ b/petrellane/gateway/client_handoff.py
@@ -8,7 +8,7 @@
 
 if TYPE_CHECKING:
     from petrellane.gateway.client_connection import ClientConnection
-    from petrellane.operation.hot_restart_transport import Handover
+    from petrellane.operation.hot_restart_transport import HotRestartTransport
 
 
 class ConnectionHandoff:
@@ -60,7 +60,7 @@
         connection.stream.hold(False)
         return False
 
-    def _offer(self, successor: Handover) -> bool:
+    def _offer(self, successor: HotRestartTransport) -> bool:
         """Offer the connection and wait for the answer; return whether it is passed on."""
         connection = self.connection
         listener = connection.listener
@@ -68,7 +68,9 @@
         stream.detach()
         self.is_offered = True
         self.is_passed_on = None
-        successor.pass_on(stream.sock, stream.buffer, connection.has_sent_rpc, self._on_answer)
+        successor.offer_connection(
+            stream.sock, bytes(stream.buffer), connection.has_sent_rpc, self._on_answer
+        )
         while self.is_passed_on is None:
             self._park()
         if self.is_passed_on:
--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from petrellane.config import ConfigError, settled
+from petrellane.config import ConfigError
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -84,8 +84,7 @@
 
         config = self.process.config
         merged = {**safe_settings.local_settings(config.raw["settings"]), **content}
-        result: Config = settled(config, merged)
-        return result
+        return config.with_settings(merged)
 
     def _apply(self, settings: Settings) -> None:
         process = self.process
--- a/petrellane/gateway/endpoint_updates.py
+++ b/petrellane/gateway/endpoint_updates.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from petrellane.config import HostList
+    from petrellane.config import EndpointListUpdate
     from petrellane.gateway.runtime import Address
 
 
@@ -22,7 +22,7 @@
 
 
 def endpoint_updates(
-    endpoint_list: HostList, known: dict[str, Endpoint]
+    endpoint_list: EndpointListUpdate, known: dict[str, Endpoint]
 ) -> Iterator[EndpointUpdate]:
     """Yield an update for each endpoint that a list names or, if complete, leaves out.
 
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -12,11 +12,11 @@
 
 import orjson
 
-from petrellane.config import ConfigError, HostList, Section, host_entries
+from petrellane.config import ConfigError, EndpointListUpdate, Section, iter_endpoint_entries
 from petrellane.net import http
 from petrellane.net.resp import Malformed
 from petrellane.net.stream import Closed, Stream
-from petrellane.operation import backoff
+from petrellane.operation.backoff import Backoff, PollFailure, PollTimes
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -34,7 +34,7 @@
 class EndpointListConsumer(Protocol):
     """Whom the lists are for."""
 
-    def on_endpoint_list(self, endpoint_list: HostList | None) -> None:
+    def on_endpoint_list(self, endpoint_list: EndpointListUpdate | None) -> None:
         """Apply a list, which may wait for other turns; None says that a request failed."""
 
     def is_applying_endpoint_list(self) -> bool:
@@ -72,14 +72,19 @@
         self.address = address
         self.index = index
         self.consumer = consumer
-        self.backoff = backoff.Backoff(
+        first_interval = self.limits.watch_first
+        if index is not None:
+            first_interval = self.limits.watch_next
+        self.backoff = Backoff(
             random,
-            self.limits.watch_next,
-            self.limits.watch_next if index is not None else self.limits.watch_first,
-            self.limits.watch_hold,
-            self.limits.watch_grace,
-            self.limits.watch_timeout,
-            self.limits.backoff_first,
+            PollTimes(
+                max_interval=self.limits.watch_next,
+                first_interval=first_interval,
+                max_hold=self.limits.watch_hold,
+                grace=self.limits.watch_grace,
+                poll_timeout=self.limits.watch_timeout,
+                initial_pause=self.limits.backoff_first,
+            ),
         )
         self.stream: Stream | None = None
         self.is_ended = False
@@ -127,31 +132,31 @@
 
     def _begin_request(self) -> float:
         """Return the time by which a request that begins now has to be answered."""
-        until: float = self.backoff.begin(self.scheduler.now(), self.index is not None)
+        until: float = self.backoff.start_poll(self.scheduler.now(), self.index is not None)
         return until
 
     def _report_failure(self, error: Exception) -> None:
         """Report the first failure in a row."""
-        if not self.backoff.away:
+        if not self.backoff.is_failing:
             self.log.event("discovery_away", error=str(error))
             self.consumer.on_endpoint_list(None)
 
     def _pause_after(self, error: Exception) -> float:
         """Return how long to wait after a failure, in seconds."""
-        outcome = backoff.FAILED
+        outcome = PollFailure.FAILED
         if isinstance(error, TimeoutError):
-            outcome = backoff.SILENT
+            outcome = PollFailure.TIMED_OUT
         elif isinstance(error, DiscoveryRejectedError):
-            outcome = backoff.TURNED_AWAY
-        pause: float = self.backoff.pause(outcome, self.scheduler.now())
+            outcome = PollFailure.REJECTED
+        pause: float = self.backoff.pause_after(outcome, self.scheduler.now())
         return pause
 
-    def _request(self, stream: Stream, until: float) -> tuple[HostList, bool]:
+    def _request(self, stream: Stream, until: float) -> tuple[EndpointListUpdate, bool]:
         """Ask once; return the list or its changes, and whether the connection goes on."""
         limits = self.limits
         path = PATH
         if self.index is not None:  # an index of 0 is one too
-            hold_ms = int(self.backoff.hold(self.scheduler.now()) * 1e3)
+            hold_ms = int(self.backoff.remaining_hold(self.scheduler.now()) * 1e3)
             path += f"?from={self.index}&hold_ms={hold_ms}"
         stream.write(http.get(path, f"{self.address[0]}:{self.address[1]}"))
         while not (found := http.head(stream.buffer, limits)):
@@ -163,7 +168,7 @@
         endpoint_list = self.decode(http.body(stream, fields, limits, until))
         return endpoint_list, http.lasts(fields)
 
-    def decode(self, body: bytes) -> HostList:
+    def decode(self, body: bytes) -> EndpointListUpdate:
         """Return the list of an answer's body, checked a chunk of its rows in a turn.
 
         Raises:
@@ -172,8 +177,8 @@
             Closed: The watch has ended meanwhile.
         """
         section = Section(orjson.loads(body), "list")
-        endpoint_list = HostList(section.whole("index"), section.flag("snapshot"), [])
-        for entry in host_entries(section):
+        endpoint_list = EndpointListUpdate(section.integer("index"), section.flag("snapshot"), [])
+        for entry in iter_endpoint_entries(section):
             endpoint_list.entries.append(entry)
             if not len(endpoint_list.entries) % self.limits.list_rows:
                 self._yield_turn()
@@ -185,16 +190,16 @@
         if self.is_ended:
             raise Closed("ended here")
 
-    def _apply(self, endpoint_list: HostList, is_lasting: bool) -> bool:
+    def _apply(self, endpoint_list: EndpointListUpdate, is_lasting: bool) -> bool:
         """Pass on what a request brought; return whether the connection goes on."""
         index = endpoint_list.index
         if self.index is not None and index < self.index and not endpoint_list.full:
             self.log.event("discovery_restarted", before=self.index, index=index)
             self.index = None  # its numbers began anew: what they count from is not what we have
             return is_lasting
-        if self.backoff.away:
+        if self.backoff.is_failing:
             self.log.event("discovery_back", index=index)
-        self.backoff.told(bool(endpoint_list.entries))
+        self.backoff.on_success(bool(endpoint_list.entries))
         while self.consumer.is_applying_endpoint_list():
             self._yield_turn()
         self.consumer.on_endpoint_list(endpoint_list)
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -28,14 +28,15 @@
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
 from petrellane.operation import hot_restart
-from petrellane.operation.hot_restart_transport import Handover
-from petrellane.operation.lifecycle import Service
-from petrellane.operation.management_api import Management
+from petrellane.operation.hot_restart_messages import Message
+from petrellane.operation.hot_restart_transport import HotRestartHandlers, HotRestartTransport
+from petrellane.operation.lifecycle import Lifecycle
+from petrellane.operation.management_api import ManagementServer
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from petrellane.config import Config, HostList
+    from petrellane.config import Config, EndpointListUpdate
     from petrellane.config_consensus.participant_service import Agent
 
 STANDARD_OUTPUT = 1
@@ -69,7 +70,7 @@
         self.runtime = Runtime(self.scheduler, self.limits, self.log)
         self.configuration = ConfigurationChanges(self)
         self.executor = ActionExecutor(config, self.runtime)
-        self.service = Service(
+        self.service = Lifecycle(
             self.limits.change_over,
             self.limits.last_command,
             self.limits.kill_after,
@@ -79,11 +80,11 @@
         self._make_client_side(buffer_budget)
         self._make_endpoint_side(buffer_budget)
         self.agent: Agent | None = None
-        if config.agreement:
+        if config.consensus:
             self._make_agent()
         self.is_ending = False
         self.is_taking_over = False
-        self.handover: Handover | None = None
+        self.handover: HotRestartTransport | None = None
         if config.listen_fd is not None:
             self._make_handover()
         self.signals: SignalWatch | None = None
@@ -92,7 +93,7 @@
         self.client_listener = ClientListener(
             self.runtime, self.service, self.executor, self._make_room, buffer_budget
         )
-        self.management = Management(
+        self.management = ManagementServer(
             self.scheduler,
             self.limits,
             self.service,
@@ -123,7 +124,7 @@
             self.scheduler,
             self.limits,
             self.log,
-            self.config.agreement,
+            self.config.consensus,
             self.config.name,
             self.config.raw["settings"],
             self.configuration.check_agreed,
@@ -134,17 +135,19 @@
         self.management.handlers[PATH] = self.agent.desk
 
     def _make_handover(self) -> None:
-        self.handover = Handover(
+        self.handover = HotRestartTransport(
             self.scheduler,
             self.limits,
             self.log,
             self.config.name,
-            self._export_state,
-            self._set_successor,
-            self.executor.import_leases,
-            self.client_listener.adopt,
-            self.executor.on_predecessor_requests_ended,
-            self._on_predecessor_still_running,
+            HotRestartHandlers(
+                export_state=self._export_state,
+                on_successor=self._set_successor,
+                import_leases=self.executor.import_leases,
+                adopt_connection=self.client_listener.adopt,
+                release_in_flight=self.executor.on_predecessor_requests_ended,
+                on_predecessor_still_running=self._on_predecessor_still_running,
+            ),
         )
         self.executor.handover = self.handover
 
@@ -181,7 +184,7 @@
 
     # The endpoint list.
 
-    def on_endpoint_list(self, endpoint_list: HostList | None) -> None:
+    def on_endpoint_list(self, endpoint_list: EndpointListUpdate | None) -> None:
         """Apply a list from discovery, or note that a request for it failed (None)."""
         self.executor.on_endpoint_list(endpoint_list, self._yield_turn)
         if endpoint_list:
@@ -241,7 +244,7 @@
 
     def _serve_clients(self) -> None:
         self.client_listener.start_accepting()
-        self.service.begin()
+        self.service.start()
         host, port = self.config.listen
         self.log.event("started", listen=f"{host}:{port}", hosts=len(self.executor.endpoints))
 
@@ -285,9 +288,9 @@
         """Take over from the predecessor, if any: once, when it is known where endpoints are."""
         if self.handover and not self.is_taking_over:
             self.is_taking_over = True
-            self.handover.ask(self.begin_serving)
+            self.handover.request_transfer(self.begin_serving)
 
-    def _export_state(self) -> list[dict[str, object]]:
+    def _export_state(self) -> list[Message]:
         """Give up what the successor is to have, and return what it was."""
         for pool in self.endpoint_pools.pools.values():
             pool.retire(math.inf)
@@ -295,21 +298,18 @@
         if self.agent:
             self.agent.leave()
             generation = self.agent.state.to_dict()
-        messages: list[dict[str, object]] = hot_restart.given(
-            self.executor.controller, self.scheduler.now(), generation
-        )
-        return messages
+        return hot_restart.export_leases(self.executor.controller, self.scheduler.now(), generation)
 
     def _on_predecessor_still_running(self) -> None:
         """Note that the predecessor gave nothing, and may go on."""
-        hot_restart.beside(self.executor.controller, self.scheduler.now())
+        hot_restart.predecessor_still_running(self.executor.controller, self.scheduler.now())
 
-    def _set_successor(self, successor: Handover | None) -> None:
+    def _set_successor(self, successor: HotRestartTransport | None) -> None:
         """Give way to a successor, or go on when it is gone (None)."""
-        self.service.followed = bool(successor)
+        self.service.has_successor = bool(successor)
         self.client_listener.set_successor(successor)
         if not successor:
-            hot_restart.resumed(self.executor.controller, self.scheduler.now())
+            hot_restart.resume(self.executor.controller, self.scheduler.now())
             if self.agent:
                 self.agent.back()
 
@@ -336,10 +336,10 @@
         if self.is_ending:
             return
         self.is_ending = True
-        self.service.end(self.scheduler.now())
+        self.service.begin_shutdown(self.scheduler.now())
         self._log_open("ending")
         deadlines = [method.deadline for method in self.config.settings.methods.values()]
-        final_deadline = self.service.answers_by(max(deadlines, default=0.0))
+        final_deadline = self.service.final_answer_time(max(deadlines, default=0.0))
         time_left = max(0.0, final_deadline - self.scheduler.now())
         self.scheduler.after(time_left, self.executor.expire_open_requests)
         self.executor.final_deadline = final_deadline
@@ -354,10 +354,10 @@
 
     def _stop(self) -> None:
         """Stop the scheduler, as nothing is owed to anybody any more."""
-        if self.handover and self.handover.busy():
+        if self.handover and self.handover.has_unsent:
             self.scheduler.after(self.limits.let_go, self._stop)
             return
-        self.management.end()
+        self.management.close()
         if self.agent:
             self.agent.end()
         if self.handover:
--- a/tests/integration/gateway/scenario.py
+++ b/tests/integration/gateway/scenario.py
@@ -27,7 +27,7 @@
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Stream, listening
-from petrellane.operation.hot_restart_transport import Handover
+from petrellane.operation.hot_restart_transport import HotRestartHandlers, HotRestartTransport
 
 PATIENCE = 20.0  # seconds of real time after which what is expected counts as never coming
 TOLD = {
@@ -196,7 +196,7 @@
         ]:
             sock.close()
         if self.node:
-            self.node.management.end()
+            self.node.management.close()
             if self.node.client_listener.listener:
                 self.node.client_listener.listener.close()
         self.log.close()
@@ -272,7 +272,7 @@
 
     def do_refused(self, *words):
         try:
-            config.read(self.told)
+            config.parse_config(self.told)
         except config.ConfigError as error:
             assert " ".join(words) in str(error) and "\n" not in str(error), error
             return
@@ -312,7 +312,7 @@
         ]
         told["seed"] = f"{self.seed:x}"
         self.told = told
-        told = config.read(told)
+        told = config.parse_config(told)
         limits = Limits.of(told)
         self.node = GatewayProcess(
             told,
@@ -416,26 +416,28 @@
     def do_follows(self):
         """The gateway asks for what a process before has, goes on, and offers what it has to one that follows."""
         begun, nothing = [], lambda *words: None
-        self.handover = Handover(
+        self.handover = HotRestartTransport(
             self.node.scheduler,
             self.node.limits,
             self.node.log,
             f"short-{os.getpid()}",
-            lambda: [],
-            nothing,
-            nothing,
-            nothing,
-            nothing,
-            nothing,
+            HotRestartHandlers(
+                export_state=lambda: [],
+                on_successor=nothing,
+                import_leases=nothing,
+                adopt_connection=nothing,
+                release_in_flight=nothing,
+                on_predecessor_still_running=nothing,
+            ),
         )
-        self.handover.ask(lambda: begun.append(True))
+        self.handover.request_transfer(lambda: begun.append(True))
         self.until("the begin", lambda: begun)
 
     def do_followed(self):
         """A process that follows calls while no descriptor is left, and is heard once there is one."""
-        self.handover.offer()
+        self.handover.listen()
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
-            path = self.handover.path()
+            path = self.handover.socket_path()
             self.do_short()
             sock.connect(path)
             self.do_turns_most(40)
@@ -765,7 +767,7 @@
     def fence(self):
         for _ in range(5):
             self.turn()
-        if self.node.is_ending or not self.node.service.welcomes:  # nobody new stays
+        if self.node.is_ending or not self.node.service.passes_health_check:  # nobody new stays
             return
         if "fence" not in self.clients:
             self.do_connect("fence")
@@ -1177,7 +1179,9 @@
             self.watch = None if name == "discovery" else self.watch
             self.told[name] = self.listen(name)
         self.node.reload(
-            lambda before: config.read(self.told, {"PROXY_DISCOVERY": "127.0.0.1:1"}, before)
+            lambda before: config.parse_config(
+                self.told, {"PROXY_DISCOVERY": "127.0.0.1:1"}, before
+            )
         )
 
     def do_breaks_counter(self):
@@ -1233,12 +1237,14 @@
 
     def do_spoils(self, word):
         """A configuration that is wrong, then SIGHUP."""
-        self.node.reload(lambda before: config.read(changed(self.told, [word]), None, before))
+        self.node.reload(
+            lambda before: config.parse_config(changed(self.told, [word]), None, before)
+        )
 
     def do_settings(self, *words):
         """SIGHUP with these keys changed, and the file left so."""
         self.told = changed(self.told, words)
-        self.node.reload(lambda before: config.read(self.told, None, before))
+        self.node.reload(lambda before: config.parse_config(self.told, None, before))
 
     def do_hup(self):
         """A whole process: SIGHUP, also with a file that is wrong, then SIGTERM at once."""
