--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -19,6 +19,7 @@
 import typer
 
 from petrellane.config import Section, settings
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 
@@ -45,12 +46,12 @@
 
     def carry(steps):
         for step in steps:
-            if isinstance(step, api.SendAttempt):
+            if isinstance(step, actions.SendAttempt):
                 took = rng.uniform(0.01, 0.1)
                 heapq.heappush(due, (now + took, next(order), "again", step, took))
-            elif isinstance(step, api.CounterAdd):
+            elif isinstance(step, actions.CounterAdd):
                 heapq.heappush(due, (now + 0.001, next(order), "counted", step, 0.0))
-            elif isinstance(step, api.SetTimer):
+            elif isinstance(step, actions.SetTimer):
                 heapq.heappush(due, (now + step.delay, next(order), "woken", step.subject, 0.0))
 
     carry(gateway.start(now))
--- a/benchmarks/scale_play.py
+++ b/benchmarks/scale_play.py
@@ -23,6 +23,7 @@
 import orjson
 
 from petrellane.config import Section, host_list, read, settings
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 from petrellane.gateway.process import Node
@@ -200,15 +201,15 @@
     def carry(self, gateway, steps):
         for step in steps:
             kind = type(step)
-            if kind is api.SendAttempt:
+            if kind is actions.SendAttempt:
                 self.units += step.rpc.units * (step.number == 0)
                 self.later(self.random.uniform(*ANSWER), "answer", gateway, step)
-            elif kind is api.CounterAdd:
+            elif kind is actions.CounterAdd:
                 self.costs.adds += 1
                 self.later(COUNTER, "counted", gateway, step)
-            elif kind is api.SetTimer:
+            elif kind is actions.SetTimer:
                 self.later(step.delay, "woken", gateway, step.subject)
-            elif kind is api.Reject:
+            elif kind is actions.Reject:
                 self.costs.pushed += 1
 
     def settled(self, steps, cost):
@@ -216,7 +217,7 @@
         decided = [
             step.rpc
             for step in steps
-            if isinstance(step, api.SendAttempt | api.Reject) and step.rpc in self.owed
+            if isinstance(step, actions.SendAttempt | actions.Reject) and step.rpc in self.owed
         ]
         for rpc in decided:
             self.costs.decisions.append(self.owed.pop(rpc) + cost / len(decided))
--- a/petrellane/benchlink/instance.py
+++ b/petrellane/benchlink/instance.py
@@ -6,6 +6,7 @@
 from weakref import WeakValueDictionary
 
 from petrellane import config
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 
@@ -172,7 +173,7 @@
         lines = []
         for step in steps:
             lines.append(SAYERS[type(step)](self, step))
-            if isinstance(step, (api.Reject, api.Abort)):
+            if isinstance(step, (actions.Reject, actions.Abort)):
                 self.closing.append(step.rpc)
         return lines
 
@@ -217,12 +218,12 @@
     "COUNTER_REPLY": Door.counted,
 }
 SAYERS = {
-    api.SendAttempt: Door.say_send_attempt,
-    api.Reject: Door.say_push_back,
-    api.Abort: Door.say_abort,
-    api.CancelAttempt: Door.say_cancel,
-    api.CounterAdd: Door.say_add,
-    api.SetTimer: Door.say_wake,
-    api.WriteLog: Door.say_log,
-    api.WatchEndpoints: Door.say_subscribe,
+    actions.SendAttempt: Door.say_send_attempt,
+    actions.Reject: Door.say_push_back,
+    actions.Abort: Door.say_abort,
+    actions.CancelAttempt: Door.say_cancel,
+    actions.CounterAdd: Door.say_add,
+    actions.SetTimer: Door.say_wake,
+    actions.WriteLog: Door.say_log,
+    actions.WatchEndpoints: Door.say_subscribe,
 }
--- /dev/null
+++ b/petrellane/decisions/actions.py
@@ -0,0 +1,117 @@
+"""What the decisions ask their caller to do.
+
+Every call of the controller returns a list of actions, which the caller executes in their order.
+The caller reports what became of them as events; only `WriteLog` has no consequence.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from math import inf
+from typing import TYPE_CHECKING, NamedTuple, TypeAlias
+
+from petrellane.decisions.types import Endpoint, Rpc
+
+if TYPE_CHECKING:
+    from petrellane.decisions.controller import Lease
+
+
+@dataclass(eq=False, slots=True)
+class SendAttempt:
+    """Send an RPC to an endpoint; the value stands for the attempt until its end is reported.
+
+    Attributes:
+        rpc: What is sent.
+        endpoint: Where to.
+        number: Counts the RPC's attempts from 0.
+        sent_at: The time at which it was decided.
+        timeout: Seconds after which the attempt has ended `LATE`.
+        send_by: The time from which it may not be written any more.
+        outcome: How it ended; empty while it is in flight.
+        is_cancelled: Whether it was asked to be cancelled.
+    """
+
+    rpc: Rpc
+    endpoint: Endpoint
+    number: int
+    sent_at: float
+    timeout: float
+    send_by: float = inf
+    outcome: str = ""
+    is_cancelled: bool = False
+
+
+class Reject(NamedTuple):
+    """End an RPC as rejected: it had no effect, and the client may send it again.
+
+    Attributes:
+        rpc: What ends.
+        retry_after: Seconds that the client is asked to wait.
+        reason: Why, for counts and logs alone.
+    """
+
+    rpc: Rpc
+    retry_after: float
+    reason: str = ""
+
+
+class Abort(NamedTuple):
+    """End an RPC as aborted; nothing is promised of its effect."""
+
+    rpc: Rpc
+
+
+class CancelAttempt(NamedTuple):
+    """Stop waiting for an attempt; its outcome is still to be reported."""
+
+    attempt: SendAttempt
+
+
+@dataclass(eq=False, slots=True)
+class CounterAdd:
+    """Add an amount to a named count of the shared counter and report the total.
+
+    Attributes:
+        name: The count.
+        amount: What to add: negative to give back, 0 to read.
+        ttl: Seconds after which the counter may forget the count.
+        lease: Whose lease it tops up; None where it gives something back. This and what follows
+            belong to the decisions.
+        window: The window of the lease in which it was made.
+        debt: The part of the amount that was spent already.
+        is_retry: Whether an add before it was answered in part only.
+        settled: Whether its answer no longer grants what waited for it.
+        pool: The lease whose hard limit it moves; None for a top-up.
+    """
+
+    name: int
+    amount: float
+    ttl: float
+    lease: Lease | None = None
+    window: int | None = 0
+    debt: float = 0.0
+    is_retry: bool = False
+    settled: bool = False
+    pool: Lease | None = None
+
+
+class SetTimer(NamedTuple):
+    """Report that `delay` seconds have passed, with the subject."""
+
+    delay: float
+    subject: object
+
+
+class WriteLog(NamedTuple):
+    """Write one line for the operators."""
+
+    text: str
+
+
+class WatchEndpoints(NamedTuple):
+    """Ask for the endpoint list and its changes."""
+
+
+Action: TypeAlias = (
+    SendAttempt | Reject | Abort | CancelAttempt | CounterAdd | SetTimer | WriteLog | WatchEndpoints
+)
--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -8,6 +8,16 @@
 import random
 from collections import deque
 
+from petrellane.decisions.actions import (
+    Abort,
+    CancelAttempt,
+    CounterAdd,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+    WriteLog,
+)
 from petrellane.decisions.endpoint_index import AGAIN, NEW, EndpointList, Highest
 from petrellane.decisions.types import (
     CANCELLED,
@@ -20,15 +30,7 @@
     OK,
     READY,
     UNREACHABLE,
-    Abort,
-    CancelAttempt,
-    CounterAdd,
-    Reject,
     Rpc,
-    SendAttempt,
-    SetTimer,
-    WatchEndpoints,
-    WriteLog,
 )
 
 WINDOW = 1.0  # a lease window, as a multiple of the time in which the plan's store fills
--- a/petrellane/decisions/types.py
+++ b/petrellane/decisions/types.py
@@ -1,20 +1,89 @@
-"""The plain types that petrellane.decisions.controller takes and returns. Times are seconds, with fractions."""
+"""The values that the decisions are told about: methods, plans, customers, endpoints and RPCs.
+
+The services that report events make these values and share them with the decisions; what the
+decisions ask for in return is in `petrellane.decisions.actions`. Times are seconds with fractions,
+on whatever clock the caller hands in. The values of the enumerations are stable: they go into
+logs, records and the adapters of the wire formats.
+"""
+
+from __future__ import annotations
 
 from dataclasses import dataclass, field
-from math import inf
-from typing import NamedTuple
+from enum import StrEnum
+from typing import TYPE_CHECKING, NamedTuple
+
+if TYPE_CHECKING:
+    from petrellane.decisions.actions import SendAttempt
+
+
+class Effect(StrEnum):
+    """What running a method twice does."""
+
+    IDEMPOTENT = "idempotent"
+    DEDUPLICATED = "deduplicated"  # endpoints that share the idempotency key run it once
+    NON_IDEMPOTENT = "non-idempotent"
+
+
+class Outcome(StrEnum):
+    """How an attempt, or an add to the counter, ended."""
+
+    OK = "ok"
+    ERROR = "error"
+    LATE = "late"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+    FULL = "full"
+    UNREACHABLE = "unreachable"
+    NEVER_SENT = "never-sent"
+
+
+class EndpointState(StrEnum):
+    """Whether an endpoint takes attempts."""
 
-IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT = "idempotent", "deduplicated", "non-idempotent"
-OK, ERROR, LATE, RESET, CANCELLED = "ok", "error", "late", "reset", "cancelled"
-FULL, UNREACHABLE, NEVER_SENT = "full", "unreachable", "never-sent"
-LONG_AGO = float("-inf")
-READY, DRAINING, GONE = "ready", "draining", "gone"
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+# Members under names of the module: a class attribute of an enumeration costs more on the hot path.
+IDEMPOTENT = Effect.IDEMPOTENT
+DEDUPLICATED = Effect.DEDUPLICATED
+NON_IDEMPOTENT = Effect.NON_IDEMPOTENT
+
+OK = Outcome.OK
+ERROR = Outcome.ERROR
+LATE = Outcome.LATE
+RESET = Outcome.RESET
+CANCELLED = Outcome.CANCELLED
+FULL = Outcome.FULL
+UNREACHABLE = Outcome.UNREACHABLE
+NEVER_SENT = Outcome.NEVER_SENT
+
+READY = EndpointState.READY
+DRAINING = EndpointState.DRAINING
+GONE = EndpointState.GONE
+
+LONG_AGO = float("-inf")  # seconds: earlier than any time of the clock
 
 
 @dataclass(eq=False, slots=True)
 class Method:
-    """What the settings say of one method. `max_attempts` is the most that one RPC may have; methods that stand for the
-    same one, before and after new settings, share an `identity`."""
+    """What the settings say of one method; lives as long as the settings.
+
+    Attributes:
+        name: Its name on the wire.
+        latency_objective: Seconds within which an answer is worth `priority_weight`.
+        deadline: Seconds after which the client gives up.
+        effect: What running it twice does.
+        key_scope: Which endpoints share an idempotency key: "all", "zone", or any other word for
+            the pod. Means something for `DEDUPLICATED` alone.
+        key_window: Seconds for which an endpoint remembers an idempotency key.
+        priority_weight: Worth of an answer in time.
+        late_priority_weight: Worth of an answer after the latency objective; 0 for none.
+        is_streaming: Whether the response is relayed as it comes.
+        max_attempts: The maximum of attempts for one RPC.
+        identity: Shared by the values that stand for the same method before and after new settings.
+    """
 
     name: str
     latency_objective: float
@@ -28,13 +97,26 @@
     max_attempts: int = 4
     identity: object = None
 
-    def __post_init__(self):
+    def __post_init__(self) -> None:
         self.identity = self.identity or object()
 
 
 @dataclass(eq=False, slots=True)
 class Plan:
-    """What the settings say of one plan; a rate of 0 means no such quota."""
+    """What the settings say of one plan; lives as long as the settings.
+
+    Attributes:
+        name: Its name in the settings.
+        rate: Quota in units a second; 0 for no quota.
+        burst: Units that a full quota holds.
+        hard_limit_rate: Hard limit in units a second; 0 for no hard limit.
+        hard_limit_burst: Units that a full hard limit holds.
+        hard_limit_slack: Units of the hard limit that gateways may lend each other.
+        max_in_flight: Maximum of attempts in flight at once; 0 for no maximum.
+        price: What one unit is worth.
+        over_quota_weight: Worth of an RPC beyond the quota.
+        over_quota_cost: Cost of an RPC beyond the quota.
+    """
 
     name: str
     rate: float = 0.0
@@ -50,8 +132,16 @@
 
 @dataclass(eq=False, slots=True, weakref_slot=True)
 class Customer:
-    """One customer: its id, the gateways it comes through (`gateway_count` of them from number `first_gateway`), and since when it is known
-    under this plan where it was under another one before: a share of a ceiling fills from then on."""
+    """One customer, as long as its gateway knows it.
+
+    Attributes:
+        name: Its id on the wire.
+        plan: The plan it is under; the owner replaces it when the settings change.
+        first_gateway: The number of the first gateway that it comes through.
+        gateway_count: How many gateways it comes through, from that one on.
+        known_since: Since when it is known under this plan, where it was under another one
+            before: its share of a hard limit fills from then on.
+    """
 
     name: str
     plan: Plan
@@ -62,7 +152,17 @@
 
 @dataclass(eq=False, slots=True)
 class Endpoint:
-    """One host as the list last told of it; `started_at` is 0 when it started long ago."""
+    """One endpoint as the endpoint list last described it.
+
+    Attributes:
+        address: Where it listens; for logs and callers, never looked into here.
+        zone: The zone it runs in.
+        kind: Its kind of machine.
+        pod: The number of its pod.
+        state: Whether it takes attempts.
+        weight: Its capacity, as a multiple of an ordinary endpoint's.
+        started_at: When its process started; 0 for long ago.
+    """
 
     address: str
     zone: str = ""
@@ -74,7 +174,7 @@
 
 
 class EndpointEvent(NamedTuple):
-    """One row of a host list, not yet taken over into its host."""
+    """One row of an endpoint list or of its changes, not yet taken over into its endpoint."""
 
     endpoint: Endpoint
     zone: str
@@ -87,7 +187,19 @@
 
 @dataclass(eq=False, slots=True)
 class Rpc:
-    """One RPC; `deadline` is the clock time at which the client gives up."""
+    """One RPC of a client, until its last attempt has ended.
+
+    Attributes:
+        method: What is called.
+        customer: Who calls.
+        units: Units that it costs of quota and hard limit.
+        deadline: The time at which the client gives up.
+        arrived_at: The time at which it came.
+        is_client_retry: Whether the client says that it sent it before.
+        is_write: Whether it changes something.
+        is_finished: Whether it has its final answer, or nobody to give it to.
+        attempts: Its attempts so far, oldest first.
+    """
 
     method: Method
     customer: Customer
@@ -97,70 +209,4 @@
     is_client_retry: bool = False
     is_write: bool = False
     is_finished: bool = False
-    attempts: list = field(default_factory=list)
-
-
-@dataclass(eq=False, slots=True)
-class SendAttempt:
-    """Send the RPC to the host, `send_by` some time or not at all; `number` counts the RPC's call-outs from 0."""
-
-    rpc: Rpc
-    endpoint: Endpoint
-    number: int
-    sent_at: float
-    timeout: float
-    send_by: float = inf
-    outcome: str = ""
-    is_cancelled: bool = False
-
-
-class Reject(NamedTuple):
-    """End the RPC as pushed back; the client may try again after `wait`. The cause is for counts alone."""
-
-    rpc: Rpc
-    retry_after: float
-    reason: str = ""
-
-
-class Abort(NamedTuple):
-    """End the RPC as aborted; nothing is promised of its effect."""
-
-    rpc: Rpc
-
-
-class CancelAttempt(NamedTuple):
-    """Stop waiting for a call-out; its outcome still comes."""
-
-    attempt: SendAttempt
-
-
-@dataclass(eq=False, slots=True)
-class CounterAdd:
-    """Add an amount to a named count and tell the total; `lease` and what follows are the module's own."""
-
-    name: int
-    amount: float
-    ttl: float
-    lease: object = None
-    window: int = 0
-    debt: float = 0.0
-    is_retry: bool = False
-    settled: bool = False
-    pool: object = None
-
-
-class SetTimer(NamedTuple):
-    """Call `woken` with `about` after so many seconds."""
-
-    delay: float
-    subject: object
-
-
-class WriteLog(NamedTuple):
-    """One line for the operators."""
-
-    text: str
-
-
-class WatchEndpoints(NamedTuple):
-    """Ask the host list to send its changes."""
+    attempts: list[SendAttempt] = field(default_factory=list)
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -3,6 +3,7 @@
 import math
 from collections import Counter
 
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 from petrellane.gateway.client_request import BadField
@@ -42,14 +43,14 @@
             None  # set before the first event
         )
         self.carriers = {
-            api.SendAttempt: self.send_attempt,
-            api.Reject: self.push_back,
-            api.Abort: self.abort,
-            api.CancelAttempt: self.cancel,
-            api.CounterAdd: self.add,
-            api.SetTimer: self.wake,
-            api.WriteLog: self.note,
-            api.WatchEndpoints: self.subscribe,
+            actions.SendAttempt: self.send_attempt,
+            actions.Reject: self.push_back,
+            actions.Abort: self.abort,
+            actions.CancelAttempt: self.cancel,
+            actions.CounterAdd: self.add,
+            actions.SetTimer: self.wake,
+            actions.WriteLog: self.note,
+            actions.WatchEndpoints: self.subscribe,
         }
 
     def carry_out(self, steps):
--- a/petrellane/simulation/baselines.py
+++ b/petrellane/simulation/baselines.py
@@ -18,6 +18,7 @@
 
 import random
 
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 
 
@@ -54,10 +55,10 @@
         among = self.among(rpc)
         if not among:
             rpc.is_finished = True
-            return [api.Reject(rpc, 0.0, "host")]
+            return [actions.Reject(rpc, 0.0, "host")]
         host = self.pick(among, now)
         self.out[host] += 1
-        attempt = api.SendAttempt(rpc, host, len(rpc.attempts), now, rpc.deadline - now)
+        attempt = actions.SendAttempt(rpc, host, len(rpc.attempts), now, rpc.deadline - now)
         rpc.attempts.append(attempt)
         return [attempt]
 
@@ -81,7 +82,7 @@
             one.outcome not in (api.FULL, api.UNREACHABLE, api.NEVER_SENT) for one in rpc.attempts
         )
         safe = rpc.method.effect == api.IDEMPOTENT or not ran
-        return [api.Reject(rpc, 0.0, "given up") if safe else api.Abort(rpc)]
+        return [actions.Reject(rpc, 0.0, "given up") if safe else actions.Abort(rpc)]
 
     def heard(self, host, outcome, now):
         """A call-out has ended there."""
--- a/petrellane/simulation/fleet.py
+++ b/petrellane/simulation/fleet.py
@@ -4,6 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 from petrellane.invariants import Ceiling, MethodRule, Referee, Remains, Terms, Verdict
@@ -226,7 +227,7 @@
         ):
             continue
         seen.add(id(thing))
-        if isinstance(thing, (api.Rpc, api.SendAttempt)):
+        if isinstance(thing, (api.Rpc, actions.SendAttempt)):
             name = "RPCs" if isinstance(thing, api.Rpc) else "call-outs"
             found[name] = found.get(name, 0) + 1
         elif callable(thing) and not hasattr(thing, "__self__"):
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -2,6 +2,7 @@
 
 import orjson
 
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.invariants import (
     ABORTED,
@@ -43,14 +44,14 @@
             None,
         )  # since when it had stood still, while it reads what came meanwhile
         self.carriers = {
-            api.SendAttempt: self.send_attempt,
-            api.Reject: self.push_back,
-            api.Abort: self.abort,
-            api.CancelAttempt: self.cancel,
-            api.CounterAdd: self.add,
-            api.SetTimer: self.wake,
-            api.WriteLog: self.log,
-            api.WatchEndpoints: self.subscribe,
+            actions.SendAttempt: self.send_attempt,
+            actions.Reject: self.push_back,
+            actions.Abort: self.abort,
+            actions.CancelAttempt: self.cancel,
+            actions.CounterAdd: self.add,
+            actions.SetTimer: self.wake,
+            actions.WriteLog: self.log,
+            actions.WatchEndpoints: self.subscribe,
         }
 
     def clock(self):
--- a/petrellane/simulation/quotas.py
+++ b/petrellane/simulation/quotas.py
@@ -7,7 +7,7 @@
 from collections import Counter, deque
 
 from petrellane import invariants
-from petrellane.decisions import types as api
+from petrellane.decisions import actions
 from petrellane.simulation.baselines import TwoChoices
 from petrellane.simulation.scenario import Scenario
 
@@ -54,9 +54,9 @@
             < rpc.units
         ):
             rpc.is_finished = True
-            return [api.Reject(rpc, 0.0, "credit")]
+            return [actions.Reject(rpc, 0.0, "credit")]
         steps = super().place(now, rpc)
-        if any(isinstance(step, api.SendAttempt) for step in steps):
+        if any(isinstance(step, actions.SendAttempt) for step in steps):
             own.append((now, rpc.units))
             self.past.take(name, plan, now, rpc.units)
         return steps
--- a/tests/choosing.py
+++ b/tests/choosing.py
@@ -13,7 +13,7 @@
 from hypothesis import settings as limits
 from hypothesis import strategies as st
 
-from petrellane.decisions import controller
+from petrellane.decisions import actions, controller
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController, LoadBalancer, mean
 from petrellane.decisions.endpoint_index import EndpointList, Groups, Highest, Starts
@@ -188,22 +188,22 @@
             rpc = getattr(step, "rpc", None)
             about = (
                 step.endpoint.address
-                if isinstance(step, api.SendAttempt)
+                if isinstance(step, actions.SendAttempt)
                 else getattr(step, "reason", "")
             )
             self.said.append(
                 (round(self.now, 6), type(step).__name__, about, rpc and rpc.arrived_at)
             )
-            if isinstance(step, api.SendAttempt):
+            if isinstance(step, actions.SendAttempt):
                 outcome = self.chance.choices(
                     (api.OK, api.ERROR, api.FULL, api.UNREACHABLE, api.RESET, api.LATE),
                     (80, 4, 6, 4, 3, 3),
                 )[0]
                 took = self.chance.expovariate(1 / 0.08)
                 heapq.heappush(self.due, (self.now + took, next(self.order), step, outcome, took))
-            elif isinstance(step, api.CancelAttempt):
+            elif isinstance(step, actions.CancelAttempt):
                 step.attempt.outcome = "to be cancelled"
-            elif isinstance(step, api.SetTimer):
+            elif isinstance(step, actions.SetTimer):
                 heapq.heappush(self.due, (self.now + step.delay, next(self.order), step, "", 0.0))
 
     def run(self, rpcs, rate, changes=0.0):
@@ -213,7 +213,7 @@
             while self.due and self.due[0][0] <= self.now:
                 at, _, step, outcome, took = heapq.heappop(self.due)
                 at, self.now = self.now, at
-                if isinstance(step, api.SetTimer):
+                if isinstance(step, actions.SetTimer):
                     self.carry(self.gateway.on_timer(self.now, step.subject))
                 else:
                     outcome = api.CANCELLED if step.outcome else outcome
--- a/tests/operation/cases.py
+++ b/tests/operation/cases.py
@@ -11,6 +11,7 @@
 from hypothesis import strategies as some
 
 from petrellane import config
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 from petrellane.gateway.response_relay import Account
@@ -262,7 +263,7 @@
             0.0, True, [api.EndpointEvent(host, "", "", 0, api.READY, 1.0, 0.0)]
         )
         for name in ("look", "lodge"):
-            attempt = api.SendAttempt(
+            attempt = actions.SendAttempt(
                 api.Rpc(before.methods[name], customer, 1.0, 9.0, 1.0), host, 0, 1.0, 8.0
             )
             gateway.fleet.sent(attempt, 1.0)
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -9,6 +9,7 @@
 import sys
 import unittest
 
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 from tests import known_red
@@ -98,17 +99,17 @@
     def take(self, steps):
         for step in steps:
             kind = type(step).__name__
-            if isinstance(step, api.SetTimer):
+            if isinstance(step, actions.SetTimer):
                 self.wakes.append(
                     (self.now + step.delay, len(self.wakes), step.subject, self.gateway)
                 )
-            elif isinstance(step, api.CounterAdd):
+            elif isinstance(step, actions.CounterAdd):
                 self.adds.append((step, self.gateway))
-            elif isinstance(step, api.WriteLog):
+            elif isinstance(step, actions.WriteLog):
                 self.log.append(step.text)
             rpc = (
                 step.attempt.rpc
-                if isinstance(step, api.CancelAttempt)
+                if isinstance(step, actions.CancelAttempt)
                 else getattr(step, "rpc", None)
             )
             self.said.append((kind, rpc, step))
@@ -271,7 +272,9 @@
 
     def do_unknown(self, *words):
         self.take(self.gateway.on_timer(self.now, "nobody"))
-        self.take(self.gateway.on_counter_reply(self.now, api.CounterAdd(7, 1.0, 1.0), "odd", 0.0))
+        self.take(
+            self.gateway.on_counter_reply(self.now, actions.CounterAdd(7, 1.0, 1.0), "odd", 0.0)
+        )
 
     def do_expect(self, what, *words):
         if what == "log":
--- a/tests/spread/cases.py
+++ b/tests/spread/cases.py
@@ -13,6 +13,7 @@
 from hypothesis import strategies as st
 
 from petrellane import invariants
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 from petrellane.load_distribution import commands, sources
@@ -394,7 +395,7 @@
             now += max(every, took)
             rpc = api.Rpc(method, customer, 1.0, now + 4.0, now)
             attempt = next(
-                step for step in gateway.admit(now, rpc) if isinstance(step, api.SendAttempt)
+                step for step in gateway.admit(now, rpc) if isinstance(step, actions.SendAttempt)
             )
             gateway.on_attempt_ended(
                 now + took, attempt, api.OK, over=True, took=took
