--- a/benchmarks/scale_play.py
+++ b/benchmarks/scale_play.py
@@ -404,7 +404,7 @@
     rig.play(told["seconds"], budget=told["budget"])
     found = {**rig.figures, **rig.traffic.costs.figures(rig.traffic.now)}
     found["memory_mb"] = resident() - rig.before
-    found["leases"] = len(rig.gateway.leases.leases)
+    found["leases"] = len(rig.gateway.lease_manager.leases)
     found["list_change_ms"], found["list_change_choice_ms"] = rig.flips(12)
     found["list_choice_ms"] = rig.alone()
     return found
@@ -484,7 +484,7 @@
         **rig.traffic.costs.figures(rig.traffic.now),
         "seconds": seconds,
         "customers_seen": rig.traffic.placed,
-        "leases": len(rig.gateway.leases.leases),
+        "leases": len(rig.gateway.lease_manager.leases),
         "memory_mb": resident() - rig.before,
     }
 
@@ -626,7 +626,7 @@
                 traffic.place(gateway, method, traffic.random.choice(customers))
 
     def in_use():
-        return [{host.address for host, _ in gateway.fleet.used} for gateway in all_of]
+        return [{host.address for host, _ in gateway.load_balancer.subset} for gateway in all_of]
 
     play(told["each"])
     first = in_use()
@@ -634,7 +634,7 @@
     second = in_use()
     gone = next(iter(second[0]))
     for gateway in all_of:
-        host = next(host for host in gateway.fleet.hosts if host.address == gone)
+        host = next(host for host in gateway.load_balancer.endpoints if host.address == gone)
         new = api.Endpoint("host-new", zone=host.zone, started_at=traffic.now)
         traffic.carry(
             gateway,
--- a/petrellane/decisions/actions.py
+++ b/petrellane/decisions/actions.py
@@ -13,7 +13,7 @@
 from petrellane.decisions.types import Endpoint, Rpc
 
 if TYPE_CHECKING:
-    from petrellane.decisions.controller import Lease
+    from petrellane.decisions.leases import Lease
 
 
 @dataclass(eq=False, slots=True)
@@ -78,10 +78,10 @@
         lease: Whose lease it tops up; None where it gives something back. This and what follows
             belong to the decisions.
         window: The window of the lease in which it was made.
-        debt: The part of the amount that was spent already.
-        is_retry: Whether an add before it was answered in part only.
-        settled: Whether its answer no longer grants what waited for it.
-        pool: The lease whose hard limit it moves; None for a top-up.
+        unreported: The part of the amount that was spent already.
+        is_retry: Whether it follows an add in the same matter that is not to be followed again.
+        is_settled: Whether what waited for its answer was decided without it.
+        escrow_lease: The lease whose hard limit it moves to or from escrow; None for a top-up.
     """
 
     name: int
@@ -89,10 +89,10 @@
     ttl: float
     lease: Lease | None = None
     window: int | None = 0
-    debt: float = 0.0
+    unreported: float = 0.0
     is_retry: bool = False
-    settled: bool = False
-    pool: Lease | None = None
+    is_settled: bool = False
+    escrow_lease: Lease | None = None
 
 
 class SetTimer(NamedTuple):
--- /dev/null
+++ b/petrellane/decisions/lease_manager.py
@@ -0,0 +1,326 @@
+"""The leases of all customers: when the counter is asked, and what its answers grant.
+
+Quota is spent from leases without a round trip. The counter holds one count for each customer and
+window, to which a gateway adds what it wants before it spends it; what the total proves was beyond
+the limit is given back. RPCs without credit wait for the answer to a top-up. Where the counter is
+silent or degraded, a fair share of the allowance stands in for its answer.
+"""
+
+import math
+import random
+from collections.abc import Callable
+from enum import Enum, auto
+from typing import NamedTuple
+
+from petrellane.decisions.actions import Action, CounterAdd, SetTimer
+from petrellane.decisions.counter_health import CounterHealth
+from petrellane.decisions.hard_limits import HardLimitEscrow
+from petrellane.decisions.leases import WORTHWHILE_SHARE, Lease
+from petrellane.decisions.numeric import stable_hash
+from petrellane.decisions.outcomes import PROVEN_NOT_RUN
+from petrellane.decisions.types import ERROR, OK, Customer, Rpc
+
+# This last part of an allowance goes only to RPCs that wait for it; from the decision package of
+# the design's source.
+RESERVE = 0.3
+COUNT_TTL_WINDOWS = 4  # windows that a window's count is kept for; ours
+COUNT_TTL_MAXIMUM = 60.0  # seconds that it is kept for at most; ours
+LOST_COUNT_TOLERANCE = 0.5  # units by which a total may be below what we added, for rounding; ours
+FIRST_CLEAN_UP = 100  # leases from which idle ones are dropped; ours
+
+
+class Credit(Enum):
+    """What became of an RPC's wish for credit."""
+
+    SPENT = auto()
+    REFUSED = auto()
+    WAITING = auto()
+
+
+class CreditDecision(NamedTuple):
+    """A decision on credit, with the actions that it brings."""
+
+    credit: Credit
+    actions: list[Action]
+
+
+class LeaseManager:
+    """The leases by customer; owned by the controller for the life of the process.
+
+    Attributes:
+        leases: The leases; idle ones are dropped as their number doubles.
+        counter: What is known of the counter.
+        escrow: The escrow of hard limits.
+        started_at: From when hard limits fill; infinite until the process has started.
+    """
+
+    def __init__(
+        self,
+        rng: random.Random,
+        dispatch: Callable[[float, Rpc, bool], list[Action]],
+        *,
+        has_counter: bool,
+    ) -> None:
+        """Make a manager without leases.
+
+        Args:
+            rng: The controller's generator of random numbers.
+            dispatch: Sends or rejects an RPC that has waited: (time, RPC, whether it has credit).
+            has_counter: Whether there is a counter to ask.
+        """
+        self._dispatch = dispatch
+        self.leases: dict[Customer, Lease] = {}
+        self.counter = CounterHealth(rng.random, has_counter=has_counter)
+        self.escrow = HardLimitEscrow(self.counter)
+        self.started_at = math.inf
+        self._clean_up_at = FIRST_CLEAN_UP
+
+    def lease_of(self, customer: Customer, now: float) -> Lease:
+        """The customer's lease, in the window that runs and under the customer's plan."""
+        lease = self.leases.get(customer)
+        if lease is None:
+            if len(self.leases) >= self._clean_up_at:
+                self._drop_idle_leases(now)
+            lease = Lease(customer, now, max(self.started_at, customer.known_since))
+            self.leases[customer] = lease
+        if lease.plan is not customer.plan:
+            lease.fit_to_plan(now)
+        lease.enter_window(now)
+        return lease
+
+    def _drop_idle_leases(self, now: float) -> None:
+        """Drop idle leases: guards memory against customers that come once."""
+        self.leases = {
+            customer: lease for customer, lease in self.leases.items() if not lease.is_idle(now)
+        }
+        self._clean_up_at = 2 * len(self.leases) + FIRST_CLEAN_UP
+
+    def spend(self, now: float, rpc: Rpc, *, is_new: bool = True) -> CreditDecision:
+        """Spend an RPC's units, refuse them, or have it wait for the counter.
+
+        Args:
+            now: The time.
+            rpc: What needs credit.
+            is_new: Whether it counts as demand; false where it has waited for escrow.
+        """
+        lease = self.lease_of(rpc.customer, now)
+        if is_new:
+            lease.demand.append((now, rpc.units))
+        actions = self.escrow.exchange(now, lease, rpc.units)
+        if not lease.has_room(now, rpc.units):
+            return self._wait_for_escrow(now, lease, rpc, actions)
+        counter = self.counter
+        if lease.available < rpc.units and (counter.is_silent or counter.is_degraded(now)):
+            needed = rpc.units * counter.is_silent
+            lease.use_fair_share(now, needed, is_silent=counter.is_silent)
+        is_covered = lease.available >= rpc.units or lease.allowance == math.inf
+        if is_covered:
+            lease.available -= rpc.units
+        # While the counter is silent an RPC now and then brings a top-up: so these follow demand.
+        is_probe = counter.is_silent and now >= counter.next_probe_at and not lease.pending_add
+        if is_probe:
+            counter.schedule_probe(now)
+        if is_covered:
+            if is_probe and lease.allowance < math.inf:
+                actions += self._top_up(lease, now)
+            return CreditDecision(Credit.SPENT, actions)
+        if now < lease.exhausted_until or (counter.is_silent and not is_probe):
+            return CreditDecision(Credit.REFUSED, actions)
+        return self._wait_for_top_up(now, lease, rpc, actions)
+
+    def _wait_for_escrow(
+        self, now: float, lease: Lease, rpc: Rpc, actions: list[Action]
+    ) -> CreditDecision:
+        """Have an RPC wait where the hard limit is what it lacks, and some is on its way."""
+        is_borrowing = lease.escrow_pending < 0
+        if not is_borrowing or lease.refill_hard_limit(now) >= rpc.units:
+            return CreditDecision(Credit.REFUSED, actions)
+        lease.hard_limit_waiting.append(rpc)
+        return CreditDecision(Credit.WAITING, [*actions, _deadline_timer(now, rpc)])
+
+    def _wait_for_top_up(
+        self, now: float, lease: Lease, rpc: Rpc, actions: list[Action]
+    ) -> CreditDecision:
+        """Have an RPC wait for a top-up, which is made unless one is pending."""
+        lease.waiting.append(rpc)
+        if lease.pending_add is None:
+            actions += self._top_up(lease, now)
+        if lease.pending_add is None:
+            # All of an allowance that is less than its units is here: no top-up will help.
+            lease.waiting.remove(rpc)
+            return CreditDecision(Credit.REFUSED, actions)
+        return CreditDecision(Credit.WAITING, [*actions, _deadline_timer(now, rpc)])
+
+    def _top_up(self, lease: Lease, now: float, *, is_retry: bool = False) -> list[Action]:
+        """Ask the counter for more; at most one top-up is pending per customer and window."""
+        unreported = lease.unreported
+        lease.unreported = 0.0
+        amount = max(0.0, lease.wanted(now) - lease.available) + unreported
+        lease.reported += amount
+        if not (amount or unreported or is_retry):
+            return []
+        return self._add_to_count(lease, lease.window, amount, unreported, is_retry=is_retry)
+
+    def _add_to_count(
+        self,
+        lease: Lease,
+        counted_window: int | None,
+        amount: float,
+        unreported: float = 0.0,
+        *,
+        is_retry: bool = False,
+    ) -> list[Action]:
+        """Add to the count of a window, bounded by our own deadline; an amount of 0 only reads."""
+        # The same name at every gateway and every start.
+        name = stable_hash(f"{lease.customer.name} {counted_window}")
+        ttl = min(COUNT_TTL_MAXIMUM, COUNT_TTL_WINDOWS * lease.window_length)
+        add = CounterAdd(name, amount, ttl, lease, lease.window, unreported, is_retry)
+        lease.pending_add = add
+        return [add, SetTimer(self.counter.timeout, add)]
+
+    def on_timeout(self, now: float, add: CounterAdd) -> list[Action]:
+        """Give up on a top-up without an answer in time: what it added counts as spent."""
+        lease = add.lease
+        if lease is None or add.is_settled or lease.pending_add is not add:
+            return []
+        lease.pending_add = None
+        add.is_settled = True
+        actions: list[Action] = [*self.counter.on_failure(now)]
+        if self.counter.is_degraded(now):
+            lease.use_fair_share(now, lease.waiting_units(), is_silent=self.counter.is_silent)
+            lease.exhausted_until = now + WORTHWHILE_SHARE * lease.window_length
+        return actions + self._decide_waiting(lease, now)
+
+    def on_counter_reply(
+        self, now: float, add: CounterAdd, outcome: str, total: float
+    ) -> list[Action]:
+        """Take what an answer grants, ask on, or decide the RPCs that wait for it.
+
+        Args:
+            now: The time.
+            add: What was added.
+            outcome: How it ended.
+            total: The count's total after it, where the outcome is OK.
+        """
+        if add.escrow_lease is not None:
+            return self._on_escrow_reply(now, add.escrow_lease, add, outcome, total)
+        lease = add.lease
+        if outcome != OK:
+            return [] if lease is None else self._on_failed_add(now, lease, add, outcome)
+        actions: list[Action] = [*self.counter.on_success(now)]
+        if lease is None or (add.is_settled and add.amount <= 0):
+            return actions
+        was_settled = add.is_settled
+        add.is_settled = True
+        lease.enter_window(now)
+        if lease.window == add.window:
+            actions += self._take_grant(now, lease, add, total, was_settled=was_settled)
+            actions += self.escrow.exchange(now, lease, lease.waiting_units())
+        if lease.pending_add is add:
+            actions += self._after_grant(now, lease, add)
+        return actions
+
+    def _after_grant(self, now: float, lease: Lease, add: CounterAdd) -> list[Action]:
+        """Ask on for what is still missing, or decide the RPCs that wait."""
+        lease.pending_add = None
+        is_short = lease.missing_units() > 0
+        is_current = lease.window == add.window
+        is_carryover_unknown = is_short and lease.carryover is None and is_current
+        if is_carryover_unknown and not self.counter.is_degraded(now):
+            needed = lease.ledger_total + lease.missing_units()
+            if needed <= lease.limit(now, lease.allowance):
+                # What the window before left may cover it: read that window's count.
+                return self._add_to_count(lease, lease.previous_window(), 0.0)
+            lease.mark_exhausted(now)
+        actions: list[Action] = []
+        if is_short and now >= lease.exhausted_until:
+            actions = self._top_up(lease, now)
+        return actions or self._decide_waiting(lease, now)
+
+    def _on_failed_add(
+        self, now: float, lease: Lease, add: CounterAdd, outcome: str
+    ) -> list[Action]:
+        """Book a top-up that failed, by what its outcome proves."""
+        if lease.window == add.window:
+            is_first = lease.pending_add is add and not add.is_retry
+            if outcome == ERROR and is_first and lease.waiting:
+                # It was added: ask once more, for the total alone.
+                lease.unreported += add.unreported - add.amount
+                return self._top_up(lease, now, is_retry=True)
+            if outcome in PROVEN_NOT_RUN:
+                lease.reported -= add.amount
+                lease.unreported = max(0.0, lease.unreported + add.unreported)
+            else:
+                # The amount may have been added, and stands for what a fair share let in.
+                unreported = lease.unreported + (add.unreported - add.amount)
+                lease.unreported = max(0.0, unreported)
+        return self.on_timeout(now, add)
+
+    def _take_grant(
+        self, now: float, lease: Lease, add: CounterAdd, total: float, *, was_settled: bool
+    ) -> list[Action]:
+        """Keep what lies within the limit of what was added, and give the excess back."""
+        if not add.amount and not add.unreported:
+            # A look at what the window before left.
+            lease.carryover = max(0.0, lease.allowance - total)
+            lease.mark_exhausted(now)
+            return []
+        actions: list[Action] = []
+        limit = lease.limit(now, lease.carryover or 0.0)
+        if total < lease.reported - LOST_COUNT_TOLERANCE:
+            # Less than we added ourselves: counts were lost, so put ours back.
+            lost = lease.reported - total
+            actions.append(CounterAdd(add.name, lost, lease.window_length))
+            total = lease.reported
+        asked = add.amount - add.unreported  # what was unreported is spent, and stays
+        kept = _grant_to_keep(lease, asked, total, limit)
+        replaced = min(lease.unreported, kept) if was_settled else 0.0  # a fair share stood in
+        new = kept - replaced
+        lease.available = lease.available + new
+        lease.granted = lease.granted + new
+        lease.unreported = lease.unreported - kept + new
+        lease.ledger_total = total - asked + kept
+        if kept < asked:
+            lease.reported -= asked - kept
+            if not self.counter.is_degraded(now):
+                actions.append(CounterAdd(add.name, kept - asked, lease.window_length))
+            lease.mark_exhausted(now)
+        return actions
+
+    def _on_escrow_reply(
+        self, now: float, lease: Lease, add: CounterAdd, outcome: str, total: float
+    ) -> list[Action]:
+        """Take what came from escrow, and decide the RPCs that wait for it."""
+        actions = self.escrow.on_reply(now, lease, add, outcome, total)
+        waiting = lease.hard_limit_waiting
+        lease.hard_limit_waiting = []
+        for rpc in [rpc for rpc in waiting if not rpc.is_finished]:
+            decision = self.spend(now, rpc, is_new=False)
+            actions += decision.actions
+            if decision.credit is not Credit.WAITING:
+                actions += self._dispatch(now, rpc, decision.credit is Credit.SPENT)
+        return actions
+
+    def _decide_waiting(self, lease: Lease, now: float) -> list[Action]:
+        """Dispatch the RPCs that waited for a top-up, oldest first."""
+        waiting = lease.waiting
+        lease.waiting = []
+        actions: list[Action] = []
+        for rpc in [rpc for rpc in waiting if not rpc.is_finished]:
+            is_covered = lease.available >= rpc.units
+            if is_covered:
+                lease.available -= rpc.units
+            actions += self._dispatch(now, rpc, is_covered)
+        return actions
+
+
+def _deadline_timer(now: float, rpc: Rpc) -> SetTimer:
+    """Ends the wait of an RPC when its client gives up."""
+    return SetTimer(max(0.0, rpc.deadline - now), rpc)
+
+
+def _grant_to_keep(lease: Lease, asked: float, total: float, limit: float) -> float:
+    """How much of what was asked for is kept: the reserve goes to RPCs that wait alone."""
+    granted = max(0.0, min(asked, limit - total + asked))
+    into_reserve = total - limit * (1 - RESERVE)
+    return max(min(granted, lease.missing_units()), min(granted, granted - into_reserve), 0.0)
--- a/petrellane/decisions/types.py
+++ b/petrellane/decisions/types.py
@@ -45,6 +45,16 @@
     GONE = "gone"
 
 
+class RejectionReason(StrEnum):
+    """Why an RPC is rejected; for counts and logs alone."""
+
+    OVERLOAD = "pressed"
+    HARD_LIMIT = "ceiling"
+    QUOTA = "credit"
+    ENDPOINT = "host"  # no endpoint may take it
+    GIVEN_UP = "given up"  # an attempt failed, and it is not sent again
+
+
 # Members under names of the module: a class attribute of an enumeration costs more on the hot path.
 IDEMPOTENT = Effect.IDEMPOTENT
 DEDUPLICATED = Effect.DEDUPLICATED
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -216,8 +216,10 @@
                 clients=len(self.server.clients),
                 connections=self.upstream.open,
                 busy=sum(len(pool.busy) for pool in self.upstream.pools.values()),
-                pressure=round(self.driver.gateway.pressure, 3),
-                crowded=int(self.driver.gateway.leases.crowded(self.scheduler.now())),
+                pressure=round(self.driver.gateway.overload, 3),
+                crowded=int(
+                    self.driver.gateway.lease_manager.counter.is_degraded(self.scheduler.now())
+                ),
             )
         self.scheduler.longest = 0.0
 
--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -33,9 +33,9 @@
             "plan": customer.plan.name,
             "first": customer.first_gateway,
             "spread": customer.gateway_count,
-            "lease": finite(lease.given(now)),
+            "lease": finite(lease.export_state(now)),
         }
-        for customer, lease in gateway.leases.leases.items()
+        for customer, lease in gateway.lease_manager.leases.items()
     ]
     first = [{"generation": generation}] if generation else []
     return (
@@ -63,7 +63,7 @@
                 row["customer"], row["plan"], int(row["first"]), int(row["spread"])
             )
             if customer:
-                gateway.leases.of(customer, now).taken(row["lease"])
+                gateway.lease_manager.lease_of(customer, now).import_state(row["lease"])
                 number += 1
         except (KeyError, TypeError, ValueError):
             continue
@@ -72,20 +72,20 @@
 
 def settled(gateway, now, customer, number):
     """So many call-outs of a customer, taken over as out, are out no more; how many of them its lease had."""
-    lease = gateway.leases.of(customer, now)
-    before, lease.out = lease.out, max(0, lease.out - number)
-    return before - lease.out
+    lease = gateway.lease_manager.lease_of(customer, now)
+    before, lease.in_flight = lease.in_flight, max(0, lease.in_flight - number)
+    return before - lease.in_flight
 
 
 def beside(gateway, now):
     """A process before may still hold its shares, as it gave none: ours of ceilings stay empty until it is surely gone."""
-    gateway.leases.born = now + BESIDE
+    gateway.lease_manager.started_at = now + BESIDE
 
 
 def resumed(gateway, now):
     """What was given is gone: shares of ceilings grow again, from nothing."""
-    for lease in gateway.leases.leases.values():
-        lease.filled = min(lease.filled, now)
+    for lease in gateway.lease_manager.leases.values():
+        lease.hard_limit_filled_at = min(lease.hard_limit_filled_at, now)
 
 
 class Giver:
--- a/petrellane/testbed/capacity.py
+++ b/petrellane/testbed/capacity.py
@@ -18,7 +18,13 @@
 from functools import partial
 
 from petrellane.config_consensus.coordinator import LOOK
-from petrellane.decisions.controller import AHEAD, EXCHANGE, HEADROOM, IN_USE, KNOWN, MEMORY, WINDOW
+from petrellane.decisions.endpoint_health import SAMPLE_LIFETIME
+from petrellane.decisions.leases import HEADROOM, LEASE_AHEAD, WINDOW_FILLS
+from petrellane.decisions.load_balancing import (
+    SAMPLES_PER_ENDPOINT,
+    SUBSET_MINIMUM,
+    SUBSET_ROTATION,
+)
 from petrellane.net.limits import Limits
 from petrellane.operation.backoff import SPACED
 
@@ -279,7 +285,7 @@
 
 def in_use(book):
     """Hosts that a gateway uses: as many as its call-outs keep known."""
-    return (rpcs_each(book) * MEMORY / KNOWN).least(IN_USE)
+    return (rpcs_each(book) * SAMPLE_LIFETIME / SAMPLES_PER_ENDPOINT).least(SUBSET_MINIMUM)
 
 
 def settings_ms(book):
@@ -290,7 +296,7 @@
     """Adds an RPC where a customer comes to so many gateways: a lease covers a part of a window's demand, with headroom, and
     one RPC at least; with customers whose RPCs are alike."""
     each = book.size("rpcs") / book.size("customers") / spread
-    held = (each * book.estimate("window_s") * (WINDOW * AHEAD * HEADROOM)).least(1.0)
+    held = (each * book.estimate("window_s") * (WINDOW_FILLS * LEASE_AHEAD * HEADROOM)).least(1.0)
     return Figure(1.0) / held
 
 
@@ -656,7 +662,12 @@
             "gateways",
         ),
         Row(role, "RPCs from one gateway on one host in use", rpcs_each(book) / used, "1/s"),
-        Row(role, "exchanges in the sets of all gateways", book.size("gateways") / EXCHANGE, "1/s"),
+        Row(
+            role,
+            "exchanges in the sets of all gateways",
+            book.size("gateways") / SUBSET_ROTATION,
+            "1/s",
+        ),
     ]
 
 
--- a/tests/choosing.py
+++ b/tests/choosing.py
@@ -13,10 +13,15 @@
 from hypothesis import settings as limits
 from hypothesis import strategies as st
 
-from petrellane.decisions import actions, controller
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
-from petrellane.decisions.controller import AdmissionController, LoadBalancer, mean
-from petrellane.decisions.endpoint_index import EndpointList, Groups, Highest, Starts
+from petrellane.decisions.controller import AdmissionController
+from petrellane.decisions.endpoint_health import relative_latency
+from petrellane.decisions.endpoint_index import IndexedGroups, StartTimes
+from petrellane.decisions.endpoint_list import EndpointList
+from petrellane.decisions.load_balancing import SUBSET_MINIMUM, LoadBalancer
+from petrellane.decisions.load_shedding import OVERLOAD_FULL
+from petrellane.decisions.numeric import SlidingMaximum, mean
 
 SETTINGS = dict(
     zone="z1",
@@ -36,11 +41,11 @@
 
     def warmth(self, host, now):
         share = (
-            max(0.0, now - host.started_at) / self.cold_for
-            if host.started_at and self.cold_for
+            max(0.0, now - host.started_at) / self.slow_start
+            if host.started_at and self.slow_start
             else 1.0
         )
-        return min(1.0, self.cold_from + (1 - self.cold_from) * share)
+        return min(1.0, self.slow_start_minimum + (1 - self.slow_start_minimum) * share)
 
     def cold_ones(self, now):
         return sorted(
@@ -48,18 +53,20 @@
                 host
                 for host in self
                 if host.state == api.READY
-                and self.cold_for
-                and self.cold_from < 1
-                and host.started_at > now - self.cold_for
+                and self.slow_start
+                and self.slow_start_minimum < 1
+                and host.started_at > now - self.slow_start
             ),
             key=lambda host: host.started_at,
         )
 
-    def cold(self, now):
-        super().cold(now)  # the index keeps pace, as draws from it are checked against the walk
+    def warming_capacity(self, now):
+        super().warming_capacity(
+            now
+        )  # the index keeps pace, as draws from it are checked against the walk
         return sum(host.weight * self.warmth(host, now) for host in self.cold_ones(now))
 
-    def cold_at(self, lot, now):
+    def warming_endpoint_at(self, lot, now):
         sums = list(
             itertools.accumulate(
                 host.weight * self.warmth(host, now) for host in self.cold_ones(now)
@@ -68,52 +75,52 @@
         return self.cold_ones(now)[min(bisect.bisect_right(sums, lot), len(sums) - 1)]
 
     def capacity(self, now):
-        self.warm_up(now)
+        self.advance_warm_up(now)
         return sum(host.weight * self.warmth(host, now) for host in self if host.state == api.READY)
 
-    def some(self, sample, number):
+    def sample(self, sample, number):
         assert set(self.ready()) == {host for host in self if host.state == api.READY}
-        return super().some(sample, number)
+        return super().sample(sample, number)
 
-    def some_warm(self, sample, number, scope):
+    def sample_warm(self, sample, number, scope):
         fit = {
             host
             for host in self
             if host.state == api.READY and scope in (None, host.zone, host.pod)
         }
-        assert set(self.groups.of(scope)) == fit - set(self.cold_ones(self.told_at))
-        return super().some_warm(sample, number, scope)
+        assert set(self.groups.members_of(scope)) == fit - set(self.cold_ones(self.told_at))
+        return super().sample_warm(sample, number, scope)
 
-    def warm_up(self, now):
+    def advance_warm_up(self, now):
         self.told_at = now
-        return super().warm_up(now)
+        return super().advance_warm_up(now)
 
 
 class PlainFleet(LoadBalancer):
     """Rooms worked out for each host in use at each draw, none kept."""
 
-    def typical(self, method):
-        return mean(self.tooks.get(method.identity, ()), method.latency_objective / 8)
+    def typical_time(self, method):
+        return mean(self.answer_times.get(method.identity, ()), method.latency_objective / 8)
 
     def pick_endpoint(self, now, rpc, scope):
         method, tried = rpc.method, {attempt.endpoint for attempt in rpc.attempts}
-        if cold := self.hosts.cold(now):
-            lot = self.random() * self.whole(now)
-            host = self.hosts.cold_at(lot, now) if lot < cold else None
+        if cold := self.endpoints.warming_capacity(now):
+            lot = self.random() * self.effective_capacity(now)
+            host = self.endpoints.warming_endpoint_at(lot, now) if lot < cold else None
             if (
                 host
                 and host not in tried
                 and scope in (None, host.zone, host.pod)
-                and not self.is_outlier(self.hosts[host], method, now)
+                and not self.is_outlier(self.endpoints[host], method, now)
             ):
                 return host
-        not_warm = set(self.hosts.cold_ones(now))
+        not_warm = set(self.endpoints.cold_ones(now))
         for which in ("in use", "others"):
             pool = (
-                self.in_use(now)
+                self.current_subset(now)
                 if which == "in use"
-                else self.hosts.some_warm(
-                    self.sample, max(controller.IN_USE, len(self.used)), scope
+                else self.endpoints.sample_warm(
+                    self.sample, max(SUBSET_MINIMUM, len(self.subset)), scope
                 )
             )
             ready = [
@@ -126,12 +133,13 @@
                 break
         fair = [pair for pair in ready if not self.is_outlier(pair[1], method, now)] or ready
         lags = {
-            host: self.lag(health.recent(None, now)[-8:], health.out, now) for host, health in fair
+            host: relative_latency(health.recent(None, now)[-8:], health.in_flight, now)
+            for host, health in fair
         }
-        pool = [pair for pair in fair if lags[pair[0]] < controller.BEHIND]
+        pool = [pair for pair in fair if lags[pair[0]] < OVERLOAD_FULL]
         if not pool:
             return None
-        usual = 1 + mean(len(health.out) / host.weight for host, health in pool)
+        usual = 1 + mean(len(health.in_flight) / host.weight for host, health in pool)
         return self.choices(
             pool, [self.plain_room(*pair, method, now, usual, lags[pair[0]]) for pair in pool]
         )[0][0]
@@ -139,8 +147,8 @@
     def plain_room(self, host, health, method, now, usual, lag):
         recent = health.recent(method.identity, now)
         fine = (sum(sample[2] == api.OK for sample in recent) + 2) / (len(recent) + 2)
-        load = 1 + len(health.out) / host.weight / usual
-        local = self.local[1] if host.zone == self.local[0] else 1.0
+        load = 1 + len(health.in_flight) / host.weight / usual
+        local = self.same_zone_odds if host.zone == self.zone else 1.0
         return local * host.weight * (fine / lag / load) ** 2
 
 
@@ -157,10 +165,8 @@
         self.gateway, self.now, self.said = AdmissionController(seed=seed, **SETTINGS), 1e6, []
         self.due, self.order = [], itertools.count()
         if plain:
-            self.gateway.fleet.__class__, self.gateway.fleet.hosts.__class__ = (
-                PlainFleet,
-                PlainHosts,
-            )
+            self.gateway.load_balancer.__class__ = PlainFleet
+            self.gateway.load_balancer.endpoints.__class__ = PlainHosts
         self.chance = random.Random(f"play {seed}")
         self.methods = [
             api.Method(name, 0.5, 2.0, effect, scope, 1.5, late_priority_weight=0.5)
@@ -318,7 +324,7 @@
 
                 def told(row=row, state=state):
                     play.gateway.on_endpoint_events(play.now, False, [row._replace(state=state)])
-                    play.gateway.fleet.hosts.capacity(
+                    play.gateway.load_balancer.endpoints.capacity(
                         play.now
                     )  # what a later RPC would have to bring up to date
 
@@ -340,19 +346,19 @@
 
     @given(st.lists(st.tuples(st.integers(0, 9), st.booleans()), max_size=60))
     def test_groups_hold_what_was_put_and_not_taken(self, steps):
-        groups, here = Groups(), set()
+        groups, here = IndexedGroups(), set()
         for member, put in steps:
             if put and member not in here:
-                groups.put(member, (None, member % 2))
+                groups.add(member, (None, member % 2))
                 here.add(member)
             elif not put and member in here:
-                groups.take(member, (None, member % 2))
+                groups.remove(member, (None, member % 2))
                 here.remove(member)
-            self.assertEqual(sorted(groups.of(None)), sorted(here))
-            self.assertEqual(sorted(groups.of(1)), sorted(one for one in here if one % 2))
+            self.assertEqual(sorted(groups.members_of(None)), sorted(here))
+            self.assertEqual(sorted(groups.members_of(1)), sorted(one for one in here if one % 2))
         for member in here:
-            groups.take(member, (None, member % 2))
-        self.assertEqual((groups.members, groups.places), ({}, {}))
+            groups.remove(member, (None, member % 2))
+        self.assertEqual((groups.members, groups.positions), ({}, {}))
 
     @given(
         st.lists(
@@ -362,48 +368,52 @@
     )
     @limits(deadline=None)
     def test_sums_over_starts_are_those_of_a_walk(self, steps, now):
-        starts, here = Starts(), []
+        starts, here = StartTimes(), []
         for number, (start, size, what) in enumerate(steps):
             if what == "p":
-                starts.put(start, size, number)
+                starts.add(start, size, number)
                 here.append((start, size, number))
             elif what == "t" and here:
                 gone = here.pop(int(size * 7) % len(here))
-                self.assertIsNotNone(starts.take(gone[0], gone[2]))
-                self.assertIsNone(starts.take(gone[0], gone[2]))
-            elif what == "f" and starts.forget(start):
+                self.assertIsNotNone(starts.remove(gone[0], gone[2]))
+                self.assertIsNone(starts.remove(gone[0], gone[2]))
+            elif what == "f" and starts.drop_until(start):
                 here = [one for one in here if one[0] > start]
             self.assertEqual(sorted(starts.rows), sorted(here))
-            first = starts.after(50.0)
+            first = starts.index_after(50.0)
             young = [one for one in here if one[0] > 50.0]
-            self.assertAlmostEqual(starts.size(first, len(starts)), sum(one[1] for one in young))
+            self.assertAlmostEqual(
+                starts.total_size(first, len(starts)), sum(one[1] for one in young)
+            )
             grown = sum(one[1] * max(0.0, now - one[0]) for one in young)
-            self.assertAlmostEqual(starts.grown(first, len(starts), now), grown, delta=1e-7)
+            self.assertAlmostEqual(starts.total_age(first, len(starts), now), grown, delta=1e-7)
 
     @given(st.lists(st.tuples(st.floats(0, 3), st.integers(0, 9)), max_size=40))
     def test_the_highest_of_a_time_is_that_of_all_its_values(self, steps):
-        highest, at, told = Highest(5.0), 0.0, []
+        highest, at, told = SlidingMaximum(5.0), 0.0, []
         for after, value in steps:
             at += after
-            highest.put(at, value)
+            highest.add(at, value)
             told.append((at, value))
             self.assertEqual(
-                highest.most(at), max(value for when, value in told if at - when <= 5.0)
+                highest.maximum(at), max(value for when, value in told if at - when <= 5.0)
             )
 
     def test_a_host_far_in_the_future_or_without_a_start_is_no_trouble(self):
         hosts = EndpointList(object)
-        hosts.warms(10.0, 0.0)
+        hosts.set_slow_start(10.0, 0.0)
         rows = [
             api.EndpointEvent(api.Endpoint(f"h{at}"), "", "", 0, api.READY, 1.0, start)
             for at, start in enumerate((0.0, 99.0, 500.0))
         ]
-        hosts.listed(100.0, True, rows)
+        hosts.apply_events(100.0, True, rows)
         self.assertAlmostEqual(hosts.capacity(100.0), 1.1)
-        self.assertAlmostEqual(hosts.cold(505.0), 0.5)
-        hosts.listed(600.0, False, [row._replace(state=api.GONE) for row in rows])
+        self.assertAlmostEqual(hosts.warming_capacity(505.0), 0.5)
+        hosts.apply_events(600.0, False, [row._replace(state=api.GONE) for row in rows])
         self.assertEqual((hosts.capacity(600.0), len(hosts), hosts.groups.members), (0.0, 0, {}))
-        self.assertEqual(math.inf, hosts.warm_up(1.0) if hosts.warms(0.0, 0.5) is None else 0.0)
+        self.assertEqual(
+            math.inf, hosts.advance_warm_up(1.0) if hosts.set_slow_start(0.0, 0.5) is None else 0.0
+        )
 
 
 CASES = [Same, Flat, Kept]
--- a/tests/lab/capacity.py
+++ b/tests/lab/capacity.py
@@ -250,7 +250,7 @@
         one = capacity.credit(
             book(), 0.01
         )  # 100 RPCs of 400 customers: 25 a second at each hundredth of a gateway
-        demand = 25.0 * 8.0 * capacity.WINDOW * capacity.AHEAD * capacity.HEADROOM
+        demand = 25.0 * 8.0 * capacity.WINDOW_FILLS * capacity.LEASE_AHEAD * capacity.HEADROOM
         self.assertAlmostEqual(one.value, 1 / demand)
         self.assertEqual(capacity.credit(book(), 100.0).value, 1.0)  # never more than one
 
--- a/tests/lab/planted.py
+++ b/tests/lab/planted.py
@@ -115,24 +115,26 @@
 
 def goes_on_to_drained():
     """A gateway that sends on to hosts that drain."""
-    from petrellane.decisions.controller import READY, LoadBalancer
+    from petrellane.decisions.load_balancing import LoadBalancer
+    from petrellane.decisions.types import READY
 
-    listed = LoadBalancer.listed
+    on_endpoint_events = LoadBalancer.on_endpoint_events
 
-    def planted(self, now, full, listings):
-        listed(self, now, full, [row._replace(state=READY) for row in listings])
+    def planted(self, now, is_full, events):
+        drained = [event._replace(state=READY) for event in events]
+        on_endpoint_events(self, now, is_full, drained)
 
-    LoadBalancer.listed = planted
+    LoadBalancer.on_endpoint_events = planted
 
 
 def emptiest_first():
     """A gateway that fills the host that started last, as it looks empty."""
-    from petrellane.decisions.controller import LoadBalancer
+    from petrellane.decisions.load_balancing import LoadBalancer
 
     pick_endpoint = LoadBalancer.pick_endpoint
 
     def planted(self, now, rpc, scope):
-        newest = max(self.hosts, key=lambda host: host.started_at)
+        newest = max(self.endpoints, key=lambda host: host.started_at)
         fits = newest.started_at and scope in (None, newest.zone, newest.pod)
         return newest if fits else pick_endpoint(self, now, rpc, scope)
 
@@ -156,9 +158,9 @@
 
 def runs_twice():
     """A gateway to which every method may run again."""
-    from petrellane.decisions.controller import AdmissionController
+    from petrellane.decisions import retries
 
-    AdmissionController.retry_targets = lambda self, now, rpc: (None, float("inf"))
+    retries.retry_targets = lambda now, rpc: (None, float("inf"))
 
 
 if __name__ == "__main__":
--- a/tests/model/cases.py
+++ b/tests/model/cases.py
@@ -90,8 +90,10 @@
         both = planted(
             {
                 "name": "what is given is kept as well",
-                "before": "self.held, self.ceiling, self.filled = 0.0, kept, math.inf",
-                "after": "self.ceiling += told['ceiling']",
+                "module": "leases",
+                "before": "self.available = 0.0\n        self.hard_limit = kept\n"
+                "        self.hard_limit_filled_at = math.inf",
+                "after": "self.hard_limit += stored['ceiling']",
             }
         )
         path = HERE / "scenarios" / "followed-and-gone.ndjson"
--- a/tests/model/planted.py
+++ b/tests/model/planted.py
@@ -1,31 +1,47 @@
-"""Rules broken on purpose by one line of the module: how many scenarios the hunt needs to find each."""
+"""Rules broken on purpose by one line of the decisions: how many scenarios the hunt needs to find each."""
 
+import importlib
 import os
 import pathlib
 import sys
 import tomllib
 import types
 from concurrent.futures import ProcessPoolExecutor
+from unittest import mock
 
-from petrellane.decisions import controller
+from petrellane import decisions
 from petrellane.simulation.fleet import Fleet
 from petrellane.simulation.scenario_generation import draw
 
 CHANGES = tomllib.loads((pathlib.Path(__file__).parent / "planted.toml").read_text())["change"]
 
 
+ROOT = pathlib.Path(decisions.__file__).parent
+# What the simulation makes and looks at itself: a planted run uses the real ones.
+SHARED = {"actions", "types"}
+
+
 def planted(change):
-    """The gateway's class with one line changed."""
-    text = pathlib.Path(controller.__file__).read_text()
+    """The controller's class out of a copy of all decisions in which one line of one module is changed."""
+    path = ROOT / f"{change['module']}.py"
+    text = path.read_text()
     assert text.count(change["before"]) == 1, (
-        f"{change['name']}: its line must stand in the module once"
-    )
-    module = types.ModuleType("planted")
-    exec(
-        compile(text.replace(change["before"], change["after"]), change["name"], "exec"),
-        module.__dict__,
+        f"{change['name']}: its line must stand in {path.name} once"
     )
-    return module.AdmissionController
+    package = decisions.__name__
+    module = types.ModuleType(f"{package}.{change['module']}")
+    with mock.patch.dict(sys.modules), mock.patch.dict(vars(decisions)):
+        for other in ROOT.glob("*.py"):
+            if other.stem not in SHARED:
+                sys.modules.pop(f"{package}.{other.stem}", None)
+                vars(decisions).pop(other.stem, None)
+        sys.modules[module.__name__] = module
+        setattr(decisions, change["module"], module)
+        exec(
+            compile(text.replace(change["before"], change["after"]), change["name"], "exec"),
+            module.__dict__,
+        )
+        return importlib.import_module(f"{package}.controller").AdmissionController
 
 
 def needed(change, first=0):
--- a/tests/operation/cases.py
+++ b/tests/operation/cases.py
@@ -163,7 +163,7 @@
         gateway = AdmissionController(**SETTINGS, seed=1)
         gateway.start(100.0)
         customer = api.Customer("c", plan)
-        lease = gateway.leases.of(customer, 110.0)
+        lease = gateway.lease_manager.lease_of(customer, 110.0)
         lease.waiting += rpcs
         return gateway, lease
 
@@ -172,7 +172,7 @@
         plan = api.Plan("p", rate=5.0, burst=10.0, hard_limit_rate=2.0, hard_limit_burst=8.0)
         waits = api.Rpc(api.Method("m", 1.0, 2.0), api.Customer("c", plan), 3.0, 112.0, 110.0)
         old, lease = self.lease(plan, [waits])
-        before, lease.held, lease.out = lease.fill_ceiling(110.0), 4.0, 2
+        before, lease.available, lease.in_flight = lease.refill_hard_limit(110.0), 4.0, 2
         rows = [
             row for message in hot_restart.given(old, 110.0) for row in message.get("leases", ())
         ]
@@ -183,27 +183,29 @@
         number = hot_restart.taken(
             new, 110.0, rows + [{"customer": "c"}, {}], lambda name, *_: customers[name]
         )
-        follows = new.leases.of(customers["c"], 110.0)
-        self.assertEqual((number, follows.held, follows.out, lease.held), (1, 4.0, 2, 0.0))
-        self.assertEqual(lease.ceiling, 3.0)
-        self.assertAlmostEqual(lease.ceiling + follows.fill_ceiling(110.0), before)
-        self.assertEqual(lease.fill_ceiling(150.0), 3.0)
-        self.assertAlmostEqual(follows.fill_ceiling(111.0), min(before - 3.0 + 2.0, 8.0))
+        follows = new.lease_manager.lease_of(customers["c"], 110.0)
+        self.assertEqual(
+            (number, follows.available, follows.in_flight, lease.available), (1, 4.0, 2, 0.0)
+        )
+        self.assertEqual(lease.hard_limit, 3.0)
+        self.assertAlmostEqual(lease.hard_limit + follows.refill_hard_limit(110.0), before)
+        self.assertEqual(lease.refill_hard_limit(150.0), 3.0)
+        self.assertAlmostEqual(follows.refill_hard_limit(111.0), min(before - 3.0 + 2.0, 8.0))
         hot_restart.settled(new, 110.0, customers["c"], 5)
-        self.assertEqual(follows.out, 0)
+        self.assertEqual(follows.in_flight, 0)
         hot_restart.resumed(old, 150.0)  # the new one is gone: what it had is nobody's
-        self.assertAlmostEqual(lease.fill_ceiling(151.0), 5.0)
+        self.assertAlmostEqual(lease.refill_hard_limit(151.0), 5.0)
 
     def test_a_plan_without_a_quota(self):
         """Its credit has no end, which no message can say: it goes over as nothing, and is never looked at."""
         gateway, lease = self.lease(api.Plan("open"))
-        lease.held = lease.got = float("inf")
+        lease.available = lease.granted = float("inf")
         messages = orjson.loads(orjson.dumps(hot_restart.given(gateway, 110.0)))
         new = AdmissionController(**SETTINGS, seed=2)
         new.start(110.0)
         customer = api.Customer("c", api.Plan("open"))
         hot_restart.taken(new, 110.0, messages[0]["leases"], lambda *_: customer)
-        self.assertEqual(new.leases.of(customer, 110.0).held, 0.0)
+        self.assertEqual(new.lease_manager.lease_of(customer, 110.0).available, 0.0)
         for _ in range(2):
             new.admit(110.0, api.Rpc(api.Method("m", 1.0, 2.0), customer, 3.0, 112.0, 110.0))
 
@@ -212,8 +214,10 @@
         gateway, _ = self.lease(api.Plan("q"))
         hot_restart.beside(gateway, 110.0)
         plan = api.Plan("p", rate=5.0, burst=10.0, hard_limit_rate=2.0, hard_limit_burst=8.0)
-        lease = gateway.leases.of(api.Customer("d", plan), 111.0)
-        self.assertEqual([lease.fill_ceiling(at) for at in (112.0, 119.9, 121.0)], [0.0, 0.0, 2.0])
+        lease = gateway.lease_manager.lease_of(api.Customer("d", plan), 111.0)
+        self.assertEqual(
+            [lease.refill_hard_limit(at) for at in (112.0, 119.9, 121.0)], [0.0, 0.0, 2.0]
+        )
 
     def test_another_version_is_refused(self):
         self.assertIsNone(hot_restart.answers_to(hot_restart.asks()))
@@ -231,24 +235,26 @@
         )
         gateway = AdmissionController(**SETTINGS, seed=1)
         gateway.start(100.0)
-        lease = gateway.leases.of(customer, 101.0)
-        before, lease.out, lease.held = lease.fill_ceiling(101.0), 3, 4.0
+        lease = gateway.lease_manager.lease_of(customer, 101.0)
+        before, lease.in_flight, lease.available = lease.refill_hard_limit(101.0), 3, 4.0
         customer.plan = api.Plan(
             "p", rate=1.0, burst=10.0, hard_limit_rate=1.0, hard_limit_burst=8.0
         )
-        self.assertIs(gateway.leases.of(customer, 101.0), lease)
+        self.assertIs(gateway.lease_manager.lease_of(customer, 101.0), lease)
         self.assertEqual(
-            (lease.out, lease.fill_ceiling(101.0), lease.allowance, lease.held),
+            (lease.in_flight, lease.refill_hard_limit(101.0), lease.allowance, lease.available),
             (3, before, 2.0, 0.8),
         )
-        ends = lease.ends
+        ends = lease.window_end
         self.assertLessEqual(ends, 103.0)
-        gateway.leases.of(customer, ends)
-        self.assertEqual((lease.allowance, lease.held, lease.length), (10.0, 0.0, 10.0))
+        gateway.lease_manager.lease_of(customer, ends)
+        self.assertEqual((lease.allowance, lease.available, lease.window_length), (10.0, 0.0, 10.0))
         customer.plan = api.Plan(
             "p", rate=1.0, burst=10.0, hard_limit_rate=1.0, hard_limit_burst=1.0
         )
-        self.assertEqual(gateway.leases.of(customer, 101.0).fill_ceiling(101.0), 1.0)
+        self.assertEqual(
+            gateway.lease_manager.lease_of(customer, 101.0).refill_hard_limit(101.0), 1.0
+        )
 
     def test_what_is_known_of_a_method_outlives_its_change_and_not_its_end(self):
         before = config.settings(config.Section(TOLD["settings"], "settings"))
@@ -266,15 +272,15 @@
             attempt = actions.SendAttempt(
                 api.Rpc(before.methods[name], customer, 1.0, 9.0, 1.0), host, 0, 1.0, 8.0
             )
-            gateway.fleet.sent(attempt, 1.0)
+            gateway.load_balancer.on_attempt_started(attempt)
             gateway.on_attempt_ended(1.1, attempt, api.OK, over=True, took=0.07)
         gateway.reconfigure(**now.gateway)
         look = now.methods["look"]
         self.assertIsNot(look, before.methods["look"])
         self.assertIs(now.methods["post"], before.methods["post"])
         self.assertIs(now.plans["basic"], before.plans["basic"])
-        self.assertAlmostEqual(gateway.fleet.typical(look), 0.07)
-        self.assertNotIn(before.methods["lodge"].identity, gateway.fleet.tooks)
+        self.assertAlmostEqual(gateway.load_balancer.typical_time(look), 0.07)
+        self.assertNotIn(before.methods["lodge"].identity, gateway.load_balancer.answer_times)
 
     def test_a_file_that_lacks_what_the_one_in_force_has(self):
         before = config.read(copy.deepcopy(TOLD))
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -319,12 +319,14 @@
         assert float(low) <= number <= float(high), f"{number} of {kind}"
 
     def do_leases(self, low, high):
-        assert int(low) <= len(self.gateway.leases.leases) <= int(high), len(
-            self.gateway.leases.leases
+        assert int(low) <= len(self.gateway.lease_manager.leases) <= int(high), len(
+            self.gateway.lease_manager.leases
         )
 
     def do_forgets(self):
-        gone = [host.address for host, _ in self.gateway.fleet.used if host.state == api.GONE]
+        gone = [
+            host.address for host, _ in self.gateway.load_balancer.subset if host.state == api.GONE
+        ]
         assert not gone, gone
 
     def do_clear(self):
--- a/tests/spread/cases.py
+++ b/tests/spread/cases.py
@@ -400,7 +400,7 @@
             gateway.on_attempt_ended(
                 now + took, attempt, api.OK, over=True, took=took
             )  # the next comes later
-        return gateway.fleet.pressure(now + took)
+        return gateway.load_balancer.overload(now + took)
 
     def test_a_run_of_long_rpcs_among_few_is_chance_and_no_pressure(self):
         self.assertEqual(self.pressure(48 * [0.1] + 16 * [0.27], every=0.15), 0.0)
