--- a/benchmarks/scale_play.py
+++ b/benchmarks/scale_play.py
@@ -23,6 +23,7 @@
 import orjson
 
 from petrellane.config import Section, parse_config, parse_endpoint_list, parse_settings
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 from petrellane.gateway.process import GatewayProcess
@@ -200,15 +201,15 @@
     def carry(self, gateway, steps):
         for step in steps:
             kind = type(step)
-            if kind is api.SendAttempt:
+            if kind is actions.SendAttempt:
                 self.units += step.rpc.units * (step.number == 0)
                 self.later(self.random.uniform(*ANSWER), "answer", gateway, step)
-            elif kind is api.CounterAdd:
+            elif kind is actions.CounterAdd:
                 self.costs.adds += 1
                 self.later(COUNTER, "counted", gateway, step)
-            elif kind is api.SetTimer:
+            elif kind is actions.SetTimer:
                 self.later(step.delay, "woken", gateway, step.subject)
-            elif kind is api.Reject:
+            elif kind is actions.Reject:
                 self.costs.pushed += 1
 
     def settled(self, steps, cost):
@@ -216,7 +217,7 @@
         decided = [
             step.rpc
             for step in steps
-            if isinstance(step, api.SendAttempt | api.Reject) and step.rpc in self.owed
+            if isinstance(step, actions.SendAttempt | actions.Reject) and step.rpc in self.owed
         ]
         for rpc in decided:
             self.costs.decisions.append(self.owed.pop(rpc) + cost / len(decided))
@@ -408,7 +409,7 @@
     rig.play(told["seconds"], budget=told["budget"])
     found = {**rig.figures, **rig.traffic.costs.figures(rig.traffic.now)}
     found["memory_mb"] = resident() - rig.before
-    found["leases"] = len(rig.gateway.leases.leases)
+    found["leases"] = len(rig.gateway.lease_manager.leases)
     found["list_change_ms"], found["list_change_choice_ms"] = rig.flips(12)
     found["list_choice_ms"] = rig.alone()
     return found
@@ -488,7 +489,7 @@
         **rig.traffic.costs.figures(rig.traffic.now),
         "seconds": seconds,
         "customers_seen": rig.traffic.placed,
-        "leases": len(rig.gateway.leases.leases),
+        "leases": len(rig.gateway.lease_manager.leases),
         "memory_mb": resident() - rig.before,
     }
 
@@ -630,7 +631,7 @@
                 traffic.place(gateway, method, traffic.random.choice(customers))
 
     def in_use():
-        return [{host.address for host, _ in gateway.fleet.used} for gateway in all_of]
+        return [{host.address for host, _ in gateway.load_balancer.subset} for gateway in all_of]
 
     play(told["each"])
     first = in_use()
@@ -638,7 +639,7 @@
     second = in_use()
     gone = next(iter(second[0]))
     for gateway in all_of:
-        host = next(host for host in gateway.fleet.hosts if host.address == gone)
+        host = next(host for host in gateway.load_balancer.endpoints if host.address == gone)
         new = api.Endpoint("host-new", zone=host.zone, started_at=traffic.now)
         traffic.carry(
             gateway,
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -13,23 +13,25 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any, Protocol
 
-from petrellane.decisions.controller import AdmissionController
-from petrellane.decisions.types import (
-    DEDUPLICATED,
-    GONE,
-    IDEMPOTENT,
-    OK,
-    READY,
+from petrellane.decisions.actions import (
     Abort,
     CancelAttempt,
     CounterAdd,
     Reject,
-    Rpc,
     SendAttempt,
     SetTimer,
     WatchEndpoints,
     WriteLog,
 )
+from petrellane.decisions.controller import AdmissionController
+from petrellane.decisions.types import (
+    DEDUPLICATED,
+    GONE,
+    IDEMPOTENT,
+    OK,
+    READY,
+    Rpc,
+)
 from petrellane.gateway.client_request import InvalidFieldError
 from petrellane.gateway.customers import Customers
 from petrellane.gateway.endpoint_updates import endpoint_updates
--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -12,7 +12,8 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from petrellane.decisions.types import ERROR, FULL, LATE, OK, RESET, UNREACHABLE, CounterAdd
+from petrellane.decisions.actions import CounterAdd
+from petrellane.decisions.types import ERROR, FULL, LATE, OK, RESET, UNREACHABLE
 from petrellane.net import resp
 from petrellane.net.stream import Closed, Stream
 
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -277,8 +277,8 @@
                 clients=len(self.client_listener.clients),
                 connections=self.endpoint_pools.open_connections,
                 busy=sum(len(pool.busy) for pool in pools),
-                pressure=round(controller.pressure, 3),
-                crowded=int(controller.leases.crowded(self.scheduler.now())),
+                pressure=round(controller.overload, 3),
+                crowded=int(controller.lease_manager.counter.is_degraded(self.scheduler.now())),
             )
         self.scheduler.longest = 0.0
 
