--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Set-up of all tests: the same draws in every run, the groups that run side by side, and KNOWN-RED.txt."""
+"""Set-up of all tests: examples of property tests, groups that run side by side, KNOWN-RED.txt."""
 
 import hypothesis
 import pytest
@@ -14,8 +14,9 @@
 )
 hypothesis.settings.load_profile("same")
 
-# Each group runs in a process of its own with `pytest -n 4 --dist loadgroup`, its tests one after the other: those that start
-# many processes are timing-sensitive and must not run beside each other. The first prefix that fits a test's path decides.
+# With `pytest -n 4 --dist loadgroup` each group runs in a process of its own, its tests one after
+# the other: those that start many processes are timing-sensitive and must not run beside each
+# other. The first prefix that fits a test's path decides.
 GROUPS = {
     "tests/integration/testbed/test_testbed.py": "processes",
     "tests/integration/testbed/": "config_consensus",
@@ -39,7 +40,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Mark each test with its group, before pytest-xdist reads the marks and `-m` selects by them."""
+    """Mark each test with its group before pytest-xdist and `-m` read the marks."""
     for item in items:
         group = group_of(item.nodeid)
         item.add_marker(group)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,10 @@
 """The rules of KNOWN-RED.txt, which lists the tests that are known to fail for a real fault.
 
-The file has a line for each test, `TEST | CAUSE | ISSUE`, three at most, where TEST is the test's pytest node id, as in
-`tests/integration/gateway/test_scenarios.py::test_scenario[term]`. A run passes over just these tests and prints each with
-its cause. It fails where the file is out of form, names a test that does not exist or one twice, or where a listed test
-passes: then its line is to go. No file, or an empty one, means that none is known.
+The file has a line for each test, `TEST | CAUSE | ISSUE`, three at most, where TEST is the test's
+pytest node id, as in `tests/integration/gateway/test_scenarios.py::test_scenario[term]`. A run
+passes over just these tests and prints each with its cause. It fails where the file is out of form,
+names a test that does not exist or one twice, or where a listed test passes: then its line is to
+go. No file, or an empty one, means that none is known.
 
 This module is free of pytest; `tests.known_red_plugin` applies the rules to a run.
 """
@@ -73,7 +74,7 @@
 
 
 def name_of(node_id: str) -> str:
-    """Return a test's node id without the group that pytest-xdist appends to it, as in `test_a.py::test_b@group`."""
+    """Return a node id without the group that pytest-xdist appends, as in `a.py::test_b@group`."""
     if node_id.rfind("@") > node_id.rfind("]"):
         return node_id.rpartition("@")[0]
     return node_id
@@ -100,8 +101,9 @@
         failed: The names of those of them that failed.
 
     Returns:
-        How many tests passed and how many failed, neither of them with those that are known to fail and did; and what is
-        to be printed: each of these with its cause, and each listed test that passed, which counts as a failure.
+        How many tests passed and how many failed, neither of them with those that are known to fail
+        and did; and what is to be printed: each of these with its cause, and each listed test that
+        passed, which counts as a failure.
     """
     all_ran = set(ran)
     all_failed = set(failed)
--- a/tests/known_red_plugin.py
+++ b/tests/known_red_plugin.py
@@ -1,9 +1,10 @@
 """The pytest plugin that applies the rules of KNOWN-RED.txt (`tests.known_red`) to a run.
 
-A listed test that fails is reported as an expected failure (`xfailed`) and its cause is printed at the end of the run. A
-listed test that passes or is skipped is reported as failed. Only the test itself is passed over: a fixture that fails in
-its set-up or tear-down is an error as always. It works in one process and with pytest-xdist, where reports are changed in
-the worker that runs the test and the controller prints them.
+A listed test that fails is reported as an expected failure (`xfailed`) and its cause is printed at
+the end of the run. A listed test that passes or is skipped is reported as failed. Only the test
+itself is passed over: a fixture that fails in its set-up or tear-down is an error as always. It
+works in one process and with pytest-xdist, where reports are changed in the worker that runs the
+test and the controller prints them.
 """
 
 from collections.abc import Iterator, Sequence
@@ -17,7 +18,10 @@
 
 
 class KnownRedPlugin:
-    """Passes over the listed tests of one run; made and registered by `tests/conftest.py`, lives as long as the run."""
+    """Passes over the listed tests of one run.
+
+    `tests/conftest.py` makes and registers it; it lives as long as the run.
+    """
 
     def __init__(self, config: pytest.Config) -> None:
         """Read the file at the root of the run.
@@ -43,7 +47,7 @@
         return not has_selection and not has_paths
 
     def check_existence(self, node_ids: Sequence[str]) -> None:
-        """End a complete run before its first test where a listed test is not among the collected ones.
+        """End a complete run before its first test where a listed test was not collected.
 
         Raises:
             pytest.UsageError: A listed test does not exist.
@@ -61,12 +65,12 @@
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_xdist_node_collection_finished(self, ids: Sequence[str]) -> None:
-        """Check the listed names in the controller of a run with pytest-xdist, which collects nothing itself."""
+        """Check the listed names in the controller of pytest-xdist, which collects nothing."""
         self.check_existence(ids)
 
     @pytest.hookimpl(wrapper=True)
     def pytest_runtest_protocol(self) -> Iterator[None]:
-        """Note that this process runs a test: the reports that it logs meanwhile are its own."""
+        """Note that this process runs a test: reports that it logs meanwhile are its own."""
         self.is_running = True
         self.has_failed = False
         try:
@@ -76,7 +80,7 @@
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Change the report of a listed test before anyone counts it, and keep what is to be printed."""
+        """Change the report of a listed test before it is counted, and keep what is printed."""
         entry = self.known.get(known_red.name_of(report.nodeid))
         if entry is None:
             return
@@ -89,8 +93,9 @@
     def _apply(self, entry: known_red.KnownFailure, report: pytest.TestReport) -> None:
         """Turn a failure into an expected one, and a pass or skip into a failure.
 
-        The parts of a test (`subTest`, the `subtests` fixture) are reported before it, as a subclass of `TestReport`; a
-        test with a part that failed has failed, also where its own report says that it passed.
+        The parts of a test (`subTest`, the `subtests` fixture) are reported before it, with a
+        subclass of `TestReport`; a test with a part that failed has failed, also where its own
+        report says that it passed.
         """
         is_part = type(report) is not pytest.TestReport
         is_setup_skip = report.when == "setup" and report.skipped
--- a/tests/scenario_files.py
+++ b/tests/scenario_files.py
@@ -1,7 +1,7 @@
-"""Scenario files: text files of steps, played one after the other by an object with a method for each verb.
+"""Scenario files: steps in text, played by an object with a method for each verb.
 
-The notation is in tests/README.md. The objects are `tests.unit.decisions.scenario.Scene` for the decisions and
-`tests.integration.gateway.scenario.Net` for a whole gateway.
+The notation is in tests/README.md. The objects are `tests.unit.decisions.scenario.Scene` for the
+decisions and `tests.integration.gateway.scenario.Net` for a whole gateway.
 """
 
 import contextlib
@@ -24,7 +24,7 @@
         path: The scenario file.
 
     Raises:
-        AssertionError: A step fails or names something unknown; the text has the file, line and step.
+        AssertionError: A step fails or names something unknown; the text has file, line and step.
     """
     for number, line in enumerate(path.read_text().splitlines(), 1):
         for step in line.split("#")[0].split(";"):
@@ -38,12 +38,12 @@
 
 
 def play_with_seeds(path: pathlib.Path, scene: Callable[[int], Any], seeds: int) -> None:
-    """Play a file with so many seeds, which follow from its name: what it expects must not depend on one draw.
+    """Play a file with so many seeds: what it expects must not depend on one draw.
 
     Args:
         path: The scenario file.
-        scene: Makes a fresh object for the steps of one play from a seed; it is closed after the play.
-        seeds: How often the file is played.
+        scene: Makes an object for the steps of one play from a seed; it is closed then.
+        seeds: How often the file is played; the seeds follow from its name.
     """
     for number in range(seeds):
         seed = random.Random(f"{path.name} {number}").getrandbits(32)
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def run(pytester: pytest.Pytester) -> Run:
-    """Return a function that runs pytest in this process on a module of tests and a KNOWN-RED.txt, with more options."""
+    """Return a function that runs pytest here on a module of tests and a KNOWN-RED.txt."""
 
     def run_pytest(tests: str, known: str, *options: str) -> pytest.RunResult:
         prepare(pytester, tests, known)
@@ -48,16 +48,9 @@
     return run_pytest
 
 
-@pytest.fixture(params=["one-process", "workers"])
-def run_anyhow(
-    request: pytest.FixtureRequest,
-    run: Run,
-    pytester: pytest.Pytester,
-    monkeypatch: pytest.MonkeyPatch,
-) -> Run:
-    """Return such a function for each way of running: with pytest-xdist, reports cross from workers to the controller."""
-    if request.param == "one-process":
-        return run
+@pytest.fixture
+def run_with_workers(pytester: pytest.Pytester, monkeypatch: pytest.MonkeyPatch) -> Run:
+    """Return such a function that runs tests in workers, whose reports cross to the controller."""
     monkeypatch.setenv("PYTHONPATH", str(ROOT))
 
     def run_pytest(tests: str, known: str, *options: str) -> pytest.RunResult:
@@ -128,8 +121,8 @@
     assert known_red.name_of("test_a.py::test_c[a@b]@gateway") == "test_a.py::test_c[a@b]"
 
 
-def test_a_run_passes_over_the_listed_test_and_prints_its_cause(run_anyhow: Run) -> None:
-    result = run_anyhow(TESTS, LINE)
+def test_a_run_passes_over_the_listed_test_and_prints_its_cause(run: Run) -> None:
+    result = run(TESTS, LINE)
     result.assert_outcomes(passed=1, xfailed=1)
     result.stdout.fnmatch_lines([PRINTED])
     assert result.ret == pytest.ExitCode.OK
@@ -148,8 +141,8 @@
 
 
 @pytest.mark.parametrize("body", ["pass", "self.skipTest('no host')"])
-def test_a_run_fails_where_the_listed_test_passes_or_is_skipped(run_anyhow: Run, body: str) -> None:
-    result = run_anyhow(TESTS.replace('self.fail("the fault")', body), LINE)
+def test_a_run_fails_where_the_listed_test_passes_or_is_skipped(run: Run, body: str) -> None:
+    result = run(TESTS.replace('self.fail("the fault")', body), LINE)
     result.assert_outcomes(passed=1, failed=1)
     result.stdout.fnmatch_lines([f"*{TEST} passes: take its line out of KNOWN-RED.txt"])
     assert result.ret == pytest.ExitCode.TESTS_FAILED
@@ -171,9 +164,9 @@
     assert result.ret == pytest.ExitCode.TESTS_FAILED
 
 
-def test_parts_are_of_their_test(run_anyhow: Run) -> None:
+def test_parts_are_of_their_test(run: Run) -> None:
     parts = "for seed in (1, 2, 3):\n            with self.subTest(seed=seed): assert seed != 2"
-    result = run_anyhow(TESTS.replace('self.fail("the fault")', parts), LINE)
+    result = run(TESTS.replace('self.fail("the fault")', parts), LINE)
     result.assert_outcomes(passed=1, xfailed=1)
     result.stdout.fnmatch_lines([PRINTED])
     assert result.ret == pytest.ExitCode.OK
@@ -186,8 +179,31 @@
     assert result.ret == pytest.ExitCode.TESTS_FAILED
 
 
-def test_a_complete_run_ends_where_a_listed_test_does_not_exist(run_anyhow: Run) -> None:
-    result = run_anyhow(TESTS, LINE.replace("test_c", "test_x"))
+def test_a_complete_run_ends_where_a_listed_test_does_not_exist(run: Run) -> None:
+    result = run(TESTS, LINE.replace("test_c", "test_x"))
+    result.stderr.fnmatch_lines(["*KNOWN-RED.txt: no such test: test_a.py::B::test_x"])
+    assert result.ret == pytest.ExitCode.USAGE_ERROR
+
+
+def test_workers_pass_over_listed_tests_and_report_one_that_passes(run_with_workers: Run) -> None:
+    more = """
+    def test_parts(self):
+        for seed in (1, 2, 3):
+            with self.subTest(seed=seed):
+                self.assertNotEqual(seed, 2)
+"""
+    names = ("test_c", "test_d", "test_parts")
+    result = run_with_workers(TESTS + more, "".join(LINE.replace("test_c", name) for name in names))
+    result.assert_outcomes(failed=1, xfailed=2)
+    result.stdout.fnmatch_lines([PRINTED, PRINTED.replace("test_c", "test_parts")])
+    result.stdout.fnmatch_lines(["*test_a.py::B::test_d passes: take its line out of*"])
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+
+
+def test_a_complete_run_with_workers_ends_where_a_listed_test_does_not_exist(
+    run_with_workers: Run,
+) -> None:
+    result = run_with_workers(TESTS, LINE.replace("test_c", "test_x"))
     result.stderr.fnmatch_lines(["*KNOWN-RED.txt: no such test: test_a.py::B::test_x"])
     assert result.ret == pytest.ExitCode.USAGE_ERROR
 
