--- a/tests/unit/testbed/test_capacity.py
+++ b/tests/unit/testbed/test_capacity.py
@@ -20,7 +20,7 @@
 
 
 def almost(value: float) -> Any:
-    """Return what equals a float that differs by less than half a unit of the seventh decimal."""
+    """Return what equals a float that differs by half of 1e-7 at most."""
     return pytest.approx(value, rel=0.0, abs=0.5e-7)
 
 
