--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -25,7 +25,7 @@
 from petrellane.gateway.response_relay import RelayState
 from petrellane.net import resp
 from petrellane.net.stream import Closed
-from petrellane.operation.lifecycle import ENDING
+from petrellane.operation.lifecycle import LifecycleState
 
 if TYPE_CHECKING:
     from petrellane.gateway.client_listener import ClientListener
@@ -199,8 +199,10 @@
         service = listener.service
         verb = bytes(self.stream.buffer[slice(*command.spans[0])]).upper()
         if verb not in RPC_COMMANDS:
-            self._reply(answer_to(verb, is_welcoming=service.welcomes))
-        elif service.takes(listener.scheduler.now(), self.connected_at, bool(self.pending_replies)):
+            self._reply(answer_to(verb, is_welcoming=service.passes_health_check))
+        elif service.accepts_command(
+            listener.scheduler.now(), self.connected_at, bool(self.pending_replies)
+        ):
             self.has_sent_rpc = True
             self._take_request(verb, command)
         else:
@@ -328,14 +330,14 @@
     def _may_close(self, now: float) -> bool:
         """Return whether the connection has to go and nothing is owed on it."""
         service = self.listener.service
-        if service.lets_go(now) and self._goes_when_idle(now) and self.is_idle():
+        if service.closes_idle_connections(now) and self._goes_when_idle(now) and self.is_idle():
             return True
         return not (
             self.is_closing
             or self.pending_replies
             or self.stream.unsent
             or (self.stream.buffer and not self.command_deadline)
-            or service.takes(now, self.connected_at)
+            or service.accepts_command(now, self.connected_at)
         )
 
     def _goes_when_idle(self, now: float) -> bool:
@@ -345,6 +347,6 @@
         """
         return (
             self.has_sent_rpc
-            or self.listener.service.state == ENDING
+            or self.listener.service.state == LifecycleState.ENDING
             or now - self.idle_since >= self.listener.limits.drain_idle
         )
