--- a/benchmarks/messages.py
+++ b/benchmarks/messages.py
@@ -37,7 +37,7 @@
 VERSION = 1
 METHODS, PLANS, MEMBERS, HOSTS = 4100, 300, 1200, 13_000
 KEY, HOST, MICRO = b"0123456789abcdef", "10.23.145.67:18800", 1_000_000
-FIELD = message_authentication.FIELD.decode()
+FIELD = message_authentication.SIGNATURE_FIELD.decode()
 REPEATS, LONG = 5, 5.0
 
 
@@ -113,8 +113,12 @@
 
 def asked(message):
     """Bytes of a question under the key."""
-    body, sign = message_authentication.question(KEY, message)
-    return len(http.post(message_authentication.PATH.decode(), HOST, {FIELD: sign.decode()}, body))
+    body, sign = message_authentication.sign_request(KEY, message)
+    return len(
+        http.post(
+            message_authentication.PARTICIPANT_PATH.decode(), HOST, {FIELD: sign.decode()}, body
+        )
+    )
 
 
 def timed(step, repeats=REPEATS):
@@ -366,24 +370,26 @@
         (
             "prepare_write_ms",
             "a prepare written at a control process: JSON and seal, once a gateway",
-            lambda: message_authentication.question(KEY, message),
+            lambda: message_authentication.sign_request(KEY, message),
         ),
         (
             "seal_prepare_ms",
             "a prepare's seal, written or checked",
-            lambda: message_authentication.sealed(KEY, b"question", body),
+            lambda: message_authentication.compute_signature(KEY, b"question", body),
         ),
         (
             "remember_ms",
             "what is remembered while in doubt, as JSON and with its check, without the disk",
-            lambda: (state_store.check(told_of(after)), orjson.dumps(told_of(after))),
+            lambda: (state_store.checksum(told_of(after)), orjson.dumps(told_of(after))),
         ),
         (
             "look_ms",
             "an answer to a look made and sealed, and read and checked: the gateway's and control's halves",
             lambda: participant.parse_peer_state(
-                message_authentication.answered(
-                    KEY, b"s", *reversed(message_authentication.answer(KEY, b"s", state.to_dict()))
+                message_authentication.verify_response(
+                    KEY,
+                    b"s",
+                    *reversed(message_authentication.sign_response(KEY, b"s", state.to_dict())),
                 )
             ),
         ),
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -154,27 +154,34 @@
     """Run the control process that staff propose settings to, until SIGTERM."""
     from petrellane.config import ConfigError
     from petrellane.config import control as read
-    from petrellane.config_consensus.control_service import Control
+    from petrellane.config_consensus.control_service import ControlService
     from petrellane.config_consensus.journal import JournalError
 
     try:
-        process = Control(read(file))
+        service = ControlService(read(file))
     except (ConfigError, JournalError) as error:
         refuse(error)
     except OSError as error:
         refuse(f"{file}: expected an address to listen at and a journal to write: {error}")
-    process.obey({signal.SIGTERM, signal.SIGINT})
-    process.run()
+    service.stop_on_signals({signal.SIGTERM, signal.SIGINT})
+    service.run()
 
 
-def of_control(call, file, *words):
-    """Do something with a control process, and end with its exit code."""
+def run_settings_command(file, as_json, command, *arguments):
+    """Run a method of SettingsCommands, and end with its exit code."""
     from petrellane.config import ConfigError
     from petrellane.config import control as read
-    from petrellane.config_consensus import commands as told
+    from petrellane.config_consensus.commands import (
+        CommandFailedError,
+        ControlClient,
+        SettingsCommands,
+    )
 
     try:
-        raise typer.Exit(getattr(told, call)(told.Control(read(file)), *words))
+        commands = SettingsCommands(ControlClient(read(file)), as_json)
+        raise typer.Exit(getattr(commands, command)(*arguments))
+    except CommandFailedError as error:
+        raise typer.Exit(error.exit_code) from None
     except ConfigError as error:
         refuse(error)
 
@@ -193,7 +200,7 @@
     json: JSON = False,
 ):
     """Propose settings. Exit code 0 in force, 2 what you gave is wrong, 3 refused, 4 aborted, 5 in doubt."""
-    of_control("propose", control, file, without, wait, less, json)
+    run_settings_command(control, json, "propose", file, without, wait, less)
 
 
 @settings_app.command("back")
@@ -205,25 +212,25 @@
     json: JSON = False,
 ):
     """Propose the settings of an earlier generation again, as a new change."""
-    of_control("back", control, number, without, wait, json)
+    run_settings_command(control, json, "propose_again", number, without, wait)
 
 
 @settings_app.command("status")
 def settings_status(control: CONTROL, json: JSON = False):
     """What is in force where, and what is under way."""
-    of_control("status", control, json)
+    run_settings_command(control, json, "show_status")
 
 
 @settings_app.command("history")
 def settings_history(control: CONTROL, json: JSON = False):
     """All changes, with what became of each."""
-    of_control("history", control, json)
+    run_settings_command(control, json, "show_history")
 
 
 @settings_app.command("show")
 def settings_show(number: int, control: CONTROL, json: JSON = False):
     """The settings of a generation."""
-    of_control("show", control, number, json)
+    run_settings_command(control, json, "show_generation", number)
 
 
 @settings_app.command("diff")
@@ -234,7 +241,7 @@
     json: JSON = False,
 ):
     """What changes for whom between two generations, or to a file's settings, in words."""
-    of_control("diff", control, one, other, json)
+    run_settings_command(control, json, "show_differences", one, other)
 
 
 lab_app = typer.Typer(
--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -1,209 +1,256 @@
-"""What `petrellane settings` does: calls a control process, and words for a person or JSON for a program.
+"""The commands `petrellane settings ...`: calls to a control process, and their output.
 
-Exit codes: 0 done (a change: in force at every gateway that serves), 2 for what the user gave, 3 refused (by whom and which
-key is told), 4 aborted, 5 in doubt: nobody here can tell what came of it.
+The output is text for a person or one JSON object for a program, on standard output; the progress
+of a change goes to standard error where that is a terminal. A command returns its exit code.
 """
 
 import getpass
 import json
 import sys
 import time
+from enum import IntEnum
 
 import greenlet
 
-from petrellane.config import settings_file
-from petrellane.config_consensus import message_authentication, rpc_client, safe_settings
+from petrellane.config import Control, settings_file
+from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus.coordinator import ChangeOutcome
+from petrellane.config_consensus.errors import ConsensusError
+from petrellane.config_consensus.message_authentication import STAFF_PATH, JsonObject
+from petrellane.config_consensus.rpc_client import NotListeningError, RpcClient, RpcError
+from petrellane.config_consensus.staff_messages import (
+    CONTROL_RECIPIENT,
+    ChangeProgress,
+    Rejection,
+    StaffCall,
+)
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
 
-DONE, GIVEN, REFUSED, ABORTED, DOUBT = 0, 2, 3, 4, 5
-PAUSE = 0.1  # seconds between looks at a change
+CALL_TIMEOUT_S = 3.0
+FOLLOW_INTERVAL_S = 0.1  # between two questions for a change that is followed
+PROGRESS_COLUMNS = 78
+MAX_DESCRIPTORS = 64
+IDLE_TIMEOUT_S = 1.0
+STREAMS_PER_CONNECTION = 1
+USER_ERRORS = (Rejection.SETTINGS, Rejection.UNKNOWN, Rejection.MALFORMED)
 
 
-class Control:
-    """The control process as a caller sees it."""
+class ExitCode(IntEnum):
+    """What a command tells the program that runs it."""
 
-    def __init__(self, config, patience=3.0):
-        self.config, self.patience = config, patience
-        self.limits = Limits(64, patience, 1.0, 1, patience)
+    DONE = 0  # of a change: in force at every gateway that serves
+    INVALID_INPUT = 2  # what the user gave is wrong
+    REJECTED = 3  # the output says by whom
+    ABORTED = 4
+    IN_DOUBT = 5  # nobody here can tell what came of it
 
-    def ask(self, do, **words):
-        """One call's answer. Raises post.Nobody or post.Silent."""
-        scheduler, found = Scheduler(), []
 
-        def call():
-            try:
-                found.append(
-                    rpc_client.ask(
-                        scheduler,
-                        self.limits,
-                        self.config.key,
-                        self.config.listen,
-                        message_authentication.STAFF,
-                        {"do": do, "to": "control", **words},
-                        self.patience,
-                    )
-                )
-            except (rpc_client.Nobody, rpc_client.Silent) as error:
-                found.append(error)
-            scheduler.stop()
+class CommandFailedError(ConsensusError):
+    """A command can't go on; its output has said why.
 
-        scheduler.soon(greenlet.greenlet(call, scheduler.hub).switch)
-        scheduler.run()
-        if isinstance(found[0], Exception):
-            raise found[0]
-        return found[0]
+    Attributes:
+        exit_code: the command's exit code.
+    """
 
+    def __init__(self, exit_code: ExitCode) -> None:
+        super().__init__(exit_code.name)
+        self.exit_code = exit_code
 
-def say(told, as_json, line):
-    print(json.dumps(told) if as_json else line)
 
+class ControlClient:
+    """The control process as a command sees it, which owns it while it runs.
 
-def called(control, as_json, do, **words):
-    """A call's answer, or an exit code where there is none to work with, told."""
-    try:
-        told = control.ask(do, **words)
-    except rpc_client.Nobody:
-        say(
-            {"outcome": "no control process"},
-            as_json,
-            "nobody listens at %s:%d: is the control process up?" % (control.config.listen),
-        )
-        return None, DOUBT
-    except rpc_client.Silent as error:
-        say(
-            {"outcome": "no answer", "why": str(error)},
-            as_json,
-            f"no answer from the control process: {error}",
-        )
-        return None, DOUBT
-    if "refused" in told:
-        say({"outcome": "refused", **told}, as_json, f"refused: {told['why']}")
-        return None, GIVEN if told["refused"] in ("settings", "unknown", "form") else REFUSED
-    return told, DONE
-
-
-def change(control, wait, as_json, do, **words):
-    """Propose, and follow the change to its end for at most `wait` seconds; gives the exit code."""
-    told, code = called(control, as_json, do, by=getpass.getuser(), **words)
-    if told is None:
-        return code
-    number, until, line = told["number"], time.monotonic() + wait, ""
-    while not ended(told) and time.monotonic() < until:
-        if (now := progress(told)) != line and not as_json and sys.stderr.isatty():
-            line = now
-            print(f"\r{line:78}", end="", file=sys.stderr, flush=True)
-        time.sleep(PAUSE)
-        try:
-            told = control.ask("change", number=number)
-        except (rpc_client.Nobody, rpc_client.Silent):
-            told = told | {
-                "outcome": "unknown",
-                "why": "the control process does not answer any more",
-            }
-    if line:
-        print(file=sys.stderr)
-    say(told, as_json, progress(told))
-    if told["outcome"] == "committed":
-        return DONE if not told["owed"] else DOUBT
-    if told["outcome"] == "aborted":
-        return REFUSED if told["why"].startswith("refused by") else ABORTED
-    return DOUBT
-
-
-def ended(told):
-    return (
-        told["outcome"] in ("aborted", "superseded")
-        or told["outcome"] == "committed"
-        and not told["owed"]
-    )
-
-
-def progress(told):
-    """A change in one line."""
-    number, outcome = told["number"], told["outcome"]
-    if outcome == "preparing":
-        return f"generation {number}: prepared at {len(told['prepared'])}"
-    if outcome == "committed":
-        owed = f", not yet at {', '.join(told['owed'])}" if told["owed"] else ""
-        absent = (
-            f"; down, to have it when they start: {', '.join(told['absent'])}"
-            if told["absent"]
-            else ""
-        )
-        return f"generation {number}: in force at {told['reached']} of {told['of']}{owed}{absent}"
-    return f"generation {number}: {outcome}: {told['why']}"
-
-
-def propose(control, path, without, wait, less, as_json):
-    return change(
-        control, wait, as_json, "propose", settings=settings_file(path), without=without, less=less
-    )
-
-
-def back(control, number, without, wait, as_json):
-    return change(control, wait, as_json, "back", number=number, without=without, less=True)
-
-
-def status(control, as_json):
-    told, code = called(control, as_json, "status")
-    if told is None:
-        return code
-    if as_json:
-        print(json.dumps(told))
-        return DONE
-    force = told["in_force"]
-    why = f" ({told['why']})" if told["why"] else ""
-    print(f"control {told['control']}: {told['state']}, epoch {told['epoch'][0]}{why}")
-    print(
-        f"in force: {'not known yet' if not force else 'generation %d, %s' % (force['number'], force['digest'])}"
-    )
-    if told["under_way"]:
-        print(f"under way: {progress(told['under_way'])}")
-    for name, at in told["gateways"].items():
-        print(
-            f"  {name:20} {at['state']}"
-            + ("" if at["number"] is None else f" (generation {at['number']})")
-        )
-    return DONE
-
-
-def history(control, as_json):
-    told, code = called(control, as_json, "history")
-    if told is None:
-        return code
-    say(
-        told,
-        as_json,
-        "\n".join(
-            f"{one['number']:5} {one['outcome']:10} {one['by']:12} {one['why']}"
-            for one in told["history"]
+    Each call has a scheduler of its own and one connection.
+    """
+
+    def __init__(self, config: Control, timeout_s: float = CALL_TIMEOUT_S) -> None:
+        self.config = config
+        self._timeout_s = timeout_s
+        self._limits = Limits(
+            sockets=MAX_DESCRIPTORS,
+            dial_timeout=timeout_s,
+            host_idle_timeout=IDLE_TIMEOUT_S,
+            streams=STREAMS_PER_CONNECTION,
+            counter_timeout=timeout_s,
         )
-        or "no change yet",
-    )
-    return DONE
 
+    def call(self, kind: StaffCall, **arguments: object) -> JsonObject:
+        """Return the answer to one call, which may be a rejection. Raises RpcError."""
+        scheduler = Scheduler()
+        client = RpcClient(scheduler, self._limits, self.config.key)
+        message = {"do": kind, "to": CONTROL_RECIPIENT, **arguments}
+        results: list[JsonObject | RpcError] = []
+
+        def call() -> None:
+            try:
+                results.append(
+                    client.call(self.config.listen, STAFF_PATH, message, self._timeout_s)
+                )
+            except RpcError as error:
+                results.append(error)
+            scheduler.stop()
 
-def show(control, number, as_json):
-    told, code = called(control, as_json, "show", number=number)
-    if told is not None:
-        print(
-            json.dumps(told) if as_json else json.dumps(told["content"], indent=1, sort_keys=True)
+        scheduler.soon(greenlet.greenlet(call, scheduler.hub).switch)
+        scheduler.run()
+        result = results[0]
+        if isinstance(result, RpcError):
+            raise result
+        return result
+
+
+class SettingsCommands:
+    """The commands, a method each; the command line makes one object a run.
+
+    A method raises CommandFailedError where the control process gives no answer to work with, and
+    ConfigError where a file of settings can't be read.
+    """
+
+    def __init__(self, client: ControlClient, as_json: bool) -> None:
+        self._client = client
+        self._as_json = as_json
+
+    def propose(self, path: str, without: list[str], wait_s: float, less: bool) -> ExitCode:
+        """Propose the settings of a file, and follow the change.
+
+        Args:
+            path: A file with settings, or with a gateway's whole configuration.
+            without: Gateways whose process has surely ended, which are left out.
+            wait_s: Seconds to follow the change for; 0 is not at all.
+            less: Whether keys of the settings in force may be lacking.
+        """
+        settings = settings_file(path)
+        return self._change(
+            wait_s, StaffCall.PROPOSE, settings=settings, without=without, less=less
         )
-    return code
-
-
-def diff(control, one, other, as_json):
-    """What changes for whom from one generation to another, or to the settings of a file."""
-    found = []
-    for which in (one, other):
-        if which.isdecimal():
-            told, code = called(control, as_json, "show", number=int(which))
-            if told is None:
-                return code
-            found.append(told["content"])
-        else:
-            found.append(settings_file(which))
-    lines = safe_settings.compared(*found)
-    say({"lines": lines}, as_json, "\n".join(lines) or "they say the same")
-    return DONE
+
+    def propose_again(self, number: int, without: list[str], wait_s: float) -> ExitCode:
+        """Propose the settings of an earlier generation, and follow the change."""
+        return self._change(wait_s, StaffCall.BACK, number=number, without=without, less=True)
+
+    def show_status(self) -> ExitCode:
+        """Print what is in force where, and what is under way."""
+        answer = self._call(StaffCall.STATUS)
+        self._print(answer, _describe_status(answer))
+        return ExitCode.DONE
+
+    def show_history(self) -> ExitCode:
+        """Print all changes and their outcomes."""
+        answer = self._call(StaffCall.HISTORY)
+        lines = [
+            f"{change['number']:5} {change['outcome']:10} {change['by']:12} {change['why']}"
+            for change in answer["history"]
+        ]
+        self._print(answer, "\n".join(lines) or "no change yet")
+        return ExitCode.DONE
+
+    def show_generation(self, number: int) -> ExitCode:
+        """Print the settings of a generation."""
+        answer = self._call(StaffCall.SHOW, number=number)
+        self._print(answer, json.dumps(answer["content"], indent=1, sort_keys=True))
+        return ExitCode.DONE
+
+    def show_differences(self, before: str, after: str) -> ExitCode:
+        """Print what changes for whom between two settings.
+
+        Args:
+            before: The number of a generation, or a file with settings.
+            after: The same.
+        """
+        contents = [self._read_settings(source) for source in (before, after)]
+        lines = safe_settings.describe_changes(*contents)
+        self._print({"lines": lines}, "\n".join(lines) or "they say the same")
+        return ExitCode.DONE
+
+    def _read_settings(self, source: str) -> JsonObject:
+        if not source.isdecimal():
+            return settings_file(source)
+        content: JsonObject = self._call(StaffCall.SHOW, number=int(source))["content"]
+        return content
+
+    def _change(self, wait_s: float, kind: StaffCall, **arguments: object) -> ExitCode:
+        """Propose a change, follow it, and print what came of it."""
+        answer = self._call(kind, by=getpass.getuser(), **arguments)
+        answer = self._follow(answer, wait_s)
+        progress = ChangeProgress.from_answer(answer)
+        self._print(answer, progress.describe())
+        return _exit_code_of(progress)
+
+    def _follow(self, answer: JsonObject, wait_s: float) -> JsonObject:
+        """Ask for a change until it is finished or the time is over; return the last answer."""
+        deadline = time.monotonic() + wait_s
+        progress = ChangeProgress.from_answer(answer)
+        number = progress.number
+        shown = ""
+        while not progress.is_finished and time.monotonic() < deadline:
+            shown = self._show_progress(progress, shown)
+            time.sleep(FOLLOW_INTERVAL_S)
+            try:
+                answer = self._client.call(StaffCall.CHANGE, number=number)
+            except RpcError:
+                reason = "the control process does not answer any more"
+                answer = answer | {"outcome": ChangeOutcome.UNKNOWN, "why": reason}
+            progress = ChangeProgress.from_answer(answer)
+        if shown:
+            print(file=sys.stderr)
+        return answer
+
+    def _show_progress(self, progress: ChangeProgress, shown: str) -> str:
+        """Replace the line on a terminal, where it differs; return the line that is shown."""
+        line = progress.describe()
+        if line == shown or self._as_json or not sys.stderr.isatty():
+            return shown
+        print(f"\r{line:{PROGRESS_COLUMNS}}", end="", file=sys.stderr, flush=True)
+        return line
+
+    def _call(self, kind: StaffCall, **arguments: object) -> JsonObject:
+        """Return the answer to a call; print why there is none, or that it was rejected."""
+        try:
+            answer = self._client.call(kind, **arguments)
+        except NotListeningError:
+            host, port = self._client.config.listen
+            text = f"nobody listens at {host}:{port}: is the control process up?"
+            self._print({"outcome": "no control process"}, text)
+            raise CommandFailedError(ExitCode.IN_DOUBT) from None
+        except RpcError as error:
+            text = f"no answer from the control process: {error}"
+            self._print({"outcome": "no answer", "why": str(error)}, text)
+            raise CommandFailedError(ExitCode.IN_DOUBT) from None
+        if "refused" in answer:
+            self._print({"outcome": "refused", **answer}, f"refused: {answer['why']}")
+            is_user_error = answer["refused"] in USER_ERRORS
+            raise CommandFailedError(ExitCode.INVALID_INPUT if is_user_error else ExitCode.REJECTED)
+        return answer
+
+    def _print(self, answer: JsonObject, text: str) -> None:
+        print(json.dumps(answer) if self._as_json else text)
+
+
+def _describe_status(answer: JsonObject) -> str:
+    """Return the answer to `status` in words, a line for each gateway."""
+    in_force = answer["in_force"]
+    reason = f" ({answer['why']})" if answer["why"] else ""
+    generation = "not known yet"
+    if in_force:
+        generation = f"generation {in_force['number']}, {in_force['digest']}"
+    lines = [
+        f"control {answer['control']}: {answer['state']}, epoch {answer['epoch'][0]}{reason}",
+        f"in force: {generation}",
+    ]
+    if answer["under_way"]:
+        progress = ChangeProgress.from_answer(answer["under_way"])
+        lines.append(f"under way: {progress.describe()}")
+    for name, participant in answer["gateways"].items():
+        number = participant["number"]
+        suffix = "" if number is None else f" (generation {number})"
+        lines.append(f"  {name:20} {participant['state']}{suffix}")
+    return "\n".join(lines)
+
+
+def _exit_code_of(progress: ChangeProgress) -> ExitCode:
+    if progress.outcome == ChangeOutcome.COMMITTED:
+        return ExitCode.IN_DOUBT if progress.owed else ExitCode.DONE
+    if progress.outcome == ChangeOutcome.ABORTED:
+        is_rejected = progress.reason.startswith("refused by")
+        return ExitCode.REJECTED if is_rejected else ExitCode.ABORTED
+    return ExitCode.IN_DOUBT
--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -1,324 +1,198 @@
-"""The control process: staff propose settings to it, it brings all gateways to agree.
+"""The control process: staff propose settings to it, and it has all gateways agree on them.
 
-It decides nothing: `leader` does, and the journal is on the disk before anybody is told. One greenlet a gateway carries
-what that one is due; staff call on a listener of their own, under the shared key. The log is one JSON line an event.
+The rules are in `coordinator`; this module owns the process around them: scheduler, listener,
+journal, log and signals. A decision is in the journal before anybody is notified of it. The log is
+one JSON object a line.
 """
 
 import select
 import signal
 import socket
+from collections.abc import Callable, Iterable, Mapping
 
-import greenlet
-
-from petrellane.config import ConfigError, Section, lacks, settings
-from petrellane.config_consensus import coordinator as rules
-from petrellane.config_consensus import message_authentication, rpc_client, safe_settings
-from petrellane.config_consensus.coordinator import Coordinator, CoordinatorState
-from petrellane.config_consensus.errors import ProposalRejected
+from petrellane.config import Control
+from petrellane.config_consensus.coordinator import Coordinator
 from petrellane.config_consensus.journal import Journal
+from petrellane.config_consensus.message_authentication import (
+    STAFF_PATH,
+    HttpAnswer,
+    answer_signed_request,
+)
+from petrellane.config_consensus.participant_notifier import CALL_TIMEOUT_S, ParticipantNotifier
+from petrellane.config_consensus.rpc_client import RpcClient
+from petrellane.config_consensus.staff_calls import StaffCalls
+from petrellane.config_consensus.staff_messages import CONTROL_RECIPIENT
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
 from petrellane.operation.lifecycle import Service
 from petrellane.operation.management_api import Management
 
-
-class Control:
-    """A control process from its configuration. Raises JournalError, or OSError where it can't listen."""
-
-    PATIENCE = 0.6  # seconds that a gateway may take to answer
-    TICK = 0.05  # between looks at what time alone brings
-    FRESH = (
-        60.0  # seconds that a call of staff may be old, by their clock, and is not taken twice in
-    )
-
-    def __init__(self, config, log_descriptor=1, scheduler=None, limits=None):
-        self.config, self.scheduler = config, scheduler or Scheduler()
-        self.limits = limits or Limits(4096, self.PATIENCE, 1.0, 1, self.PATIENCE)
+TICK_INTERVAL_S = 0.05  # between looks at what time alone brings
+JOURNAL_FAILED_INTERVAL_S = 1.0  # between two `journal_failed` events
+MAX_DESCRIPTORS = 4096
+IDLE_TIMEOUT_S = 1.0  # of connections to gateways; there are none between two calls
+STREAMS_PER_CONNECTION = 1
+
+
+class ControlService:
+    """A control process, from its configuration; the command line owns it until `run` returns.
+
+    It owns the journal's file, the listener for staff (through `Management`), the sockets that
+    signals wake the scheduler by, and the greenlets that talk to gateways (through
+    `ParticipantNotifier`).
+    """
+
+    def __init__(
+        self,
+        config: Control,
+        log_descriptor: int = 1,
+        scheduler: Scheduler | None = None,
+        limits: Limits | None = None,
+    ) -> None:
+        """Open the journal and listen for staff.
+
+        Raises:
+            JournalError: The journal can't be used.
+            OSError: The address can't be listened at, or the journal can't be written.
+        """
+        self.config = config
+        self.scheduler = scheduler or Scheduler()
+        self.limits = limits or default_limits()
         self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
         self.scheduler.fault = self.log.fault
         self.journal = Journal(config.journal)
-        self.leader = Coordinator(
-            config.name, config.members, self.journal, self.scheduler.now(), self.journal.records()
+        self.coordinator = Coordinator(
+            config.name,
+            config.members,
+            self.journal,
+            self.scheduler.now(),
+            self.journal.records(),
         )
-        self.calls, self.told, self.parked, self.complained = {}, None, {}, 0.0
-        self.nonces = {}  # of the last calls: one that was listened to must do nothing when it is said again
-        self.desk = Management(
-            self.scheduler, self.limits, Service(0.0, 0.0), lambda: None, lambda trouble: None
+        self._notifier = self._create_notifier()
+        self._staff_calls = self._create_staff_calls()
+        self._reported: tuple[object, ...] | None = None
+        self._journal_fault_logged_at = 0.0
+        self._signal_sockets: tuple[socket.socket, ...] = ()
+        self._management = self._listen()
+
+    def _create_notifier(self) -> ParticipantNotifier:
+        return ParticipantNotifier(
+            self.coordinator,
+            RpcClient(self.scheduler, self.limits, self.config.key),
+            self.config.members,
+            self._take_step,
+            self._report_progress,
         )
-        self.desk.handlers[message_authentication.STAFF] = self.heard
-        self.desk.listen(config.listen)
-        self.workers = set()
-
-    def start(self):
-        """Listen, and begin to seek; the scheduler does the rest."""
-        self.staff_up()
-        self.tick()
 
-    def staff_up(self):
-        for name in self.leader.all_participants():
-            if name not in self.workers:
-                self.workers.add(name)
-                self.scheduler.spawn(self.work, name)
+    def _create_staff_calls(self) -> StaffCalls:
+        return StaffCalls(
+            self.config.name,
+            self.coordinator,
+            self.scheduler.now,
+            self._report_progress,
+            self._notifier.call_counts,
+        )
 
-    def run(self):
-        """Serve until `end`."""
-        self.start()
+    def _listen(self) -> Management:
+        management = Management(
+            self.scheduler,
+            self.limits,
+            Service(0.0, 0.0),
+            lambda: None,
+            lambda _error: None,
+        )
+        management.handlers[STAFF_PATH] = self._handle_staff_call
+        management.listen(self.config.listen)
+        return management
+
+    def run(self) -> None:
+        """Serve until `stop`."""
+        self._notifier.start_workers()
+        self._tick()
+        host, port = self.config.listen
         self.log.event(
             "control",
-            listen="%s:%d" % self.config.listen,
+            listen=f"{host}:{port}",
             gateways=len(self.config.members),
-            epoch=self.leader.epoch.number,
+            epoch=self.coordinator.epoch.number,
         )
         self.scheduler.run()
-        self.desk.end()
+        self._management.end()
         self.journal.close()
         self.log.event("ended")
         self.log.flush()
 
-    def end(self):
+    def stop(self) -> None:
+        """Have `run` return."""
         self.scheduler.stop()
 
-    def obey(self, signals):
-        """End on these signals, which must wake the poll."""
-        ours, theirs = socket.socketpair()
-        ours.setblocking(False)
-        theirs.setblocking(False)
-        self.signals = ours, theirs
-        signal.set_wakeup_fd(theirs.fileno(), warn_on_full_buffer=False)
+    def stop_on_signals(self, signals: Iterable[signal.Signals]) -> None:
+        """Stop on any of these signals, each of which wakes the scheduler's poll."""
+        wake_receiver, wake_sender = socket.socketpair()
+        wake_receiver.setblocking(False)
+        wake_sender.setblocking(False)
+        self._signal_sockets = (wake_receiver, wake_sender)
+        signal.set_wakeup_fd(wake_sender.fileno(), warn_on_full_buffer=False)
         for number in signals:
             signal.signal(number, lambda *_: None)
-        self.scheduler.register(ours.fileno(), select.POLLIN, lambda events: self.end())
+        self.scheduler.register(wake_receiver.fileno(), select.POLLIN, lambda _events: self.stop())
 
-    # Gateways.
+    def _tick(self) -> None:
+        """Do what time alone brings: a change is given up, or may be decided now."""
+        self.scheduler.after(TICK_INTERVAL_S, self._tick)
+        self._take_step(self.coordinator.try_to_decide, self.scheduler.now())
+        self._report_progress()
 
-    def tick(self):
-        """What time alone brings: a change that is given up or may be decided now, a word to the log."""
-        self.scheduler.after(self.TICK, self.tick)
-        self.noted(self.leader.try_to_decide, self.scheduler.now())
-        self.tell()
+    def _take_step(self, step: Callable[..., None], *arguments: object) -> None:
+        """Have the coordinator take a step that may write to the journal.
 
-    def noted(self, call, *words):
-        """Make a call that may write to the journal; where that fails the step was not taken."""
+        Where the journal can't be written the step is not taken, and that is logged.
+        """
         try:
-            call(*words)
-            return True
+            step(*arguments)
         except OSError as error:
-            if self.scheduler.now() - self.complained > 1.0:
-                self.complained = self.scheduler.now()
+            now = self.scheduler.now()
+            if now - self._journal_fault_logged_at > JOURNAL_FAILED_INTERVAL_S:
+                self._journal_fault_logged_at = now
                 self.log.event("journal_failed", error=str(error))
-            return False
 
-    def tell(self):
-        """Log what has changed of the whole, once."""
-        leads = self.leader
-        told = (
-            leads.state,
-            leads.epoch,
-            leads.in_force and leads.in_force.ballot,
-            leads.change and leads.change.generation.ballot,
+    def _report_progress(self) -> None:
+        """Log the coordinator's state and wake the notifier, where something has changed."""
+        coordinator = self.coordinator
+        in_force = coordinator.in_force
+        change = coordinator.change
+        current = (
+            coordinator.state,
+            coordinator.epoch,
+            in_force.ballot if in_force else None,
+            change.generation.ballot if change else None,
         )
-        if told == self.told:
+        if current == self._reported:
             return
-        self.told = told
-        self.staff_up()
+        self._reported = current
+        self._notifier.start_workers()
         self.log.event(
-            leads.state,
-            epoch=leads.epoch.number,
-            number=leads.in_force.number if leads.in_force else None,
-            under_way=leads.change.generation.number if leads.change else None,
-            why=leads.reason,
+            coordinator.state,
+            epoch=coordinator.epoch.number,
+            number=in_force.number if in_force else None,
+            under_way=change.generation.number if change else None,
+            why=coordinator.reason,
         )
-        self.nudge()
-
-    def nudge(self):
-        """Something has changed that gateways may be due to hear of."""
-        for wake in list(self.parked.values()):
-            self.scheduler.soon(wake)
-
-    def work(self, name):
-        """Carry to one gateway what it is due, one message at a time."""
-        while True:
-            message, pause = self.leader.next_message(name, self.scheduler.now())
-            if message is None:
-                self.park(name, pause)
-                continue
-            self.carry(name, message)
-            self.tell()
-
-    def park(self, name, pause):
-        current = greenlet.getcurrent()
-
-        def wake():
-            if self.parked.get(name) is wake:
-                current.switch()
-
-        self.parked[name] = wake
-        self.scheduler.wait(pause)
-        del self.parked[name]
+        self._notifier.wake_workers()
 
-    def carry(self, name, message):
-        """One message: what comes of it goes to the rules."""
-        leads, down, why = self.leader, True, "no address in the roster"
-        addresses = self.config.members.get(name, ())
-        self.calls[message["do"]] = self.calls.get(message["do"], 0) + 1
-        for address in addresses:
-            try:
-                answer = rpc_client.ask(
-                    self.scheduler,
-                    self.limits,
-                    self.config.key,
-                    address,
-                    message_authentication.PATH,
-                    message,
-                    self.PATIENCE,
-                )
-            except rpc_client.Nobody:
-                continue
-            except rpc_client.Silent as error:
-                down, why = False, str(error)
-                continue
-            if answer.get("refused") == "elsewhere":  # not the process that is the gateway now
-                down, why = False, "it starts, or another process follows it"
-                continue
-            self.noted(leads.handle_answer, name, message, answer, self.scheduler.now())
-            return
-        if down and addresses:
-            self.noted(leads.handle_connection_refused, name, message, self.scheduler.now())
-        else:
-            self.noted(leads.handle_no_answer, name, message, self.scheduler.now(), why)
-
-    # Staff.
-
-    def heard(self, fields, body):
-        """A call of staff: its status, body and fields."""
-        return message_authentication.served(self.config.key, "control", self.new, fields, body)
-
-    def new(self, message):
-        self.once(message)
-        return self.obeyed(message)
-
-    def once(self, message):
-        """Raise Unsealed for a call that is old, or that has come before."""
-        now, at, nonce = self.scheduler.now(), message.get("at"), str(message.get("nonce"))
-        if not isinstance(at, (int, float)) or abs(now - at) > self.FRESH or nonce in self.nonces:
-            raise message_authentication.Unsealed(
-                f"at: expected a new call of the last {self.FRESH:g} s, by a clock that is about right"
-            )
-        self.nonces = {one: until for one, until in self.nonces.items() if until > now} | {
-            nonce: now + 2 * self.FRESH
-        }
-
-    def obeyed(self, message):
-        """What staff asked, carried out: the status and what is told."""
-        do, number = message.get("do"), message.get("number")
-        if do == "status":
-            return 200, self.status()
-        if do == "history":
-            return 200, {
-                "history": [change.to_dict() for _, change in sorted(self.leader.history.items())]
-            }
-        if do in ("show", "back"):
-            found = self.generation(number)
-            if not found:
-                return 404, {
-                    "refused": "unknown",
-                    "why": f"generation {number}: expected one of the history",
-                }
-            if do == "show":
-                return 200, found.to_dict()
-            return self.propose(found.content, message)
-        if do == "propose" and isinstance(message.get("settings"), dict):
-            return self.propose(message["settings"], message)
-        if do == "change":
-            change = next(
-                (one for ballot, one in self.leader.history.items() if ballot.number == number),
-                None,
-            )
-            return (
-                (200, self.progress(change))
-                if change
-                else (404, {"refused": "unknown", "why": f"no change {number}"})
-            )
-        return 400, {"refused": "form", "why": f"do: expected a known word, found {str(do)[:40]}"}
-
-    def generation(self, number):
-        """The generation of a number: the one that was in force, else the last that was proposed under it."""
-        found = [
-            change
-            for ballot, change in sorted(self.leader.history.items())
-            if ballot.number == number
-        ]
-        if self.leader.in_force and self.leader.in_force.number == number:
-            return self.leader.in_force
-        kept = [
-            change for change in found if change.outcome == rules.ChangeOutcome.COMMITTED
-        ] or found
-        return kept[-1].generation if kept else None
-
-    def propose(self, told, message):
-        """Propose settings, once they would do anywhere."""
-        content, without = safe_settings.shared_settings(told), message.get("without", [])
-        if not isinstance(without, list) or not all(isinstance(name, str) for name in without):
-            return 400, {"refused": "form", "why": "without: expected a list of names"}
-        try:
-            settings(Section(content, "settings"))
-            if self.leader.in_force and self.leader.in_force.number and not message.get("less"):
-                lacks(self.leader.in_force.content, content, "settings")
-            if self.leader.in_force:
-                settings(
-                    Section(safe_settings.meet(self.leader.in_force.content, content), "settings")
-                )
-        except (ConfigError, ValueError, TypeError, AttributeError, KeyError) as error:
-            return 422, {"refused": "settings", "why": str(error)}
-        try:
-            change = self.leader.propose(
-                content, tuple(without), str(message.get("by", ""))[:64], self.scheduler.now()
-            )
-        except ProposalRejected as error:
-            return 409, {"refused": "not now", "why": str(error)}
-        except OSError as error:
-            return 507, {"refused": "journal", "why": str(error)}
-        self.tell()
-        return 200, self.progress(change)
+    def _handle_staff_call(self, fields: Mapping[bytes, bytes], body: bytes) -> HttpAnswer:
+        return answer_signed_request(
+            self.config.key, CONTROL_RECIPIENT, self._staff_calls.handle, fields, body
+        )
 
-    def progress(self, change):
-        """A change as it stands: its outcome, and where its settings are in force."""
-        ballot, seen = change.generation.ballot, self.leader.participant_states
-        reached = [
-            name
-            for name in self.leader.all_participants()
-            if name in seen and seen[name].in_force >= ballot
-        ]
-        owed = [
-            name
-            for name in change.participants
-            if name not in reached and name not in change.confirmed_absent
-        ]
-        return change.to_dict() | {
-            "reached": len(reached),
-            "of": len(self.leader.all_participants()),
-            "owed": sorted(owed),
-            "control": self.leader.state,
-        }
 
-    def status(self):
-        """The whole as it stands: this control process, what is in force, and each gateway."""
-        leads = self.leader
-        return {
-            "control": self.config.name,
-            "state": leads.state,
-            "why": leads.reason,
-            "epoch": list(leads.epoch),
-            "in_force": leads.in_force.identity_to_dict() if leads.in_force else None,
-            "under_way": self.progress(leads.change) if leads.change else None,
-            "calls": self.calls,
-            "settled": leads.state == CoordinatorState.LEADING
-            and not leads.change
-            and not leads.in_doubt,
-            "seeking": leads.state == CoordinatorState.SEEKING,
-            "gateways": {
-                name: dict(zip(("state", "number"), leads.describe_participant(name), strict=True))
-                for name in leads.all_participants()
-            },
-        }
+def default_limits() -> Limits:
+    """Return the bounds of a control process's network code."""
+    return Limits(
+        sockets=MAX_DESCRIPTORS,
+        dial_timeout=CALL_TIMEOUT_S,
+        host_idle_timeout=IDLE_TIMEOUT_S,
+        streams=STREAMS_PER_CONNECTION,
+        counter_timeout=CALL_TIMEOUT_S,
+    )
--- a/petrellane/config_consensus/journal.py
+++ b/petrellane/config_consensus/journal.py
@@ -1,71 +1,114 @@
-"""The control process's journal: SQLite, one transaction a record, flushed to the disk before it counts.
+"""The journal of a control process: SQLite, one transaction a record.
 
-Records are never changed. One control process at a time has the file; a second one is turned away at its start.
+A record is on the disk when `append` returns, and is never changed. What records mean is the
+coordinator's business.
 """
 
 import sqlite3
+from typing import Any, Final
 
 import orjson
 
-VERSION = 1
+from petrellane.config_consensus.errors import ConsensusError
 
+VERSION: Final = 1  # of the file's layout, in its PRAGMA user_version
+LOCK_TIMEOUT_S: Final = 0.5  # for a control process that is about to end
+INTACT: Final = "ok"  # what the integrity check of a sound file gives
 
-class JournalError(Exception):
+Record = dict[str, Any]  # a JSON object
+
+CREATE_RECORDS: Final = (
+    "CREATE TABLE records (number INTEGER PRIMARY KEY, at REAL NOT NULL, told BLOB NOT NULL)"
+)
+SELECT_RECORDS: Final = "SELECT told, at FROM records ORDER BY number"
+INSERT_RECORD: Final = "INSERT INTO records (at, told) VALUES (?, ?)"
+
+
+class JournalError(ConsensusError):
     """A journal that can't be used; the text is one line that says what to do."""
 
 
 class Journal:
-    """The records of one file, made where there is none. Raises JournalError."""
+    """One file of records, which a control process owns from its start to its end.
+
+    The file is created where there is none, and locked against other processes until `close`.
+    """
 
-    def __init__(self, path):
+    def __init__(self, path: str) -> None:
+        """Open a journal.
+
+        Raises:
+            JournalError: The file can't be written, is damaged, of another version, or another
+                process has it.
+        """
         self.path = path
         try:
-            self.base = sqlite3.connect(path, timeout=0.5, isolation_level=None)
-            self.base.execute("PRAGMA locking_mode=EXCLUSIVE")
-            self.base.execute("PRAGMA synchronous=FULL")
-            self.base.execute("BEGIN EXCLUSIVE")
-            if (found := self.base.execute("PRAGMA integrity_check").fetchone()[0]) != "ok":
-                raise sqlite3.DatabaseError(found)
-            version = self.base.execute("PRAGMA user_version").fetchone()[0]
-            tables = self.base.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]
-            if version != VERSION and (version or tables):
-                raise JournalError(
-                    f"{path}: expected a journal of version {VERSION}, found {version}: start the build that "
-                    "wrote it, or move the file away and start with an empty one"
-                )
-            if not tables:
-                self.base.execute(
-                    "CREATE TABLE records (number INTEGER PRIMARY KEY, at REAL NOT NULL, told BLOB NOT NULL)"
-                )
-                self.base.execute(f"PRAGMA user_version = {VERSION}")
-            self.base.execute("COMMIT")
+            self._connection = sqlite3.connect(path, timeout=LOCK_TIMEOUT_S, isolation_level=None)
+            self._lock()
+            self._check_or_create_tables()
+            self._connection.execute("COMMIT")
         except sqlite3.OperationalError as error:
-            busy = "another control process has it" if "locked" in str(error) else str(error)
-            raise JournalError(f"{path}: expected a file that can be written: {busy}") from None
+            reason = "another control process has it" if "locked" in str(error) else str(error)
+            raise JournalError(f"{path}: expected a file that can be written: {reason}") from None
         except sqlite3.DatabaseError as error:
             raise JournalError(
-                f"{path}: expected a whole journal, found {error}: move it away and start with an empty one; "
-                "the gateways remember what is in force"
+                f"{path}: expected a whole journal, found {error}: move it away and start with an "
+                "empty one; the gateways remember what is in force"
             ) from None
 
-    def records(self):
-        """All records, the oldest first. Raises JournalError."""
+    def _lock(self) -> None:
+        self._connection.execute("PRAGMA locking_mode=EXCLUSIVE")
+        self._connection.execute("PRAGMA synchronous=FULL")
+        self._connection.execute("BEGIN EXCLUSIVE")
+
+    def _check_or_create_tables(self) -> None:
+        integrity = self._query_value("PRAGMA integrity_check")
+        if integrity != INTACT:
+            raise sqlite3.DatabaseError(integrity)
+        version = self._query_value("PRAGMA user_version")
+        table_count = self._query_value("SELECT count(*) FROM sqlite_master")
+        is_new = not version and not table_count
+        if version != VERSION and not is_new:
+            raise JournalError(
+                f"{self.path}: expected a journal of version {VERSION}, found {version}: start the "
+                "build that wrote it, or move the file away and start with an empty one"
+            )
+        if not table_count:
+            self._connection.execute(CREATE_RECORDS)
+            self._connection.execute(f"PRAGMA user_version = {VERSION}")
+
+    def _query_value(self, query: str) -> object:
+        return self._connection.execute(query).fetchone()[0]
+
+    def records(self) -> list[Record]:
+        """Return all records, the oldest first, each with the Unix time of its append as `at`.
+
+        Raises:
+            JournalError: The file can't be read, or a record is no JSON object.
+        """
         try:
             return [
-                orjson.loads(row[0]) | {"at": row[1]}
-                for row in self.base.execute("SELECT told, at FROM records ORDER BY number")
+                orjson.loads(content) | {"at": at}
+                for content, at in self._connection.execute(SELECT_RECORDS)
             ]
         except (sqlite3.DatabaseError, ValueError) as error:
             raise JournalError(f"{self.path}: expected records in JSON, found {error}") from None
 
-    def append(self, record, at):
-        """Add a record; it is on the disk when this returns. Raises OSError, and nothing was added."""
+    def append(self, record: Record, at: float) -> None:
+        """Add a record; it is on the disk when this returns.
+
+        Args:
+            record: What is recorded.
+            at: Unix time in seconds.
+
+        Raises:
+            OSError: The record could not be written, and none was added.
+        """
         try:
-            self.base.execute(
-                "INSERT INTO records (at, told) VALUES (?, ?)", (at, orjson.dumps(record))
-            )
+            self._connection.execute(INSERT_RECORD, (at, orjson.dumps(record)))
         except sqlite3.Error as error:
             raise OSError(f"{self.path}: {error}") from None
 
-    def close(self):
-        self.base.close()
+    def close(self) -> None:
+        """Close the file, which other processes may open from then on."""
+        self._connection.close()
--- a/petrellane/config_consensus/message_authentication.py
+++ b/petrellane/config_consensus/message_authentication.py
@@ -1,80 +1,154 @@
-"""Who says it: messages between gateways and control processes carry a seal under a key that all of them hold.
+"""Authentication of messages between gateways, control processes and staff's commands.
 
-A seal is HMAC-SHA256 (RFC 2104) in hex. That of a question covers its body, which says whom it is for, when it was asked,
-and a nonce; that of an answer covers the question's seal, so that an answer to one can't be passed off as one to another. A
-question to a gateway that is said again has the same result; a control process takes one of staff once.
+All of them hold one shared key. A signature is HMAC-SHA256 (RFC 2104) in hexadecimal, carried in a
+header field. That of a request covers its body, which names its recipient, the time and a nonce;
+that of a response covers the request's signature too, so that a response to one request can't be
+passed off as one to another.
+
+Replays are the recipient's business: a participant's answers are idempotent, and a control process
+accepts each call of staff once.
 """
 
 import hashlib
 import hmac
 import secrets
 import time
+from collections.abc import Callable, Mapping
+from http import HTTPStatus
+from typing import Any, NamedTuple
 
 import orjson
 
-PATH = b"/-/agreement"
-STAFF = b"/-/settings"
-FIELD = b"petrellane-seal"
-LEAST = 16  # bytes of a key
+from petrellane.config_consensus.errors import ConsensusError
 
+JsonObject = dict[str, Any]
 
-class Unsealed(Exception):
-    """Bytes that nobody with our key has said, or that were said to somebody else."""
+PARTICIPANT_PATH = b"/-/agreement"  # of a participant's calls, on a gateway's management listener
+STAFF_PATH = b"/-/settings"  # of staff's calls, on a control process's listener
+SIGNATURE_FIELD = b"petrellane-seal"  # header field, in lower case as parsers give it
+REASON_FIELD = "Petrellane-Why"  # header field that says why a request is not authentic
+NONCE_BYTES = 8
+SHOWN_CHARACTERS = 40  # of a value that was not expected
 
+# What a signature is for is its first part, so that none of one kind passes for the other.
+REQUEST_CONTEXT = b"question"
+RESPONSE_CONTEXT = b"answer"
 
-def sealed(key, *parts):
-    """The seal of some parts, each counted with its length."""
-    return (
-        hmac.new(key, b"".join(b"%d:%b" % (len(part), part) for part in parts), hashlib.sha256)
-        .hexdigest()
-        .encode()
-    )
 
+class AuthenticationError(ConsensusError):
+    """Bytes that no holder of the key has sent, or that were sent to another recipient."""
 
-def question(key, message):
-    """A message's body and seal; its `to` says whom it is for."""
-    body = orjson.dumps(message | {"nonce": secrets.token_hex(8), "at": time.time()})
-    return body, sealed(key, b"question", body)
 
+class SignedMessage(NamedTuple):
+    """A message as it is sent: its JSON body and the signature of it."""
+
+    body: bytes
+    signature: bytes
+
+
+class HttpAnswer(NamedTuple):
+    """What a request on a management listener is answered with."""
+
+    status: int
+    body: bytes
+    fields: dict[str, str]
+
+
+class Answer(NamedTuple):
+    """What a handler answers an authentic message with, before it is signed."""
+
+    status: int
+    message: JsonObject
 
-def understood(key, name, seal, body):
-    """A question that somebody with the key asked of us, by the name that we go by. Raises Unsealed, or ValueError where
-    it is out of form."""
-    if not hmac.compare_digest(sealed(key, b"question", body), seal or b""):
-        raise Unsealed("seal: expected one under the shared key")
-    message = orjson.loads(body)
-    if not isinstance(message, dict):
-        raise ValueError("expected an object")
-    if message.get("to") != name:
-        raise Unsealed(f"to: expected {name}, found {str(message.get('to'))[:40]}")
-    return message
 
+def compute_signature(key: bytes, *parts: bytes) -> bytes:
+    """Return the signature of some parts, each of which is counted in with its length."""
+    signed_bytes = b"".join(b"%d:%b" % (len(part), part) for part in parts)
+    return hmac.new(key, signed_bytes, hashlib.sha256).hexdigest().encode()
 
-def answer(key, seal, told):
-    """An answer's body and seal, to the question of that seal."""
-    body = orjson.dumps(told)
-    return body, sealed(key, b"answer", seal, body)
 
+def sign_request(key: bytes, message: JsonObject) -> SignedMessage:
+    """Encode and sign a request; its key `to` names the recipient."""
+    body = orjson.dumps(
+        message | {"nonce": secrets.token_hex(NONCE_BYTES), "at": time.time()},
+    )
+    return SignedMessage(body, compute_signature(key, REQUEST_CONTEXT, body))
+
+
+def verify_request(key: bytes, recipient: str, signature: bytes, body: bytes) -> JsonObject:
+    """Return the message of a request that a holder of the key sent to this recipient.
 
-def answered(key, asked, seal, body):
-    """What was answered to the question of the seal `asked`. Raises Unsealed or ValueError."""
-    if not hmac.compare_digest(sealed(key, b"answer", asked, body), seal or b""):
-        raise Unsealed("seal: expected one under the shared key")
-    told = orjson.loads(body)
-    if not isinstance(told, dict):
-        raise ValueError("expected an object")
-    return told
+    Raises:
+        AuthenticationError: The signature is another one, or the request is for somebody else.
+        ValueError: The body is no JSON object.
+    """
+    _verify_signature(compute_signature(key, REQUEST_CONTEXT, body), signature)
+    message = _decode_object(body)
+    if message.get("to") != recipient:
+        found = str(message.get("to"))[:SHOWN_CHARACTERS]
+        raise AuthenticationError(f"to: expected {recipient}, found {found}")
+    return message
 
 
-def served(key, name, obey, fields, body):
-    """A call under the key: what `obey` answers to the message (a status and what is told), sealed; the status, body and
-    fields of the whole. `obey` may raise Unsealed as well."""
-    asked = fields.get(FIELD, b"")
+def sign_response(key: bytes, request_signature: bytes, message: JsonObject) -> SignedMessage:
+    """Encode and sign a response to the request that has this signature."""
+    body = orjson.dumps(message)
+    return SignedMessage(body, compute_signature(key, RESPONSE_CONTEXT, request_signature, body))
+
+
+def verify_response(
+    key: bytes, request_signature: bytes, signature: bytes, body: bytes
+) -> JsonObject:
+    """Return the message of a response to the request that has this signature.
+
+    Raises:
+        AuthenticationError: The signature is another one.
+        ValueError: The body is no JSON object.
+    """
+    expected = compute_signature(key, RESPONSE_CONTEXT, request_signature, body)
+    _verify_signature(expected, signature)
+    return _decode_object(body)
+
+
+def answer_signed_request(
+    key: bytes,
+    recipient: str,
+    handler: Callable[[JsonObject], Answer],
+    fields: Mapping[bytes, bytes],
+    body: bytes,
+) -> HttpAnswer:
+    """Verify a request, have it handled and sign the answer.
+
+    Args:
+        key: The shared key.
+        recipient: The name that requests to this process carry.
+        handler: Answers the message. It may raise AuthenticationError, for a replay for instance,
+            and ValueError for a message that it can't parse.
+        fields: The request's header fields, with names in lower case.
+        body: The request's body.
+    """
+    request_signature = fields.get(SIGNATURE_FIELD, b"")
     try:
-        status, told = obey(understood(key, name, asked, body))
-    except Unsealed as error:
-        return 401, b'{"refused":"seal"}', {"Petrellane-Why": str(error)}
+        status, message = handler(verify_request(key, recipient, request_signature, body))
+    except AuthenticationError as error:
+        return HttpAnswer(
+            HTTPStatus.UNAUTHORIZED, b'{"refused":"seal"}', {REASON_FIELD: str(error)}
+        )
     except ValueError:
-        return 400, b'{"refused":"form"}', {}
-    body, own = answer(key, asked, told)
-    return status, body, {FIELD.decode(): own.decode()}
+        return HttpAnswer(HTTPStatus.BAD_REQUEST, b'{"refused":"form"}', {})
+    response = sign_response(key, request_signature, message)
+    return HttpAnswer(
+        status, response.body, {SIGNATURE_FIELD.decode(): response.signature.decode()}
+    )
+
+
+def _verify_signature(expected: bytes, found: bytes) -> None:
+    if not hmac.compare_digest(expected, found or b""):
+        raise AuthenticationError("seal: expected one under the shared key")
+
+
+def _decode_object(body: bytes) -> JsonObject:
+    message = orjson.loads(body)
+    if not isinstance(message, dict):
+        raise ValueError("expected an object")  # noqa: TRY004 - malformed input, as bad JSON is
+    return message
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -1,389 +1,344 @@
-"""The agent at a gateway: answers control processes and other gateways on the management listener, asks other gateways
-what it may have missed, and puts in force what the rules say.
+"""The participant at a gateway: answers control processes and other gateways, applies settings.
 
-It decides nothing: `member` does. What is remembered is on the disk before it is answered or put in force; a thread of its
-own waits for the disk, as RPCs must not. It promises that `begin` is called once the gateway knows what is in force, never
-before, and that `admits` is cheap.
+The rules are in `participant`; this module executes what they decide. It promises that a state is
+on the disk before it is answered or applied, that `on_ready` is called once the gateway knows which
+settings are in force and never before, and that `may_admit` is cheap. Asking other gateways for
+what this one may have missed is left to `peer_polling`.
 """
 
 import contextlib
-import select
-import socket
-import threading
 import time
-from functools import partial
+from collections.abc import Callable, Iterator, Mapping
+from dataclasses import dataclass
+from http import HTTPStatus
 
-import greenlet
-
-from petrellane.config_consensus import message_authentication, participant, rpc_client
-from petrellane.config_consensus.ballots import Generation, parse_generation
+from petrellane.config import Agreement
+from petrellane.config_consensus import participant
+from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.errors import MessageRejected
+from petrellane.config_consensus.message_authentication import (
+    Answer,
+    HttpAnswer,
+    JsonObject,
+    answer_signed_request,
+)
 from petrellane.config_consensus.participant import (
     INITIAL_BALLOT,
     ParticipantState,
     ParticipantStatus,
 )
+from petrellane.config_consensus.peer_polling import PeerPoller
 from petrellane.config_consensus.safe_settings import describe_changes, digest, shared_settings
-from petrellane.config_consensus.state_store import Store
-
-
-class Agent:
-    """One gateway's. `settings` are those of its own file; `takes` says why settings will not do here, or None; `adopt`
-    puts settings in force; `chance` draws from 0 to 1."""
-
-    SIDE_BY_SIDE = 4  # others that are asked at a time
-    PATIENCE = 0.5  # seconds that one may take to answer
-    IN_DOUBT = 3  # others asked a round while the decision is not known
-
-    def __init__(self, scheduler, limits, log, told, name, settings, takes, adopt, chance):
-        self.scheduler, self.limits, self.log, self.told, self.name = (
-            scheduler,
-            limits,
-            log,
-            told,
-            name,
-        )
-        self.settings, self.takes, self.adopt, self.chance = settings, takes, adopt, chance
-        self.store, self.remembers, self.writable = Store(told.state, name), True, True
-        self.state = ParticipantState(
-            Generation(
-                INITIAL_BALLOT, digest(settings), shared_settings(settings), tuple(told.members)
-            )
-        )
-        self.standing = ParticipantStatus(name, told.members, False, self.clock())
-        self.part = False  # we answer and ask: this process is the gateway
-        self.begin = None
-        self.asking = self.over = self.busy = False
-        self.announced = self.drifted = None
+from petrellane.config_consensus.state_store import StateStore
+from petrellane.config_consensus.state_writer import StateWriter
+from petrellane.net.limits import Limits
+from petrellane.net.log import Logger
+from petrellane.net.scheduler import Scheduler
+
+UPDATE_RETRY_INTERVAL_S = 0.002  # between looks whether another greenlet's update has ended
+MAX_DRIFT_LINES = 20  # of a `drift` event
+
+
+@dataclass(frozen=True)
+class GatewayInterface:
+    """What a participant service needs of its gateway.
+
+    Attributes:
+        name: the gateway's name in the roster.
+        settings: the settings of the gateway's own file.
+        validate: returns why settings can't be applied here, in one line, or None.
+        apply_settings: puts settings in force that `validate` accepts.
+        random: draws from 0 to 1.
+    """
+
+    name: str
+    settings: JsonObject
+    validate: Callable[[JsonObject], str | None]
+    apply_settings: Callable[[JsonObject], None]
+    random: Callable[[], float]
+
+
+class ParticipantService:
+    """One gateway's participant; the gateway's process owns it from its start to its end.
+
+    It owns the state, its files (through `StateWriter`) and the greenlets that ask other gateways
+    (through `PeerPoller`). The management listener that calls come in by is the gateway's.
+
+    Attributes:
+        limits: bounds of the network code; the gateway replaces them when settings change.
+        state: what this gateway has promised, prepared and put in force, as it is on the disk.
+        status: whether this gateway may admit requests.
+        is_active: whether this process is the one that takes part; a successor may be it instead.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        limits: Limits,
+        log: Logger,
+        config: Agreement,
+        gateway: GatewayInterface,
+    ) -> None:
+        self.scheduler = scheduler
+        self.limits = limits
+        self.log = log
+        self.config = config
+        self.gateway = gateway
+        self.name = gateway.name
+        self.is_active = False
+        self.is_stopped = False
+        self.state = ParticipantState(self._file_generation(gateway.settings))
+        self.status = ParticipantStatus(self.name, config.members, False, self.clock())
+        self._file_settings = gateway.settings
+        self._store = StateStore(config.state, self.name)
+        self._writer = StateWriter(scheduler, self._store)
+        self._poller = PeerPoller(self)
+        self._is_state_complete = True  # no promise of ours is missing in our state
+        self._is_folder_writable = True
+        self._is_updating = False
+        self._on_ready: Callable[[], None] | None = None
+        self._applied: tuple[object, ...] | None = None
+        self._reported_drift: str | None = None
 
     @staticmethod
-    def clock():
-        """A steady clock that goes on while the machine is suspended."""
+    def clock() -> float:
+        """Return seconds of a steady clock that goes on while the machine is suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
-    # Life.
-
-    def load(self):
-        """Take up what is remembered, where there is anything; a folder that can't be used takes us out of changes."""
-        found, why = self.store.load()
-        self.remembers = found is not None and why is None
-        if why:
-            self.log.event("agreement_unreadable", error=why)
-        if (
-            found and self.writable and found.in_force.ballot >= self.state.in_force.ballot
-        ):  # never back to an earlier one
-            self.state = (
-                found
-                if found.in_force.number
-                else self.state._replace(
-                    promised=found.promised, prepared=found.prepared, aborted=found.aborted
-                )
-            )
-        if self.bound():
-            self.put()
-            self.drifts(self.settings)
+    # Life cycle.
+
+    def load(self) -> None:
+        """Take up the state on the disk, where there is any.
+
+        While the folder can't be written the state is not taken up: what is in memory is later.
+        """
+        found, fault = self._store.load()
+        self._is_state_complete = found is not None and fault is None
+        if fault:
+            self.log.event("agreement_unreadable", error=fault)
+        if found and self._is_folder_writable:
+            self._take_up(found)
+        if self.is_agreed():
+            self.apply_state()
+            self.accept_file_settings(self._file_settings)
+
+    def _take_up(self, found: ParticipantState) -> None:
+        if found.in_force.ballot < self.state.in_force.ballot:
+            return  # never back to an earlier generation
+        if found.in_force.number:
+            self.state = found
+            return
+        self.state = self.state._replace(  # what is in force is this process's own file
+            promised=found.promised, prepared=found.prepared, aborted=found.aborted
+        )
+
+    def start(
+        self, on_ready: Callable[[], None], predecessor_state: JsonObject | None = None
+    ) -> None:
+        """Take part from now on.
 
-    def start(self, begin, told=None):
-        """Take part from now on, and call `begin` once it is known what is in force. `told` is what the process before
-        said that it remembers: where our folder does not have it, we ask as one that remembers nothing."""
+        Args:
+            on_ready: Called once, when it is known which settings are in force.
+            predecessor_state: The state of the process before, as that handed it over. Where the
+                disk does not have it, other gateways are asked as after a loss of the state.
+        """
+        self.load()
+        if predecessor_state and predecessor_state != self.state.to_dict():
+            self._is_state_complete = False
+        self._on_ready = on_ready
+        self.is_active = True
+        self._reset_status()
+
+    def hand_over(self) -> None:
+        """Leave taking part to a successor, the process that is the gateway from now on."""
+        self.is_active = False
+
+    def resume(self) -> None:
+        """Take part again, as the successor has ended; what it did meanwhile is on the disk."""
         self.load()
-        if told and told != self.state.to_dict():
-            self.remembers = False
-        self.begin, self.part = begin, True
-        self.anew()
-
-    def anew(self):
-        """Know nothing, and ask."""
-        self.standing = ParticipantStatus(self.name, self.members(), self.remembers, self.clock())
-        self.knows()
-        self.ask()
-
-    def members(self):
-        """Who has to agree: whom the generation in force names, or our file where none was agreed on."""
-        return (
-            self.state.in_force.roster if self.state.in_force.number else tuple(self.told.members)
+        self.is_active = True
+        self._reset_status()
+
+    def stop(self) -> None:
+        """Ask other gateways nothing more."""
+        self.is_stopped = True
+
+    def _reset_status(self) -> None:
+        """Know nothing of what is in force, and ask other gateways for it."""
+        self.status = ParticipantStatus(
+            self.name, self.roster(), self._is_state_complete, self.clock()
         )
+        self.notify_if_ready()
+        self._poller.start()
 
-    def leave(self):
-        """Another process is the gateway from now on."""
-        self.part = False
+    def notify_if_ready(self) -> None:
+        """Call `on_ready` where that is due: it is known now which settings are in force."""
+        if not self.status.knows_in_force or not self._on_ready:
+            return
+        on_ready = self._on_ready
+        self._on_ready = None
+        self.apply_state()
+        self.log.event(
+            "agreed", number=self.state.in_force.number, asked=len(self.status.responders)
+        )
+        on_ready()
 
-    def back(self):
-        """It is gone again; what it did meanwhile is in the folder."""
-        self.load()
-        self.part = True
-        self.anew()
+    # State.
 
-    def end(self):
-        self.over = True
+    def roster(self) -> tuple[str, ...]:
+        """Return who has to agree: by the generation in force, or by our file before the first."""
+        if self.state.in_force.number:
+            return self.state.in_force.roster
+        return tuple(self.config.members)
 
-    def bound(self):
-        """Whether settings are agreed: with the first generation on, what a file says of them counts no more."""
+    def is_agreed(self) -> bool:
+        """Return whether a generation counts here; the gateway's own file doesn't from then on."""
         return bool(self.state.in_force.number or self.state.prepared)
 
-    # What is remembered, and in force.
-
     @contextlib.contextmanager
-    def turn(self):
-        """One greenlet at a time goes from what is remembered to what is."""
-        while self.busy:
-            self.scheduler.wait(0.002)
-        self.busy = True
+    def exclusive_update(self) -> Iterator[None]:
+        """Let one greenlet at a time read the state, decide, and replace it."""
+        while self._is_updating:
+            self.scheduler.wait(UPDATE_RETRY_INTERVAL_S)
+        self._is_updating = True
         try:
             yield
         finally:
-            self.busy = False
-
-    def remember(self, state):
-        """Remember durably, in a turn of ours; False where the folder can't be written, and nothing is changed then."""
-        trouble = self.saved(state)
-        if trouble and self.writable:
-            self.log.event("agreement_unwritten", folder=self.told.state, error=str(trouble))
-        self.writable = not trouble
-        if not trouble:
+            self._is_updating = False
+
+    def persist(self, state: ParticipantState) -> bool:
+        """Make a state durable and current, in an exclusive update of the caller's.
+
+        Returns:
+            Whether it is; where the folder can't be written the current state stays.
+        """
+        error = self._writer.save(state)
+        if error and self._is_folder_writable:
+            self.log.event("agreement_unwritten", folder=self.config.state, error=str(error))
+        self._is_folder_writable = error is None
+        if error is None:
             self.state = state
-        return not trouble
-
-    def saved(self, state):
-        """Wait until the disk has it; the OSError where it has not."""
-        ours, theirs = socket.socketpair()
-        told, current = [], greenlet.getcurrent()
-
-        def save():
+        return error is None
+
+    def replace_unsaved(self, state: ParticipantState) -> None:
+        """Make a state current that can't be written, for the life of this process."""
+        self.state = state
+        self._is_state_complete = False
+
+    def apply_state(self) -> None:
+        """Have the gateway admit by the current state."""
+        self.status.set_roster(self.roster())
+        in_force = self.state.in_force
+        prepared = tuple(generation.ballot for generation in self.state.prepared)
+        if (in_force.ballot, prepared) == self._applied:
+            return
+        self._applied = (in_force.ballot, prepared)
+        self.gateway.apply_settings(participant.admissible_settings(self.state))
+        self.log.event(
+            "generation",
+            number=in_force.ballot.number,
+            epoch=list(in_force.ballot.epoch),
+            digest=self.state.in_force.digest,
+            possible=[ballot.number for ballot in prepared],
+        )
+        if self.state.prepared:
+            self._poller.start()
+
+    # Calls.
+
+    def handle_call(self, fields: Mapping[bytes, bytes], body: bytes) -> HttpAnswer:
+        """Answer a call on the management listener.
+
+        Args:
+            fields: The header fields of the request, with names in lower case.
+            body: The body of the request.
+        """
+        return answer_signed_request(self.config.key, self.name, self._handle_message, fields, body)
+
+    def _handle_message(self, message: JsonObject) -> Answer:
+        """Answer an authentic message."""
+        if not self.is_active:
+            reason = "another process of this gateway is asked, or none yet"
+            return Answer(HTTPStatus.SERVICE_UNAVAILABLE, {"refused": "elsewhere", "why": reason})
+        with self.exclusive_update():
             try:
-                self.store.save(state)
-                told.append(None)
-            except OSError as error:
-                told.append(error)
-            theirs.send(b".")
-
-        self.scheduler.register(ours.fileno(), select.POLLIN, lambda events: current.switch())
-        threading.Thread(target=save, daemon=True).start()
-        try:
-            while not told:
-                self.scheduler.wait()
-        finally:
-            self.scheduler.unregister(ours.fileno())
-            ours.close()
-            theirs.close()
-        return told[0]
-
-    def put(self):
-        """Admit under what is remembered."""
-        self.standing.set_roster(self.members())
-        said = self.state.in_force.ballot, tuple(one.ballot for one in self.state.prepared)
-        if said != self.announced:
-            self.announced = said
-            self.adopt(participant.admissible_settings(self.state))
+                state, answer = participant.handle_message(
+                    self.state, message, self.gateway.validate
+                )
+            except MessageRejected as rejection:
+                self._log_rejection(message, rejection)
+                return Answer(rejection.status, rejection.to_dict())
+            if state != self.state:
+                if not self.persist(state):
+                    reason = f"{self.config.state}: the state can't be written"
+                    return Answer(
+                        HTTPStatus.INSUFFICIENT_STORAGE, {"refused": "unwritten", "why": reason}
+                    )
+                self.apply_state()
+                self.notify_if_ready()
+            return Answer(HTTPStatus.OK, answer)
+
+    def _log_rejection(self, message: JsonObject, rejection: MessageRejected) -> None:
+        """Log settings that can't be applied here; other rejections are the caller's business."""
+        if rejection.cause == "settings":
             self.log.event(
-                "generation",
-                number=said[0].number,
-                epoch=list(said[0].epoch),
-                digest=self.state.in_force.digest,
-                possible=[one.number for one in said[1]],
+                "agreement_refused",
+                do=message["do"],
+                number=message.get("number"),
+                error=rejection.text,
             )
-            if self.state.prepared:
-                self.ask()
-
-    def desk(self, fields, body):
-        """A call on the management listener: its status, body and fields."""
-        return message_authentication.served(self.told.key, self.name, self.heard, fields, body)
-
-    def heard(self, message):
-        """A message under the key: the status and the answer."""
-        if not self.part:
-            return 503, {
-                "refused": "elsewhere",
-                "why": "another process of this gateway is asked, or none yet",
-            }
-        with self.turn():
-            try:
-                after, told = participant.handle_message(self.state, message, self.takes)
-            except MessageRejected as refusal:
-                if refusal.cause == "settings":
-                    self.log.event(
-                        "agreement_refused",
-                        do=message["do"],
-                        number=message.get("number"),
-                        error=refusal.text,
-                    )
-                return refusal.status, refusal.to_dict()
-            if after != self.state:
-                if not self.remember(after):
-                    return 507, {
-                        "refused": "unwritten",
-                        "why": f"{self.told.state}: the state can't be written",
-                    }
-                self.put()
-                self.knows()
-            return 200, told
-
-    def drifts(self, settings):
-        """The gateway's file was read anew. What it says of settings, where these are agreed, is told and not taken; else
-        it is what is in force here. True where it was taken."""
-        if self.bound():
-            if digest(settings) not in (
-                self.state.in_force.digest,
-                self.drifted,
-            ):  # staff see it, once
-                self.drifted = digest(settings)
-                self.log.event(
-                    "drift",
-                    number=self.state.in_force.number,
-                    lines=describe_changes(self.state.in_force.content, settings)[:20],
-                )
+
+    # The gateway's own file.
+
+    def accept_file_settings(self, settings: JsonObject) -> bool:
+        """Take up the settings of the gateway's file, which was read anew.
+
+        Where settings are agreed on, the file does not count; a difference is logged once.
+
+        Returns:
+            Whether the settings were taken up.
+        """
+        if self.is_agreed():
+            self._report_drift(settings)
             return False
-        self.settings = settings
-        self.state = self.state._replace(
-            in_force=Generation(
-                INITIAL_BALLOT,
-                digest(settings),
-                shared_settings(settings),
-                tuple(self.told.members),
-            )
-        )
+        self._file_settings = settings
+        self.state = self.state._replace(in_force=self._file_generation(settings))
         return True
 
-    # What we may have missed.
+    def _report_drift(self, settings: JsonObject) -> None:
+        file_digest = digest(settings)
+        in_force = self.state.in_force
+        if file_digest in (in_force.digest, self._reported_drift):
+            return
+        self._reported_drift = file_digest
+        lines = describe_changes(in_force.content, settings)
+        self.log.event("drift", number=in_force.number, lines=lines[:MAX_DRIFT_LINES])
+
+    def _file_generation(self, settings: JsonObject) -> Generation:
+        """Return the generation before the first agreed one: the settings of the file."""
+        return Generation(
+            INITIAL_BALLOT,
+            digest(settings),
+            shared_settings(settings),
+            tuple(self.config.members),
+        )
 
-    def admits(self):
-        """Whether an RPC that is here now may be admitted."""
-        if self.standing.may_admit(self.clock()):
-            return True
-        self.look()
-        return self.standing.knows_in_force
-
-    def look(self):
-        """Told often: whether we stood still so long that others may have gone on without us."""
-        if self.standing.check_stall(self.clock()) and self.part:
-            self.log.event("stood_still", known=self.standing.knows_in_force)
-            if not self.busy:
-                self.load()  # a process that took our place may have written there
-            self.ask()
+    # Admission.
 
-    def ask(self):
-        if not self.asking and not self.over:
-            self.asking = True
-            self.scheduler.spawn(self.rounds)
+    def may_admit(self) -> bool:
+        """Return whether a request that is here now may be admitted."""
+        if self.status.may_admit(self.clock()):
+            return True
+        self.check_stall()
+        return self.status.knows_in_force
 
-    def rounds(self):
-        """Ask others for as long as we don't know what is in force, or whether what is possible was decided."""
-        try:
-            self.until_known()
-        finally:
-            self.asking = False
-
-    def until_known(self):
-        outside = False
-        with self.turn():
-            self.remember(
-                self.state
-            )  # whether the folder can be written shows now, not in the first change
-        while (
-            self.part
-            and not self.over
-            and (not self.standing.knows_in_force or self.state.prepared)
-        ):
-            if self.name not in self.standing.roster and not outside:
-                outside = True
-                self.log.event(
-                    "not_on_roster",
-                    number=self.state.in_force.number,
-                    members=len(self.standing.roster),
-                )
-            if self.standing.knows_in_force:  # a decision mostly comes by itself
-                self.scheduler.wait(participant.PEER_POLL_INTERVAL_S * (0.5 + self.chance()))
-                if not self.state.prepared and self.standing.knows_in_force:
-                    break
-            names = [
-                name
-                for name in self.told.members
-                if name != self.name
-                and (
-                    self.standing.knows_in_force or outside or name not in self.standing.responders
-                )
-            ]
-            names.sort(key=lambda name: self.chance())
-            self.round(names[: self.IN_DOUBT] if self.standing.knows_in_force else names)
-            if not self.standing.knows_in_force:
-                self.scheduler.wait(participant.PEER_POLL_INTERVAL_S * (0.5 + self.chance()))
-
-    def round(self, names):
-        """Ask these, a few side by side, until we know."""
-        left, busy = list(names), []
-        knew = self.standing.knows_in_force
-
-        def some():
-            try:
-                while left and (knew or not self.standing.knows_in_force) and self.part:
-                    self.learn_from(left.pop())
-            finally:
-                busy.pop()
-
-        for _ in range(min(self.SIDE_BY_SIDE, len(left))):
-            busy.append(None)
-            self.scheduler.spawn(some)
-        while busy:
-            self.scheduler.wait(0.01)
-
-    def learn_from(self, name):
-        """Ask one gateway, and take up what it knows and we do not."""
-        self.look()
-        standing, since = self.standing, self.standing.stall_count
-        for address in self.told.members[name]:
-            try:
-                call = partial(
-                    rpc_client.ask,
-                    self.scheduler,
-                    self.limits,
-                    self.told.key,
-                    address,
-                    message_authentication.PATH,
-                )
-                told = call({"do": "state", "to": name}, self.PATIENCE)
-                if "refused" in told:
-                    continue
-                learnt = participant.parse_peer_state(told)
-                wanted = participant.missing_ballots(self.state, learnt)
-                fetched = [
-                    parse_generation(
-                        call(
-                            {
-                                "do": "content",
-                                "to": name,
-                                "number": one.number,
-                                "epoch": list(one.epoch),
-                            },
-                            self.PATIENCE,
-                        ),
-                        digest,
-                    )
-                    for one in wanted
-                ]
-                with self.turn():
-                    after = participant.merge_peer_state(self.state, learnt, fetched, self.takes)
-                    if after != self.state:
-                        if not self.remember(after):
-                            self.state, self.remembers = after, False  # it holds for this life
-                        self.put()
-            except (rpc_client.Nobody, rpc_client.Silent, ValueError):
-                continue
-            except MessageRejected as refusal:
-                self.log.event(
-                    "agreement_refused", do="learn", gateway_asked=name, error=refusal.text
-                )
-                return
-            self.look()  # an answer may have lain here while we stood still
-            standing.on_peer_answered(name, since)
-            self.knows()
-            return
+    def check_stall(self) -> None:
+        """Ask other gateways anew, where this process stalled so long that they went on without it.
 
-    def knows(self):
-        """Begin, where that was waited for and it is known now what is in force."""
-        if self.standing.knows_in_force and self.begin:
-            begin, self.begin = self.begin, None
-            self.put()
-            self.log.event(
-                "agreed", number=self.state.in_force.number, asked=len(self.standing.responders)
-            )
-            begin()
+        It is to be called often, by a timer and wherever time may have passed.
+        """
+        if self.status.check_stall(self.clock()) and self.is_active:
+            self.log.event("stood_still", known=self.status.knows_in_force)
+            if not self._is_updating:
+                self.load()  # a process that took our place may have written there
+            self._poller.start()
--- /dev/null
+++ b/petrellane/config_consensus/staff_calls.py
@@ -0,0 +1,241 @@
+"""Handles staff's calls to a control process: proposals, and questions on what is in force.
+
+Settings are validated here before they are proposed; whether they can be proposed now is decided by
+the coordinator. The caller has been authenticated with the shared key; each call is accepted once.
+"""
+
+from collections.abc import Callable, Mapping
+from http import HTTPStatus
+from typing import Any
+
+from petrellane.config import ConfigError, Section, lacks, settings
+from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus.ballots import Generation
+from petrellane.config_consensus.coordinator import (
+    Change,
+    ChangeOutcome,
+    Coordinator,
+    CoordinatorState,
+)
+from petrellane.config_consensus.errors import ProposalRejected
+from petrellane.config_consensus.message_authentication import (
+    Answer,
+    AuthenticationError,
+    JsonObject,
+)
+from petrellane.config_consensus.staff_messages import Rejection, StaffCall, reject
+
+MAX_CALL_AGE_S = 60.0  # by the caller's clock; a nonce is kept for twice as long
+MAX_AUTHOR_CHARACTERS = 64
+SHOWN_CHARACTERS = 40  # of a value that was not expected
+
+Clock = Callable[[], float]  # gives Unix time in seconds
+
+
+class ReplayGuard:
+    """Accepts each call of staff once, and only while it is new; `StaffCalls` owns it.
+
+    A call that somebody recorded must do nothing when it is sent again.
+    """
+
+    def __init__(self, clock: Clock) -> None:
+        self._clock = clock
+        self._nonces: dict[str, float] = {}  # nonce -> Unix time until which it is kept
+
+    def check(self, message: JsonObject) -> None:
+        """Raise AuthenticationError for a call that is old, or that has come before."""
+        now = self._clock()
+        sent_at = message.get("at")
+        nonce = str(message.get("nonce"))
+        if not _is_recent(sent_at, now) or nonce in self._nonces:
+            raise AuthenticationError(
+                f"at: expected a new call of the last {MAX_CALL_AGE_S:g} s, by a clock that is "
+                "about right"
+            )
+        self._nonces = {kept: until for kept, until in self._nonces.items() if until > now}
+        self._nonces[nonce] = now + 2 * MAX_CALL_AGE_S
+
+
+def _is_recent(sent_at: object, now: float) -> bool:
+    return isinstance(sent_at, (int, float)) and abs(now - sent_at) <= MAX_CALL_AGE_S
+
+
+class StaffCalls:
+    """Answers the calls of staff; a control service owns it from its start to its end."""
+
+    def __init__(
+        self,
+        name: str,
+        coordinator: Coordinator,
+        clock: Clock,
+        on_proposed: Callable[[], None],
+        call_counts: Mapping[str, int],
+    ) -> None:
+        """Make a handler of calls.
+
+        Args:
+            name: The control process's name.
+            coordinator: What proposals go to.
+            clock: Gives Unix time in seconds.
+            on_proposed: Called after a proposal was accepted.
+            call_counts: How many messages of each kind went to participants, for the status.
+        """
+        self._name = name
+        self._coordinator = coordinator
+        self._clock = clock
+        self._on_proposed = on_proposed
+        self._call_counts = call_counts
+        self._replay_guard = ReplayGuard(clock)
+        self._handlers: dict[StaffCall, Callable[[JsonObject], Answer]] = {
+            StaffCall.STATUS: self._answer_status,
+            StaffCall.HISTORY: self._answer_history,
+            StaffCall.SHOW: self._answer_show,
+            StaffCall.BACK: self._propose_again,
+            StaffCall.PROPOSE: self._answer_propose,
+            StaffCall.CHANGE: self._answer_change,
+        }
+
+    def handle(self, message: JsonObject) -> Answer:
+        """Answer an authentic message. Raises AuthenticationError for a replay."""
+        self._replay_guard.check(message)
+        kind: Any = message.get("do")
+        try:
+            call = StaffCall(kind)
+        except ValueError:
+            return _reject_kind(message)
+        return self._handlers[call](message)
+
+    # Proposals.
+
+    def _answer_propose(self, message: JsonObject) -> Answer:
+        proposed = message.get("settings")
+        if not isinstance(proposed, dict):
+            return _reject_kind(message)
+        return self._propose(proposed, message)
+
+    def _propose_again(self, message: JsonObject) -> Answer:
+        """Propose the settings of an earlier generation."""
+        generation = self._find_generation(message.get("number"))
+        if not generation:
+            return _reject_generation(message)
+        return self._propose(generation.content, message)
+
+    def _propose(self, proposed: JsonObject, message: JsonObject) -> Answer:
+        """Propose settings, once they are valid alone and together with those in force."""
+        content = safe_settings.shared_settings(proposed)
+        without = message.get("without", [])
+        if not isinstance(without, list) or not all(isinstance(name, str) for name in without):
+            return reject(Rejection.MALFORMED, "without: expected a list of names")
+        try:
+            self._validate(content, may_lack_keys=bool(message.get("less")))
+        except (ConfigError, ValueError, TypeError, AttributeError, KeyError) as error:
+            return reject(Rejection.SETTINGS, str(error))
+        author = str(message.get("by", ""))[:MAX_AUTHOR_CHARACTERS]
+        try:
+            change = self._coordinator.propose(content, tuple(without), author, self._clock())
+        except ProposalRejected as error:
+            return reject(Rejection.NOT_NOW, str(error))
+        except OSError as error:
+            return reject(Rejection.JOURNAL, str(error))
+        self._on_proposed()
+        return Answer(HTTPStatus.OK, self._describe_progress(change))
+
+    def _validate(self, content: JsonObject, may_lack_keys: bool) -> None:
+        """Raise ConfigError, or what the reader raises, for settings that no gateway would take."""
+        settings(Section(content, "settings"))
+        in_force = self._coordinator.in_force
+        if not in_force:
+            return
+        if in_force.number and not may_lack_keys:
+            lacks(in_force.content, content, "settings")
+        settings(Section(safe_settings.meet(in_force.content, content), "settings"))
+
+    # Questions.
+
+    def _answer_status(self, _message: JsonObject) -> Answer:
+        """Answer what is in force, what is under way, and where each participant stands."""
+        coordinator = self._coordinator
+        in_force = coordinator.in_force
+        change = coordinator.change
+        is_leading = coordinator.state == CoordinatorState.LEADING
+        return Answer(
+            HTTPStatus.OK,
+            {
+                "control": self._name,
+                "state": coordinator.state,
+                "why": coordinator.reason,
+                "epoch": list(coordinator.epoch),
+                "in_force": in_force.identity_to_dict() if in_force else None,
+                "under_way": self._describe_progress(change) if change else None,
+                "calls": dict(self._call_counts),
+                "settled": is_leading and not change and not coordinator.in_doubt,
+                "seeking": coordinator.state == CoordinatorState.SEEKING,
+                "gateways": {
+                    name: self._describe_participant(name)
+                    for name in coordinator.all_participants()
+                },
+            },
+        )
+
+    def _describe_participant(self, name: str) -> JsonObject:
+        state, number = self._coordinator.describe_participant(name)
+        return {"state": state, "number": number}
+
+    def _answer_history(self, _message: JsonObject) -> Answer:
+        history = sorted(self._coordinator.history.items())
+        return Answer(HTTPStatus.OK, {"history": [change.to_dict() for _, change in history]})
+
+    def _answer_show(self, message: JsonObject) -> Answer:
+        generation = self._find_generation(message.get("number"))
+        if not generation:
+            return _reject_generation(message)
+        return Answer(HTTPStatus.OK, generation.to_dict())
+
+    def _answer_change(self, message: JsonObject) -> Answer:
+        number = message.get("number")
+        for ballot, change in self._coordinator.history.items():
+            if ballot.number == number:
+                return Answer(HTTPStatus.OK, self._describe_progress(change))
+        return reject(Rejection.UNKNOWN, f"no change {number}")
+
+    def _find_generation(self, number: Any) -> Generation | None:  # noqa: ANN401 - a JSON value
+        """Return the generation of a number that was in force, else the last proposed under it."""
+        in_force = self._coordinator.in_force
+        if in_force and in_force.number == number:
+            return in_force
+        history = sorted(self._coordinator.history.items())
+        changes = [change for ballot, change in history if ballot.number == number]
+        committed = [change for change in changes if change.outcome == ChangeOutcome.COMMITTED]
+        candidates = committed or changes
+        return candidates[-1].generation if candidates else None
+
+    def _describe_progress(self, change: Change) -> JsonObject:
+        """Return a change as it stands: its outcome, and where its settings are in force."""
+        coordinator = self._coordinator
+        ballot = change.generation.ballot
+        states = coordinator.participant_states
+        participants = coordinator.all_participants()
+        reached = [
+            name for name in participants if name in states and states[name].in_force >= ballot
+        ]
+        owed = [
+            name
+            for name in change.participants
+            if name not in reached and name not in change.confirmed_absent
+        ]
+        return change.to_dict() | {
+            "reached": len(reached),
+            "of": len(participants),
+            "owed": sorted(owed),
+            "control": coordinator.state,
+        }
+
+
+def _reject_kind(message: JsonObject) -> Answer:
+    found = str(message.get("do"))[:SHOWN_CHARACTERS]
+    return reject(Rejection.MALFORMED, f"do: expected a known word, found {found}")
+
+
+def _reject_generation(message: JsonObject) -> Answer:
+    number = message.get("number")
+    return reject(Rejection.UNKNOWN, f"generation {number}: expected one of the history")
--- a/petrellane/config_consensus/state_store.py
+++ b/petrellane/config_consensus/state_store.py
@@ -1,112 +1,178 @@
-"""What a gateway remembers of agreement, in a folder that outlives it.
+"""Durable state of a participant: two files in a folder that outlives the gateway's process.
 
-Two files take turns, so that the one before stays whole while the next is written; each holds its turn, its version and a
-check over its content, and is flushed to the disk before it counts. What is cut, of another version or of another gateway
-is not read; where one file is, the other still tells much, but not surely what the gateway said last.
+The files are written in turns, so that the previous one stays complete while the next is written.
+Each holds a sequence number, a version and a checksum of its content, and is flushed to the disk
+before `save` returns. A file that is truncated, of another version or of another gateway is not
+read; the state in the other file is still useful then, but may not be the last one.
 """
 
 import hashlib
 import os
+from pathlib import Path
+from typing import Any, Final, NamedTuple
 
 import orjson
 
 from petrellane.config_consensus import safe_settings
 from petrellane.config_consensus.ballots import parse_ballot, parse_epoch, parse_generation
+from petrellane.config_consensus.errors import ConsensusError
 from petrellane.config_consensus.participant import ParticipantState
 
-VERSION = 1
+VERSION: Final = 1  # of the files' layout
+SLOTS: Final = (0, 1)
+NAME_DIGEST_BYTES: Final = 8
+CHECKSUM_BYTES: Final = 16
 
+StoredContent = dict[str, Any]  # a state as JSON, by the keys of version 1
 
-class Unreadable(Exception):
-    """There is a file, and it is none that this build wrote whole; the text is one line."""
 
+class UnreadableStateError(ConsensusError):
+    """A file that this build did not write, or not completely; the text is one line."""
 
-def file_name(gateway):
-    return "petrellane-%s.agreement" % hashlib.blake2b(gateway.encode(), digest_size=8).hexdigest()
 
+class StoredState(NamedTuple):
+    """The content of one file; of two, the one with the higher sequence number is the later."""
 
-class Store:
-    """One gateway's files."""
+    sequence_number: int
+    state: ParticipantState
 
-    def __init__(self, folder, gateway):
-        self.folder, self.gateway, self.turn = folder, gateway, 0
-        self.paths = [os.path.join(folder, f"{file_name(gateway)}.{slot}") for slot in (0, 1)]
 
-    def load(self):
-        """What is remembered, None where nothing is; and why that may not be the last, None where it surely is."""
-        found, why = [], None
+class LoadedState(NamedTuple):
+    """What `StateStore.load` found.
+
+    Attributes:
+        state: the latest state that can be read, or None where there is none.
+        fault: why that may not be the last one saved, in one line; None where it surely is.
+    """
+
+    state: ParticipantState | None
+    fault: str | None
+
+
+class StateStore:
+    """The files of one gateway, which its participant service owns; they are open only in calls."""
+
+    def __init__(self, folder: str, gateway: str) -> None:
+        self.folder = folder
+        self.gateway = gateway
+        self.sequence_number = 0  # of the last write, or the last file that was loaded
+        name = file_name(gateway)
+        self.paths = [
+            os.path.join(folder, f"{name}.{slot}")  # noqa: PTH118 - errors show paths as configured
+            for slot in SLOTS
+        ]
+
+    def load(self) -> LoadedState:
+        """Return the latest state, and why it may not be the last one that was saved."""
+        found: list[StoredState] = []
+        fault = None
         for path in self.paths:
             try:
-                found += filter(None, [self.read(path)])
-            except Unreadable as error:
-                why = str(error)
+                stored = self._read(path)
+            except UnreadableStateError as error:
+                fault = str(error)
+                continue
+            if stored is not None:
+                found.append(stored)
         if not found:
-            return None, why
-        self.turn, state = max(found, key=lambda told: told[0])
-        return state, why
-
-    @staticmethod
-    def state_of(content):
-        return ParticipantState(
-            parse_generation(content["in_force"], safe_settings.digest),
-            parse_epoch(content["promised"]),
-            tuple(parse_generation(one, safe_settings.digest) for one in content["possible"]),
-            tuple(map(parse_ballot, content["denied"])),
-        )
+            return LoadedState(None, fault)
+        latest = max(found, key=lambda stored: stored.sequence_number)
+        self.sequence_number = latest.sequence_number
+        return LoadedState(latest.state, fault)
+
+    def save(self, state: ParticipantState) -> None:
+        """Write a state; it is on the disk when this returns.
+
+        Raises:
+            OSError: It could not be written; what was saved before can still be loaded.
+        """
+        sequence_number = self.sequence_number + 1
+        path = self.paths[sequence_number % len(SLOTS)]
+        is_new = not Path(path).exists()
+        with Path(path).open("wb") as file:
+            file.write(self._encode(sequence_number, state))
+            file.flush()
+            os.fsync(file.fileno())
+        if is_new:
+            self._flush_folder()
+        self.sequence_number = sequence_number
 
-    def read(self, path):
-        """The turn and the state of one file; None where there is none. Raises Unreadable."""
+    def _read(self, path: str) -> StoredState | None:
+        """Return the content of a file, None where there is none. Raises UnreadableStateError."""
         try:
-            with open(path, "rb") as file:
-                told = orjson.loads(file.read())
-            if told["version"] != VERSION:
-                raise Unreadable(
-                    f"{path}: expected version {VERSION}, found {told['version']}: move it away, and the "
-                    "gateway asks the others"
-                )
-            if told["gateway"] != self.gateway or told["check"] != check(told["remembers"]):
-                raise Unreadable(f"{path}: expected what {self.gateway} wrote whole")
-            return told["turn"], self.state_of(told["remembers"])
+            return self._decode(path, Path(path).read_bytes())
         except FileNotFoundError:
             return None
         except OSError as error:
-            raise Unreadable(f"{path}: expected a readable file: {error.strerror}") from None
+            raise UnreadableStateError(
+                f"{path}: expected a readable file: {error.strerror}"
+            ) from None
         except (ValueError, KeyError, TypeError) as error:
-            raise Unreadable(
+            raise UnreadableStateError(
                 f"{path}: expected a whole file, found one cut short or spoilt ({error})"
             ) from None
 
-    def save(self, state):
-        """Remember; durable when it returns. Raises OSError, and what was remembered before still is."""
-        content = {
-            "in_force": state.in_force.to_dict(),
-            "promised": list(state.promised),
-            "possible": [one.to_dict() for one in state.prepared],
-            "denied": [{"number": one.number, "epoch": list(one.epoch)} for one in state.aborted],
-        }
-        told = {
-            "version": VERSION,
-            "gateway": self.gateway,
-            "turn": self.turn + 1,
-            "check": check(content),
-            "remembers": content,
-        }
-        path = self.paths[(self.turn + 1) % 2]
-        made = not os.path.exists(path)
-        with open(path, "wb") as file:
-            file.write(orjson.dumps(told))
-            file.flush()
-            os.fsync(file.fileno())
-        if made:
-            folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
-            try:
-                os.fsync(folder)
-            finally:
-                os.close(folder)
-        self.turn += 1
-
+    def _decode(self, path: str, data: bytes) -> StoredState:
+        stored = orjson.loads(data)
+        if stored["version"] != VERSION:
+            raise UnreadableStateError(
+                f"{path}: expected version {VERSION}, found {stored['version']}: move it away, and "
+                "the gateway asks the others"
+            )
+        if stored["gateway"] != self.gateway or stored["check"] != checksum(stored["remembers"]):
+            raise UnreadableStateError(f"{path}: expected what {self.gateway} wrote whole")
+        return StoredState(stored["turn"], _decode_state(stored["remembers"]))
+
+    def _encode(self, sequence_number: int, state: ParticipantState) -> bytes:
+        content = _encode_state(state)
+        return orjson.dumps(
+            {
+                "version": VERSION,
+                "gateway": self.gateway,
+                "turn": sequence_number,
+                "check": checksum(content),
+                "remembers": content,
+            }
+        )
 
-def check(content):
-    return hashlib.blake2b(
-        orjson.dumps(content, option=orjson.OPT_SORT_KEYS), digest_size=16
-    ).hexdigest()
+    def _flush_folder(self) -> None:
+        """Flush the folder's entries: a new file is lost without them."""
+        folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
+        try:
+            os.fsync(folder)
+        finally:
+            os.close(folder)
+
+
+def file_name(gateway: str) -> str:
+    """Return the name of a gateway's files, without the slot's suffix."""
+    name_digest = hashlib.blake2b(gateway.encode(), digest_size=NAME_DIGEST_BYTES)
+    return f"petrellane-{name_digest.hexdigest()}.agreement"
+
+
+def checksum(content: StoredContent) -> str:
+    """Return the checksum of a stored state, whatever the order of its keys."""
+    data = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
+    return hashlib.blake2b(data, digest_size=CHECKSUM_BYTES).hexdigest()
+
+
+def _encode_state(state: ParticipantState) -> StoredContent:
+    return {
+        "in_force": state.in_force.to_dict(),
+        "promised": list(state.promised),
+        "possible": [generation.to_dict() for generation in state.prepared],
+        "denied": [
+            {"number": ballot.number, "epoch": list(ballot.epoch)} for ballot in state.aborted
+        ],
+    }
+
+
+def _decode_state(content: StoredContent) -> ParticipantState:
+    return ParticipantState(
+        in_force=parse_generation(content["in_force"], safe_settings.digest),
+        promised=parse_epoch(content["promised"]),
+        prepared=tuple(
+            parse_generation(generation, safe_settings.digest) for generation in content["possible"]
+        ),
+        aborted=tuple(parse_ballot(ballot) for ballot in content["denied"]),
+    )
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -135,7 +135,7 @@
         """A client's RPC; BadField when it makes no sense."""
         now = self.now()
         if (
-            self.agent and not self.agent.admits()
+            self.agent and not self.agent.may_admit()
         ):  # before it is looked at under settings that others may have left
             self.tally["pushed generation"] += 1
             exchange.finish(b"-BUSY\r\n")
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -75,21 +75,26 @@
         self.discovery = self.watch(config.known.index if config.known.entries else None)
         self.agent = None
         if config.agreement:  # imported where it is asked for: a gateway alone starts without it
-            from petrellane.config_consensus.message_authentication import PATH
-            from petrellane.config_consensus.participant_service import Agent
+            from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
+            from petrellane.config_consensus.participant_service import (
+                GatewayInterface,
+                ParticipantService,
+            )
 
-            self.agent = self.driver.agent = Agent(
+            self.agent = self.driver.agent = ParticipantService(
                 self.scheduler,
                 self.limits,
                 self.log,
                 config.agreement,
-                config.name,
-                config.raw["settings"],
-                self.takes,
-                self.adopt,
-                self.driver.gateway.random,
+                GatewayInterface(
+                    config.name,
+                    config.raw["settings"],
+                    self.takes,
+                    self.adopt,
+                    self.driver.gateway.random,
+                ),
             )
-            self.management.handlers[PATH] = self.agent.desk
+            self.management.handlers[PARTICIPANT_PATH] = self.agent.handle_call
         self.ending = self.succeeding = False
         self.handover = None
         if config.listen_fd is not None:
@@ -176,7 +181,7 @@
             pool.retire(math.inf)
         generation = None
         if self.agent:
-            self.agent.leave()
+            self.agent.hand_over()
             generation = self.agent.state.to_dict()
         return hot_restart.given(self.driver.gateway, self.scheduler.now(), generation)
 
@@ -191,13 +196,13 @@
         if not heir:
             hot_restart.resumed(self.driver.gateway, self.scheduler.now())
             if self.agent:
-                self.agent.back()
+                self.agent.resume()
 
     def beat(self):
         """Never let a poll last long: one that overruns tells that the process stood still."""
         self.scheduler.after(self.limits.beat, self.beat)
         if self.agent:
-            self.agent.look()
+            self.agent.check_stall()
 
     def tell(self):
         """Log what was counted since the last time, where there is anything; a line a second at most."""
@@ -259,7 +264,7 @@
             if before and before != now
         ]
         before, now = self.config.settings, config.settings
-        if self.agent and not self.agent.drifts(config.raw["settings"]):
+        if self.agent and not self.agent.accept_file_settings(config.raw["settings"]):
             now = before
         self.config = replace(
             self.config, discovery=config.discovery, counter=counter, raw=config.raw
@@ -362,7 +367,7 @@
             return
         self.management.end()
         if self.agent:
-            self.agent.end()
+            self.agent.stop()
         if self.handover:
             self.handover.close()
         self.scheduler.stop()
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -314,22 +314,19 @@
         from petrellane.config_consensus import message_authentication, rpc_client
         from petrellane.testbed.fakes import LIMITS
 
-        found = []
+        client, found = rpc_client.RpcClient(self.lab.scheduler, LIMITS, self.lab.key), []
 
         def call():
             try:
                 found.append(
-                    rpc_client.ask(
-                        self.lab.scheduler,
-                        LIMITS,
-                        self.lab.key,
+                    client.call(
                         (self.lab.ip, self.listen),
-                        message_authentication.STAFF,
+                        message_authentication.STAFF_PATH,
                         {"do": do, "to": "control", **words},
                         3.0,
                     )
                 )
-            except (rpc_client.Nobody, rpc_client.Silent) as error:
+            except rpc_client.RpcError as error:
                 found.append({"none": str(error)})
 
         self.lab.scheduler.spawn(call)
--- a/petrellane/testbed/hollow.py
+++ b/petrellane/testbed/hollow.py
@@ -141,10 +141,10 @@
         self.tell()
         self.settle()
         if self.agent and self.fresh:
-            standing = self.agent.standing
+            standing = self.agent.status
             standing.responders.update(standing.roster)
             standing.set_roster(standing.roster)
-            self.agent.knows()
+            self.agent.notify_if_ready()
 
     def watch(self, index):
         return Watch(
--- a/petrellane/testbed/testbed.py
+++ b/petrellane/testbed/testbed.py
@@ -341,16 +341,13 @@
     def ask(self, do, **words):
         """Ask the control process something as staff would, in a greenlet; {} where there is no answer."""
         try:
-            return rpc_client.ask(
-                self.scheduler,
-                LIMITS,
-                self.key,
+            return rpc_client.RpcClient(self.scheduler, LIMITS, self.key).call(
                 (self.ip, self.control_port),
-                message_authentication.STAFF,
+                message_authentication.STAFF_PATH,
                 {"do": do, "to": "control", **words},
                 ANSWER,
             )
-        except (rpc_client.Nobody, rpc_client.Silent) as error:
+        except rpc_client.RpcError as error:
             return {"refused": "silent", "why": str(error)}
 
     def propose(self, number):
--- a/tests/integration/testbed/planted.py
+++ b/tests/integration/testbed/planted.py
@@ -25,10 +25,10 @@
 
 def saved():
     """A gateway that ends in the n-th write of its memory (LAB_STEP: number, and before or after it lasts)."""
-    from petrellane.config_consensus.state_store import Store
+    from petrellane.config_consensus.state_store import StateStore
 
     number, when = os.environ["LAB_STEP"].split()
-    save, count = Store.save, []
+    save, count = StateStore.save, []
 
     def planted(self, state):
         count.append(None)
@@ -39,17 +39,17 @@
         if when == "before":
             save(self, state)
 
-    Store.save = planted
+    StateStore.save = planted
 
 
 def unwritable():
     """A gateway whose disk is full."""
-    from petrellane.config_consensus.state_store import Store
+    from petrellane.config_consensus.state_store import StateStore
 
     def planted(self, state):
         raise OSError(28, "No space left on device")
 
-    Store.save = planted
+    StateStore.save = planted
 
 
 def knows_at_once():
@@ -108,9 +108,9 @@
 
 def takes_the_file():
     """SIGHUP puts in force whatever the file says."""
-    from petrellane.config_consensus.participant_service import Agent
+    from petrellane.config_consensus.participant_service import ParticipantService
 
-    Agent.drifts = lambda self, settings: True
+    ParticipantService.accept_file_settings = lambda self, settings: True
 
 
 def goes_on_to_drained():
--- a/tests/integration/testbed/test_testbed.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -645,7 +645,7 @@
                 (100.0, (401, 401)),
             ):  # staff's call counts once, and while it is new
                 with unittest.mock.patch("time.time", lambda true=time.time, age=age: true() - age):
-                    body, own = message_authentication.question(
+                    body, own = message_authentication.sign_request(
                         lab.key, {"do": "history", "to": "control"}
                     )
                 head = (
--- a/tests/unit/config_consensus/test_config_consensus.py
+++ b/tests/unit/config_consensus/test_config_consensus.py
@@ -434,30 +434,32 @@
 
     def test_what_is_saved_is_loaded(self):
         for state in self.states():
-            state_store.Store(self.folder.name, "g0").save(state)
-            kept = state_store.Store(self.folder.name, "g0")
+            state_store.StateStore(self.folder.name, "g0").save(state)
+            kept = state_store.StateStore(self.folder.name, "g0")
             self.assertEqual(kept.load(), (state, None))
-            self.assertEqual(state_store.Store(self.folder.name, "g1").load(), (None, None))
+            self.assertEqual(state_store.StateStore(self.folder.name, "g1").load(), (None, None))
 
     def test_a_file_that_is_cut_is_known_to_be(self):
         """Cut at any byte, the last file is never taken for whole, and the one before is still there."""
-        kept, states = state_store.Store(self.folder.name, "g0"), self.states()
+        kept, states = state_store.StateStore(self.folder.name, "g0"), self.states()
         for state in states[:2]:
             kept.save(state)
-        path = kept.paths[kept.turn % 2]
+        path = kept.paths[kept.sequence_number % 2]
         whole = open(path, "rb").read()
         for length in range(len(whole)):
             with open(path, "wb") as file:
                 file.write(whole[:length])
-            found, why = state_store.Store(self.folder.name, "g0").load()
+            found, why = state_store.StateStore(self.folder.name, "g0").load()
             self.assertEqual(found, states[0])
             self.assertTrue(why and "\n" not in why)
         with open(path, "wb") as file:
             file.write(whole.replace(b'"version":1', b'"version":2'))
-        self.assertIn("expected version 1", state_store.Store(self.folder.name, "g0").load()[1])
+        self.assertIn(
+            "expected version 1", state_store.StateStore(self.folder.name, "g0").load()[1]
+        )
 
     def test_a_folder_that_can_not_be_written(self):
-        kept, states = state_store.Store(self.folder.name, "g0"), self.states()
+        kept, states = state_store.StateStore(self.folder.name, "g0"), self.states()
         kept.save(states[0])
         kept.folder, kept.paths = "/nowhere", ["/nowhere/0", "/nowhere/1"]
         with self.assertRaises(OSError):
@@ -508,9 +510,9 @@
 
 class Sealed(unittest.TestCase):
     def test_only_who_has_the_key_is_understood(self):
-        body, own = message_authentication.question(b"k" * 16, {"do": "state", "to": "g0"})
+        body, own = message_authentication.sign_request(b"k" * 16, {"do": "state", "to": "g0"})
         self.assertEqual(
-            message_authentication.understood(b"k" * 16, "g0", own, body)["do"], "state"
+            message_authentication.verify_request(b"k" * 16, "g0", own, body)["do"], "state"
         )
         for key, name, mark, text in (
             (b"j" * 16, "g0", own, body),
@@ -518,13 +520,17 @@
             (b"k" * 16, "g0", b"", body),
             (b"k" * 16, "g0", own, body[:-1] + b" }"),
         ):
-            with self.assertRaises(message_authentication.Unsealed):
-                message_authentication.understood(key, name, mark, text)
-        answer, mark = message_authentication.answer(b"k" * 16, own, {"a": 1})
-        self.assertEqual(message_authentication.answered(b"k" * 16, own, mark, answer), {"a": 1})
-        other = message_authentication.question(b"k" * 16, {"do": "state", "to": "g0"})[1]
-        with self.assertRaises(message_authentication.Unsealed):  # an answer to another question
-            message_authentication.answered(b"k" * 16, other, mark, answer)
+            with self.assertRaises(message_authentication.AuthenticationError):
+                message_authentication.verify_request(key, name, mark, text)
+        answer, mark = message_authentication.sign_response(b"k" * 16, own, {"a": 1})
+        self.assertEqual(
+            message_authentication.verify_response(b"k" * 16, own, mark, answer), {"a": 1}
+        )
+        other = message_authentication.sign_request(b"k" * 16, {"do": "state", "to": "g0"})[1]
+        with self.assertRaises(
+            message_authentication.AuthenticationError
+        ):  # an answer to another question
+            message_authentication.verify_response(b"k" * 16, other, mark, answer)
 
 
 CASES = [Policy, Members, Orders, LargerFleets, Planted, Leaders, Remembered, Sealed]
