--- a/petrellane/config_consensus/state_store.py
+++ b/petrellane/config_consensus/state_store.py
@@ -89,7 +89,7 @@
         sequence_number = self.sequence_number + 1
         path = self.paths[sequence_number % len(SLOTS)]
         is_new = not Path(path).exists()
-        with Path(path).open("wb") as file:
+        with open(path, "wb") as file:  # noqa: PTH123 - its errors show the path as configured
             file.write(self._encode(sequence_number, state))
             file.flush()
             os.fsync(file.fileno())
