--- a/petrellane/config_consensus/participant_notifier.py
+++ b/petrellane/config_consensus/participant_notifier.py
@@ -22,8 +22,6 @@
 NO_ADDRESS = "no address in the roster"
 NOT_THE_GATEWAY = "it starts, or another process follows it"
 
-Step = Callable[..., None]  # a method of the coordinator that may write to the journal
-
 
 class ParticipantNotifier:
     """One greenlet a participant, which sends it one message at a time.
