--- a/benchmarks/messages.py
+++ b/benchmarks/messages.py
@@ -31,6 +31,7 @@
     safe_settings,
     state_store,
 )
+from petrellane.config_consensus import messages as protocol
 from petrellane.net import http, resp
 from petrellane.testbed import fleet
 
@@ -159,14 +160,17 @@
         for name in self.states:
             began = time.process_time()
             message = self.leader.build_message(name, self.now)
+            wire = message and message.to_dict()
             spent += time.process_time() - began
             if message is None:
                 continue
             sent += 1
             self.states[name], answer = participant.handle_message(
-                self.states[name], message, lambda content: None
+                self.states[name], wire, lambda content: None
             )
+            told = answer.to_dict()
             began = time.process_time()
+            answer = protocol.decode_answer(message, told)
             self.leader.handle_answer(name, message, answer, self.now)
             spent += time.process_time() - began
         return sent, spent
@@ -381,7 +385,7 @@
         (
             "look_ms",
             "an answer to a look made and sealed, and read and checked: the gateway's and control's halves",
-            lambda: participant.parse_peer_state(
+            lambda: protocol.PeerState.from_dict(
                 message_authentication.answered(
                     KEY, b"s", *reversed(message_authentication.answer(KEY, b"s", state.to_dict()))
                 )
--- a/petrellane/config_consensus/ballots.py
+++ b/petrellane/config_consensus/ballots.py
@@ -1,11 +1,23 @@
-"""Numbers of agreement: who speaks (an epoch), which generation, and how many gateways make a quorum."""
+"""Epochs, ballots, generations and majorities, with the JSON form of each.
 
-from typing import Any, NamedTuple
+As in Paxos: an epoch is one coordinator's term, a ballot names one proposal made in an epoch, and
+a generation is the settings that were proposed under a ballot. All of these are immutable values
+with a total order. Whether a ballot commits is decided in `participant` and `coordinator`.
+"""
+
+from collections.abc import Callable, Collection
+from typing import Any, NamedTuple, TypeGuard
+
+MAX_NUMBER = 2**53  # numbers stay below this, so that every JSON reader keeps them exact
+MAX_NAME_LENGTH = 64
+SHOWN_LENGTH = 40  # characters of an unexpected value that an error repeats
 
 
 class Epoch(NamedTuple):
-    """The right to change settings: of two, the higher one's word goes. `control` keeps two processes apart that took
-    the same number."""
+    """A coordinator's term: participants that promised an epoch reject every lower one.
+
+    `control` is the name of the control process; it orders two processes that took one number.
+    """
 
     number: int
     control: str
@@ -15,80 +27,132 @@
 
 
 class Ballot(NamedTuple):
-    """The name of one proposed generation. Of two, the later one supersedes the other."""
+    """The identity of one proposal; a later ballot supersedes an earlier one."""
 
     number: int
     epoch: Epoch
 
+    def to_dict(self) -> dict[str, Any]:
+        """The ballot as JSON."""
+        return {"number": self.number, "epoch": list(self.epoch)}
+
 
 class Generation(NamedTuple):
-    """Settings under a number. `roster` are the gateways, by name, that have to agree on the next one."""
+    """Settings proposed under a ballot.
+
+    `roster` names the participants whose majority has to prepare the next generation.
+    """
 
     ballot: Ballot
     digest: str
-    content: dict
-    roster: tuple = ()
+    content: dict[str, Any]
+    roster: tuple[str, ...] = ()
 
     @property
-    def number(self):
+    def number(self) -> int:
+        """The number of the ballot."""
         return self.ballot.number
 
     def identity_to_dict(self) -> dict[str, Any]:
-        """What names it, as JSON."""
-        return {"number": self.number, "epoch": list(self.ballot.epoch), "digest": self.digest}
+        """Ballot and digest as JSON, without the content."""
+        return {**self.ballot.to_dict(), "digest": self.digest}
 
     def to_dict(self) -> dict[str, Any]:
-        """All of it, as JSON."""
-        return self.identity_to_dict() | {"content": self.content, "members": list(self.roster)}
-
-
-def parse_epoch(told) -> Epoch:
-    """An epoch from JSON. Raises ValueError where it is none."""
-    if (
-        isinstance(told, (list, tuple))
-        and len(told) == 2
-        and type(told[0]) is int
-        and 0 <= told[0] < 2**53
-        and isinstance(told[1], str)
-        and len(told[1]) <= 64
-    ):
-        return Epoch(*told)
-    raise ValueError(f"epoch: expected a number and a name, found {str(told)[:40]}")
-
-
-def parse_ballot(told) -> Ballot:
-    """What names a generation, from JSON. Raises ValueError."""
-    number = told.get("number") if isinstance(told, dict) else None
-    if type(number) is not int or not 0 <= number < 2**53:
-        raise ValueError(f"number: expected a whole number from 0, found {str(number)[:40]}")
-    return Ballot(number, parse_epoch(told.get("epoch")))
-
-
-def parse_generation(told, digest) -> Generation:
-    """A generation from JSON, checked against its digest by `digest` (settings to text). Raises ValueError."""
-    ballot, content, members = parse_ballot(told), told.get("content"), told.get("members", [])
-    if not isinstance(content, dict):
-        raise ValueError(f"content: expected an object, found {str(content)[:40]}")
-    if not isinstance(members, list) or not all(isinstance(name, str) for name in members):
+        """The whole generation as JSON."""
+        return {
+            **self.identity_to_dict(),
+            "content": self.content,
+            "members": list(self.roster),
+        }
+
+
+def _is_number(value: object) -> TypeGuard[int]:
+    """Whether a JSON value is a whole number in range; `True` is none."""
+    return type(value) is int and 0 <= value < MAX_NUMBER
+
+
+def shorten(value: object) -> str:
+    """An unexpected value, short enough for an error text."""
+    return str(value)[:SHOWN_LENGTH]
+
+
+def parse_epoch(value: object) -> Epoch:
+    """An epoch from JSON: a list of number and name.
+
+    Raises:
+        ValueError: `value` is no epoch.
+    """
+    if isinstance(value, (list, tuple)) and len(value) == 2:
+        number, control = value
+        is_name = isinstance(control, str) and len(control) <= MAX_NAME_LENGTH
+        if _is_number(number) and is_name:
+            return Epoch(number, control)
+    raise ValueError(f"epoch: expected a number and a name, found {shorten(value)}")
+
+
+def parse_ballot(value: object) -> Ballot:
+    """A ballot from a JSON object that has its number and epoch.
+
+    Raises:
+        ValueError: `value` holds no ballot.
+    """
+    fields = value if isinstance(value, dict) else {}
+    number = fields.get("number")
+    if not _is_number(number):
+        raise ValueError(f"number: expected a whole number from 0, found {shorten(number)}")
+    return Ballot(number, parse_epoch(fields.get("epoch")))
+
+
+def parse_generation(value: object, digest: Callable[[dict[str, Any]], str]) -> Generation:
+    """A generation from JSON, checked against its digest.
+
+    Args:
+        value: the JSON object.
+        digest: computes the digest of settings.
+
+    Raises:
+        ValueError: `value` is no generation, or its digest is not that of its content.
+    """
+    ballot = parse_ballot(value)
+    fields: dict[str, Any] = value if isinstance(value, dict) else {}
+    content = fields.get("content")
+    roster = fields.get("members", [])
+    if not isinstance(content, dict):  # malformed input is a ValueError, whatever its type
+        raise ValueError(  # noqa: TRY004
+            f"content: expected an object, found {shorten(content)}"
+        )
+    if not isinstance(roster, list) or not all(isinstance(name, str) for name in roster):
         raise ValueError("members: expected a list of names")
     try:
-        found = digest(content)
+        expected = digest(content)
     except (TypeError, ValueError, AttributeError):
         raise ValueError("content: expected settings in canonical JSON") from None
-    if found != told.get("digest"):
+    found = fields.get("digest")
+    if expected != found:
         raise ValueError(
-            f"digest: expected {found}, that of the content, found {str(told.get('digest'))[:40]}"
+            f"digest: expected {expected}, that of the content, found {shorten(found)}"
         )
-    return Generation(ballot, found, content, tuple(members))
+    return Generation(ballot, expected, content, tuple(roster))
+
+
+def majority(roster: Collection[str]) -> int:
+    """The size of the smallest majority of a roster."""
+    return len(roster) // 2 + 1
 
 
-def majority(members) -> int:
-    """How many of so many members make a majority."""
-    return len(members) // 2 + 1
+def intersects_every_majority(
+    roster: Collection[str], responders: Collection[str], remembers: bool
+) -> bool:
+    """Whether the participants that answered have a member in every majority of the roster.
 
+    Args:
+        roster: all participants.
+        responders: the others that have answered a participant that starts.
+        remembers: whether that participant still has its own state, and so counts itself.
 
-def intersects_every_majority(members, responders, remembers) -> bool:
-    """Whether a gateway that starts has heard of enough others to meet every majority of the members: of each at least
-    one has spoken, or is the gateway itself where it remembers what it said. One that is alone has nobody to ask."""
-    others = len(members) - majority(members) + (0 if remembers else 1)
-    return len(set(responders) & set(members)) >= min(others, len(members) - 1)
+    Returns:
+        True once no majority can have committed without a responder knowing. A participant that
+        is alone on its roster has nobody to ask.
+    """
+    others = len(roster) - majority(roster) + (0 if remembers else 1)
+    return len(set(responders) & set(roster)) >= min(others, len(roster) - 1)
--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -12,7 +12,7 @@
 
 from petrellane.config import ConfigError, Section, lacks, settings
 from petrellane.config_consensus import coordinator as rules
-from petrellane.config_consensus import message_authentication, rpc_client, safe_settings
+from petrellane.config_consensus import message_authentication, messages, rpc_client, safe_settings
 from petrellane.config_consensus.coordinator import Coordinator, CoordinatorState
 from petrellane.config_consensus.errors import ProposalRejected
 from petrellane.config_consensus.journal import Journal
@@ -161,7 +161,8 @@
         """One message: what comes of it goes to the rules."""
         leads, down, why = self.leader, True, "no address in the roster"
         addresses = self.config.members.get(name, ())
-        self.calls[message["do"]] = self.calls.get(message["do"], 0) + 1
+        kind = message.kind.value
+        self.calls[kind] = self.calls.get(kind, 0) + 1
         for address in addresses:
             try:
                 answer = rpc_client.ask(
@@ -170,7 +171,7 @@
                     self.config.key,
                     address,
                     message_authentication.PATH,
-                    message,
+                    message.to_dict(),
                     self.PATIENCE,
                 )
             except rpc_client.Nobody:
@@ -181,7 +182,13 @@
             if answer.get("refused") == "elsewhere":  # not the process that is the gateway now
                 down, why = False, "it starts, or another process follows it"
                 continue
-            self.noted(leads.handle_answer, name, message, answer, self.scheduler.now())
+            self.noted(
+                leads.handle_answer,
+                name,
+                message,
+                messages.decode_answer(message, answer),
+                self.scheduler.now(),
+            )
             return
         if down and addresses:
             self.noted(leads.handle_connection_refused, name, message, self.scheduler.now())
--- a/petrellane/config_consensus/coordinator.py
+++ b/petrellane/config_consensus/coordinator.py
@@ -1,583 +1,400 @@
-"""One control process's part in agreement, as rules free of I/O. On one page:
+"""A coordinator's rules, free of I/O: one control process brings all participants to agree.
 
-    seeking    promise E to all; once a majority of every set of members that matters has answered, what they remember
-               tells what is in force. A later generation that may have been decided by another control process, and of
-               which nobody can tell, is superseded: the settings in force come again under a new number.
+    seeking    ask all to promise the epoch; once a majority of every roster that matters has, what
+               they report tells what is in force. A later ballot that may have committed unseen is
+               superseded: the settings in force are proposed again under a later number
     leading    one change at a time:
-      propose  G = in force's number and all numbers seen + 1; noted in the journal
-      prepare  to all members, old and new, that staff did not count out
-      absent   a member where nobody listens: the machine refused the connection. It counts as absent only while it does so
-               after the last of the others has prepared; what starts there later asks before it serves
-      decide   commit once all are prepared or absent, and the prepared are a majority of the old members and of the new;
-               else abort: at once where one refuses, after CHANGE_TIMEOUT_S where one is silent. Noted, then told
-      tell     to all, until each has it; whoever comes back late is told then. Orphaned ballots are aborted
-    deposed    another control process has a higher epoch: nothing more is sent
-
-A commit is told only after every member that serves has prepared, so none admits under the old generation alone from then
-on; an abort is told only where no commit ever will be. What was decided is in the journal before anybody is told.
-
-`next_message` gives the message that a member is due, `handle_answer`, `handle_connection_refused` and `handle_no_answer` take what came of it; `Journal.append` raises
-where a step could not be made durable, and the step has not been taken then.
+      propose  a generation under the highest number seen + 1, recorded in the journal
+      prepare  ask all participants, of the old roster and the new, that were not excluded
+      decide   by the votes (`changes`), recorded in the journal before anybody is notified
+      notify   all participants, until each has the outcome (`notifications`); one that comes back
+               late is notified then, and orphaned ballots are aborted
+    deposed    another coordinator has a higher epoch: nothing more is sent
+
+A commit is sent only after every participant that serves has prepared, so from then on none admits
+under the old generation alone; an abort is sent only for a ballot that never will commit.
+
+`next_message` gives the request that a participant is due; `handle_answer`,
+`handle_connection_refused` and `handle_no_answer` take what came of it. The journal's `append`
+raises OSError where a record could not be made durable: the step has not been taken then.
+`leadership` has the rules of an epoch, `changes` those of votes, `notifications` what is due.
 """
 
-import itertools
-import math
-from dataclasses import dataclass, field
-from enum import StrEnum
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Any
 
 from petrellane.config_consensus import safe_settings
-from petrellane.config_consensus.ballots import (
-    Ballot,
-    Epoch,
-    Generation,
-    majority,
-    parse_epoch,
-    parse_generation,
-)
+from petrellane.config_consensus.ballots import NO_EPOCH, Ballot, Epoch, Generation, majority
+from petrellane.config_consensus.changes import Change, ChangeOutcome
 from petrellane.config_consensus.errors import ProposalRejected
-from petrellane.config_consensus.participant import INITIAL_BALLOT, STALL_LIMIT_S, parse_peer_state
-
-
-class CoordinatorState(StrEnum):
-    """What a coordinator does with its epoch."""
-
-    SEEKING = "seeking"
-    LEADING = "leading"
-    DEPOSED = "deposed"
-
-
-class ChangeOutcome(StrEnum):
-    """What became of a change; PREPARING until it is decided."""
-
-    PREPARING = "preparing"
-    COMMITTED = "committed"
-    ABORTED = "aborted"
-    SUPERSEDED = "superseded"
-    UNKNOWN = "unknown"
-
-
-MAX_EPOCH_CLAIMS = 5  # times that a control process takes a higher epoch while it seeks: two that start at once end it
-CHANGE_TIMEOUT_S = 3.0  # seconds until a change is given up for members that say nothing
-POLL_INTERVAL_S = 1.0  # seconds, about, between looks at a member that is due nothing
-RETRY_INTERVAL_S = (
-    0.1  # seconds before a member that did not answer is asked again while a change is under way
+from petrellane.config_consensus.leadership import (
+    CoordinatorState,
+    Leadership,
+    quorum_rosters,
+)
+from petrellane.config_consensus.ledger import Journal, Ledger
+from petrellane.config_consensus.messages import (
+    Answer,
+    MalformedAnswer,
+    MessageKind,
+    PeerState,
+    Promise,
+    ReadContent,
+    Rejection,
+    Request,
+    RequestBody,
+)
+from petrellane.config_consensus.notifications import (
+    NOBODY_LISTENS,
+    POLL_INTERVAL_S,
+    RETRY_INTERVAL_S,
+    Notifications,
 )
 
+__all__ = ["ChangeOutcome", "Coordinator", "CoordinatorState"]
 
-@dataclass
-class Change:
-    """One proposal. `replies` maps a member to what it said: "prepared", "absent" or nothing yet."""
-
-    generation: Generation
-    base: Ballot
-    participants: tuple
-    excluded: tuple
-    started_at: float
-    previous_roster: tuple
-    votes: dict = field(default_factory=dict)
-    first_message: int = 0  # the order of the last message before it
-    settled_message: int = 0  # and of the last one sent when the last of those that serve prepared
-    confirmed_absent: set = field(default_factory=set)
-    outcome: ChangeOutcome = ChangeOutcome.PREPARING
-    reason: str = ""
-    author: str = ""
-
-    def to_dict(self):
-        ballot = self.generation.ballot
-        return {
-            "number": ballot.number,
-            "epoch": list(ballot.epoch),
-            "digest": self.generation.digest,
-            "outcome": self.outcome,
-            "why": self.reason,
-            "by": self.author,
-            "without": list(self.excluded),
-            "prepared": sorted(name for name, said in self.votes.items() if said == "prepared"),
-            "absent": sorted(self.confirmed_absent),
-        }
+MAX_EPOCH_CLAIMS = 5  # epochs claimed while seeking: ends the contest of two that start at once
+
+SUPERSEDING_AUTHOR = "the control process"
 
 
 class Coordinator:
-    """What one control process knows and does."""
-
-    def __init__(self, name, members, journal, now, records=()):
-        self.name, self.roster, self.journal = name, tuple(members), journal
-        self.state, self.reason = CoordinatorState.SEEKING, ""
-        self.in_force = None  # the generation, once it is known
-        self.participant_states, self.last_sent_at = {}, {}
-        self.promised_by, self.unreachable, self.retry_at = set(), {}, {}
-        self.in_doubt = (
-            set()
-        )  # ballots that may have been decided before us, which are neither told nor denied
-        self.needs_content = set()  # members that are to be told what is in force with its content
-        self.highest_number = 0  # the highest number seen
-        self.last_roster = ()  # the last that was heard
-        self.message_counter = itertools.count(1)
-        self.last_message = 0
-        self.change, self.history, self.decisions = None, {}, {}
-        self.last_change_at = -math.inf  # when a change began last
-        self.wanted_content = None  # a ballot of which the content is looked for, and who has it
-        highest = 0
-        for record in records:
-            highest = max(highest, self.replay(record))
-        self.epoch, self.epoch_claims = None, 0
-        self.claim_epoch(highest + 1, now)
-
-    # What the journal tells.
-
-    def replay(self, record):
-        """Take up one record; the epoch number that it names, or 0."""
-        kind = record["kind"]
-        if kind == "epoch":
-            return record["number"]
-        if kind in ("proposed", "in_force"):
-            generation = parse_generation(record["generation"], safe_settings.digest)
-            self.highest_number = max(self.highest_number, generation.number)
-            if kind == "in_force":
-                self.in_force = max(
-                    filter(None, (self.in_force, generation)), key=lambda one: one.ballot
-                )
-            else:
-                change = self.history[generation.ballot] = Change(
-                    generation,
-                    INITIAL_BALLOT,
-                    (),
-                    tuple(record.get("without", ())),
-                    0.0,
-                    (),
-                    author=record.get("by", ""),
-                )
-                change.outcome, change.reason = (
-                    ChangeOutcome.UNKNOWN,
-                    "the control process ended before it was decided",
-                )
-        elif kind == "decided":
-            ballot = Ballot(record["number"], Epoch(*record["epoch"]))
-            self.decisions[ballot] = ChangeOutcome(record["outcome"])
-            if change := self.history.get(ballot):
-                change.outcome, change.reason = ChangeOutcome(record["outcome"]), record["why"]
-                change.confirmed_absent = set(record.get("absent", ()))
-                change.votes = dict.fromkeys(record.get("prepared", ()), "prepared")
-                if record["outcome"] == ChangeOutcome.COMMITTED:
-                    self.in_force = max(
-                        filter(None, (self.in_force, change.generation)), key=lambda one: one.ballot
-                    )
-        return 0
-
-    def claim_epoch(self, number, now):
-        """Take a new epoch and ask everybody anew."""
-        epoch, self.epoch_claims = Epoch(number, self.name), self.epoch_claims + 1
-        self.journal.append({"kind": "epoch", "number": number, "control": self.name}, now)
-        self.epoch, self.promised_by, self.state = epoch, set(), CoordinatorState.SEEKING
-
-    # What each member is due.
-
-    def all_participants(self):
-        """Members old and new: those of our roster and those that what is in force names."""
-        named = self.in_force.roster if self.in_force else ()
-        return tuple(dict.fromkeys((*self.roster, *named)))
-
-    def next_message(self, name, now):
-        """The message that a member is due now; or None, and the seconds to wait at most."""
-        if now < self.retry_at.get(name, -math.inf):
-            return None, self.retry_at[name] - now
+    """What one control process knows and does, from its start to its end.
+
+    Attributes:
+        name: the name of the control process.
+        roster: the configured participants.
+        ledger: the changes, and what is in force.
+        leadership: the epoch and its promises.
+        notifications: reports of participants and what they are due.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        roster: Sequence[str],
+        journal: Journal,
+        now: float,
+        records: Iterable[Mapping[str, Any]] = (),
+    ) -> None:
+        """Replay the journal's records and claim the next epoch. Raises what `append` raises."""
+        self.name = name
+        self.roster = tuple(roster)
+        self.ledger = Ledger(journal, records)
+        self.leadership = Leadership(NO_EPOCH)
+        self.notifications = Notifications()
+        self.claim_epoch(self.ledger.claimed_epoch + 1, now)
+
+    # What others look at.
+
+    @property
+    def state(self) -> CoordinatorState:
+        """Seeking, leading or deposed."""
+        return self.leadership.state
+
+    @property
+    def reason(self) -> str:
+        """Why the coordinator was deposed, in one line; empty before."""
+        return self.leadership.reason
+
+    @property
+    def epoch(self) -> Epoch:
+        """The epoch claimed last."""
+        return self.leadership.epoch
+
+    @property
+    def in_force(self) -> Generation | None:
+        """The committed generation, None until it is known."""
+        return self.ledger.in_force
+
+    @property
+    def change(self) -> Change | None:
+        """The change under way."""
+        return self.ledger.change
+
+    @property
+    def history(self) -> Mapping[Ballot, Change]:
+        """All changes by ballot."""
+        return self.ledger.history
+
+    @property
+    def in_doubt(self) -> set[Ballot]:
+        """Ballots of earlier epochs that may have committed unseen."""
+        return self.leadership.in_doubt
+
+    @property
+    def participant_states(self) -> Mapping[str, PeerState]:
+        """The last report of each participant."""
+        return self.notifications.reports
+
+    def describe_participant(self, name: str) -> tuple[str, int | None]:
+        """Where a participant stands, in words, and the number in force there."""
+        return self.notifications.describe(name, self.in_force)
+
+    def all_participants(self) -> tuple[str, ...]:
+        """The participants of the configured roster and of the one in force."""
+        in_force = self.in_force.roster if self.in_force else ()
+        return tuple(dict.fromkeys((*self.roster, *in_force)))
+
+    def claim_epoch(self, number: int, now: float) -> None:
+        """Claim a new epoch and ask all participants anew."""
+        self.leadership.claims += 1  # also where the journal fails
+        self.leadership.claim(self.ledger.claim_epoch(number, self.name, now))
+
+    # Requests.
+
+    def next_message(self, name: str, now: float) -> tuple[Request | None, float]:
+        """The request that a participant is due now, or None and the longest pause in seconds."""
+        pause = self.notifications.retry_pause(name, now)
+        if pause > 0:
+            return None, pause
         message = self.build_message(name, now)
-        return message, 0.0 if message else max(
-            0.01, POLL_INTERVAL_S - (now - self.last_sent_at.get(name, -POLL_INTERVAL_S))
-        )
-
-    def build_message(self, name, now):
-        """The message that a member is due, however soon after the last, with its order; None where it is due none."""
-        message = (
-            self.pending_message(name, now) if self.state != CoordinatorState.DEPOSED else None
-        )
         if message is not None:
-            self.last_sent_at[name], self.last_message = now, next(self.message_counter)
-            message |= {"to": name, "epoch_of": list(self.epoch), "order": self.last_message}
-        return message
-
-    def pending_message(self, name, now):
+            return message, 0.0
+        return None, self.notifications.poll_pause(name, now)
+
+    def build_message(self, name: str, now: float) -> Request | None:
+        """The request that a participant is due, however soon after a failure; None: none."""
+        body = self.pending_message(name, now)
+        if body is None:
+            return None
+        return self.notifications.make_request(name, self.epoch, body, now)
+
+    def pending_message(self, name: str, now: float) -> RequestBody | None:
+        """What a participant is due; nothing is counted as sent."""
+        if self.state == CoordinatorState.DEPOSED:
+            return None
         if self.state == CoordinatorState.SEEKING:
-            if self.wanted_content and name in self.wanted_content[1]:
-                return {
-                    "do": "content",
-                    "number": self.wanted_content[0].number,
-                    "epoch": list(self.wanted_content[0].epoch),
-                }
-            return (
-                {"do": "promise"}
-                if name not in self.promised_by or self.is_poll_due(name, now)
-                else None
-            )
-        seen, change = self.participant_states.get(name), self.change
-        if name in self.needs_content:
-            return {"do": "commit"} | self.in_force.to_dict()
-        if seen and seen.in_force < self.in_force.ballot:
-            held = seen.prepared and self.in_force.ballot in seen.prepared
-            return {"do": "commit"} | (
-                self.in_force.identity_to_dict() if held else self.in_force.to_dict()
-            )
-        kept = {change.generation.ballot, *self.in_doubt} if change else self.in_doubt
-        for ballot in seen.prepared if seen else ():
-            if ballot not in kept and ballot > self.in_force.ballot:
-                return {"do": "deny", "number": ballot.number, "epoch": list(ballot.epoch)}
-        if (
-            change
-            and name in change.participants
-            and change.votes.get(name) != "prepared"
-            and (name not in change.confirmed_absent)
-        ):
-            return {
-                "do": "prepare",
-                "base": {"number": change.base.number, "epoch": list(change.base.epoch)},
-                **change.generation.to_dict(),
-            }
-        return {"do": "promise"} if self.is_poll_due(name, now) else None
-
-    def is_poll_due(self, name, now):
-        return now - self.last_sent_at.get(name, -POLL_INTERVAL_S) >= POLL_INTERVAL_S
-
-    # What came of it.
-
-    def handle_answer(self, name, message, answer, now):
-        """A member's answer to a message: what it remembers, a content, or why it refused."""
-        self.retry_at.pop(name, None)
-        self.unreachable.pop(name, None)
+            missing = self.leadership.missing_content
+            if missing and name in missing.holders:
+                return ReadContent(missing.ballot)
+            if name not in self.leadership.promised_by:
+                return Promise()
+            return self.notifications.next_poll(name, now)
+        in_force = self.ledger.require_in_force()
+        body = self.notifications.next_body(name, in_force, self.change, self.in_doubt)
+        return body or self.notifications.next_poll(name, now)
+
+    # What came of requests.
+
+    def handle_answer(self, name: str, message: Request, answer: Answer, now: float) -> None:
+        """Take a participant's answer to a request."""
+        self.notifications.on_answered(name)
         if self.state == CoordinatorState.DEPOSED:
             return
-        if message["do"] == "content":
-            self.handle_content(name, answer, now)
-            return
-        if "refused" in answer:
-            self.handle_rejection(name, message, answer, now)
-            return
-        try:
-            learnt = parse_peer_state(answer)
-        except ValueError as error:
-            self.handle_no_answer(name, message, now, f"answers out of form: {error}")
+        if message.kind is MessageKind.CONTENT:
+            self._handle_content(name, answer, now)
+        elif isinstance(answer, Rejection):
+            self._handle_rejection(name, message, answer, now)
+        elif isinstance(answer, PeerState):
+            self._handle_report(name, message, answer, now)
+        elif isinstance(answer, MalformedAnswer):
+            reason = f"answers out of form: {answer.reason}"
+            self.handle_no_answer(name, message, now, reason)
+
+    def _handle_content(self, name: str, answer: Answer, now: float) -> None:
+        """Take the content in force; initial settings of a file, number 0, are taken as well."""
+        leadership = self.leadership
+        if not isinstance(answer, Generation):  # the participant has moved on meanwhile
+            leadership.missing_content = None
+            leadership.promised_by.discard(name)
             return
-        self.participant_states[name] = self.intern_roster(learnt)
-        self.needs_content.discard(name)
-        self.highest_number = max(
-            [self.highest_number, learnt.in_force.number, *(one.number for one in learnt.prepared)]
-        )
-        self.promised_by.add(name)
+        missing = leadership.missing_content
+        if self.state == CoordinatorState.SEEKING and missing and answer.ballot == missing.ballot:
+            self.ledger.set_in_force(answer, now)
+            leadership.missing_content = None
+            self.try_to_lead(now)
+
+    def _handle_report(self, name: str, message: Request, report: PeerState, now: float) -> None:
+        """Take a participant's state, and its vote where it was asked for one."""
+        self._remember_report(name, report)
         if self.state == CoordinatorState.SEEKING:
             self.try_to_lead(now)
             return
-        if (
-            learnt.in_force > self.in_force.ballot
-        ):  # it was decided before us, and we know it only now
-            if self.change:
-                self.abort_change(f"generation {learnt.in_force.number} is in force at {name}", now)
-            self.state = CoordinatorState.SEEKING
-            self.try_to_lead(now)
+        if report.in_force > self.ledger.require_in_force().ballot:
+            self._seek_again(name, report, now)
             return
         change = self.change
-        if change and name in change.excluded and message["order"] > change.first_message:
+        if change and name in change.excluded and message.sequence > change.first_message:
             self.abort_change(f"{name} was counted out, and answers", now)
             return
-        if (
-            change
-            and message["do"] == "prepare"
-            and message["number"] == change.generation.number
-            and (
-                change.generation.ballot in learnt.prepared
-                or learnt.in_force >= change.generation.ballot
-            )
-        ):
-            if change.votes.get(name) != "prepared":
-                change.votes[name] = "prepared"
-                change.confirmed_absent.clear()  # whoever seemed absent is looked at once more
-                change.settled_message = self.last_message
+        if change and change.is_prepared(message, report):
+            change.record_prepared(name, self.notifications.last_sequence)
         self.try_to_decide(now)
 
-    def handle_rejection(self, name, message, answer, now):
-        cause, why = answer["refused"], str(answer.get("why", ""))[:300]
-        if cause == "epoch":
-            try:
-                promised = parse_epoch(answer.get("promised"))
-            except ValueError:
-                promised = self.epoch
-            if promised <= self.epoch:
-                return  # it was said to an earlier message of ours
-            if self.state == CoordinatorState.SEEKING and self.epoch_claims < MAX_EPOCH_CLAIMS:
-                self.claim_epoch(promised.number + 1, now)
-            else:
-                self.depose(f"{name} follows another control process: {why}")
-            return
-        self.retry_at[name] = now + (RETRY_INTERVAL_S if self.change else POLL_INTERVAL_S)
-        if cause in ("behind", "unknown"):  # it is told what is in force first, whole
-            self.needs_content.add(name)
-            self.retry_at.pop(name)
+    def _seek_again(self, name: str, report: PeerState, now: float) -> None:
+        """A later generation committed before us, and only now we hear of it."""
+        if self.change:
+            self.abort_change(f"generation {report.in_force.number} is in force at {name}", now)
+        self.leadership.state = CoordinatorState.SEEKING
+        self.try_to_lead(now)
+
+    def _remember_report(self, name: str, report: PeerState) -> None:
+        in_force_roster = self.in_force.roster if self.in_force else None
+        self.notifications.on_report(name, report, (self.roster, in_force_roster))
+        self.ledger.note_number(report.in_force.number)
+        for ballot in report.prepared:
+            self.ledger.note_number(ballot.number)
+        self.leadership.promised_by.add(name)
+
+    def _handle_rejection(
+        self, name: str, message: Request, rejection: Rejection, now: float
+    ) -> None:
+        if rejection.is_for_epoch:
+            self._handle_higher_epoch(name, rejection, now)
             return
-        if self.change and message["do"] == "prepare":
-            self.abort_change(f"refused by {name}: {why}", now)
-
-    def depose(self, why):
-        """Another control process leads. What became of our change is its to find out."""
-        self.state, self.reason = CoordinatorState.DEPOSED, why
+        notifications = self.notifications
+        notifications.retry_at[name] = now + (RETRY_INTERVAL_S if self.change else POLL_INTERVAL_S)
+        if rejection.is_for_content:
+            notifications.on_content_missing(name)
+        elif self.change and message.kind is MessageKind.PREPARE:
+            self.abort_change(f"refused by {name}: {rejection.reason}", now)
+
+    def _handle_higher_epoch(self, name: str, rejection: Rejection, now: float) -> None:
+        """Claim a higher epoch while seeking; step down while leading."""
+        promised = rejection.promised
+        if promised is None or promised <= self.epoch:
+            return  # malformed, or the answer to a request of an earlier epoch of ours
+        if self.state == CoordinatorState.SEEKING and self.leadership.claims < MAX_EPOCH_CLAIMS:
+            self.claim_epoch(promised.number + 1, now)
+        else:
+            reason = f"{name} follows another control process: {rejection.reason}"
+            self.leadership.depose(reason)
+            self.ledger.abandon(reason)
+
+    def handle_connection_refused(self, name: str, message: Request, now: float) -> None:
+        """Nobody listens where a participant should: refused at each of its addresses."""
+        self.notifications.on_unreachable(name, NOBODY_LISTENS, now + self._retry_interval())
         if self.change:
-            self.change.outcome, self.change.reason = ChangeOutcome.UNKNOWN, why
-            self.change = None
-
-    def handle_connection_refused(self, name, message, now):
-        """Nobody listens where a member should: its machine refused the connection, at every address."""
-        self.retry_at[name] = now + (
-            RETRY_INTERVAL_S
-            if self.change or self.state == CoordinatorState.SEEKING
-            else POLL_INTERVAL_S
-        )
-        self.unreachable[name] = "nobody listens there"
-        change = self.change
-        if change and name in change.participants and change.votes.get(name) != "prepared":
-            change.votes[name] = "absent"
-            if message["order"] > change.settled_message:
-                change.confirmed_absent.add(name)
+            self.change.record_absent(name, message.sequence)
         self.try_to_decide(now)
 
-    def handle_no_answer(self, name, message, now, why="no answer"):
-        """No answer came, or none that can be read; whether the message arrived is not known."""
-        self.retry_at[name] = now + (
-            RETRY_INTERVAL_S
-            if self.change or self.state == CoordinatorState.SEEKING
-            else POLL_INTERVAL_S
-        )
-        self.unreachable[name] = why
-        change = self.change
-        if change and change.votes.get(name) == "absent":
-            change.votes.pop(name)
-            change.confirmed_absent.discard(name)
+    def handle_no_answer(
+        self, name: str, _message: Request, now: float, reason: str = "no answer"
+    ) -> None:
+        """No readable answer came; whether the request arrived is not known."""
+        self.notifications.on_unreachable(name, reason, now + self._retry_interval())
+        if self.change:
+            self.change.retract_absence(name)
         self.try_to_decide(now)
 
+    def _retry_interval(self) -> float:
+        is_urgent = self.change is not None or self.state == CoordinatorState.SEEKING
+        return RETRY_INTERVAL_S if is_urgent else POLL_INTERVAL_S
+
     # Taking over.
 
-    def quorum_rosters(self):
-        """The sets of members of each of which a majority has to be heard; rosters that are one object are one set."""
-        named = {id(self.roster): self.roster}
-        if self.in_force:
-            named[id(self.in_force.roster)] = self.in_force.roster
-        named |= {id(learnt.roster): learnt.roster for learnt in self.participant_states.values()}
-        return [one for one in named.values() if one]
-
-    def intern_roster(self, learnt):
-        """The same, with a roster that equals ours, that in force or the last one heard as the same object: else as many
-        equal ones as there are members would be looked through at each answer."""
-        known = (self.roster, self.in_force and self.in_force.roster, self.last_roster)
-        self.last_roster = next((one for one in known if one == learnt.roster), learnt.roster)
-        return learnt._replace(roster=self.last_roster)
-
-    def try_to_lead(self, now):
+    def try_to_lead(self, now: float) -> None:
         """Lead, once enough have promised and what is in force is known with its content."""
-        if any(len(self.promised_by & set(one)) < majority(one) for one in self.quorum_rosters()):
+        leadership = self.leadership
+        reports = self.notifications.reports
+        if not leadership.has_majorities(quorum_rosters(self.roster, self.in_force, reports)):
             return
-        highest = max(self.participant_states[name].in_force for name in self.promised_by)
+        highest = leadership.highest_in_force(reports)
         if self.in_force is None or self.in_force.ballot < highest:
-            self.wanted_content = (
-                highest,
-                {
-                    name
-                    for name in self.promised_by
-                    if self.participant_states[name].in_force == highest
-                },
-            )
+            leadership.seek_content(highest, reports)
             return
-        self.wanted_content, self.state = None, CoordinatorState.LEADING
-        doubts = {
-            one
-            for name in self.promised_by
-            for one in self.participant_states[name].prepared
-            if one > self.in_force.ballot
-        }
-        self.in_doubt = {one for one in doubts if self.may_be_decided(one)}
-        self.supersede_in_doubt(now)
-
-    def supersede_in_doubt(self, now):
-        """What may have been decided is put behind: the settings in force come again under a later number."""
-        self.in_doubt = {one for one in self.in_doubt if one > self.in_force.ballot}
-        if self.in_doubt and not self.change:
-            self.begin_change(
-                self.in_force.content,
-                (),
-                now,
-                "the control process",
+        leadership.lead()
+        prepared = leadership.prepared_after(self.in_force.ballot, reports)
+        leadership.in_doubt = {ballot for ballot in prepared if self.may_be_decided(ballot)}
+        self._supersede_in_doubt(now)
+
+    def may_be_decided(self, ballot: Ballot) -> bool:
+        """Whether a ballot prepared somewhere may have committed where nobody reported."""
+        if self.ledger.decisions.get(ballot) in (ChangeOutcome.ABORTED, ChangeOutcome.SUPERSEDED):
+            return False
+        roster = self.ledger.require_in_force().roster
+        return self.leadership.may_have_committed(ballot, roster, self.notifications.reports)
+
+    def _supersede_in_doubt(self, now: float) -> None:
+        """Propose the settings in force anew where a ballot may have committed unseen."""
+        in_force = self.ledger.require_in_force()
+        in_doubt = {ballot for ballot in self.in_doubt if ballot > in_force.ballot}
+        self.leadership.in_doubt = in_doubt
+        if in_doubt and not self.change:
+            reason = (
                 "back to what is in force: nobody can tell "
-                f"whether generation {max(self.in_doubt).number} was decided",
+                f"whether generation {max(in_doubt).number} was decided"
             )
-
-    def may_be_decided(self, ballot):
-        """Whether a ballot that was prepared somewhere may be in force at a gateway that has not answered."""
-        if self.decisions.get(ballot) in (ChangeOutcome.ABORTED, ChangeOutcome.SUPERSEDED):
-            return False
-        if any(ballot in self.participant_states[name].aborted for name in self.promised_by):
-            return False
-        members = self.in_force.roster  # a majority of these had to prepare it
-        never = [
-            name
-            for name in members
-            if name in self.promised_by and ballot not in self.participant_states[name].prepared
-        ]
-        return len(never) <= len(members) - majority(members)
-
-    def handle_content(self, name, answer, now):
-        """The content that was looked for. A gateway's own file, number 0, is taken as it is there."""
-        try:
-            generation = parse_generation(answer, safe_settings.digest)
-        except ValueError:  # it has moved on meanwhile
-            self.wanted_content = None
-            self.promised_by.discard(name)
-            return
-        if (
-            self.state == CoordinatorState.SEEKING
-            and self.wanted_content
-            and generation.ballot == self.wanted_content[0]
-        ):
-            self.journal.append({"kind": "in_force", "generation": generation.to_dict()}, now)
-            self.in_force, self.wanted_content = generation, None
-            self.try_to_lead(now)
+            self._begin_change(in_force.content, (), SUPERSEDING_AUTHOR, now, reason)
 
     # A change.
 
-    def propose(self, content, without, by, now):
-        """Begin a change, or join the same one; the Change. Raises ProposalRejected; Journal.append may raise."""
+    def propose(
+        self, content: dict[str, Any], excluded: Sequence[str], author: str, now: float
+    ) -> Change:
+        """Begin a change of settings, or join the same one.
+
+        Args:
+            content: the settings.
+            excluded: participants that are not asked, as they are known to be down.
+            author: who proposes.
+            now: the time, in seconds.
+
+        Raises:
+            ProposalRejected: it can't be taken now.
+            OSError: the journal could not be written, and no change began.
+        """
         if self.state != CoordinatorState.LEADING:
-            raise ProposalRejected(
-                f"{self.state}: {self.reason or 'a majority of the gateways has not answered yet'}"
-            )
+            reason = self.reason or "a majority of the gateways has not answered yet"
+            raise ProposalRejected(f"{self.state}: {reason}")
         digest = safe_settings.digest(content)
         if self.change:
             if self.change.generation.digest == digest:
                 return self.change
             raise ProposalRejected(f"generation {self.change.generation.number} is under way")
-        if (
-            self.in_force.digest == digest
-            and self.in_force.number
-            and set(self.roster) == set(self.in_force.roster)
-        ):
-            return self.history.get(self.in_force.ballot) or Change(
-                self.in_force,
-                self.in_force.ballot,
-                (),
-                (),
-                now,
-                (),
-                outcome=ChangeOutcome.COMMITTED,
-                reason="in force already",
-            )
-        if unknown := sorted(set(without) - set(self.all_participants())):
+        finished = self.ledger.change_in_force(digest, self.roster, now)
+        if finished:
+            return finished
+        self._check_excluded(excluded)
+        return self._begin_change(content, excluded, author, now)
+
+    def _check_excluded(self, excluded: Sequence[str]) -> None:
+        if unknown := sorted(set(excluded) - set(self.all_participants())):
             raise ProposalRejected(f"without: expected names of the roster, found {unknown[0]}")
-        if len(set(self.roster) - set(without)) < majority(self.roster):
+        if len(set(self.roster) - set(excluded)) < majority(self.roster):
             raise ProposalRejected("without: expected a majority of the gateways to be left")
-        return self.begin_change(content, without, now, by, "")
-
-    def begin_change(self, content, without, now, by, why):
-        ballot = Ballot(max(self.highest_number, self.in_force.number) + 1, self.epoch)
-        generation = Generation(ballot, safe_settings.digest(content), content, self.roster)
-        self.journal.append(
-            {
-                "kind": "proposed",
-                "generation": generation.to_dict(),
-                "without": list(without),
-                "by": by,
-                "why": why,
-            },
-            now,
-        )
-        self.highest_number, self.last_change_at = ballot.number, now
-        needed = tuple(name for name in self.all_participants() if name not in without)
-        self.change = self.history[ballot] = Change(
-            generation,
-            self.in_force.ballot,
-            needed,
-            tuple(without),
+
+    def _begin_change(
+        self,
+        content: dict[str, Any],
+        excluded: Sequence[str],
+        author: str,
+        now: float,
+        reason: str = "",
+    ) -> Change:
+        in_force = self.ledger.require_in_force()
+        last_sequence = self.notifications.last_sequence
+        change = Change(
+            self.ledger.next_generation(content, self.roster, self.epoch),
+            in_force.ballot,
+            tuple(name for name in self.all_participants() if name not in excluded),
+            tuple(excluded),
             now,
-            self.in_force.roster,
-            reason=why,
-            author=by,
-            first_message=self.last_message,
-            settled_message=self.last_message,
+            in_force.roster,
+            reason=reason,
+            author=author,
+            first_message=last_sequence,
+            settled_message=last_sequence,
         )
-        return self.change
+        return self.ledger.begin(change, now)
 
-    def try_to_decide(self, now):
-        """Decide the change that is under way, if it can be; to be called often."""
-        change = self.change
+    def try_to_decide(self, now: float) -> None:
+        """Decide the change under way, if its votes or the time allow it; to be called often."""
         if self.state != CoordinatorState.LEADING:
             return
-        if not change:
-            if self.in_doubt and now - self.last_change_at >= POLL_INTERVAL_S:
-                self.supersede_in_doubt(now)
+        if self.change is None:
+            if self.in_doubt and now - self.ledger.last_change_at >= POLL_INTERVAL_S:
+                self._supersede_in_doubt(now)
             return
-        left = (
-            name
-            for name in change.participants
-            if change.votes.get(name) != "prepared" and name not in change.confirmed_absent
-        )
-        first = next(left, None)  # looked for anew at each answer, and mostly found at once
-        if first is None:
-            done = {name for name in change.participants if change.votes.get(name) == "prepared"}
-            for members in filter(None, (change.previous_roster, self.roster)):
-                if len(done & set(members)) < majority(members):
-                    self.abort_change(
-                        f"no majority: {len(done & set(members))} of {len(members)} gateways prepared, "
-                        f"nobody listens at {', '.join(sorted(change.confirmed_absent)) or 'none'}",
-                        now,
-                    )
-                    return
-            if change.excluded and now - change.started_at < 2 * STALL_LIMIT_S:
-                return  # whoever was counted out and merely stands still is to notice that it did
-            self.decide(ChangeOutcome.COMMITTED, change.reason, now)
-        elif now - change.started_at >= CHANGE_TIMEOUT_S:
-            self.abort_change(
-                "no word from "
-                + ", ".join(
-                    f"{name} ({self.unreachable.get(name, 'no answer')})"
-                    for name in sorted((first, *left))
-                ),
-                now,
-            )
+        decision = self.change.decision(self.roster, now, self.notifications.unreachable)
+        if decision:
+            self.decide(decision.outcome, decision.reason, now)
 
-    def abort_change(self, why, now):
-        self.decide(ChangeOutcome.ABORTED, why, now)
+    def abort_change(self, reason: str, now: float) -> None:
+        """Abort the change under way."""
+        self.decide(ChangeOutcome.ABORTED, reason, now)
 
-    def decide(self, outcome, why, now):
-        change = self.change
-        ballot = change.generation.ballot
-        self.journal.append(
-            {
-                "kind": "decided",
-                "number": ballot.number,
-                "epoch": list(ballot.epoch),
-                "outcome": outcome,
-                "why": why,
-                "absent": sorted(change.confirmed_absent),
-                "prepared": sorted(
-                    name for name, said in change.votes.items() if said == "prepared"
-                ),
-            },
-            now,
-        )
-        change.outcome, change.reason, self.decisions[ballot] = outcome, why, outcome
-        self.change = None
-        if outcome == ChangeOutcome.COMMITTED:
-            self.in_force = change.generation
-            for other in self.history.values():
-                if other.outcome == ChangeOutcome.UNKNOWN and other.generation.ballot < ballot:
-                    other.outcome, other.reason = (
-                        ChangeOutcome.SUPERSEDED,
-                        f"by generation {ballot.number}",
-                    )
-
-    def describe_participant(self, name):
-        """Where a member stands, in a word, and the number in force there."""
-        seen = self.participant_states.get(name)
-        number = seen.in_force.number if seen else None
-        if name in self.unreachable:
-            return self.unreachable[name], number
-        if not seen:
-            return "not heard yet", number
-        if self.in_force and seen.in_force == self.in_force.ballot:
-            if seen.digest != self.in_force.digest:
-                return "another content under this number", number
-            return "in doubt" if seen.prepared else "in force", number
-        return "behind", number
+    def decide(self, outcome: ChangeOutcome, reason: str, now: float) -> None:
+        """Decide the change under way, durably; participants are notified from then on."""
+        self.ledger.decide(outcome, reason, now)
--- a/petrellane/config_consensus/participant.py
+++ b/petrellane/config_consensus/participant.py
@@ -1,28 +1,38 @@
-"""One gateway's part in agreement, as rules free of I/O. On one page, what it remembers and what it answers:
-
-    remembered (ParticipantState, durable before any answer that rests on it)
-      promised   the highest epoch it has answered: lower ones are refused from then on
-      in_force   the generation that it admits under
-      prepared   generations prepared here, of which it doesn't know whether they were decided: while there are any it is
-                 in doubt, and admits what `in_force` and all of these allow
-      aborted    the last ballots that it was told will never be in force
-
-    promise E              E >= promised                  promised = E, answer what is remembered
-    prepare E, G, base     E >= promised, G after in_force, in_force not before base, G takes here, G not aborted
-                                                           G joins prepared
-    commit E, G            G in prepared, or comes with its content
-                                                           in_force = G, prepared keeps what is after G
-    deny E, B              B not in force                  B leaves prepared, joins aborted
-    learn P                what another gateway remembers: its in_force, if later than ours, becomes ours; what is
-                           possible there and after that is possible here; what it knows denied is denied
-
-Said again, each has the same result. What is in force never goes back to an earlier ballot. A gateway *knows* what is
-in force once it has heard so many others that every majority has one of them; a control process's word is not enough, as
-another may have gone on without it. Before, and after having stood still, a gateway admits nothing. `handle_message` and `merge_peer_state`
-change nothing: they give what to remember, which takes effect once it is durable.
+"""A participant's rules, free of I/O: what one gateway remembers and what it answers.
+
+State, durable before any answer that depends on it (`ParticipantState`):
+
+    promised   the highest epoch answered; lower ones are rejected from then on
+    in_force   the generation that the gateway admits under
+    prepared   generations prepared here whose outcome is not known: while there are any, the
+               gateway is in doubt, and admits only what `in_force` and all of these allow
+    aborted    the last ballots known never to commit
+
+Rules, each idempotent (E: the sender's epoch, G: a generation, B: a ballot):
+
+    message            condition                            effect
+    promise E          E >= promised                        promised = E
+    prepare E, G, base E >= promised, G after in_force,     G joins prepared
+                       base not after in_force, G not
+                       aborted, settings valid here
+    commit E, G        E >= promised, G prepared here       in_force = G, prepared keeps what
+                       or sent with its content             is after G
+    abort E, B         E >= promised, B after in_force      B leaves prepared, joins aborted
+    peer's report      (from another participant)           its later in_force, its aborted and
+                                                            its prepared ballots become ours
+
+`in_force` never returns to an earlier ballot. A participant *knows* what is in force once it has
+heard from so many others that every majority has one of them; a coordinator's word is not enough,
+as another one may have gone on without this gateway. Until then, and after it has stalled, it
+admits nothing (`ParticipantStatus`).
+
+All functions return the state to remember, which takes effect once `participant_service` has
+made it durable. Whether settings are valid here is the caller's `validate`: it returns what is
+wrong in one line, or None.
 """
 
-from typing import NamedTuple
+from collections.abc import Callable, Iterable, Mapping, Sequence
+from typing import Any, NamedTuple
 
 from petrellane.config_consensus import safe_settings
 from petrellane.config_consensus.ballots import (
@@ -31,95 +41,124 @@
     Epoch,
     Generation,
     intersects_every_majority,
-    parse_ballot,
-    parse_epoch,
-    parse_generation,
 )
 from petrellane.config_consensus.errors import MessageRejected
+from petrellane.config_consensus.messages import MessageKind, PeerState, ReceivedRequest
 
-MAX_ABORTED = 16  # ballots kept as denied: of changes that far back nobody speaks any more
-MAX_PREPARED = 8  # generations that may be possible at a time
-STALL_LIMIT_S = (
-    1.0  # seconds of standing still after which a gateway can have been counted out meanwhile
-)
-PEER_POLL_INTERVAL_S = (
-    0.5  # seconds, about, between rounds of asking others while in doubt or unknowing
-)
-INITIAL_BALLOT = Ballot(0, NO_EPOCH)
+MAX_ABORTED = 16  # aborted ballots remembered: nobody asks about changes further back
+MAX_PREPARED = 8  # generations prepared at a time
+STALL_LIMIT_S = 1.0  # a stall longer than this may have excluded the gateway from a change
+PEER_POLL_INTERVAL_S = 0.5  # mean time between rounds of asking others while in doubt
+INITIAL_BALLOT = Ballot(0, NO_EPOCH)  # that of the gateway's own file
+
+Validator = Callable[[dict[str, Any]], str | None]
 
 
 class ParticipantState(NamedTuple):
-    """What a gateway remembers."""
+    """What a participant remembers; as an answer, its report without contents."""
 
     in_force: Generation
     promised: Epoch = NO_EPOCH
-    prepared: tuple = ()
-    aborted: tuple = ()
+    prepared: tuple[Generation, ...] = ()
+    aborted: tuple[Ballot, ...] = ()
 
-    def to_dict(self):
-        """As JSON, without contents."""
+    def to_dict(self) -> dict[str, Any]:
+        """The report as JSON."""
         return {
             "promised": list(self.promised),
             "in_force": self.in_force.identity_to_dict(),
-            "possible": [one.identity_to_dict() for one in self.prepared],
-            "denied": [{"number": one.number, "epoch": list(one.epoch)} for one in self.aborted],
+            "possible": [generation.identity_to_dict() for generation in self.prepared],
+            "denied": [ballot.to_dict() for ballot in self.aborted],
             "members": list(self.in_force.roster),
         }
 
-    def find_generation(self, ballot):
-        """The generation of a ballot, where it is in force or possible here."""
-        return next((one for one in (self.in_force, *self.prepared) if one.ballot == ballot), None)
+    def find_generation(self, ballot: Ballot) -> Generation | None:
+        """The generation of a ballot that is in force or prepared here, None for others."""
+        for generation in (self.in_force, *self.prepared):
+            if generation.ballot == ballot:
+                return generation
+        return None
+
+
+def admissible_settings(state: ParticipantState) -> dict[str, Any]:
+    """The settings to admit under: those in force; in doubt, what all candidates allow."""
+    settings = state.in_force.content
+    for generation in state.prepared:
+        settings = safe_settings.meet(settings, generation.content)
+    return settings
+
 
+def handle_message(
+    state: ParticipantState, message: Mapping[str, Any], validate: Validator
+) -> tuple[ParticipantState, ParticipantState | Generation]:
+    """Handle a request of a coordinator or of another participant.
 
-def admissible_settings(state):
-    """The settings that a gateway admits under: those in force, or while in doubt what all allow."""
-    met = state.in_force.content
-    for one in state.prepared:
-        met = safe_settings.meet(met, one.content)
-    return met
+    Args:
+        state: what the participant remembers.
+        message: the request as JSON.
+        validate: tells why settings are not valid here, None where they are.
 
+    Returns:
+        The state to remember, and the answer: that state, or the content asked for.
 
-def handle_message(state, message, validate):
-    """A message of a control process or another gateway: what to remember, and the answer. `validate` says why settings will
-    not do here (one line), or None. Raises MessageRejected; whatever is out of form is one with status 400."""
+    Raises:
+        MessageRejected: a rule rejects the request; status 400 where it is malformed.
+    """
     try:
-        do = message.get("do")
-        if do == "state":
-            return state, state.to_dict()
-        if do == "content":
-            found = state.find_generation(parse_ballot(message))
-            if not found:
-                raise MessageRejected(404, "unknown", "no such generation here")
-            return state, found.to_dict()
-        if do not in ("promise", "prepare", "commit", "deny"):
-            raise MessageRejected(400, "form", f"do: expected a known word, found {str(do)[:40]}")
-        epoch = parse_epoch(message.get("epoch_of"))
-        if epoch < state.promised:
-            raise MessageRejected(
-                409,
-                "epoch",
-                f"epoch {epoch.number} of {epoch.control}: expected at least "
-                f"{state.promised.number} of {state.promised.control}",
-                promised=list(state.promised),
-            )
-        after = state._replace(promised=epoch)
-        if do == "prepare":
-            after = prepare(
-                after,
-                parse_generation(message, safe_settings.digest),
-                parse_ballot(message.get("base")),
-                validate,
-            )
-        elif do == "commit":
-            after = commit(after, message, validate)
-        elif do == "deny":
-            after = abort(after, parse_ballot(message))
-        return after, after.to_dict()
+        request = ReceivedRequest.from_dict(message)
+        if request.epoch is None:
+            return state, _read(state, request)
+        after = _apply(_promise(state, request.epoch), request, validate)
     except ValueError as error:
         raise MessageRejected(400, "form", str(error)) from None
+    return after, after
+
+
+def _read(state: ParticipantState, request: ReceivedRequest) -> ParticipantState | Generation:
+    """The answer to a question for state or content."""
+    if request.kind is MessageKind.STATE:
+        return state
+    generation = state.find_generation(request.ballot())
+    if generation is None:
+        raise MessageRejected(404, "unknown", "no such generation here")
+    return generation
+
 
+def _promise(state: ParticipantState, epoch: Epoch) -> ParticipantState:
+    """Follow an epoch, unless a higher one was promised."""
+    if epoch < state.promised:
+        raise MessageRejected(
+            409,
+            "epoch",
+            f"epoch {epoch.number} of {epoch.control}: expected at least "
+            f"{state.promised.number} of {state.promised.control}",
+            promised=list(state.promised),
+        )
+    return state._replace(promised=epoch)
+
+
+def _apply(
+    state: ParticipantState, request: ReceivedRequest, validate: Validator
+) -> ParticipantState:
+    """Apply a request whose epoch is promised."""
+    if request.kind is MessageKind.PREPARE:
+        return prepare(state, request.generation(), request.base(), validate)
+    if request.kind is MessageKind.COMMIT:
+        return commit(state, request, validate)
+    if request.kind is MessageKind.ABORT:
+        return abort(state, request.ballot())
+    return state
 
-def prepare(state, generation, base, validate):
+
+def prepare(
+    state: ParticipantState, generation: Generation, base: Ballot, validate: Validator
+) -> ParticipantState:
+    """Prepare a generation that follows `base`; one that is known already changes nothing.
+
+    Raises:
+        MessageRejected: the generation can't commit any more, `base` is not known here, the
+            settings are not valid here, or too many generations are prepared.
+    """
     ballot = generation.ballot
     if state.find_generation(ballot):
         return state
@@ -135,155 +174,168 @@
             "behind",
             f"generation {base.number} is not in force here, but {state.in_force.number}",
         )
-    if wrong := validate(generation.content):
-        raise MessageRejected(422, "settings", wrong)
+    _require_valid(generation, validate)
     if len(state.prepared) >= MAX_PREPARED:
         raise MessageRejected(
             409, "crowded", f"{MAX_PREPARED} generations are possible here already"
         )
-    return state._replace(
-        prepared=tuple(sorted((*state.prepared, generation), key=lambda one: one.ballot))
-    )
+    return _with_prepared(state, generation)
+
+
+def _require_valid(generation: Generation, validate: Validator) -> None:
+    if wrong := validate(generation.content):
+        raise MessageRejected(422, "settings", wrong)
+
 
+def _with_prepared(state: ParticipantState, generation: Generation) -> ParticipantState:
+    """The state with one more prepared generation, in the order of ballots."""
+    prepared = sorted((*state.prepared, generation), key=lambda candidate: candidate.ballot)
+    return state._replace(prepared=tuple(prepared))
 
-def commit(state, message, validate):
-    ballot = parse_ballot(message)
+
+def commit(
+    state: ParticipantState, request: ReceivedRequest, validate: Validator
+) -> ParticipantState:
+    """Put a committed generation in force, unless a later one is.
+
+    Raises:
+        MessageRejected: the content is neither here nor in the request, or is not valid here;
+            the decision holds all the same, and this gateway can't follow it.
+    """
+    ballot = request.ballot()
     if ballot <= state.in_force.ballot:
         return state
-    found = state.find_generation(ballot)
-    if found is None:
-        if "content" not in message:
+    generation = state.find_generation(ballot)
+    if generation is None:
+        if not request.has_content:
             raise MessageRejected(
                 409, "unknown", f"generation {ballot.number}: its content is not here"
             )
-        found = parse_generation(message, safe_settings.digest)
-        if wrong := validate(
-            found.content
-        ):  # the decision holds; this gateway can't follow it, and says so
-            raise MessageRejected(422, "settings", wrong)
-    return put_in_force(state, found)
+        generation = request.generation()
+        _require_valid(generation, validate)
+    return put_in_force(state, generation)
 
 
-def put_in_force(state, generation):
+def put_in_force(state: ParticipantState, generation: Generation) -> ParticipantState:
+    """The state with a generation in force; only later ones stay prepared."""
     return state._replace(
         in_force=generation,
-        prepared=tuple(one for one in state.prepared if one.ballot > generation.ballot),
+        prepared=tuple(later for later in state.prepared if later.ballot > generation.ballot),
     )
 
 
-def abort(state, ballot):
+def abort(state: ParticipantState, ballot: Ballot) -> ParticipantState:
+    """The state once a ballot is known never to commit; no change where it is in the past."""
     if ballot <= state.in_force.ballot or ballot in state.aborted:
         return state
     return state._replace(
-        prepared=tuple(one for one in state.prepared if one.ballot != ballot),
+        prepared=tuple(other for other in state.prepared if other.ballot != ballot),
         aborted=(*state.aborted, ballot)[-MAX_ABORTED:],
     )
 
 
-class PeerState(NamedTuple):
-    """What another gateway remembers, as it told."""
-
-    in_force: Ballot
-    digest: str
-    prepared: tuple
-    aborted: tuple
-    roster: tuple
-
-
-def parse_peer_state(told):
-    """What another gateway told of itself. Raises ValueError."""
-    rows = told.get("possible", []), told.get("denied", []), told.get("members", [])
-    if not all(isinstance(row, list) for row in rows):
-        raise ValueError("possible, denied, members: expected lists")
-    force = told.get("in_force")
-    return PeerState(
-        parse_ballot(force),
-        str(force.get("digest")),
-        tuple(map(parse_ballot, rows[0])),
-        tuple(map(parse_ballot, rows[1])),
-        tuple(map(str, rows[2])),
-    )
-
-
-def missing_ballots(state, learnt):
-    """Ballots of which the content has to be fetched from a gateway before what it told can be learnt."""
-    wanted = [learnt.in_force] if learnt.in_force > state.in_force.ballot else []
+def missing_ballots(state: ParticipantState, peer: PeerState) -> list[Ballot]:
+    """Ballots whose content has to be fetched from a peer before its report can be merged."""
+    wanted = [peer.in_force] if peer.in_force > state.in_force.ballot else []
+    newest = max(peer.in_force, state.in_force.ballot)
     wanted += [
-        one
-        for one in learnt.prepared
-        if one > max(learnt.in_force, state.in_force.ballot) and one not in state.aborted
+        ballot for ballot in peer.prepared if ballot > newest and ballot not in state.aborted
     ]
-    return [one for one in wanted if not state.find_generation(one)]
-
-
-def merge_peer_state(state, learnt, fetched, validate):
-    """What to remember after another gateway told what it does; `fetched` are the generations that were missing. Raises
-    MessageRejected where settings that are in force elsewhere will not do here."""
-    got = {one.ballot: one for one in fetched}
-    for ballot in learnt.aborted:
+    return [ballot for ballot in wanted if not state.find_generation(ballot)]
+
+
+def merge_peer_state(
+    state: ParticipantState,
+    peer: PeerState,
+    fetched: Iterable[Generation],
+    validate: Validator,
+) -> ParticipantState:
+    """The state to remember after a peer's report.
+
+    Args:
+        state: what the participant remembers.
+        peer: the report.
+        fetched: the generations of `missing_ballots`.
+        validate: tells why settings are not valid here, None where they are.
+
+    Raises:
+        MessageRejected: what is in force at the peer is not valid here.
+    """
+    contents = {generation.ballot: generation for generation in fetched}
+    for ballot in peer.aborted:
         if state.find_generation(ballot):
             state = abort(state, ballot)
-    if learnt.in_force > state.in_force.ballot:
-        found = state.find_generation(learnt.in_force) or got.get(learnt.in_force)
-        if found:
-            if wrong := validate(found.content):
-                raise MessageRejected(422, "settings", wrong)
-            state = put_in_force(state, found)
-    for ballot in learnt.prepared:
-        found = got.get(ballot)
-        if (
-            found
-            and ballot > state.in_force.ballot
-            and not state.find_generation(ballot)
-            and ballot not in state.aborted
-        ):
-            if validate(found.content) is None and len(state.prepared) < MAX_PREPARED:
-                state = state._replace(
-                    prepared=tuple(sorted((*state.prepared, found), key=lambda one: one.ballot))
-                )
+    if peer.in_force > state.in_force.ballot:
+        committed = state.find_generation(peer.in_force) or contents.get(peer.in_force)
+        if committed:
+            _require_valid(committed, validate)
+            state = put_in_force(state, committed)
+    for ballot in peer.prepared:
+        generation = contents.get(ballot)
+        if generation and _may_join_prepared(state, generation, validate):
+            state = _with_prepared(state, generation)
     return state
 
 
+def _may_join_prepared(
+    state: ParticipantState, generation: Generation, validate: Validator
+) -> bool:
+    """Whether a generation that a peer prepared may still commit and is valid here."""
+    ballot = generation.ballot
+    if ballot <= state.in_force.ballot or ballot in state.aborted:
+        return False
+    if state.find_generation(ballot):
+        return False
+    return validate(generation.content) is None and len(state.prepared) < MAX_PREPARED
+
+
 class ParticipantStatus:
-    """Whether a gateway may admit: it is a member, knows what is in force, and has not stood still since. Times are seconds
-    of one steady clock; `remembers` is whether what it once said is still here."""
-
-    def __init__(self, name, members, remembers, now):
-        self.name, self.remembers = name, remembers
-        self.responders, self.last_checked, self.knows_in_force = set(), now, False
-        self.stall_count = 0  # times that it stood still: what was asked before says nothing after
-        self.set_roster(members)
-
-    def set_roster(self, members):
-        """These are the members now. One that is not among them is told of no change, so it admits nothing."""
-        self.roster = tuple(members)
+    """Whether a gateway may admit: on the roster, aware of what is in force, not stalled since.
+
+    Owned by the participant's service and replaced each time it starts to ask anew. Times are
+    seconds of one steady clock.
+    """
+
+    def __init__(self, name: str, roster: Sequence[str], remembers: bool, now: float) -> None:
+        self.name = name
+        self.remembers = remembers  # whether the state of an earlier life is here
+        self.responders: set[str] = set()
+        self.last_checked = now
+        self.knows_in_force = False
+        self.stall_count = 0  # an answer to a question from before a stall says nothing after it
+        self.set_roster(roster)
+
+    def set_roster(self, roster: Sequence[str]) -> None:
+        """Take the roster in force; a gateway off the roster hears of no change: it admits none."""
+        self.roster = tuple(roster)
         if self.name not in self.roster:
             self.knows_in_force = False
         elif intersects_every_majority(self.roster, self.responders, self.remembers):
             self.knows_in_force = True
 
-    def on_peer_answered(self, name, since):
-        """Another gateway has answered what was asked at `since`, and all that it told is remembered here. An answer that
-        lay here while we stood still may be older than what others did meanwhile."""
-        if since == self.stall_count:
+    def on_peer_answered(self, name: str, asked_at_stall: int) -> None:
+        """Count a peer whose report is remembered here.
+
+        Args:
+            name: the peer.
+            asked_at_stall: `stall_count` when it was asked; the answer is ignored where the
+                gateway has stalled since, as others may have gone on meanwhile.
+        """
+        if asked_at_stall == self.stall_count:
             self.responders.add(name)
             self.set_roster(self.roster)
 
-    def check_stall(self, now):
-        """Told often. True where this gateway stood still for so long that others may have gone on without it."""
-        still, self.last_checked = (
-            now - self.last_checked > STALL_LIMIT_S,
-            max(now, self.last_checked),
-        )
-        if still:
-            self.responders, self.knows_in_force, self.stall_count = (
-                set(),
-                False,
-                self.stall_count + 1,
-            )
+    def check_stall(self, now: float) -> bool:
+        """Note the time, often; True after a stall in which others may have gone on."""
+        has_stalled = now - self.last_checked > STALL_LIMIT_S
+        self.last_checked = max(now, self.last_checked)
+        if has_stalled:
+            self.responders = set()
+            self.knows_in_force = False
+            self.stall_count += 1
             self.set_roster(self.roster)
-        return still
+        return has_stalled
 
-    def may_admit(self, now):
+    def may_admit(self, now: float) -> bool:
         """Whether an RPC that is here now may be admitted."""
         return self.knows_in_force and now - self.last_checked <= STALL_LIMIT_S
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -18,6 +18,7 @@
 from petrellane.config_consensus import message_authentication, participant, rpc_client
 from petrellane.config_consensus.ballots import Generation, parse_generation
 from petrellane.config_consensus.errors import MessageRejected
+from petrellane.config_consensus.messages import PeerQuestion, PeerState
 from petrellane.config_consensus.participant import (
     INITIAL_BALLOT,
     ParticipantState,
@@ -216,7 +217,7 @@
                     }
                 self.put()
                 self.knows()
-            return 200, told
+            return 200, told.to_dict()
 
     def drifts(self, settings):
         """The gateway's file was read anew. What it says of settings, where these are agreed, is told and not taken; else
@@ -340,22 +341,14 @@
                     address,
                     message_authentication.PATH,
                 )
-                told = call({"do": "state", "to": name}, self.PATIENCE)
+                told = call(PeerQuestion(name).to_dict(), self.PATIENCE)
                 if "refused" in told:
                     continue
-                learnt = participant.parse_peer_state(told)
+                learnt = PeerState.from_dict(told)
                 wanted = participant.missing_ballots(self.state, learnt)
                 fetched = [
                     parse_generation(
-                        call(
-                            {
-                                "do": "content",
-                                "to": name,
-                                "number": one.number,
-                                "epoch": list(one.epoch),
-                            },
-                            self.PATIENCE,
-                        ),
+                        call(PeerQuestion(name, one).to_dict(), self.PATIENCE),
                         digest,
                     )
                     for one in wanted
--- a/petrellane/config_consensus/safe_settings.py
+++ b/petrellane/config_consensus/safe_settings.py
@@ -1,76 +1,38 @@
-"""What of a gateway's settings is agreed on: its canonical form, its digest, the meet of two, and what one changes.
-
-Settings are the JSON object that a gateway's file holds under `settings`. All of it is agreed on but what is each
-gateway's own (`LOCAL_KEYS`). Functions here take and give plain JSON values and change none of them. None of them checks more
-than it needs: whether a gateway would take the settings is `petrellane.config`'s to say.
-
-The meet of two settings allows nothing that either forbids: a method that both have, by the fewer attempts and the
-shorter times, with an effect that lets it be tried again only where both do; a plan that both have, at the lower rate
-and ceiling. It is a greatest lower bound: commutative, associative, and the meet of a thing with itself is that thing,
-for settings in the form of `with_defaults`. A method whose command differs (an idempotent one takes the other command than the rest) is
-allowed by neither when both are in doubt, and is left out.
+"""Shared settings: their canonical form and digest, what all versions allow, what a change changes.
+
+Settings are the JSON object that a gateway's file holds under `settings`. All of it is shared, and
+changed by consensus, except what is each gateway's own (`LOCAL_KEYS`). Functions here take and
+return plain JSON values and modify none of them. They check no more than they need: whether a
+gateway accepts settings is decided by `petrellane.config`.
+
+The meet of two settings is what both allow: a method that both have, with the fewer attempts and
+the shorter times, retried only where both let it be; a plan that both have, at the lower quota and
+the lower hard limit. It is a greatest lower bound: commutative, associative, and idempotent for
+settings with their defaults. A method whose command differs (an idempotent one uses another
+command than the rest) is right for no gateway while both versions may be in force: it is left out.
 """
 
 import hashlib
 import json
 import math
+from collections.abc import Callable, Iterable, Iterator
+from typing import Any
 
-LOCAL_KEYS = ("locality",)  # what a gateway knows of itself alone
-
-QUERY = "pure"  # the effect whose RPCs come by the other command
-KEYED = "token"
-SCOPES = (
-    "none",
-    "cell",
-    "zone",
-    "all",
-)  # from the scope in which a repeat is discarded nowhere to everywhere
-
-
-def shared_settings(settings):
-    """The part of some settings that is agreed on."""
-    return {key: value for key, value in settings.items() if key not in LOCAL_KEYS}
-
-
-def local_settings(settings):
-    """The part of some settings that stays a gateway's own."""
-    return {key: value for key, value in settings.items() if key in LOCAL_KEYS}
-
-
-def plain(value):
-    """A JSON value with its keys in order, whole numbers as such and nulls of objects left out."""
-    if isinstance(value, dict):
-        return {key: plain(value[key]) for key in sorted(value) if value[key] is not None}
-    if isinstance(value, list):
-        return [plain(one) for one in value]
-    if isinstance(value, float) and math.isfinite(value) and value == int(value):
-        return int(value)
-    return value
-
+Settings = dict[str, Any]
+JsonValue = Any  # whatever JSON can express
 
-def canonical_bytes(settings):
-    """The bytes of the agreed part in canonical form: JSON with sorted keys, methods and plans in the order of their
-    names, whole numbers without a fraction. Equal for settings that say the same in another order."""
-    told = plain(shared_settings(settings))
-    for key in ("classes", "contracts"):
-        if isinstance(told.get(key), list):
-            told[key] = sorted(
-                told[key],
-                key=lambda row: json.dumps(row.get("name") if isinstance(row, dict) else row),
-            )
-    return json.dumps(
-        told, separators=(",", ":"), sort_keys=True, ensure_ascii=False, allow_nan=False
-    ).encode()
-
-
-def digest(settings):
-    """The name of what some settings say: 32 hex digits of blake2b over the canonical form."""
-    return hashlib.blake2b(canonical_bytes(settings), digest_size=16).hexdigest()
+LOCAL_KEYS = ("locality",)  # what a gateway knows of itself alone
 
+IDEMPOTENT = "pure"  # effects of methods; an idempotent one uses another command than the rest
+DEDUPLICATED = "token"
+NON_IDEMPOTENT = "side_effect"
+KEY_SCOPES = ("none", "cell", "zone", "all")  # where a repeat is discarded, narrowest first
+DEFAULT_KEY_SCOPE = "cell"
 
-# The full form: what is left to its default is told.
+NAMED_ROWS = ("classes", "contracts")  # lists of methods and of plans, by name
+DIGEST_BYTES = 16
 
-METHOD = {
+METHOD_DEFAULTS = {
     "goalTime": 0,
     "giveUp": 0,
     "keyScope": "",
@@ -79,7 +41,7 @@
     "lateWorth": 0,
     "streamed": False,
 }
-PLAN = {
+PLAN_DEFAULTS = {
     "quotaRate": 0,
     "storeSize": 0,
     "ceilingRate": 0,
@@ -90,8 +52,11 @@
     "extraWorth": 0,
     "overrunCost": 0,
 }
-BOUNDS = (("quotaRate", ("storeSize",)), ("ceilingRate", ("ceilingBurst", "ceilingSlack")))
-PARTS = {
+PLAN_LIMITS = (  # a rate, 0 where there is no limit, and the fields that depend on it
+    ("quotaRate", ("storeSize",)),
+    ("ceilingRate", ("ceilingBurst", "ceilingSlack")),
+)
+SECTION_DEFAULTS: dict[str, Settings] = {
     "familyInfo": {"mayCount": False, "counterTimeout": 0, "maxUnits": 1_000_000_000},
     "limits": {
         "maxAttempts": 1,
@@ -106,147 +71,223 @@
     "prices": {"crossZone": 0},
     "report": {"fields": []},
 }
-TOP = {"discovery": "push", "replicasOfMe": 1_000_000}
-
-
-def with_defaults(settings):
-    """The agreed part with every default told, and methods and plans in the order of their names."""
-    told = json.loads(canonical_bytes(settings))
-    for key, defaults in PARTS.items():
-        told[key] = defaults | told.get(key, {})
-    told = TOP | told
-    told["report"]["fields"] = sorted(
-        set(map(str, told["report"]["fields"]))
-    )  # their order says nothing
-    told["classes"] = [METHOD | row | keyed(row) for row in told.get("classes", [])]
-    told["contracts"] = [PLAN | row for row in told.get("contracts", [])]
-    for row in told["contracts"]:
-        for rate, rest in BOUNDS:
-            row |= dict.fromkeys(rest, 0) if not row[rate] else {}  # of no effect
-    return plain(told)
-
-
-def keyed(row):
-    """Where, and for how long, a host discards a repeat of a method's RPC: nowhere, where the method is not keyed."""
-    scope, window = row.get("keyScope"), row.get("window", 0)
-    if row.get("effect") != KEYED or scope == "none" and not window:
+TOP_LEVEL_DEFAULTS = {"discovery": "push", "replicasOfMe": 1_000_000}
+
+
+def shared_settings(settings: Settings) -> Settings:
+    """The part of settings that is changed by consensus."""
+    return {key: value for key, value in settings.items() if key not in LOCAL_KEYS}
+
+
+def local_settings(settings: Settings) -> Settings:
+    """The part of settings that stays a gateway's own."""
+    return {key: value for key, value in settings.items() if key in LOCAL_KEYS}
+
+
+# The canonical form.
+
+
+def _normalize(value: JsonValue) -> JsonValue:
+    """A JSON value with sorted keys, whole numbers as integers, and without null members."""
+    if isinstance(value, dict):
+        return {key: _normalize(value[key]) for key in sorted(value) if value[key] is not None}
+    if isinstance(value, list):
+        return [_normalize(item) for item in value]
+    if isinstance(value, float) and math.isfinite(value) and value == int(value):
+        return int(value)
+    return value
+
+
+def _row_order(row: JsonValue) -> str:
+    """Sorts rows by their names, whatever these are."""
+    return json.dumps(row.get("name") if isinstance(row, dict) else row)
+
+
+def canonical_bytes(settings: Settings) -> bytes:
+    """The canonical form of the shared settings, equal for settings that say the same.
+
+    JSON with sorted keys, methods and plans in the order of their names, whole numbers without a
+    fraction.
+
+    Raises:
+        ValueError, TypeError: a value has no canonical JSON.
+    """
+    shared = _normalize(shared_settings(settings))
+    for key in NAMED_ROWS:
+        if isinstance(shared.get(key), list):
+            shared[key] = sorted(shared[key], key=_row_order)
+    text = json.dumps(
+        shared, separators=(",", ":"), sort_keys=True, ensure_ascii=False, allow_nan=False
+    )
+    return text.encode()
+
+
+def digest(settings: Settings) -> str:
+    """The identity of shared settings: 32 hex digits of blake2b over the canonical form."""
+    return hashlib.blake2b(canonical_bytes(settings), digest_size=DIGEST_BYTES).hexdigest()
+
+
+def with_defaults(settings: Settings) -> Settings:
+    """The shared settings in canonical order, with every default filled in."""
+    shared = json.loads(canonical_bytes(settings))
+    for key, defaults in SECTION_DEFAULTS.items():
+        shared[key] = defaults | shared.get(key, {})
+    shared = TOP_LEVEL_DEFAULTS | shared
+    shared["report"]["fields"] = sorted(set(map(str, shared["report"]["fields"])))
+    shared["classes"] = [_complete_method(row) for row in shared.get("classes", [])]
+    shared["contracts"] = [_complete_plan(row) for row in shared.get("contracts", [])]
+    return _normalize(shared)  # type: ignore[no-any-return]  # of an object it is one
+
+
+def _complete_method(row: Settings) -> Settings:
+    return METHOD_DEFAULTS | row | _effective_key(row)
+
+
+def _effective_key(row: Settings) -> Settings:
+    """Where, and for how long, a host discards a repeat; nowhere for a method without a key."""
+    scope = row.get("keyScope")
+    window = row.get("window", 0)
+    is_off = scope == "none" and not window
+    if row.get("effect") != DEDUPLICATED or is_off:
         return {"keyScope": "none", "window": 0}
-    return {"keyScope": scope if scope in ("zone", "all") else "cell", "window": window}
+    return {"keyScope": scope if scope in ("zone", "all") else DEFAULT_KEY_SCOPE, "window": window}
+
+
+def _complete_plan(row: Settings) -> Settings:
+    plan = PLAN_DEFAULTS | row
+    for rate, dependent in PLAN_LIMITS:
+        if not plan[rate]:
+            plan |= dict.fromkeys(dependent, 0)  # without a rate they have no effect
+    return plan
 
 
 # The meet.
 
 
-def least(one, other):
-    return min(one, other)
-
-
-def bounded(one, other):
-    """The lower of two bounds, of which 0 means none."""
-    return min(one, other) if one and other else one or other
-
-
-def both(one, other):
-    return bool(one) and bool(other)
-
-
-def common(one, other):
-    return [name for name in one if name in other]
-
-
-RULES = {
-    "goalTime": least,
-    "giveUp": least,
-    "worth": least,
-    "lateWorth": least,
-    "streamed": both,
-    "window": least,
-    "maxOut": bounded,
-    "pays": least,
-    "extraWorth": least,
-    "overrunCost": max,
-    "counterTimeout": least,
-    "maxUnits": least,
-    "maxAttempts": least,
-    "dialTimeout": least,
-    "connIdle": least,
-    "streamsPerConn": least,
-    "mayCancel": both,
-    "retryAfter": both,
-    "maxRetryAfter": least,
-    "cold": max,
-    "coldFrom": least,
-    "crossZone": max,
-    "fields": common,
-    "replicasOfMe": least,
-}
+def _lower(left: JsonValue, right: JsonValue) -> JsonValue:
+    return min(left, right)
 
 
-def meet(one, other):
-    """The settings that allow what both allow, in full form."""
-    one, other = with_defaults(one), with_defaults(other)
-    told = fields(one, other)
-    for key in PARTS:
-        told[key] = fields(one[key], other[key])
-    told["classes"] = rows(one["classes"], other["classes"], methods)
-    told["contracts"] = rows(one["contracts"], other["contracts"], plans)
-    return plain(told)
+def _higher(left: JsonValue, right: JsonValue) -> JsonValue:
+    return max(left, right)
 
 
-def fields(one, other):
-    """Fields of two objects, each by its rule; one without a rule stays where both say the same."""
-    told = {}
-    for key in one.keys() & other.keys():
-        rule = RULES.get(key)
-        if rule:
-            told[key] = rule(one[key], other[key])
-        elif one[key] == other[key]:
-            told[key] = one[key]
-    return told
+def _lower_limit(left: JsonValue, right: JsonValue) -> JsonValue:
+    """The lower of two limits, of which 0 means none."""
+    if left and right:
+        return min(left, right)
+    return left or right
+
+
+def _both(left: JsonValue, right: JsonValue) -> bool:
+    return bool(left) and bool(right)
+
+
+def _common(left: list[str], right: list[str]) -> list[str]:
+    return [name for name in left if name in right]
+
+
+MEET_RULES: dict[str, Callable[[JsonValue, JsonValue], JsonValue]] = {
+    "goalTime": _lower,
+    "giveUp": _lower,
+    "worth": _lower,
+    "lateWorth": _lower,
+    "streamed": _both,
+    "window": _lower,
+    "maxOut": _lower_limit,
+    "pays": _lower,
+    "extraWorth": _lower,
+    "overrunCost": _higher,
+    "counterTimeout": _lower,
+    "maxUnits": _lower,
+    "maxAttempts": _lower,
+    "dialTimeout": _lower,
+    "connIdle": _lower,
+    "streamsPerConn": _lower,
+    "mayCancel": _both,
+    "retryAfter": _both,
+    "maxRetryAfter": _lower,
+    "cold": _higher,
+    "coldFrom": _lower,
+    "crossZone": _higher,
+    "fields": _common,
+    "replicasOfMe": _lower,
+}
+
 
+def meet(left: Settings, right: Settings) -> Settings:
+    """The settings that allow what both allow, with their defaults."""
+    left = with_defaults(left)
+    right = with_defaults(right)
+    met = _meet_fields(left, right)
+    for key in SECTION_DEFAULTS:
+        met[key] = _meet_fields(left[key], right[key])
+    met["classes"] = _meet_rows(left["classes"], right["classes"], _meet_methods)
+    met["contracts"] = _meet_rows(left["contracts"], right["contracts"], _meet_plans)
+    return _normalize(met)  # type: ignore[no-any-return]  # of an object it is one
 
-def rows(one, other, rule):
-    """Rows of the names that both have, but for those that have no meet."""
-    others = {row["name"]: row for row in other}
-    met = [rule(row, others[row["name"]]) for row in one if row["name"] in others]
+
+def _meet_fields(left: Settings, right: Settings) -> Settings:
+    """Fields of two objects, each by its rule; one without a rule stays where both agree."""
+    met = {}
+    for key in left.keys() & right.keys():
+        rule = MEET_RULES.get(key)
+        if rule:
+            met[key] = rule(left[key], right[key])
+        elif left[key] == right[key]:
+            met[key] = left[key]
+    return met
+
+
+def _meet_rows(
+    left: Iterable[Settings],
+    right: Iterable[Settings],
+    rule: Callable[[Settings, Settings], Settings | None],
+) -> list[Settings]:
+    """The meets of the rows whose names both have, without those that have none."""
+    others = {row["name"]: row for row in right}
+    met = (rule(row, others[row["name"]]) for row in left if row["name"] in others)
     return [row for row in met if row is not None]
 
 
-def methods(one, other):
-    """The meet of two methods of one name; None where no command is right for both. What is keyed in one alone keeps
-    its key, which is asked for, and is never tried again where it may have run."""
-    if (one["effect"] == QUERY) != (other["effect"] == QUERY):
+def _meet_methods(left: Settings, right: Settings) -> Settings | None:
+    """The meet of two methods of one name; None where no command is right for both.
+
+    What is deduplicated in one alone keeps its key, which clients are asked for, and is never
+    retried where it may have run.
+    """
+    if (left["effect"] == IDEMPOTENT) != (right["effect"] == IDEMPOTENT):
         return None
-    told = fields(one, other) | {"name": one["name"]}
-    if one["effect"] == QUERY:
-        return told | {"effect": QUERY, "keyScope": "none", "window": 0}
-    narrow = min(one["keyScope"], other["keyScope"], key=SCOPES.index)
-    keyed = KEYED in (one["effect"], other["effect"])
-    return told | {
-        "effect": KEYED if keyed else "side_effect",
-        "keyScope": narrow,
-        "window": min(one["window"], other["window"]) if narrow != "none" else 0,
+    met = _meet_fields(left, right) | {"name": left["name"]}
+    if left["effect"] == IDEMPOTENT:
+        return met | {"effect": IDEMPOTENT, "keyScope": "none", "window": 0}
+    scope = min(left["keyScope"], right["keyScope"], key=KEY_SCOPES.index)
+    has_key = DEDUPLICATED in (left["effect"], right["effect"])
+    return met | {
+        "effect": DEDUPLICATED if has_key else NON_IDEMPOTENT,
+        "keyScope": scope,
+        "window": 0 if scope == "none" else min(left["window"], right["window"]),
     }
 
 
-def plans(one, other):
-    """The meet of two plans of one name: the lower quota and ceiling, where 0 is none."""
-    told = fields(one, other) | {"name": one["name"]}
-    for rate, rest in BOUNDS:
-        for key in (rate, *rest):
-            kept = [row[key] for row in (one, other) if row[rate]]
-            told[key] = min(kept) if kept else 0
-    return told
+def _meet_plans(left: Settings, right: Settings) -> Settings:
+    """The meet of two plans of one name: the lower quota and hard limit, where 0 is none."""
+    met = _meet_fields(left, right) | {"name": left["name"]}
+    for rate, dependent in PLAN_LIMITS:
+        limited = [row for row in (left, right) if row[rate]]
+        for key in (rate, *dependent):
+            met[key] = min((row[key] for row in limited), default=0)
+    return met
 
 
-def allows(wide, narrow):
-    """Whether `wide` forbids nothing that `narrow` allows: the order of which `meet` is the lower bound."""
+def allows(wide: Settings, narrow: Settings) -> bool:
+    """Whether `wide` allows all that `narrow` allows: the order whose lower bound is the meet."""
     return meet(wide, narrow) == with_defaults(narrow)
 
 
-# The comparison, in words.
+# What a change changes, for people.
 
-WORDS = {
+FIELD_LABELS = {
     "goalTime": "soft deadline",
     "giveUp": "deadline",
     "keyScope": "scope of its key",
@@ -264,7 +305,7 @@
     "extraWorth": "utility past the quota",
     "overrunCost": "cost past the quota",
 }
-TIMES = (
+TIME_FIELDS = (  # in microseconds
     "goalTime",
     "giveUp",
     "window",
@@ -274,54 +315,70 @@
     "maxRetryAfter",
     "cold",
 )
-EFFECTS = {"pure": "idempotent", "token": "deduplicated", "side_effect": "non-idempotent"}
-NONE_AT_ZERO = ("quotaRate", "ceilingRate", "maxOut")
+EFFECT_LABELS = {
+    IDEMPOTENT: "idempotent",
+    DEDUPLICATED: "deduplicated",
+    NON_IDEMPOTENT: "non-idempotent",
+}
+UNLIMITED_AT_ZERO = ("quotaRate", "ceilingRate", "maxOut")
+MICROSECONDS = 1e6  # in a second
 
 
-def describe_changes(before, after):
-    """What changes for whom, a line each, in the order method, plan, the rest; none where both say the same."""
-    before, after = with_defaults(before), with_defaults(after)
-    said = []
+def describe_changes(before: Settings, after: Settings) -> list[str]:
+    """What changes for whom, a line each: methods, plans, the rest; empty where nothing does."""
+    before = with_defaults(before)
+    after = with_defaults(after)
+    lines = []
     for key, kind in (("classes", "method"), ("contracts", "plan")):
-        old, new = ({row["name"]: row for row in settings[key]} for settings in (before, after))
+        old = {row["name"]: row for row in before.pop(key)}
+        new = {row["name"]: row for row in after.pop(key)}
         for name in sorted(old.keys() | new.keys()):
-            if name not in new:
-                said.append(f"{kind} {name}: gone")
-            elif name not in old:
-                said.append(
-                    f"{kind} {name}: new, "
-                    + ", ".join(
-                        f"{WORDS.get(field, field)} {shown(field, value)}"
-                        for field, value in sorted(new[name].items())
-                        if field != "name" and value not in (0, "", "none", False)
-                    )
-                )
-            else:
-                said += [f"{kind} {name}: {line}" for line in changes(old[name], new[name])]
-    rest = {key: value for key, value in before.items() if key not in ("classes", "contracts")}
-    other = {key: value for key, value in after.items() if key not in ("classes", "contracts")}
-    return said + [f"all: {line}" for line in changes(flat(rest), flat(other))]
-
-
-def flat(told):
+            lines += _describe_row(f"{kind} {name}", old.get(name), new.get(name))
+    rest = _describe_fields(_flatten(before), _flatten(after))
+    return lines + [f"all: {line}" for line in rest]
+
+
+def _describe_row(title: str, old: Settings | None, new: Settings | None) -> list[str]:
+    """The lines of one method or plan; None where a version lacks it."""
+    if new is None:
+        return [f"{title}: gone"]
+    if old is None:
+        shown = (
+            f"{_label(field)} {_show(field, value)}"
+            for field, value in sorted(new.items())
+            if field != "name" and value not in (0, "", "none", False)
+        )
+        return [f"{title}: new, " + ", ".join(shown)]
+    return [f"{title}: {line}" for line in _describe_fields(old, new)]
+
+
+def _describe_fields(old: Settings, new: Settings) -> Iterator[str]:
+    for field in sorted(old.keys() | new.keys()):
+        before = old.get(field)
+        after = new.get(field)
+        if before != after:
+            yield f"{_label(field)} {_show(field, before)} to {_show(field, after)}"
+
+
+def _flatten(sections: Settings) -> Settings:
     """An object of objects as one, by the names of the inner fields."""
-    inner = {}
-    for key, value in told.items():
-        inner.update(value if isinstance(value, dict) else {key: value})
-    return inner
+    flat: Settings = {}
+    for key, value in sections.items():
+        flat.update(value if isinstance(value, dict) else {key: value})
+    return flat
 
 
-def changes(old, new):
-    for field in sorted(old.keys() | new.keys()):
-        one, other = old.get(field), new.get(field)
-        if one != other:
-            yield f"{WORDS.get(field, field)} {shown(field, one)} to {shown(field, other)}"
+def _label(field: str) -> str:
+    return FIELD_LABELS.get(field, field)
 
 
-def shown(field, value):
+def _show(field: str, value: JsonValue) -> str:
     """A value as staff read it."""
-    if value is None or field in NONE_AT_ZERO and not value:
+    is_unlimited = field in UNLIMITED_AT_ZERO and not value
+    if value is None or is_unlimited:
         return "none"
-    if field in TIMES and isinstance(value, (int, float)):
-        return f"{value / 1e6:g} s"
-    return EFFECTS.get(value, value) if isinstance(value, str) else json.dumps(value)
+    if field in TIME_FIELDS and isinstance(value, (int, float)):
+        return f"{value / MICROSECONDS:g} s"
+    if isinstance(value, str):
+        return EFFECT_LABELS.get(value, value)
+    return json.dumps(value)
--- a/petrellane/testbed/capacity.py
+++ b/petrellane/testbed/capacity.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from petrellane.config_consensus.coordinator import POLL_INTERVAL_S
+from petrellane.config_consensus.notifications import POLL_INTERVAL_S
 from petrellane.decisions.controller import AHEAD, EXCHANGE, HEADROOM, IN_USE, KNOWN, MEMORY, WINDOW
 from petrellane.net.limits import Limits
 from petrellane.operation.backoff import SPACED
--- a/tests/agreement/cases.py
+++ b/tests/agreement/cases.py
@@ -13,10 +13,11 @@
 
 from petrellane.config_consensus import (
     ballots,
-    coordinator,
     errors,
     journal,
     message_authentication,
+    messages,
+    notifications,
     participant,
     safe_settings,
     state_store,
@@ -248,7 +249,7 @@
         state, _ = self.state(1)
         try:
             after, told = participant.handle_message(state, message, lambda content: None)
-            self.assertTrue(after.promised >= state.promised and "refused" not in told)
+            self.assertTrue(after.promised >= state.promised and "refused" not in told.to_dict())
         except errors.MessageRejected as refusal:
             self.assertIn(refusal.status, (400, 404, 409, 422))
 
@@ -350,7 +351,7 @@
 class Leaders(unittest.TestCase):
     def lead(self, fleet, times=30):
         for _ in range(times):
-            fleet.now += coordinator.POLL_INTERVAL_S / 2
+            fleet.now += notifications.POLL_INTERVAL_S / 2
             for name in fleet.members:
                 if fleet.due(fleet.leaders["a"], name):
                     fleet.take(("talk", "a", name))
@@ -403,18 +404,17 @@
         fleet = self.fleet()
         leads = fleet.leaders["a"]
         change = leads.propose(NEW, (), "staff", fleet.now)
-        leads.journal.fails = "before"
+        leads.ledger.journal.fails = "before"
         with self.assertRaises(Exception):  # noqa: B017
             for name in fleet.members:
+                message = leads.build_message(name, fleet.now)
+                answer = fleet.members[name].hear(leads.build_message(name, fleet.now).to_dict())
                 leads.handle_answer(
-                    name,
-                    leads.build_message(name, fleet.now),
-                    fleet.members[name].hear(leads.build_message(name, fleet.now)),
-                    fleet.now,
+                    name, message, messages.decode_answer(message, answer), fleet.now
                 )
         self.assertEqual(change.outcome, "preparing")
         self.assertEqual(leads.in_force.content, OLD)
-        leads.journal.fails = ""
+        leads.ledger.journal.fails = ""
         leads.try_to_decide(fleet.now)
         self.assertEqual(change.outcome, "committed")
 
--- a/tests/agreement/planted.py
+++ b/tests/agreement/planted.py
@@ -2,9 +2,10 @@
 puts the fault in."""
 
 import contextlib
+import dataclasses
 from unittest.mock import patch
 
-from petrellane.config_consensus import ballots, coordinator, participant
+from petrellane.config_consensus import ballots, changes, coordinator, leadership, participant
 
 
 def over(place, name, make):
@@ -12,11 +13,26 @@
     return patch.object(place, name, make(getattr(place, name)))
 
 
+class Together:
+    """Several replacements that make one fault."""
+
+    def __init__(self, *patches):
+        self.patches = patches
+
+    def __enter__(self):
+        self.stack = contextlib.ExitStack()
+        for one in self.patches:
+            self.stack.enter_context(one)
+
+    def __exit__(self, *error):
+        self.stack.close()
+
+
 def absent_at_once(refused):
     """A look that began before the last member had prepared counts as one after it."""
 
     def planted(self, name, message, now):
-        refused(self, name, message | {"order": 1 << 60}, now)
+        refused(self, name, dataclasses.replace(message, sequence=1 << 60), now)
 
     return planted
 
@@ -50,7 +66,7 @@
         if (
             self.state == coordinator.CoordinatorState.LEADING
             and self.change
-            and now - self.change.started_at >= coordinator.CHANGE_TIMEOUT_S
+            and now - self.change.started_at >= changes.CHANGE_TIMEOUT_S
         ):
             self.decide(coordinator.ChangeOutcome.COMMITTED, "", now)
         else:
@@ -119,7 +135,11 @@
     "denies the unknown": over(coordinator.Coordinator, "try_to_lead", denies_the_unknown),
     "no epochs": over(participant, "handle_message", no_epochs),
     "no doubt learnt": over(participant, "missing_ballots", no_doubt_learnt),
-    "leads alone": over(coordinator, "majority", leads_alone),
+    "leads alone": Together(
+        over(changes, "majority", leads_alone),
+        over(coordinator, "majority", leads_alone),
+        over(leadership, "majority", leads_alone),
+    ),
     "knows at once": over(participant, "intersects_every_majority", knows_at_once),
     "one too few": over(participant, "intersects_every_majority", one_too_few),
     "keeps the denied": over(participant, "abort", keeps_the_denied),
--- a/tests/agreement/size.py
+++ b/tests/agreement/size.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from petrellane.config_consensus import participant, safe_settings
+from petrellane.config_consensus import messages, participant, safe_settings
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.coordinator import ChangeOutcome, Coordinator, CoordinatorState
 from tests.choosing import operations
@@ -35,6 +35,7 @@
         )
         self.states = dict.fromkeys(self.names, participant.ParticipantState(first))
         self.leader, self.now = Coordinator("c", self.names, Nothing(), 0.0), 0.0
+        self.encode, self.decode = messages.Request.to_dict, messages.decode_answer
         self.down, self.cut = set(), set()  # who refuses connections, and who is not reached
 
     def answered(self):
@@ -51,12 +52,13 @@
                     )(name, message, self.now)
                     continue
                 told = eval(
-                    repr(message)
+                    repr(self.encode(message))
                 )  # as over a wire: nothing is the same object at the other side
                 self.states[name], answer = participant.handle_message(
                     self.states[name], told, lambda content: None
                 )
-                self.leader.handle_answer(name, message, eval(repr(answer)), self.now)
+                answer = self.decode(message, eval(repr(answer.to_dict())))
+                self.leader.handle_answer(name, message, answer, self.now)
         return went
 
     def seek(self):
@@ -85,6 +87,7 @@
         return made
 
     roster.leader.handle_answer, roster.leader.next_message = counting(heard), counting(due)
+    roster.encode, roster.decode = counting(roster.encode), counting(roster.decode)
     for step in (roster.seek, roster.change):
         total[0] = 0
         done = step()
--- a/tests/agreement/world.py
+++ b/tests/agreement/world.py
@@ -4,7 +4,16 @@
 import copy
 import hashlib
 
-from petrellane.config_consensus import ballots, coordinator, errors, participant, safe_settings
+from petrellane.config_consensus import (
+    ballots,
+    changes,
+    coordinator,
+    errors,
+    messages,
+    notifications,
+    participant,
+    safe_settings,
+)
 
 OLD = {"classes": [{"name": "look", "effect": "pure", "giveUp": 4}], "contracts": []}
 NEW = {"classes": [{"name": "look", "effect": "pure", "giveUp": 2}], "contracts": []}
@@ -46,7 +55,7 @@
             self.state, answer = participant.handle_message(
                 self.state, message, lambda content: None
             )
-            return answer
+            return answer.to_dict()
         except errors.MessageRejected as refusal:
             return refusal.to_dict()
 
@@ -61,7 +70,7 @@
 
     def ask(self, other):
         """Learn from another gateway, as one that starts or is in doubt does."""
-        learnt = participant.parse_peer_state(other.hear({"do": "state"}))
+        learnt = messages.PeerState.from_dict(other.hear({"do": "state"}))
         fetched = [
             other.state.find_generation(ballot)
             for ballot in participant.missing_ballots(self.state, learnt)
@@ -170,7 +179,7 @@
         elif what == "late":
             control, name, message = self.late.pop(who)
             if self.members[name].up:
-                self.members[name].hear(message)
+                self.members[name].hear(message.to_dict())
         elif what == "refused":  # the word of a machine that refused, when it is heard
             leads, name, message = self.looks.pop(who)
             try:
@@ -208,7 +217,7 @@
             self.budget["propose"] -= 1
             leads.propose(CONTENTS[1 + list(self.leaders).index(control)], (), "staff", self.now)
         elif what == "time":
-            leads.try_to_decide(self.now + coordinator.CHANGE_TIMEOUT_S)
+            leads.try_to_decide(self.now + changes.CHANGE_TIMEOUT_S)
         else:
             message, one = leads.build_message(name, self.now), self.members[name]
             if what == "look":
@@ -222,7 +231,7 @@
             elif not one.up:
                 leads.handle_connection_refused(name, message, self.now)
             else:
-                answer = one.hear(message)
+                answer = messages.decode_answer(message, one.hear(message.to_dict()))
                 if what == "doubled":
                     self.late.append((control, name, message))
                 if what == "unanswered":
@@ -257,24 +266,24 @@
                         tuple(sorted(one.change.votes.items())),
                         sorted(one.change.confirmed_absent),
                     ),
-                    sorted(one.participant_states.items()),
-                    sorted(one.promised_by),
-                    sorted(one.needs_content),
+                    sorted(one.notifications.reports.items()),
+                    sorted(one.leadership.promised_by),
+                    sorted(one.notifications.needs_content),
                     sorted(one.in_doubt),
-                    one.wanted_content and one.wanted_content[0],
-                    one.epoch_claims,
+                    one.leadership.missing_content and one.leadership.missing_content.ballot,
+                    one.leadership.claims,
                 )
             )
             for one in self.leaders.values()
         )
         late = tuple(
-            (name, message["do"], message.get("number"), tuple(message["epoch_of"]))
+            (name, message.kind, message.to_dict().get("number"), message.epoch)
             for _, name, message in self.late
         )
         late += tuple(
             (
                 name,
-                message["order"] > self.leaders[control].change.settled_message
+                message.sequence > self.leaders[control].change.settled_message
                 if self.leaders[control].change
                 else 0,
             )
@@ -307,29 +316,22 @@
         for name, leads in self.leaders.items():
             fleet.leaders[name] = other = copy.copy(leads)
             if leads:
-                other.journal = fleet.journals[name]
-                for field in (
-                    "participant_states",
-                    "last_sent_at",
-                    "unreachable",
-                    "retry_at",
-                    "decisions",
-                ):
-                    setattr(other, field, dict(getattr(leads, field)))
-                other.promised_by, other.needs_content = (
-                    set(leads.promised_by),
-                    set(leads.needs_content),
-                )
-                other.in_doubt = set(leads.in_doubt)
-                other.message_counter = copy.copy(leads.message_counter)
-                changes = {ballot: copy.copy(change) for ballot, change in leads.history.items()}
-                for change in changes.values():
-                    change.votes, change.confirmed_absent = (
-                        dict(change.votes),
-                        set(change.confirmed_absent),
-                    )
-                other.history = changes
-                other.change = changes[leads.change.generation.ballot] if leads.change else None
+                other.ledger = copy.copy(leads.ledger)
+                other.ledger.journal = fleet.journals[name]
+                other.ledger.decisions = dict(leads.ledger.decisions)
+                other.notifications = copy.copy(leads.notifications)
+                for field in ("reports", "last_sent_at", "unreachable", "retry_at"):
+                    setattr(other.notifications, field, dict(getattr(leads.notifications, field)))
+                other.notifications.needs_content = set(leads.notifications.needs_content)
+                other.leadership = copy.copy(leads.leadership)
+                other.leadership.promised_by = set(leads.leadership.promised_by)
+                other.leadership.in_doubt = set(leads.leadership.in_doubt)
+                made = {ballot: copy.copy(change) for ballot, change in leads.history.items()}
+                for change in made.values():
+                    change.votes = dict(change.votes)
+                    change.confirmed_absent = set(change.confirmed_absent)
+                other.ledger.history = made
+                other.ledger.change = made[leads.change.generation.ballot] if leads.change else None
         return fleet
 
     def settle(self):
@@ -344,7 +346,7 @@
         self.journals[first].fails = ""
         self.take(("lead", first))
         for _ in range(40):
-            self.now += coordinator.POLL_INTERVAL_S / 2
+            self.now += notifications.POLL_INTERVAL_S / 2
             if (
                 self.leaders[first].state == coordinator.CoordinatorState.DEPOSED
             ):  # staff start it again
--- a/tests/lab/planted.py
+++ b/tests/lab/planted.py
@@ -2,7 +2,7 @@
 
 import os
 
-from petrellane.config_consensus import coordinator, participant
+from petrellane.config_consensus import ballots, coordinator, participant
 
 
 def steps():
@@ -80,9 +80,9 @@
 
     def planted(self, now):
         change = self.change
-        if change and sum(
-            said == "prepared" for said in change.votes.values()
-        ) >= coordinator.majority(change.participants):
+        if change and sum(said == "prepared" for said in change.votes.values()) >= ballots.majority(
+            change.participants
+        ):
             self.decide(coordinator.ChangeOutcome.COMMITTED, "", now)
         else:
             judge(self, now)
