--- a/petrellane/config_consensus/__init__.py
+++ b/petrellane/config_consensus/__init__.py
@@ -1,8 +1,10 @@
-"""A change of settings commits at all gateways or at none.
+"""Settings that commit at all gateways or at none, as in Paxos Commit.
 
-Rules, free of I/O: `safe_settings` (what of the settings is agreed on, and what two versions
-allow together), `ballots` (epochs, ballots, quorums), `participant` (one gateway), `coordinator`
-(one control process).
+Rules, free of I/O: `ballots` (epochs, ballots, generations, majorities), `messages` (the protocol
+and its JSON form), `participant` (one gateway), `coordinator` (one control process) with
+`leadership` (its epoch), `ledger` (its changes), `changes` (votes, and records of the journal) and
+`notifications` (who is due what), `safe_settings` (canonical form, digest, meet and comparison of
+settings), `errors`.
 
 Services: `participant_service` and `peer_polling` at a gateway; `control_service`, `staff_calls`
 and `participant_notifier` in a control process; `commands` and `staff_messages` for staff. They
--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -14,15 +14,16 @@
 
 from petrellane.config import Control, settings_file
 from petrellane.config_consensus import safe_settings
-from petrellane.config_consensus.coordinator import ChangeOutcome
+from petrellane.config_consensus.changes import ChangeOutcome
 from petrellane.config_consensus.errors import ConsensusError
-from petrellane.config_consensus.message_authentication import STAFF_PATH, JsonObject
+from petrellane.config_consensus.message_authentication import STAFF_PATH
+from petrellane.config_consensus.messages import JsonObject
 from petrellane.config_consensus.rpc_client import NotListeningError, RpcClient, RpcError
 from petrellane.config_consensus.staff_messages import (
     CONTROL_RECIPIENT,
     ChangeProgress,
-    Rejection,
     StaffCall,
+    StaffRejection,
 )
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
@@ -33,7 +34,7 @@
 MAX_DESCRIPTORS = 64
 IDLE_TIMEOUT_S = 1.0
 STREAMS_PER_CONNECTION = 1
-USER_ERRORS = (Rejection.SETTINGS, Rejection.UNKNOWN, Rejection.MALFORMED)
+USER_ERRORS = (StaffRejection.SETTINGS, StaffRejection.UNKNOWN, StaffRejection.MALFORMED)
 
 
 class ExitCode(IntEnum):
--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -64,7 +64,7 @@
         self.journal = Journal(config.journal)
         self.coordinator = Coordinator(
             config.name,
-            config.members,
+            tuple(config.members),
             self.journal,
             self.scheduler.now(),
             self.journal.records(),
--- a/petrellane/config_consensus/message_authentication.py
+++ b/petrellane/config_consensus/message_authentication.py
@@ -15,13 +15,12 @@
 import time
 from collections.abc import Callable, Mapping
 from http import HTTPStatus
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import orjson
 
 from petrellane.config_consensus.errors import ConsensusError
-
-JsonObject = dict[str, Any]
+from petrellane.config_consensus.messages import JsonObject
 
 PARTICIPANT_PATH = b"/-/agreement"  # of a participant's calls, on a gateway's management listener
 STAFF_PATH = b"/-/settings"  # of staff's calls, on a control process's listener
@@ -54,7 +53,7 @@
     fields: dict[str, str]
 
 
-class Answer(NamedTuple):
+class CallResult(NamedTuple):
     """What a handler answers an authentic message with, before it is signed."""
 
     status: int
@@ -113,7 +112,7 @@
 def answer_signed_request(
     key: bytes,
     recipient: str,
-    handler: Callable[[JsonObject], Answer],
+    handler: Callable[[JsonObject], CallResult],
     fields: Mapping[bytes, bytes],
     body: bytes,
 ) -> HttpAnswer:
--- a/petrellane/config_consensus/participant_notifier.py
+++ b/petrellane/config_consensus/participant_notifier.py
@@ -9,7 +9,8 @@
 import greenlet
 
 from petrellane.config_consensus.coordinator import Coordinator
-from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH, JsonObject
+from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
+from petrellane.config_consensus.messages import Request, decode_answer
 from petrellane.config_consensus.rpc_client import (
     Address,
     NoAnswerError,
@@ -74,11 +75,11 @@
 
     def _run_worker(self, name: str) -> None:
         while True:
-            message, pause_s = self._coordinator.next_message(name, self._scheduler.now())
-            if message is None:
+            request, pause_s = self._coordinator.next_message(name, self._scheduler.now())
+            if request is None:
                 self._park(name, pause_s)
                 continue
-            self._deliver(name, message)
+            self._deliver(name, request)
             self._on_progress()
 
     def _park(self, name: str, pause_s: float) -> None:
@@ -93,16 +94,18 @@
         self._scheduler.wait(pause_s)
         del self._parked[name]
 
-    def _deliver(self, name: str, message: JsonObject) -> None:
-        """Send one message, at the participant's addresses in turn until one answers it."""
-        kind = message["do"]
+    def _deliver(self, name: str, request: Request) -> None:
+        """Send one request, at the participant's addresses in turn until one answers it."""
+        kind = request.kind.value
         self.call_counts[kind] = self.call_counts.get(kind, 0) + 1
         coordinator = self._coordinator
         addresses = self._addresses.get(name, ())
         fault = None if addresses else NO_ADDRESS
         for address in addresses:
             try:
-                answer = self._client.call(address, PARTICIPANT_PATH, message, CALL_TIMEOUT_S)
+                answer = self._client.call(
+                    address, PARTICIPANT_PATH, request.to_dict(), CALL_TIMEOUT_S
+                )
             except NotListeningError:
                 continue
             except NoAnswerError as error:
@@ -111,10 +114,16 @@
             if answer.get("refused") == "elsewhere":
                 fault = NOT_THE_GATEWAY
                 continue
-            self._take_step(coordinator.handle_answer, name, message, answer, self._scheduler.now())
+            self._take_step(
+                coordinator.handle_answer,
+                name,
+                request,
+                decode_answer(request, answer),
+                self._scheduler.now(),
+            )
             return
         now = self._scheduler.now()
         if fault is None:
-            self._take_step(coordinator.handle_connection_refused, name, message, now)
+            self._take_step(coordinator.handle_connection_refused, name, request, now)
         else:
-            self._take_step(coordinator.handle_no_answer, name, message, now, fault)
+            self._take_step(coordinator.handle_no_answer, name, request, now, fault)
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -17,11 +17,11 @@
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.errors import MessageRejected
 from petrellane.config_consensus.message_authentication import (
-    Answer,
+    CallResult,
     HttpAnswer,
-    JsonObject,
     answer_signed_request,
 )
+from petrellane.config_consensus.messages import JsonObject
 from petrellane.config_consensus.participant import (
     INITIAL_BALLOT,
     ParticipantState,
@@ -88,7 +88,7 @@
         self.is_active = False
         self.is_stopped = False
         self.state = ParticipantState(self._file_generation(gateway.settings))
-        self.status = ParticipantStatus(self.name, config.members, False, self.clock())
+        self.status = ParticipantStatus(self.name, self.roster(), False, self.clock())
         self._file_settings = gateway.settings
         self._store = StateStore(config.state, self.name)
         self._writer = StateWriter(scheduler, self._store)
@@ -255,11 +255,13 @@
         """
         return answer_signed_request(self.config.key, self.name, self._handle_message, fields, body)
 
-    def _handle_message(self, message: JsonObject) -> Answer:
+    def _handle_message(self, message: JsonObject) -> CallResult:
         """Answer an authentic message."""
         if not self.is_active:
             reason = "another process of this gateway is asked, or none yet"
-            return Answer(HTTPStatus.SERVICE_UNAVAILABLE, {"refused": "elsewhere", "why": reason})
+            return CallResult(
+                HTTPStatus.SERVICE_UNAVAILABLE, {"refused": "elsewhere", "why": reason}
+            )
         with self.exclusive_update():
             try:
                 state, answer = participant.handle_message(
@@ -267,16 +269,16 @@
                 )
             except MessageRejected as rejection:
                 self._log_rejection(message, rejection)
-                return Answer(rejection.status, rejection.to_dict())
+                return CallResult(rejection.status, rejection.to_dict())
             if state != self.state:
                 if not self.persist(state):
                     reason = f"{self.config.state}: the state can't be written"
-                    return Answer(
+                    return CallResult(
                         HTTPStatus.INSUFFICIENT_STORAGE, {"refused": "unwritten", "why": reason}
                     )
                 self.apply_state()
                 self.notify_if_ready()
-            return Answer(HTTPStatus.OK, answer)
+            return CallResult(HTTPStatus.OK, answer.to_dict())
 
     def _log_rejection(self, message: JsonObject, rejection: MessageRejected) -> None:
         """Log settings that can't be applied here; other rejections are the caller's business."""
--- a/petrellane/config_consensus/peer_polling.py
+++ b/petrellane/config_consensus/peer_polling.py
@@ -11,7 +11,8 @@
 from petrellane.config_consensus import participant
 from petrellane.config_consensus.ballots import Ballot, Generation, parse_generation
 from petrellane.config_consensus.errors import ConsensusError, MessageRejected
-from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH, JsonObject
+from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
+from petrellane.config_consensus.messages import JsonObject, PeerQuestion, PeerState
 from petrellane.config_consensus.rpc_client import Address, RpcClient, RpcError
 from petrellane.config_consensus.safe_settings import digest
 
@@ -181,10 +182,10 @@
             MessageRejected: Settings that are in force there can't be applied here.
         """
         service = self._service
-        answer = self._call(address, {"do": "state", "to": name})
+        answer = self._call(address, PeerQuestion(name))
         if "refused" in answer:
             raise PeerRejectedError(name)
-        peer_state = participant.parse_peer_state(answer)
+        peer_state = PeerState.from_dict(answer)
         fetched = [
             self._fetch_generation(name, address, ballot)
             for ballot in participant.missing_ballots(service.state, peer_state)
@@ -199,15 +200,9 @@
                 service.apply_state()
 
     def _fetch_generation(self, name: str, address: Address, ballot: Ballot) -> Generation:
-        message = {
-            "do": "content",
-            "to": name,
-            "number": ballot.number,
-            "epoch": list(ballot.epoch),
-        }
-        return parse_generation(self._call(address, message), digest)
-
-    def _call(self, address: Address, message: JsonObject) -> JsonObject:
+        return parse_generation(self._call(address, PeerQuestion(name, ballot)), digest)
+
+    def _call(self, address: Address, question: PeerQuestion) -> JsonObject:
         service = self._service
         client = RpcClient(service.scheduler, service.limits, service.config.key)
-        return client.call(address, PARTICIPANT_PATH, message, CALL_TIMEOUT_S)
+        return client.call(address, PARTICIPANT_PATH, question.to_dict(), CALL_TIMEOUT_S)
--- a/petrellane/config_consensus/rpc_client.py
+++ b/petrellane/config_consensus/rpc_client.py
@@ -10,11 +10,11 @@
 from petrellane.config_consensus.message_authentication import (
     SIGNATURE_FIELD,
     AuthenticationError,
-    JsonObject,
     SignedMessage,
     sign_request,
     verify_response,
 )
+from petrellane.config_consensus.messages import JsonObject
 from petrellane.net import http
 from petrellane.net.limits import Limits
 from petrellane.net.resp import Malformed
--- a/petrellane/config_consensus/staff_calls.py
+++ b/petrellane/config_consensus/staff_calls.py
@@ -11,19 +11,16 @@
 from petrellane.config import ConfigError, Section, lacks, settings
 from petrellane.config_consensus import safe_settings
 from petrellane.config_consensus.ballots import Generation
-from petrellane.config_consensus.coordinator import (
-    Change,
-    ChangeOutcome,
-    Coordinator,
-    CoordinatorState,
-)
+from petrellane.config_consensus.changes import Change, ChangeOutcome
+from petrellane.config_consensus.coordinator import Coordinator
 from petrellane.config_consensus.errors import ProposalRejected
+from petrellane.config_consensus.leadership import CoordinatorState
 from petrellane.config_consensus.message_authentication import (
-    Answer,
     AuthenticationError,
-    JsonObject,
+    CallResult,
 )
-from petrellane.config_consensus.staff_messages import Rejection, StaffCall, reject
+from petrellane.config_consensus.messages import JsonObject
+from petrellane.config_consensus.staff_messages import StaffCall, StaffRejection, reject_call
 
 MAX_CALL_AGE_S = 60.0  # by the caller's clock; a nonce is kept for twice as long
 MAX_AUTHOR_CHARACTERS = 64
@@ -86,7 +83,7 @@
         self._on_proposed = on_proposed
         self._call_counts = call_counts
         self._replay_guard = ReplayGuard(clock)
-        self._handlers: dict[StaffCall, Callable[[JsonObject], Answer]] = {
+        self._handlers: dict[StaffCall, Callable[[JsonObject], CallResult]] = {
             StaffCall.STATUS: self._answer_status,
             StaffCall.HISTORY: self._answer_history,
             StaffCall.SHOW: self._answer_show,
@@ -95,7 +92,7 @@
             StaffCall.CHANGE: self._answer_change,
         }
 
-    def handle(self, message: JsonObject) -> Answer:
+    def handle(self, message: JsonObject) -> CallResult:
         """Answer an authentic message. Raises AuthenticationError for a replay."""
         self._replay_guard.check(message)
         kind: Any = message.get("do")
@@ -107,38 +104,38 @@
 
     # Proposals.
 
-    def _answer_propose(self, message: JsonObject) -> Answer:
+    def _answer_propose(self, message: JsonObject) -> CallResult:
         proposed = message.get("settings")
         if not isinstance(proposed, dict):
             return _reject_kind(message)
         return self._propose(proposed, message)
 
-    def _propose_again(self, message: JsonObject) -> Answer:
+    def _propose_again(self, message: JsonObject) -> CallResult:
         """Propose the settings of an earlier generation."""
         generation = self._find_generation(message.get("number"))
         if not generation:
             return _reject_generation(message)
         return self._propose(generation.content, message)
 
-    def _propose(self, proposed: JsonObject, message: JsonObject) -> Answer:
+    def _propose(self, proposed: JsonObject, message: JsonObject) -> CallResult:
         """Propose settings, once they are valid alone and together with those in force."""
         content = safe_settings.shared_settings(proposed)
         without = message.get("without", [])
         if not isinstance(without, list) or not all(isinstance(name, str) for name in without):
-            return reject(Rejection.MALFORMED, "without: expected a list of names")
+            return reject_call(StaffRejection.MALFORMED, "without: expected a list of names")
         try:
             self._validate(content, may_lack_keys=bool(message.get("less")))
         except (ConfigError, ValueError, TypeError, AttributeError, KeyError) as error:
-            return reject(Rejection.SETTINGS, str(error))
+            return reject_call(StaffRejection.SETTINGS, str(error))
         author = str(message.get("by", ""))[:MAX_AUTHOR_CHARACTERS]
         try:
             change = self._coordinator.propose(content, tuple(without), author, self._clock())
         except ProposalRejected as error:
-            return reject(Rejection.NOT_NOW, str(error))
+            return reject_call(StaffRejection.NOT_NOW, str(error))
         except OSError as error:
-            return reject(Rejection.JOURNAL, str(error))
+            return reject_call(StaffRejection.JOURNAL, str(error))
         self._on_proposed()
-        return Answer(HTTPStatus.OK, self._describe_progress(change))
+        return CallResult(HTTPStatus.OK, self._describe_progress(change))
 
     def _validate(self, content: JsonObject, may_lack_keys: bool) -> None:
         """Raise ConfigError, or what the reader raises, for settings that no gateway would take."""
@@ -152,13 +149,13 @@
 
     # Questions.
 
-    def _answer_status(self, _message: JsonObject) -> Answer:
+    def _answer_status(self, _message: JsonObject) -> CallResult:
         """Answer what is in force, what is under way, and where each participant stands."""
         coordinator = self._coordinator
         in_force = coordinator.in_force
         change = coordinator.change
         is_leading = coordinator.state == CoordinatorState.LEADING
-        return Answer(
+        return CallResult(
             HTTPStatus.OK,
             {
                 "control": self._name,
@@ -181,22 +178,22 @@
         state, number = self._coordinator.describe_participant(name)
         return {"state": state, "number": number}
 
-    def _answer_history(self, _message: JsonObject) -> Answer:
+    def _answer_history(self, _message: JsonObject) -> CallResult:
         history = sorted(self._coordinator.history.items())
-        return Answer(HTTPStatus.OK, {"history": [change.to_dict() for _, change in history]})
+        return CallResult(HTTPStatus.OK, {"history": [change.to_dict() for _, change in history]})
 
-    def _answer_show(self, message: JsonObject) -> Answer:
+    def _answer_show(self, message: JsonObject) -> CallResult:
         generation = self._find_generation(message.get("number"))
         if not generation:
             return _reject_generation(message)
-        return Answer(HTTPStatus.OK, generation.to_dict())
+        return CallResult(HTTPStatus.OK, generation.to_dict())
 
-    def _answer_change(self, message: JsonObject) -> Answer:
+    def _answer_change(self, message: JsonObject) -> CallResult:
         number = message.get("number")
         for ballot, change in self._coordinator.history.items():
             if ballot.number == number:
-                return Answer(HTTPStatus.OK, self._describe_progress(change))
-        return reject(Rejection.UNKNOWN, f"no change {number}")
+                return CallResult(HTTPStatus.OK, self._describe_progress(change))
+        return reject_call(StaffRejection.UNKNOWN, f"no change {number}")
 
     def _find_generation(self, number: Any) -> Generation | None:  # noqa: ANN401 - a JSON value
         """Return the generation of a number that was in force, else the last proposed under it."""
@@ -231,11 +228,11 @@
         }
 
 
-def _reject_kind(message: JsonObject) -> Answer:
+def _reject_kind(message: JsonObject) -> CallResult:
     found = str(message.get("do"))[:SHOWN_CHARACTERS]
-    return reject(Rejection.MALFORMED, f"do: expected a known word, found {found}")
+    return reject_call(StaffRejection.MALFORMED, f"do: expected a known word, found {found}")
 
 
-def _reject_generation(message: JsonObject) -> Answer:
+def _reject_generation(message: JsonObject) -> CallResult:
     number = message.get("number")
-    return reject(Rejection.UNKNOWN, f"generation {number}: expected one of the history")
+    return reject_call(StaffRejection.UNKNOWN, f"generation {number}: expected one of the history")
--- a/petrellane/config_consensus/staff_messages.py
+++ b/petrellane/config_consensus/staff_messages.py
@@ -8,8 +8,9 @@
 from http import HTTPStatus
 from typing import Self
 
-from petrellane.config_consensus.coordinator import ChangeOutcome
-from petrellane.config_consensus.message_authentication import Answer, JsonObject
+from petrellane.config_consensus.changes import ChangeOutcome
+from petrellane.config_consensus.message_authentication import CallResult
+from petrellane.config_consensus.messages import JsonObject
 
 CONTROL_RECIPIENT = "control"  # whom calls of staff are for, whatever the control process's name
 
@@ -25,7 +26,7 @@
     CHANGE = "change"
 
 
-class Rejection(StrEnum):
+class StaffRejection(StrEnum):
     """Why a call of staff is rejected: the value of an answer's key `refused`."""
 
     MALFORMED = "form"
@@ -36,17 +37,17 @@
 
 
 REJECTION_STATUS = {
-    Rejection.MALFORMED: HTTPStatus.BAD_REQUEST,
-    Rejection.UNKNOWN: HTTPStatus.NOT_FOUND,
-    Rejection.SETTINGS: HTTPStatus.UNPROCESSABLE_ENTITY,
-    Rejection.NOT_NOW: HTTPStatus.CONFLICT,
-    Rejection.JOURNAL: HTTPStatus.INSUFFICIENT_STORAGE,
+    StaffRejection.MALFORMED: HTTPStatus.BAD_REQUEST,
+    StaffRejection.UNKNOWN: HTTPStatus.NOT_FOUND,
+    StaffRejection.SETTINGS: HTTPStatus.UNPROCESSABLE_ENTITY,
+    StaffRejection.NOT_NOW: HTTPStatus.CONFLICT,
+    StaffRejection.JOURNAL: HTTPStatus.INSUFFICIENT_STORAGE,
 }
 
 
-def reject(rejection: Rejection, reason: str) -> Answer:
+def reject_call(rejection: StaffRejection, reason: str) -> CallResult:
     """Return the answer that rejects a call, with the reason in one line."""
-    return Answer(REJECTION_STATUS[rejection], {"refused": rejection, "why": reason})
+    return CallResult(REJECTION_STATUS[rejection], {"refused": rejection, "why": reason})
 
 
 @dataclass(frozen=True)
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -35,7 +35,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from petrellane.config import Config, HostList
+    from petrellane.config import Agreement, Config, HostList
     from petrellane.config_consensus.participant_service import ParticipantService
 
 STANDARD_OUTPUT = 1
@@ -80,7 +80,7 @@
         self._make_endpoint_side(buffer_budget)
         self.agent: ParticipantService | None = None
         if config.agreement:
-            self._make_agent()
+            self._make_agent(config.agreement)
         self.is_ending = False
         self.is_taking_over = False
         self.handover: Handover | None = None
@@ -114,7 +114,7 @@
             self.executor.counter_client = self.counter_client
         self.endpoint_watch = self.make_watch(config.known.index if config.known.entries else None)
 
-    def _make_agent(self) -> None:
+    def _make_agent(self, agreement: Agreement) -> None:
         # Imported where it is asked for: a gateway alone starts without it.
         from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
         from petrellane.config_consensus.participant_service import (
@@ -126,7 +126,7 @@
             self.scheduler,
             self.limits,
             self.log,
-            self.config.agreement,
+            agreement,
             GatewayInterface(
                 name=self.config.name,
                 settings=self.config.raw["settings"],
@@ -240,7 +240,8 @@
         it asks again after it has.
         """
         if self.agent:
-            self.agent.start(self._serve_clients, self.handover and self.handover.generation)
+            predecessor_state = self.handover.generation if self.handover else None
+            self.agent.start(self._serve_clients, predecessor_state)
         else:
             self._serve_clients()
 
