--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -152,13 +152,12 @@
     ],
 ):
     """Run the control process that staff propose settings to, until SIGTERM."""
-    from petrellane.config import ConfigError
-    from petrellane.config import control as read
+    from petrellane.config import ConfigError, load_control_config
     from petrellane.config_consensus.control_service import ControlService
     from petrellane.config_consensus.journal import JournalError
 
     try:
-        service = ControlService(read(file))
+        service = ControlService(load_control_config(file))
     except (ConfigError, JournalError) as error:
         refuse(error)
     except OSError as error:
@@ -169,8 +168,7 @@
 
 def run_settings_command(file, as_json, command, *arguments):
     """Run a method of SettingsCommands, and end with its exit code."""
-    from petrellane.config import ConfigError
-    from petrellane.config import control as read
+    from petrellane.config import ConfigError, load_control_config
     from petrellane.config_consensus.commands import (
         CommandFailedError,
         ControlClient,
@@ -178,7 +176,7 @@
     )
 
     try:
-        commands = SettingsCommands(ControlClient(read(file)), as_json)
+        commands = SettingsCommands(ControlClient(load_control_config(file)), as_json)
         raise typer.Exit(getattr(commands, command)(*arguments))
     except CommandFailedError as error:
         raise typer.Exit(error.exit_code) from None
--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -12,7 +12,7 @@
 
 import greenlet
 
-from petrellane.config import Control, settings_file
+from petrellane.config import ControlConfig, load_settings_file
 from petrellane.config_consensus import safe_settings
 from petrellane.config_consensus.changes import ChangeOutcome
 from petrellane.config_consensus.errors import ConsensusError
@@ -65,7 +65,7 @@
     Each call has a scheduler of its own and one connection.
     """
 
-    def __init__(self, config: Control, timeout_s: float = CALL_TIMEOUT_S) -> None:
+    def __init__(self, config: ControlConfig, timeout_s: float = CALL_TIMEOUT_S) -> None:
         self.config = config
         self._timeout_s = timeout_s
         self._limits = Limits(
@@ -120,7 +120,7 @@
             wait_s: Seconds to follow the change for; 0 is not at all.
             less: Whether keys of the settings in force may be lacking.
         """
-        settings = settings_file(path)
+        settings = load_settings_file(path)
         return self._change(
             wait_s, StaffCall.PROPOSE, settings=settings, without=without, less=less
         )
@@ -165,7 +165,7 @@
 
     def _read_settings(self, source: str) -> JsonObject:
         if not source.isdecimal():
-            return settings_file(source)
+            return load_settings_file(source)
         content: JsonObject = self._call(StaffCall.SHOW, number=int(source))["content"]
         return content
 
--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -10,7 +10,7 @@
 import socket
 from collections.abc import Callable, Iterable, Mapping
 
-from petrellane.config import Control
+from petrellane.config import ControlConfig
 from petrellane.config_consensus.coordinator import Coordinator
 from petrellane.config_consensus.journal import Journal
 from petrellane.config_consensus.message_authentication import (
@@ -25,8 +25,8 @@
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.operation.lifecycle import Service
-from petrellane.operation.management_api import Management
+from petrellane.operation.lifecycle import Lifecycle
+from petrellane.operation.management_api import ManagementServer
 
 TICK_INTERVAL_S = 0.05  # between looks at what time alone brings
 JOURNAL_FAILED_INTERVAL_S = 1.0  # between two `journal_failed` events
@@ -38,14 +38,14 @@
 class ControlService:
     """A control process, from its configuration; the command line owns it until `run` returns.
 
-    It owns the journal's file, the listener for staff (through `Management`), the sockets that
-    signals wake the scheduler by, and the greenlets that talk to gateways (through
+    It owns the journal's file, the listener for staff (through `ManagementServer`), the sockets
+    that signals wake the scheduler by, and the greenlets that talk to gateways (through
     `ParticipantNotifier`).
     """
 
     def __init__(
         self,
-        config: Control,
+        config: ControlConfig,
         log_descriptor: int = 1,
         scheduler: Scheduler | None = None,
         limits: Limits | None = None,
@@ -94,11 +94,11 @@
             self._notifier.call_counts,
         )
 
-    def _listen(self) -> Management:
-        management = Management(
+    def _listen(self) -> ManagementServer:
+        management = ManagementServer(
             self.scheduler,
             self.limits,
-            Service(0.0, 0.0),
+            Lifecycle(0.0, 0.0),
             lambda: None,
             lambda _error: None,
         )
@@ -118,7 +118,7 @@
             epoch=self.coordinator.epoch.number,
         )
         self.scheduler.run()
-        self._management.end()
+        self._management.close()
         self.journal.close()
         self.log.event("ended")
         self.log.flush()
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from http import HTTPStatus
 
-from petrellane.config import Agreement
+from petrellane.config import ConsensusConfig
 from petrellane.config_consensus import participant
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.errors import MessageRejected
@@ -76,7 +76,7 @@
         scheduler: Scheduler,
         limits: Limits,
         log: Logger,
-        config: Agreement,
+        config: ConsensusConfig,
         gateway: GatewayInterface,
     ) -> None:
         self.scheduler = scheduler
--- a/petrellane/config_consensus/staff_calls.py
+++ b/petrellane/config_consensus/staff_calls.py
@@ -8,7 +8,7 @@
 from http import HTTPStatus
 from typing import Any
 
-from petrellane.config import ConfigError, Section, lacks, settings
+from petrellane.config import ConfigError, Section, check_no_key_removed, parse_settings
 from petrellane.config_consensus import safe_settings
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.changes import Change, ChangeOutcome
@@ -139,13 +139,13 @@
 
     def _validate(self, content: JsonObject, may_lack_keys: bool) -> None:
         """Raise ConfigError, or what the reader raises, for settings that no gateway would take."""
-        settings(Section(content, "settings"))
+        parse_settings(Section(content, "settings"))
         in_force = self._coordinator.in_force
         if not in_force:
             return
         if in_force.number and not may_lack_keys:
-            lacks(in_force.content, content, "settings")
-        settings(Section(safe_settings.meet(in_force.content, content), "settings"))
+            check_no_key_removed(in_force.content, content, "settings")
+        parse_settings(Section(safe_settings.meet(in_force.content, content), "settings"))
 
     # Questions.
 
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -10,6 +10,7 @@
 
 import math
 from collections import Counter
+from dataclasses import replace
 from typing import TYPE_CHECKING, Any, Protocol
 
 from petrellane.decisions.controller import AdmissionController
@@ -36,9 +37,9 @@
 from petrellane.operation import hot_restart
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Iterable, Mapping
+    from collections.abc import Callable, Iterable
 
-    from petrellane.config import Config, HostList, Settings
+    from petrellane.config import Config, EndpointListUpdate, Settings
     from petrellane.decisions.types import Customer, Endpoint, Method, Plan
     from petrellane.gateway.client_request import ClientRequest
     from petrellane.gateway.counter_client import CounterClient
@@ -48,7 +49,7 @@
     from petrellane.gateway.response_relay import ResponseRelay
     from petrellane.gateway.runtime import Runtime
     from petrellane.net.limits import Limits
-    from petrellane.operation.hot_restart_transport import Handover
+    from petrellane.operation.hot_restart_transport import HotRestartTransport
 
 BUSY = b"-BUSY\r\n"
 FAULT = b"-ERR fault\r\n"
@@ -84,7 +85,7 @@
             seed=config.seed,
             uses_counter=self.settings.uses_counter,
             must_watch=self.settings.must_watch,
-            **self.settings.gateway,
+            **self.settings.controller_options,
         )
         self.customers = Customers()
         self.endpoints: dict[str, Endpoint] = {}
@@ -94,12 +95,14 @@
         self.requests_by_id: dict[bytes, ClientRequest] = {}
         # Figures since the last line of the log; attempts by endpoint where the settings ask.
         self.counts: Counter[str] = Counter()
-        self.attempts_by_address: Counter[str] | None = Counter() if config.by_host else None
+        self.attempts_by_address: Counter[str] | None = (
+            Counter() if config.figures_by_endpoint else None
+        )
         # The time at which every open request has its answer, once the process is ending.
         self.final_deadline = math.inf
         self.endpoint_pools: EndpointPools
         self.counter_client: CounterClient
-        self.handover: Handover | None = None
+        self.handover: HotRestartTransport | None = None
         self.agent: AdmissionGate | None = None
         self.handlers: dict[type, Callable[[Any], None]] = {
             SendAttempt: self._send_attempt,
@@ -117,21 +120,23 @@
         for action in actions:
             self.handlers[type(action)](action)
 
-    def start(self, known: HostList) -> None:
+    def start(self, known: EndpointListUpdate) -> None:
         """Start the controller with the endpoints that the configuration knows."""
         self.execute(self.controller.start(self.now()))
-        self.on_endpoint_list(known._replace(full=True))  # no request can wait yet: at once
+        self.on_endpoint_list(replace(known, full=True))  # no request can wait yet: at once
 
     def reconfigure(self, settings: Settings, limits: Limits) -> None:
         """Apply other settings from now on; open requests keep the method that they came under."""
         self.settings = settings
         self.limits = limits
-        self.controller.reconfigure(**settings.gateway)
+        self.controller.reconfigure(**settings.controller_options)
 
     # Endpoints.
 
     def on_endpoint_list(
-        self, endpoint_list: HostList | None, yield_turn: Callable[[], object] | None = None
+        self,
+        endpoint_list: EndpointListUpdate | None,
+        yield_turn: Callable[[], object] | None = None,
     ) -> None:
         """Apply an endpoint list or changes to it, in chunks.
 
@@ -200,7 +205,7 @@
             request.finish(BUSY)
             return
         method, plan = self._method_and_plan(request)
-        units = request.units(self.settings.most_units)
+        units = request.units(self.settings.max_units)
         customer = self._customer(request, plan, now)
         # Its timeout may have begun while this process stood still.
         arrived_at = self.scheduler.since()
@@ -238,7 +243,7 @@
 
     def _customer(self, request: ClientRequest, plan: Plan, now: float) -> Customer:
         """Return the customer that a request is of."""
-        gateways = self.settings.gateways
+        gateways = self.settings.gateway_count
         first_gateway = request.integer("first", 0, 0, gateways - 1)
         gateway_count = request.integer("spread", 1, 1, gateways)
         name = request.customer.decode()
@@ -323,7 +328,7 @@
             over=is_over,
             took=max(MINIMUM_DURATION_S, now - attempt.sent_at),
             usage=int(figures.pop("used", -1)) + 1,
-            units=cost if cost <= self.settings.most_units else 0.0,
+            units=cost if cost <= self.settings.max_units else 0.0,
             report=figures,
         )
 
@@ -339,11 +344,11 @@
             del self.requests_by_id[request.id]
             request.finish(*answer)
             if self.handover:
-                self.handover.owed(rpc.customer.name)
+                self.handover.report_request_ended(rpc.customer.name)
 
     # Hot restart.
 
-    def import_leases(self, rows: Iterable[Mapping[str, Any]]) -> int:
+    def import_leases(self, rows: Iterable[dict[str, Any]]) -> int:
         """Take over the leases that the predecessor has given up; return how many."""
         plans = self.settings.plans
         now = self.now()
@@ -353,13 +358,13 @@
                 return None
             return self.customers.get_or_create(name, plans[plan], first, count, now)
 
-        taken: int = hot_restart.taken(self.controller, now, rows, customer_of)
+        taken: int = hot_restart.import_leases(self.controller, now, rows, customer_of)
         return taken
 
     def on_predecessor_requests_ended(self, name: str, number: int) -> None:
         """Note that so many requests of a customer, still open at the predecessor, have ended."""
         for customer in self.customers.with_name(name):
-            number -= hot_restart.settled(self.controller, self.now(), customer, number)
+            number -= hot_restart.release_in_flight(self.controller, self.now(), customer, number)
 
     # Handlers of actions.
 
--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -22,8 +22,8 @@
     from petrellane.gateway.client_request import ClientRequest
     from petrellane.gateway.response_relay import BufferBudget
     from petrellane.gateway.runtime import Address, Runtime
-    from petrellane.operation.hot_restart_transport import Handover
-    from petrellane.operation.lifecycle import Service
+    from petrellane.operation.hot_restart_transport import HotRestartTransport
+    from petrellane.operation.lifecycle import Lifecycle
 
 
 class RequestHandler(Protocol):
@@ -54,7 +54,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        service: Service,
+        service: Lifecycle,
         requests: RequestHandler,
         make_room: Callable[[int], bool],
         buffer_budget: BufferBudget,
@@ -86,7 +86,7 @@
         self.is_draining = False
         self.on_ended: Callable[[], object] | None = None
         self.end_deadline = 0.0
-        self.successor: Handover | None = None
+        self.successor: HotRestartTransport | None = None
         self.scheduler.after(self.limits.look, self._close_stalled_clients)
 
     # Listening.
@@ -269,7 +269,7 @@
 
     # Hot restart, drain and end.
 
-    def set_successor(self, successor: Handover | None) -> None:
+    def set_successor(self, successor: HotRestartTransport | None) -> None:
         """Stop accepting, and pass each connection on once nothing is owed on it.
 
         Args:
@@ -291,11 +291,11 @@
             self._poll_drain()
 
     def _poll_drain(self) -> None:
-        self.is_draining = not self.service.welcomes
+        self.is_draining = not self.service.passes_health_check
         if self.is_draining:
             for client in list(self.clients):
                 client.close_if_done()
-            if self.service.emptied(len(self.clients)):
+            if self.service.complete_drain(len(self.clients)):
                 self.log.event(self.service.state)
             self.scheduler.after(self.limits.let_go, self._poll_drain)
 
