--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -64,7 +64,7 @@
 class AdmissionGate(Protocol):
     """Says whether RPCs may be admitted under the settings that are in force here."""
 
-    def admits(self) -> bool:
+    def may_admit(self) -> bool:
         """Return False while other gateways may have left these settings behind."""
 
 
@@ -202,7 +202,7 @@
         """
         now = self.now()
         # Asked before the request is looked at under settings that other gateways may have left.
-        if self.agent and not self.agent.admits():
+        if self.agent and not self.agent.may_admit():
             self.counts["pushed generation"] += 1
             request.finish(BUSY)
             return
--- a/petrellane/testbed/capacity.py
+++ b/petrellane/testbed/capacity.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from petrellane.config_consensus.coordinator import POLL_INTERVAL_S
+from petrellane.config_consensus.notifications import POLL_INTERVAL_S
 from petrellane.decisions.endpoint_health import SAMPLE_LIFETIME
 from petrellane.decisions.leases import HEADROOM, LEASE_AHEAD, WINDOW_FILLS
 from petrellane.decisions.load_balancing import (
