--- a/petrellane/__main__.py
+++ b/petrellane/__main__.py
@@ -1,13 +1,18 @@
-"""Run the command line; `serve` without it: to import that takes longer than to start a gateway."""
+"""The entry point of `python -m petrellane`.
+
+Runs the command line, except that plain `serve` starts without it: its import takes longer than the
+start of a gateway.
+"""
 
 import os
 import signal
 import sys
 
-if __name__ == "__main__":
-    if sys.argv[1:2] == [
-        "serve"
-    ]:  # what comes before it can be heard waits: by default it would kill the process
+
+def main() -> None:
+    """Run the command that the arguments name."""
+    if sys.argv[1:2] == ["serve"]:
+        # Signals that arrive before the gateway handles them wait: by default they would kill it.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
     if sys.argv[1:] == ["serve"]:
         from petrellane.gateway.process import serve
@@ -16,3 +21,7 @@
     from petrellane.cli import app
 
     app(prog_name="petrellane")
+
+
+if __name__ == "__main__":
+    main()
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -1,14 +1,24 @@
-"""The command line. A sub-command imports what it needs when it runs, so that `serve` starts light."""
+"""The command line.
+
+A sub-command imports what it needs when it runs, so that `serve` starts light. The docstring of a
+command is its help text. Errors that a user can mend end in one line on standard error and exit
+code 2.
+"""
 
 import os
 import signal
 import sys
-from typing import Annotated
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Annotated, NoReturn
 
 import typer
 
 from petrellane import __version__
 
+if TYPE_CHECKING:
+    from petrellane.config import Config
+    from petrellane.config_consensus import commands
+
 app = typer.Typer(
     help="An admission gateway that leases customers' credit from a shared count.",
     no_args_is_help=True,
@@ -18,48 +28,56 @@
 )
 
 
-def configuration():
-    """The configuration, or one line on standard error and exit code 2."""
+EXIT_USAGE = 2
+"""Exit code where the command, its files or its environment are wrong."""
+
+
+def _load_config() -> "Config":
+    """The configuration that the environment names; ends the command where it is wrong."""
     from petrellane.config import ConfigError, load
 
     try:
         return load(os.environ)
     except ConfigError as error:
-        refuse(error)
+        _exit_with_error(error)
 
 
-def refuse(error):
-    """End with one line on standard error and exit code 2."""
+def _exit_with_error(error: Exception | str) -> NoReturn:
+    """End the command with one line on standard error."""
     print(f"petrellane: {error}", file=sys.stderr)
-    raise typer.Exit(2) from None
+    raise typer.Exit(EXIT_USAGE) from None
 
 
-@app.command()
-def serve():
-    """Serve until SIGTERM; PROXY_CONFIG names the configuration file, which SIGHUP has read anew."""
+@app.command(
+    help="Serve until SIGTERM; PROXY_CONFIG names the configuration file, which SIGHUP has read "
+    "anew."
+)
+def serve() -> None:
+    """Serve until SIGTERM."""
     from petrellane.gateway import process
 
     raise typer.Exit(process.serve(os.environ))
 
 
 @app.command()
-def version():
+def version() -> None:
     """Print the version."""
     print(__version__)
 
 
 @app.command()
-def check_config():
+def check_config() -> None:
     """Read the configuration as serve would, and say what it holds or what is wrong with it."""
-    config = configuration()
+    config = _load_config()
+    host, port = config.listen
     print(
-        f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, {len(config.settings.methods)} methods, "
+        f"{config.name}: listens on {host}:{port}, {len(config.settings.methods)} methods, "
         f"{len(config.settings.plans)} plans, {len(config.known.entries)} hosts known"
     )
 
 
-@app.command()
-def hunt(
+@app.command("hunt")
+def search_properties(
     seeds: Annotated[int, typer.Option(min=1, help="Scenarios to play.")] = 2000,
     first: Annotated[
         int, typer.Option(min=0, help="The first seed; the same one gives the same hunt.")
@@ -69,14 +87,17 @@
         int, typer.Option(min=1, help="End once so many scenarios have broken a rule.")
     ] = 1,
     out: Annotated[str, typer.Option(help="Folder for what is found.")] = "found",
-):
+) -> None:
     """Look for a run of the fleet model that breaks a rule; exit code 1 when there is one."""
     from petrellane.simulation import command
 
     raise typer.Exit(command.hunt(seeds, first, jobs, enough, out))
 
 
-@app.command()
+@app.command(
+    help="Play one scenario of the fleet model and tell it as a time line; exit code 1 when it is "
+    "not as expected."
+)
 def replay(
     file: Annotated[
         str, typer.Argument(help="A scenario file, or the number of a seed with --seed.")
@@ -88,19 +109,22 @@
     records: Annotated[
         str, typer.Option(help="Write what was seen to this file, for `spread`.")
     ] = "",
-):
-    """Play one scenario of the fleet model and tell it as a time line; exit code 1 when it is not as expected."""
+) -> None:
+    """Play one scenario in simulated time."""
     from petrellane.simulation import command
     from petrellane.simulation.scenario import ScenarioError
 
     try:
         raise typer.Exit(command.replay(file, seed, write, records))
     except ScenarioError as error:
-        refuse(error)
+        _exit_with_error(error)
 
 
-@app.command()
-def spread(
+@app.command(
+    help="How even load is over hosts: peaks, troughs, idle hosts, herds and swings; "
+    "docs/spread.md defines them."
+)
+def spread(  # noqa: PLR0913 - a parameter for each option
     path: Annotated[str, typer.Argument(help="A file of records, or a folder of gateways' logs.")],
     since: Annotated[
         float, typer.Option(min=0.0, help="Seconds from the begin to leave out.")
@@ -115,15 +139,15 @@
         str, typer.Option(help="Write a heat map of hosts over time to this file.")
     ] = "",
     seed: Annotated[int, typer.Option(help="Of the draws that tell what chance gives.")] = 0,
-):
-    """How even load is over hosts: peaks, troughs, idle hosts, herds and swings; docs/spread.md defines them."""
+) -> None:
+    """Print how evenly load is distributed over endpoints."""
     from petrellane.load_distribution import commands
     from petrellane.load_distribution.sources import SpreadError
 
     try:
         commands.tell(path, since, until or None, json, svg, seed)
     except SpreadError as error:
-        refuse(error)
+        _exit_with_error(error)
 
 
 settings_app = typer.Typer(
@@ -148,7 +172,7 @@
 @app.command()
 def control(
     file: Annotated[str, typer.Argument(help="A TOML file; docs/agreeing.md names its keys.")],
-):
+) -> None:
     """Run the control process that staff propose settings to, until SIGTERM."""
     from petrellane.config import ConfigError, load_control_config
     from petrellane.config_consensus.control_service import Control
@@ -157,26 +181,37 @@
     try:
         process = Control(load_control_config(file))
     except (ConfigError, JournalError) as error:
-        refuse(error)
+        _exit_with_error(error)
     except OSError as error:
-        refuse(f"{file}: expected an address to listen at and a journal to write: {error}")
+        _exit_with_error(
+            f"{file}: expected an address to listen at and a journal to write: {error}"
+        )
     process.obey({signal.SIGTERM, signal.SIGINT})
     process.run()
 
 
-def of_control(call, file, *words):
-    """Do something with a control process, and end with its exit code."""
+def _exit_with_result(control_file: str, call: Callable[["commands.Control"], int]) -> NoReturn:
+    """Call a control process, and end with the exit code that `call` returns.
+
+    Args:
+        control_file: The control process's TOML file.
+        call: Given what reaches the control process; its ConfigError ends the command.
+    """
     from petrellane.config import ConfigError, load_control_config
-    from petrellane.config_consensus import commands as told
+    from petrellane.config_consensus import commands
 
     try:
-        raise typer.Exit(getattr(told, call)(told.Control(load_control_config(file)), *words))
+        raise typer.Exit(call(commands.Control(load_control_config(control_file))))
     except ConfigError as error:
-        refuse(error)
+        _exit_with_error(error)
 
 
-@settings_app.command("propose")
-def settings_propose(
+@settings_app.command(
+    "propose",
+    help="Propose settings. Exit code 0 in force, 2 what you gave is wrong, 3 refused, 4 aborted, "
+    "5 in doubt.",
+)
+def settings_propose(  # noqa: PLR0913 - a parameter for each option
     file: Annotated[
         str, typer.Argument(help="JSON: settings, or a gateway's whole configuration.")
     ],
@@ -187,9 +222,13 @@
         bool, typer.Option(help="Keys of the settings in force may be lacking.")
     ] = False,
     json: JSON = False,
-):
-    """Propose settings. Exit code 0 in force, 2 what you gave is wrong, 3 refused, 4 aborted, 5 in doubt."""
-    of_control("propose", control, file, without, wait, less, json)
+) -> None:
+    """Propose settings and follow the change."""
+    from petrellane.config_consensus import commands
+
+    _exit_with_result(
+        control, lambda client: commands.propose(client, file, without, wait, less, json)
+    )
 
 
 @settings_app.command("back")
@@ -199,27 +238,35 @@
     without: WITHOUT = [],  # noqa: B006 - typer never changes it
     wait: WAIT = 10.0,
     json: JSON = False,
-):
+) -> None:
     """Propose the settings of an earlier generation again, as a new change."""
-    of_control("back", control, number, without, wait, json)
+    from petrellane.config_consensus import commands
+
+    _exit_with_result(control, lambda client: commands.back(client, number, without, wait, json))
 
 
 @settings_app.command("status")
-def settings_status(control: CONTROL, json: JSON = False):
+def settings_status(control: CONTROL, json: JSON = False) -> None:
     """What is in force where, and what is under way."""
-    of_control("status", control, json)
+    from petrellane.config_consensus import commands
+
+    _exit_with_result(control, lambda client: commands.status(client, json))
 
 
 @settings_app.command("history")
-def settings_history(control: CONTROL, json: JSON = False):
+def settings_history(control: CONTROL, json: JSON = False) -> None:
     """All changes, with what became of each."""
-    of_control("history", control, json)
+    from petrellane.config_consensus import commands
+
+    _exit_with_result(control, lambda client: commands.history(client, json))
 
 
 @settings_app.command("show")
-def settings_show(number: int, control: CONTROL, json: JSON = False):
+def settings_show(number: int, control: CONTROL, json: JSON = False) -> None:
     """The settings of a generation."""
-    of_control("show", control, number, json)
+    from petrellane.config_consensus import commands
+
+    _exit_with_result(control, lambda client: commands.show(client, number, json))
 
 
 @settings_app.command("diff")
@@ -228,9 +275,11 @@
     other: Annotated[str, typer.Argument(help="A generation's number, or a file.")],
     control: CONTROL,
     json: JSON = False,
-):
+) -> None:
     """What changes for whom between two generations, or to a file's settings, in words."""
-    of_control("diff", control, one, other, json)
+    from petrellane.config_consensus import commands
+
+    _exit_with_result(control, lambda client: commands.diff(client, one, other, json))
 
 
 lab_app = typer.Typer(
@@ -242,40 +291,47 @@
 app.add_typer(lab_app, name="lab")
 
 
-@lab_app.command("run")
+@lab_app.command(
+    "run",
+    help="Play a run file and tell what happened; exit code 1 when a rule broke or a process "
+    "crashed.",
+)
 def lab_run(
     file: Annotated[str, typer.Argument(help="A run file; docs/lab.md has the notation.")],
     records: Annotated[
         str, typer.Option(help="Write what was seen to this file, for `spread`.")
     ] = "",
-):
-    """Play a run file and tell what happened; exit code 1 when a rule broke or a process crashed."""
+) -> None:
+    """Play a run file and tell what happened."""
     from petrellane.testbed import command
     from petrellane.testbed.runner import PlayError
 
     try:
         raise typer.Exit(command.play_file(file, records))
     except PlayError as error:
-        refuse(error)
+        _exit_with_error(error)
 
 
 @lab_app.command("demo")
-def lab_demo():
+def lab_demo() -> None:
     """Three gateways, six hosts, 20 s of load, one host killed half way; ends by itself."""
     from petrellane.testbed import command
 
     raise typer.Exit(command.demo())
 
 
-@lab_app.command("scale")
+@lab_app.command(
+    "scale",
+    help="Run many hollow gateways beside some real ones, and tell what each role spends; exit "
+    "code 1 when the run proves nothing.",
+)
 def lab_scale(
     file: Annotated[str, typer.Argument(help="A scale file; docs/lab.md has the notation.")],
-):
-    """Run many hollow gateways beside some real ones, and tell what each role spends; exit code 1 when the run proves
-    nothing."""
+) -> None:
+    """Run many hollow gateways beside some real ones."""
     from petrellane.testbed import scale
 
     try:
         raise typer.Exit(scale.play_file(file))
     except scale.ScaleError as error:
-        refuse(error)
+        _exit_with_error(error)
