--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -18,7 +18,7 @@
     def window(self):
         """The bytes that may wait of one passage."""
         share = (self.limits.waiting - self.kept) // max(1, len(self.passages))
-        return max(self.limits.window_least, min(self.limits.window, share))
+        return max(self.limits.window_minimum, min(self.limits.window, share))
 
     def keep(self, whose, size):
         """So many bytes of a body are kept now; 0 when it is over."""
--- a/petrellane/net/__init__.py
+++ b/petrellane/net/__init__.py
@@ -1,1 +1,4 @@
-"""What any networked part stands on: scheduler, streams, limits, log and codecs. Nothing of ours lies below it."""
+"""Primitives of the networked parts: scheduler, streams, protocol codecs, limits and the log.
+
+The package knows nothing of admission, configuration or operation; everything above may import it.
+"""
--- a/petrellane/net/http.py
+++ b/petrellane/net/http.py
@@ -1,47 +1,100 @@
-"""HTTP/1.1 as far as discovery and staff speak it: one call at a time, answers with a length, in chunks, or up to the end of
-the connection."""
+"""HTTP/1.1 client codec, as far as discovery and the management API speak it.
 
+One request at a time on a connection. A response's body has a length, comes in chunks, or lasts to
+the end of the connection. Waiting for bytes is bounded by a clock time for the whole response.
+"""
+
+from collections.abc import Mapping
+from typing import Final, NamedTuple, NoReturn
+
+from petrellane.net.limits import Limits
 from petrellane.net.resp import Malformed
-from petrellane.net.stream import Ended
+from petrellane.net.stream import Ended, Stream
+
+Fields = dict[bytes, bytes]  # header fields by name in lower case
+
+CRLF: Final = b"\r\n"
+END_OF_HEAD: Final = b"\r\n\r\n"
+STATUS_LINE_PARTS: Final = 2  # version and status; a reason is optional
+HEXADECIMAL: Final = 16
+
+
+class ResponseHead(NamedTuple):
+    """The head of a response: status, header fields, and its length in bytes."""
+
+    status: int
+    fields: Fields
+    end: int
 
 
-def get(path, host):
+def get(path: str, host: str) -> bytes:
+    """Encode a request for JSON; the connection may be used for more."""
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
 
 
-def post(path, host, fields, body):
-    """A call with a JSON body, after which the connection ends."""
-    more = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
-    return (
-        f"POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n"
-        f"{more}Connection: close\r\n\r\n"
-    ).encode() + body
+def post(path: str, host: str, fields: Mapping[str, str], body: bytes) -> bytes:
+    """Encode a request with a JSON body, after which the connection ends."""
+    extra_fields = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
+    request_head = (
+        f"POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n"
+        f"Content-Length: {len(body)}\r\n{extra_fields}Connection: close\r\n\r\n"
+    )
+    return request_head.encode() + body
+
+
+def head(buffer: bytes | bytearray, limits: Limits) -> ResponseHead | None:
+    """Parse the head of the response at the start of a buffer.
 
+    Returns:
+        The head, or None while it is incomplete.
 
-def head(buffer, limits):
-    """The status, the fields (names in lower case) and the length of an answer's head; None when it is not all
-    there."""
-    end = buffer.find(b"\r\n\r\n")
+    Raises:
+        Malformed: It is no HTTP/1 response, or too long.
+    """
+    end = buffer.find(END_OF_HEAD)
     if end < 0:
         if len(buffer) > limits.line * limits.parts:
             raise Malformed("head too long")
         return None
-    first, *lines = bytes(buffer[:end]).split(b"\r\n")
-    parts = first.split(b" ", 2)
-    if len(parts) < 2 or not parts[0].startswith(b"HTTP/1.") or not parts[1].isdigit():
+    status_line, *lines = bytes(buffer[:end]).split(CRLF)
+    status = _status(status_line)
+    return ResponseHead(status, _fields(lines), end + len(END_OF_HEAD))
+
+
+def _status(line: bytes) -> int:
+    parts = line.split(b" ", 2)
+    if (
+        len(parts) < STATUS_LINE_PARTS
+        or not parts[0].startswith(b"HTTP/1.")
+        or not parts[1].isdigit()
+    ):
         raise Malformed("bad status line")
+    return int(parts[1])
+
+
+def _fields(lines: list[bytes]) -> Fields:
     fields = {}
-    for field in lines:
-        name, colon, value = field.partition(b":")
+    for line in lines:
+        name, colon, value = line.partition(b":")
         if not colon:
             raise Malformed("bad field")
         fields[name.strip().lower()] = value.strip()
-    return int(parts[1]), fields, end + 4
+    return fields
+
 
+def more(stream: Stream, until: float) -> None:
+    """Wait for more bytes of a response.
 
-def more(stream, until):
-    """Wait for more bytes, up to a clock time for the whole answer, however it comes: TimeoutError after that. Others have
-    their turn first, so that a long answer does not hold them up."""
+    Other greenlets have their turn before this returns, so that a long response holds nobody up.
+
+    Args:
+        stream: Where the response comes from.
+        until: Unix time by which the whole response has to be complete.
+
+    Raises:
+        TimeoutError: It is past that time.
+        Closed: The connection has ended or broken.
+    """
     scheduler = stream.scheduler
     if scheduler.now() >= until:
         raise TimeoutError("no whole answer in time")
@@ -49,42 +102,59 @@
     scheduler.wait(0)
 
 
-def body(stream, fields, limits, until):
-    """Read the body of an answer whose head has been consumed, by a clock time. Raises Malformed, TimeoutError, and Closed
-    where the connection ends within it: a reset always does, also where the answer tells no length."""
+def body(stream: Stream, fields: Fields, limits: Limits, until: float) -> bytes:
+    """Read the body of a response whose head has been consumed.
+
+    Args:
+        stream: Where the response comes from.
+        fields: The header fields of its head.
+        limits: `list_size` bounds the body, `line` the line before a chunk.
+        until: Unix time by which the body has to be complete.
+
+    Raises:
+        Malformed: The body is not encoded as its head says, or too long.
+        TimeoutError: It is not complete in time.
+        Closed: The connection ended within the body. A reset always does, also where the body has
+            no length and lasts to the end of the connection.
+    """
     if b"transfer-encoding" in fields:
         if fields[b"transfer-encoding"].lower() != b"chunked":
             raise Malformed("no such transfer coding")
-        return chunked(stream, limits, until)
+        return _read_chunked(stream, limits, until)
     if b"content-length" not in fields:
-        return rest(stream, limits, until)
+        return _read_to_end(stream, limits, until)
     length = fields[b"content-length"]
     if not length.isdigit() or int(length) > limits.list_size:
         raise Malformed("bad length")
-    return take(stream, int(length), until)
+    return _read_exactly(stream, int(length), until)
 
 
-def lasts(fields):
-    """Whether the connection goes on after the answer with these fields."""
-    return fields.get(b"connection", b"").lower() != b"close" and not fields.keys().isdisjoint(
-        (b"content-length", b"transfer-encoding")
-    )
+def lasts(fields: Fields) -> bool:
+    """Return whether the connection can be used again after a response with these fields."""
+    if fields.get(b"connection", b"").lower() == b"close":
+        return False
+    return b"content-length" in fields or b"transfer-encoding" in fields
 
 
-def rest(stream, limits, until):
-    """All that comes up to the orderly end of the connection."""
+def _read_to_end(stream: Stream, limits: Limits, until: float) -> bytes:
+    """Read up to the orderly end of the connection."""
     try:
-        while len(stream.buffer) <= limits.list_size:
-            more(stream, until)
+        _fill_past(stream, limits.list_size, until)
     except Ended:
         data = bytes(stream.buffer)
         stream.buffer.clear()
         return data
+
+
+def _fill_past(stream: Stream, size: int, until: float) -> NoReturn:
+    """Buffer what comes; raises Ended at the end of the connection, Malformed past `size` bytes."""
+    while len(stream.buffer) <= size:
+        more(stream, until)
     raise Malformed("list too long")
 
 
-def take(stream, length, until):
-    """So many bytes from a stream."""
+def _read_exactly(stream: Stream, length: int, until: float) -> bytes:
+    """Read so many bytes."""
     while len(stream.buffer) < length:
         more(stream, until)
     data = bytes(stream.buffer[:length])
@@ -92,21 +162,29 @@
     return data
 
 
-def chunked(stream, limits, until):
+def _read_chunked(stream: Stream, limits: Limits, until: float) -> bytes:
+    """Read chunks up to the last one, which is empty."""
     data = bytearray()
     while True:
-        while (end := stream.buffer.find(b"\r\n")) < 0:
-            if len(stream.buffer) > limits.line:
-                raise Malformed("bad chunk")
-            more(stream, until)
-        try:
-            length = int(bytes(stream.buffer[:end]).split(b";")[0], 16)
-        except ValueError:
-            raise Malformed("bad chunk") from None
-        if length < 0 or len(data) + length > limits.list_size:
-            raise Malformed("list too long")
-        del stream.buffer[: end + 2]
-        chunk = take(stream, length + 2, until)  # the last one stands for an empty trailer as well
+        length = _read_chunk_length(stream, limits, until, len(data))
+        # The CRLF behind the empty last chunk stands for an empty trailer as well.
+        chunk = _read_exactly(stream, length + len(CRLF), until)
         if not length:
             return bytes(data)
-        data += chunk[:-2]
+        data += chunk[: -len(CRLF)]
+
+
+def _read_chunk_length(stream: Stream, limits: Limits, until: float, size_so_far: int) -> int:
+    """Read the line before a chunk: its length, and extensions that are ignored."""
+    while (end := stream.buffer.find(CRLF)) < 0:
+        if len(stream.buffer) > limits.line:
+            raise Malformed("bad chunk")
+        more(stream, until)
+    try:
+        length = int(bytes(stream.buffer[:end]).split(b";")[0], HEXADECIMAL)
+    except ValueError:
+        raise Malformed("bad chunk") from None
+    if length < 0 or size_so_far + length > limits.list_size:
+        raise Malformed("list too long")
+    del stream.buffer[: end + len(CRLF)]
+    return length
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -1,145 +1,191 @@
-"""Every size, count and time of the network code, in one type: filled at start and handed down."""
+"""Every size, count and time-out of the network code, in one immutable value.
+
+The values are filled in once at start, from the configuration and the defaults below, and handed
+down to whatever opens a socket. This module decides nothing: it holds figures.
+"""
 
 from dataclasses import dataclass, replace
+from typing import Protocol, Self
+
+MEBIBYTE = 2**20
+UNSENT_SHARE_OF_MEMORY = 64  # one peer may leave unread a 64th of the process's memory
+WAITING_SHARE_OF_MEMORY = 8  # long values that wait may take an eighth of it
+
+
+class TransportSettings(Protocol):
+    """The part of the operators' settings that bounds connections; times are seconds."""
+
+    @property
+    def dial_timeout(self) -> float:
+        """How long a connection to a host may take to come up."""
+
+    @property
+    def conn_idle(self) -> float:
+        """After how long without traffic a host closes a connection."""
+
+    @property
+    def streams(self) -> int:
+        """How many attempts one connection carries at the same time."""
+
+    @property
+    def counter_timeout(self) -> float:
+        """After how long a request to the counter counts as unanswered."""
+
+
+class ProcessConfig(Protocol):
+    """The part of the process's configuration that limits are derived from."""
+
+    @property
+    def settings(self) -> TransportSettings:
+        """The operators' settings."""
+
+    @property
+    def sockets(self) -> int:
+        """Descriptors that the process may hold."""
+
+    @property
+    def memory_mb(self) -> float:
+        """Memory that the process may use, in MiB."""
 
 
 @dataclass(frozen=True)
 class Limits:
-    """Sizes are bytes and times are seconds."""
+    """Bounds of the network code. Sizes are bytes and times are seconds.
 
+    One instance is made at start; a reload of the settings replaces it by `renewed`.
+    """
+
+    # Set by the configuration.
     sockets: int  # descriptors that the process may hold
-    dial_timeout: float  # a connection to a host that is not up by then never comes up
+    dial_timeout: float  # a connection to a host that is not up by then is given up
     host_idle_timeout: (
-        float  # idle connections to hosts are retired after this, before the host does
-    )
-    streams: int  # call-outs on one connection to a host at the same time
-    counter_timeout: float  # an add unanswered for so long is late
-    value: int = 64 * 1024  # a value in a command or an answer
-    long: int = (
-        4 * 1024 * 1024
-    )  # the longest value; what is above `value` passes through as it comes
-    waiting: int = 16 * 1024 * 1024  # bytes of long values that may wait here in all
-    window: int = 256 * 1024  # and of one of them
-    window_least: int = 16 * 1024  # however many there are
-    stall_timeout: float = (
-        10.0  # a long value, or a client's answers, that don't move for so long are given up
+        float  # idle connections to hosts are closed after this, before the host does
     )
+    streams: int  # attempts on one connection to a host at the same time
+    counter_timeout: float  # a request to the counter unanswered for so long is late
+
+    # Values and frames of RESP.
+    value: int = 64 * 1024  # a value in a command or a reply
+    long: int = 4 * 1024 * 1024  # the longest value; one above `value` is relayed as it arrives
+    waiting: int = 16 * 1024 * 1024  # bytes of long values that may be buffered in all
+    window: int = 256 * 1024  # buffered bytes of one long value
+    window_minimum: int = 16 * 1024  # the same, however many long values share `waiting`
     line: int = 1024  # a line of a head
-    parts: int = 16  # parts of a command or an answer
-    frame: int = 68 * 1024  # a command or an answer in all
-    unsent: int = 2 * 1024 * 1024  # what a peer may leave unread of what we write to it
-    receive: int = 64 * 1024  # asked of a socket at once
-    reads: int = (
-        4  # and so often in a row of one that always has more, before others have their turn
-    )
-    passed_over: int = 4  # and so often of one that is closed, of what has come unread
+    parts: int = 16  # parts of a command or a reply
+    frame: int = 68 * 1024  # a command or a reply in all
+    stall_timeout: float = 10.0  # a long value or a client's replies without progress are given up
+
+    # One stream.
+    unsent: int = 2 * 1024 * 1024  # written bytes that a peer may leave unread
+    receive: int = 64 * 1024  # bytes asked of a socket in one call
+    reads: int = 4  # reads in a row of a stream that has more, before others have their turn
+    passed_over: int = 4  # reads that discard unread bytes of a stream that is closed
     gathered: int = 64  # buffers that one call hands to a socket
+
+    # Clients.
+    backlog: int = 1024  # connections that wait to be accepted
     accepts: int = 16  # connections accepted in a row before others have their turn
-    commands: int = 16  # and commands of one client
-    client_idle_timeout: float = (
-        10.0  # a client that is owed nothing and says nothing for so long is let go
-    )
-    client_once: float = 2.0  # and one that has said nothing yet, or asked once, after this
-    client_settle: float = 0.25  # one that has only just come is not shed for saying nothing
-    command_timeout: float = (
-        2.5  # a command that has begun has come whole by then, a long one has come on
-    )
+    commands: int = 16  # commands of one client in a row before others have their turn
+    client_idle_timeout: float = 10.0  # an idle client that is owed nothing is disconnected
+    client_once: float = 2.0  # the same for a client that has sent one command or none
+    client_settle: float = 0.25  # a new client is not evicted for its silence before this
     client_rested: float = (
-        1.0  # one that comes back with RPCs is shed once it has been idle for so long
+        1.0  # a client that comes back with RPCs may be evicted when idle so long
     )
+    command_timeout: float = 2.5  # a command that has begun is complete, or a long one progresses
     command_timeout_crowded: float = 1.0  # the same where descriptors are short
-    backlog: int = 1024  # connections that wait to be accepted
-    reserve: int = (
-        40  # descriptors that are never a client's or a host's: what docs/design.md adds up
-    )
+    linger: float = 0.5  # for what a client still sends after a malformed frame
+    let_go: float = 0.05  # between checks for clients that are owed nothing
+
+    # Descriptors.
+    reserve: int = 40  # never a client's or a host's; the sum is in docs/design.md
+    host_floor: int = 128  # for hosts, never for clients; at most three fifths of all
+    out_of_descriptors: float = 0.01  # between attempts to accept when none is left
+
+    # Connections to hosts and to the counter.
     host_connections: int = 48  # connections to one host
     rest: float = (
-        0.01  # a connection to a host rests so long after an answer, where another can be had
+        0.01  # a connection is not reused for so long after a reply, where another is free
     )
-    host_floor: int = 128  # descriptors for hosts that clients never have; of few, three in five
     counter_connections: int = 8  # connections to the counter
-    counter_idle_timeout: float = (
-        4.0  # the counter closes idle connections after ten seconds or less
-    )
-    watch_next: float = (
-        5.0  # from a call to discovery to the next: a change counts after 6 s, an answer takes 1
-    )
-    watch_first: float = (
-        3.0  # the same before the first list: at another address it counts after 4 s
-    )
-    watch_hold: float = 3.8  # how long discovery may hold a watch at most
-    watch_grace: float = 1.0  # and how much later its answer may come
-    watch_timeout: float = 2.0  # the time of a call that waits for no news, with its dialing
-    watch_pause: float = 0.02  # before the next watch, where there was no news
-    list_size: int = 8 * 1024 * 1024  # a host list
-    list_rows: int = (
-        128  # rows of one that are checked, or taken over, in a row before others have their turn
-    )
-    backoff_first: float = 0.1  # wait after a first failed call to discovery, about
-    figure: float = 1e9  # a figure on use or load; more is no figure
-    look: float = 1.0  # between looks for idle connections
-    linger: float = 0.5  # for what a client still sends after a frame of no form
-    out_of_descriptors: float = 0.01  # between tries to accept when there are none left
-    change_over: float = (
-        0.5  # after SIGTERM or at a drain, clients are served as before for so long
-    )
-    last_command: float = 1.8  # after a drain began, connections take commands for so long
-    drain_idle: float = 0.25  # a connection that has only pinged is idle after this while it drains
-    hand_over: float = 3.0  # the process before has given what it has by then
-    take_back: float = 0.5  # a connection that the next process has not got by then stays here
-    passed: int = 32 * 1024  # bytes of a command that go with a connection to the next process
-    packet: int = 256 * 1024  # one message between two processes
-    listed: float = 1.0  # the next process waits so long for a host list before it takes over
-    callers: int = 8  # calls of staff that are half way
-    call: float = 5.0  # and the time that one has
-    head: int = 8 * 1024  # and the head of one
-    body: int = 1024 * 1024  # and its body, where it has one
-    shutdown_timeout: float = 15.0  # and then, for the clients that never let go of us
-    beat: float = 0.1  # a timer rings so often, which tells of having stood still in a poll
-    figures: float = 1.0  # between log lines that tell what was counted
-    kill_after: float = (
-        0.5  # the kill comes 0.7 s and the longest deadline after SIGTERM: all is answered by then
-    )
-    kill_longest: float = 3.0  # and a longer deadline counts as this
-    let_go: float = 0.05  # between looks for clients that are owed nothing
-    log_lines: int = 1000  # log lines that wait for a slow reader; what comes on top is dropped
+    counter_idle_timeout: float = 4.0  # the counter closes idle ones after ten seconds or less
+    look: float = 1.0  # between checks for idle connections
+
+    # Discovery.
+    watch_next: float = 5.0  # between calls: a change counts after 6 s, a response takes up to 1
+    watch_first: float = 3.0  # before the first list: at another address it counts after 4 s
+    watch_hold: float = 3.8  # how long discovery may hold a watch
+    watch_grace: float = 1.0  # how much later than that its response may arrive
+    watch_timeout: float = 2.0  # of a call that is not held, with its dialing
+    watch_pause: float = 0.02  # before the next watch, where nothing changed
+    backoff_first: float = 0.1  # the wait after a first failed call, before jitter
+    list_size: int = 8 * 1024 * 1024  # bytes of an endpoint list
+    list_rows: int = 128  # rows checked or applied in a row before others have their turn
+    figure: float = 1e9  # a greater value in a load report counts as none
+
+    # Draining, shutdown and hot restart.
+    change_over: float = 0.5  # clients are served as before for so long after SIGTERM or a drain
+    last_command: float = 1.8  # connections take commands for so long after a drain began
+    drain_idle: float = 0.25  # while draining, a connection that has only pinged is idle after this
+    shutdown_timeout: float = 15.0  # for clients that never disconnect
+    kill_after: float = 0.5  # all is answered so long, and the longest deadline, after SIGTERM
+    kill_longest: float = 3.0  # a longer deadline counts as this
+    hand_over: float = 3.0  # the predecessor has handed over its state by then
+    take_back: float = 0.5  # a connection that the successor has not received by then stays here
+    passed: int = 32 * 1024  # bytes of a command that go with a connection to the successor
+    packet: int = 256 * 1024  # one message between predecessor and successor
+    listed: float = 1.0  # the successor waits so long for an endpoint list before it takes over
+
+    # The management API.
+    callers: int = 8  # requests in progress
+    call: float = 5.0  # the time of one request
+    head: int = 8 * 1024  # its head
+    body: int = 1024 * 1024  # its body
+
+    # The log.
+    beat: float = 0.1  # a timer's period, by which a stall within a poll is noticed
+    figures: float = 1.0  # between log lines with counts
+    log_lines: int = 1000  # lines that wait for a slow reader; what exceeds them is dropped
 
     @classmethod
-    def of(cls, config):
-        """The limits that a configuration sets."""
-        told = config.settings
+    def of(cls, config: ProcessConfig) -> Self:
+        """Return the limits that a configuration sets."""
+        settings = config.settings
         return cls(
             sockets=config.sockets,
-            dial_timeout=told.dial_timeout,
-            host_idle_timeout=told.conn_idle / 2,
+            dial_timeout=settings.dial_timeout,
+            host_idle_timeout=settings.conn_idle / 2,
             host_floor=min(cls.host_floor, (config.sockets - cls.reserve) * 3 // 5),
-            streams=told.streams,
-            counter_timeout=told.counter_timeout,
-            unsent=int(min(cls.unsent, config.memory_mb * 2**20 / 64)),
-            waiting=int(min(cls.waiting, config.memory_mb * 2**20 / 8)),
+            streams=settings.streams,
+            counter_timeout=settings.counter_timeout,
+            unsent=int(min(cls.unsent, config.memory_mb * MEBIBYTE / UNSENT_SHARE_OF_MEMORY)),
+            waiting=int(min(cls.waiting, config.memory_mb * MEBIBYTE / WAITING_SHARE_OF_MEMORY)),
         )
 
-    def renewed(self, config):
-        """The same with what may change while the gateway runs."""
-        told = config.settings
+    def renewed(self, config: ProcessConfig) -> Self:
+        """Return these limits with those values that may change while the gateway runs."""
+        settings = config.settings
         return replace(
             self,
-            dial_timeout=told.dial_timeout,
-            host_idle_timeout=told.conn_idle / 2,
-            streams=told.streams,
-            counter_timeout=told.counter_timeout,
+            dial_timeout=settings.dial_timeout,
+            host_idle_timeout=settings.conn_idle / 2,
+            streams=settings.streams,
+            counter_timeout=settings.counter_timeout,
         )
 
-    def host_room(self, clients):
-        """How many connections to hosts leave room for so many clients."""
+    def host_room(self, clients: int) -> int:
+        """Return how many descriptors are left for connections to hosts beside so many clients."""
         return max(0, self.sockets - self.reserve - clients)
 
     @property
-    def once_room(self):
-        """How many clients that asked once may keep their connection for a while."""
+    def once_room(self) -> int:
+        """How many clients that sent one command may keep their connection for a while."""
         return self.sockets // 6
 
     @property
-    def client_room(self):
-        """How many clients may be connected: one more is taken where an idle one makes room for it."""
+    def client_room(self) -> int:
+        """How many clients may be connected.
+
+        One more is accepted where an idle client can be evicted for it.
+        """
         return self.sockets - self.reserve - self.host_floor
--- a/petrellane/net/resp.py
+++ b/petrellane/net/resp.py
@@ -1,24 +1,70 @@
-"""RESP2, parsed in place: what a parser gives are the spans of the parts in the buffer it was shown."""
+"""RESP2 codec. Commands and replies are parsed in place, without copies.
 
-BODY = 4  # the part of a command that may be long
+A parser returns spans, (start, stop) offsets into the buffer it was given, and None while the
+frame is incomplete; the caller keeps the buffer and calls again when more bytes have come. What is
+not RESP2, or exceeds the limits, raises `Malformed`.
+"""
 
+from typing import Final, NamedTuple
 
-class Malformed(Exception):
+from petrellane.net.limits import Limits
+
+Buffer = bytes | bytearray
+Span = tuple[int, int]  # start and stop of a value in its buffer
+
+BODY: Final = 4  # index of the one part of a command that may be longer than `limits.value`
+ARRAY: Final = ord("*")
+BULK_STRING: Final = ord("$")
+LINE_KINDS: Final = b"+-:"  # simple string, error, integer
+CRLF: Final = b"\r\n"
+NULL_LENGTH: Final = -1
+MAX_DIGITS: Final = 12  # of a length or a count
+
+
+class Malformed(Exception):  # noqa: N818 - the name that callers of all packages catch
     """Bytes that are not of the protocol, or more of them than the limits allow."""
 
 
-def line(buffer, at, limits):
-    """The end of the line that begins at `at`, without its CRLF; -1 when it is not all there."""
-    end = buffer.find(b"\r\n", at, at + limits.line)
-    if end < 0 and len(buffer) - at >= limits.line:
+class Command(NamedTuple):
+    """A complete command: the spans of its parts, and the offset just behind it."""
+
+    spans: list[Span]
+    end: int
+
+
+class Reply(NamedTuple):
+    """A complete reply.
+
+    `kind` is its type byte and `end` the offset just behind it. `content` is the span of a line or
+    a bulk string, None for a null, and for an array a list with the span of each bulk string and
+    None for any other item.
+    """
+
+    kind: int
+    content: Span | list[Span | None] | None
+    end: int
+
+
+class LongReplyHead(NamedTuple):
+    """The head of an array whose first item is long: its items, that item's length and start."""
+
+    items: int
+    length: int
+    start: int
+
+
+def _line_end(buffer: Buffer, start: int, limits: Limits) -> int:
+    """Return where the line from `start` ends, without its CRLF; -1 while it is incomplete."""
+    end = buffer.find(CRLF, start, start + limits.line)
+    if end < 0 and len(buffer) - start >= limits.line:
         raise Malformed("line too long")
     return end
 
 
-def whole(buffer, at, end):
-    """The number between the type byte at `at` and the line's end."""
-    digits = bytes(buffer[at + 1 : end])
-    if not digits.lstrip(b"-").isdigit() or len(digits) > 12:
+def _integer(buffer: Buffer, start: int, end: int) -> int:
+    """Return the number between the type byte at `start` and the end of its line."""
+    digits = bytes(buffer[start + 1 : end])
+    if not digits.lstrip(b"-").isdigit() or len(digits) > MAX_DIGITS:
         raise Malformed("bad number")
     try:
         return int(digits)
@@ -26,113 +72,155 @@
         raise Malformed("bad number") from None
 
 
-def bulk(buffer, at, limits, most=None):
-    """The span of the bulk string that begins at `at`, and where it ends with its CRLF. The span is None for
-    a null; the pair is None when it is not all there."""
-    end = line(buffer, at, limits)
+def _bulk_string(
+    buffer: Buffer, start: int, limits: Limits, max_length: int
+) -> tuple[Span | None, int] | None:
+    """Parse a bulk string.
+
+    Returns:
+        Its span, which is None for a null, and the offset behind its CRLF; None while it is
+        incomplete.
+    """
+    end = _line_end(buffer, start, limits)
     if end < 0:
         return None
-    length = whole(buffer, at, end)
-    if length == -1:
+    length = _integer(buffer, start, end)
+    if length == NULL_LENGTH:
         return None, end + 2
-    if not 0 <= length <= (most or limits.value):
-        raise Malformed(f"bulk string of {length} bytes, expected at most {most or limits.value}")
-    start, stop = end + 2, end + 2 + length
+    if not 0 <= length <= max_length:
+        raise Malformed(f"bulk string of {length} bytes, expected at most {max_length}")
+    first = end + 2
+    stop = first + length
     if len(buffer) < stop + 2:
         return None
-    if buffer[stop : stop + 2] != b"\r\n":
+    if buffer[stop : stop + 2] != CRLF:
         raise Malformed("bulk string of another length")
-    return (start, stop), stop + 2
+    return (first, stop), stop + 2
 
 
-def command(buffer, at, limits):
-    """The spans of a command's parts and its end; None when it is not all there."""
+def command(buffer: Buffer, at: int, limits: Limits) -> Command | None:
+    """Parse the command that begins at an offset.
+
+    Returns:
+        The command, or None while it is incomplete.
+
+    Raises:
+        Malformed: It is no array of bulk strings, or exceeds the limits.
+    """
+    array_head = _command_head(buffer, at, limits)
+    if array_head is None:
+        return None
+    count, position = array_head
+    spans: list[Span] = []
+    max_size = limits.frame + limits.long
+    for index in range(count):
+        if len(buffer) <= position:
+            return None
+        if buffer[position] != BULK_STRING:
+            raise Malformed("expected a bulk string")
+        max_length = limits.long if index == BODY else limits.value
+        part = _bulk_string(buffer, position, limits, max_length)
+        if part is None:
+            return None
+        span, position = part
+        if span is None:
+            raise Malformed("null in a command")
+        spans.append(span)
+        if position - at > max_size:
+            raise Malformed(f"command of more than {max_size} bytes")
+    return Command(spans, position)
+
+
+def _command_head(buffer: Buffer, at: int, limits: Limits) -> tuple[int, int] | None:
+    """Return the number of a command's parts and where the first begins; None while incomplete."""
     if len(buffer) <= at:
         return None
-    if buffer[at] != 0x2A:
+    if buffer[at] != ARRAY:
         raise Malformed("expected an array")
-    end = line(buffer, at, limits)
+    end = _line_end(buffer, at, limits)
     if end < 0:
         return None
-    count = whole(buffer, at, end)
+    count = _integer(buffer, at, end)
     if not 1 <= count <= limits.parts:
         raise Malformed(f"array of {count} parts, expected 1 to {limits.parts}")
-    spans, begin, at = [], at, end + 2
-    for _ in range(count):
-        if len(buffer) <= at:
-            return None
-        if buffer[at] != 0x24:
-            raise Malformed("expected a bulk string")
-        found = bulk(buffer, at, limits, limits.long if len(spans) == BODY else None)
-        if found is None:
-            return None
-        if found[0] is None:
-            raise Malformed("null in a command")
-        spans.append(found[0])
-        at = found[1]
-        if at - begin > limits.frame + limits.long:
-            raise Malformed(f"command of more than {limits.frame + limits.long} bytes")
-    return spans, at
+    return count, end + 2
+
+
+def answer(buffer: Buffer, at: int, limits: Limits) -> Reply | None:
+    """Parse the reply that begins at an offset.
 
+    Returns:
+        The reply, or None while it is incomplete.
 
-def answer(buffer, at, limits):
-    """An answer as (kind, content, end), kind being the type byte: the span of a line or a bulk string, None for a
-    null, or for an array a list of the spans of its bulk strings, None for any other item. None when it is not all
-    there."""
+    Raises:
+        Malformed: It is no reply, has an array within an array, or exceeds the limits.
+    """
     if len(buffer) <= at:
         return None
     kind = buffer[at]
-    if kind == 0x24:
-        found = bulk(buffer, at, limits)
-        return found and (kind, *found)
-    end = line(buffer, at, limits)
+    if kind == BULK_STRING:
+        value = _bulk_string(buffer, at, limits, limits.value)
+        return None if value is None else Reply(kind, value[0], value[1])
+    end = _line_end(buffer, at, limits)
     if end < 0:
         return None
-    if kind in b"+-:":
-        return kind, (at + 1, end), end + 2
-    if kind != 0x2A:
+    if kind in LINE_KINDS:
+        return Reply(kind, (at + 1, end), end + 2)
+    if kind != ARRAY:
         raise Malformed("bad type of answer")
-    count = whole(buffer, at, end)
-    if count == -1:
-        return kind, None, end + 2
+    count = _integer(buffer, at, end)
+    if count == NULL_LENGTH:
+        return Reply(kind, None, end + 2)
     if not 0 <= count <= limits.parts:
         raise Malformed(f"array of {count} parts, expected at most {limits.parts}")
-    items, begin, at = [], at, end + 2
+    return _array_items(buffer, at, end + 2, count, limits)
+
+
+def _array_items(
+    buffer: Buffer, begin: int, position: int, count: int, limits: Limits
+) -> Reply | None:
+    """Parse the items of an array reply that begins at `begin`, the first of them at `position`."""
+    items: list[Span | None] = []
     for _ in range(count):
-        found = answer(buffer, at, limits)
-        if found is None:
+        item = answer(buffer, position, limits)
+        if item is None:
             return None
-        if found[0] == 0x2A:
+        if item.kind == ARRAY:
             raise Malformed("array in an array")
-        items.append(found[1] if found[0] == 0x24 else None)
-        at = found[2]
-        if at - begin > limits.frame:
+        is_bulk_string = item.kind == BULK_STRING
+        items.append(item.content if is_bulk_string else None)  # type: ignore[arg-type]
+        position = item.end
+        if position - begin > limits.frame:
             raise Malformed(f"answer of more than {limits.frame} bytes")
-    return kind, items, at
+    return Reply(ARRAY, items, position)
 
 
-def long_answer(buffer, limits):
-    """The number of parts, the length of the first and where it begins, of an answer that begins with a value longer
-    than a short one; None for any other, and while that can't be told."""
-    if (
-        buffer[:1] != b"*"
-        or (end := line(buffer, 0, limits)) < 0
-        or buffer[end + 2 : end + 3] != b"$"
-    ):
+def long_answer(buffer: Buffer, limits: Limits) -> LongReplyHead | None:
+    """Parse the head of an array reply whose first item is longer than `limits.value`.
+
+    Returns:
+        The head; None for any other reply, and while the head is incomplete.
+
+    Raises:
+        Malformed: A line of the head is too long or holds no number.
+    """
+    if buffer[:1] != b"*":
         return None
-    stop = line(buffer, end + 2, limits)
+    end = _line_end(buffer, 0, limits)
+    if end < 0 or buffer[end + 2 : end + 3] != b"$":
+        return None
+    stop = _line_end(buffer, end + 2, limits)
     if stop < 0:
         return None
-    count, length = whole(buffer, 0, end), whole(buffer, end + 2, stop)
-    return (
-        (count, length, stop + 2)
-        if 1 <= count <= limits.parts and limits.value < length <= limits.long
-        else None
-    )
+    count = _integer(buffer, 0, end)
+    length = _integer(buffer, end + 2, stop)
+    if 1 <= count <= limits.parts and limits.value < length <= limits.long:
+        return LongReplyHead(count, length, stop + 2)
+    return None
 
 
-def words(*parts):
-    """A command from its parts."""
+def words(*parts: bytes) -> bytes:
+    """Encode a command of these parts."""
     return b"*%d\r\n" % len(parts) + b"".join(
         b"$%d\r\n%b\r\n" % (len(part), part) for part in parts
     )
--- a/petrellane/net/scheduler.py
+++ b/petrellane/net/scheduler.py
@@ -1,158 +1,247 @@
-"""Greenlets over select.poll: who waits for which descriptor, and which timer rings next."""
+"""Cooperative scheduler: greenlets over `select.poll`, with timers.
+
+One thread runs everything. Each turn polls the registered descriptors, calls what was registered
+for those that are ready, then fires the timers that are due, then makes the calls that were
+deferred to the end of the turn. An exception in one call is reported and does not stop the others.
+
+The scheduler also notices when the process stood still (it was stopped or swapped out, or a turn
+took long): what is read after that may have arrived long before, and who decides by arrival times
+has to know.
+"""
 
 import heapq
 import itertools
 import math
 import select
 import time
+from collections.abc import Callable
 
 import greenlet
 
+EventHandler = Callable[[int], object]  # called with a mask of poll events
+Clock = Callable[[], float]
+
+STALL_THRESHOLD = 0.05  # seconds without a poll that count as standing still
+MILLISECONDS = 1000
+ROUND_UP = 0.999  # a poll's milliseconds are rounded up, so that it never ends before a timer
+
 
 class Timer:
-    """A call that is due at some time; cancelling it is all that can be done to it."""
+    """One pending call of a scheduler, which may be cancelled until it is due."""
 
     __slots__ = ("call",)
 
-    def __init__(self, call):
-        self.call = call
+    def __init__(self, call: Callable[[], object]) -> None:
+        self.call: Callable[[], object] | None = call
 
-    def cancel(self):
+    def cancel(self) -> None:
+        """Drop the call; no effect once it was made."""
         self.call = None
 
 
 class Scheduler:
-    """One thread's greenlets. Descriptors are watched for as long as they are registered; what is ready is told
-    to the call that was registered with it. A greenlet that waits is resumed by such a call or by a timer."""
-
-    def __init__(self, monotonic=time.monotonic, still=0.05):
-        self.fault = print  # told of exceptions that nothing else caught
+    """The greenlets, descriptors and timers of one thread.
+
+    It is made by the thread that runs it and lives as long as the process. Descriptors are watched
+    from `register` to `unregister`. A greenlet that waits is resumed by a call or by a timer.
+
+    Attributes:
+        fault: Called with each exception that nothing else caught.
+        monotonic: The clock of timers, in seconds.
+        hub: The greenlet that runs the turns; a greenlet waits by switching to it.
+        calls: The handler of each registered descriptor.
+        ready: Calls deferred to the end of this turn.
+        running: Whether `run` goes on after this turn.
+        offset: Unix time minus the monotonic clock, taken once.
+        longest: The longest turn so far, without its poll, in seconds; the reader may reset it.
+    """
+
+    def __init__(self, monotonic: Clock = time.monotonic, still: float = STALL_THRESHOLD) -> None:
+        """Make a scheduler for this thread.
+
+        Args:
+            monotonic: Returns seconds that never go back.
+            still: Seconds between two polls that count as standing still.
+        """
+        self.fault: Callable[[Exception], object] = print
         self.monotonic = monotonic
         self.hub = greenlet.getcurrent()
         self.poll = select.poll()
-        self.calls = {}  # descriptor -> what to call with its events
-        self.urgent = set()  # descriptors whose events go first in a turn
-        self.timers, self.order = [], itertools.count()
-        self.ready = []  # calls for the end of this turn
+        self.calls: dict[int, EventHandler] = {}
+        self.ready: list[tuple[Callable[..., object], tuple[object, ...]]] = []
         self.running = False
         self.offset = time.time() - monotonic()
-        self.still, self.looked = (
-            still,
-            monotonic(),
-        )  # seconds that count as standing still; the last look
-        self.came = self.looked
-        self.longest = 0.0  # seconds that a turn has taken at most, its poll apart
-
-    def now(self):
-        """Unix time, anchored once and stepped by the monotonic clock."""
+        self.longest = 0.0
+        self._urgent: set[int] = set()  # descriptors whose events go first in a turn
+        self._timers: list[tuple[float, int, Timer]] = []  # a heap of (due time, order, timer)
+        self._timer_order = itertools.count()
+        self._stall_threshold = still
+        self._polled_at = monotonic()
+        # When what is read in this turn may have arrived first; infinite: just now.
+        self._earliest_arrival = self._polled_at
+
+    def now(self) -> float:
+        """Return Unix time in seconds, anchored once and advanced by the monotonic clock."""
         return self.offset + self.monotonic()
 
-    def since(self):
-        """Unix time at which what is read in this turn may have come: now, or where the process stood still (it was
-        stopped, swapped out, or a turn took long) when it last looked, as it can have come any time since."""
-        return self.offset + min(self.came, self.monotonic())
+    def since(self) -> float:
+        """Return the Unix time from which on what is read in this turn may have arrived.
+
+        That is now, or where the process stood still, the time of the poll before.
+        """
+        return self.offset + min(self._earliest_arrival, self.monotonic())
 
-    def stood_still(self):
-        """Whether what is read in this turn may have come some time ago."""
-        return self.came < math.inf
+    def stood_still(self) -> bool:
+        """Return whether what is read in this turn may have arrived some time ago."""
+        return self._earliest_arrival < math.inf
 
-    def unseen(self):
-        """Whether a peer may have left a while ago though no poll has told so: we stood still, or this turn takes long."""
-        return self.stood_still() or self.monotonic() - self.looked > self.still
+    def unseen(self) -> bool:
+        """Return whether a peer may have left a while ago although no poll has reported it.
 
-    def register(self, descriptor, events, call, urgent=False):
+        So it is where the process stood still, and where this turn takes long.
+        """
+        return self.stood_still() or self.monotonic() - self._polled_at > self._stall_threshold
+
+    def register(
+        self, descriptor: int, events: int, call: EventHandler, urgent: bool = False
+    ) -> None:
+        """Watch a descriptor.
+
+        Args:
+            descriptor: An open descriptor that is not registered.
+            events: A mask of poll events.
+            call: Called with the events that are ready, in each turn in which there are any.
+            urgent: Whether its events go before those of others in a turn.
+        """
         self.calls[descriptor] = call
         if urgent:
-            self.urgent.add(descriptor)
+            self._urgent.add(descriptor)
         self.poll.register(descriptor, events)
 
-    def modify(self, descriptor, events):
+    def modify(self, descriptor: int, events: int) -> None:
+        """Watch a registered descriptor for other events."""
         self.poll.modify(descriptor, events)
 
-    def unregister(self, descriptor):
+    def unregister(self, descriptor: int) -> None:
+        """Stop watching a descriptor.
+
+        Raises:
+            KeyError: It is not registered.
+        """
         del self.calls[descriptor]
-        self.urgent.discard(descriptor)
+        self._urgent.discard(descriptor)
         self.poll.unregister(descriptor)
 
-    def soon(self, call, *words):
+    def soon(self, call: Callable[..., object], *arguments: object) -> None:
         """Make a call at the end of this turn."""
-        self.ready.append((call, words))
+        self.ready.append((call, arguments))
 
-    def after(self, seconds, call):
-        """Make a call after some seconds."""
+    def after(self, seconds: float, call: Callable[[], object]) -> Timer:
+        """Make a call after some seconds; zero or less means in the next turn."""
         timer = Timer(call)
-        heapq.heappush(self.timers, (self.monotonic() + seconds, next(self.order), timer))
+        due = self.monotonic() + seconds
+        heapq.heappush(self._timers, (due, next(self._timer_order), timer))
         return timer
 
-    def spawn(self, call, *words):
+    def spawn(self, call: Callable[..., object], *arguments: object) -> None:
         """Run a call in a greenlet of its own, from the end of this turn."""
-        self.soon(greenlet.greenlet(call, self.hub).switch, *words)
+        self.soon(greenlet.greenlet(call, self.hub).switch, *arguments)
 
-    def wait(self, seconds=None):
-        """Park this greenlet until somebody switches to it; False when the time ran out first."""
+    def wait(self, seconds: float | None = None) -> bool:
+        """Suspend this greenlet until somebody switches to it.
+
+        Args:
+            seconds: How long at most; None means without end, zero until the next turn.
+
+        Returns:
+            False when the time ran out, or whoever resumed it switched with False.
+        """
         current = greenlet.getcurrent()
-        timer = self.after(seconds, lambda: current.switch(False)) if seconds is not None else None
-        woken = self.hub.switch()
+        timer = None
+        if seconds is not None:
+            timer = self.after(seconds, lambda: current.switch(False))
+        resumed_with = self.hub.switch()
         if timer:
             timer.cancel()
-        return woken is not False
+        return resumed_with is not False
 
-    def run(self):
-        """Serve until stopped."""
+    def run(self) -> None:
+        """Run turns until `stop`."""
         self.running = True
         while self.running:
             self.turn(self.pause())
 
-    def turn(self, most):
-        """Wait for at most so many milliseconds, then do all that is due."""
-        began, ready = self.monotonic(), self.poll.poll(most)
+    def stop(self) -> None:
+        """Let `run` return after this turn."""
+        self.running = False
+
+    def turn(self, timeout_ms: int | None) -> None:
+        """Poll, then do all that is due.
+
+        Args:
+            timeout_ms: Milliseconds to wait for events; None means without end.
+        """
+        began = self.monotonic()
+        events = self.poll.poll(timeout_ms)
         now = self.monotonic()
-        if began - self.looked > self.still:
-            self.came = self.looked
-        else:
-            self.came = (
-                began if most is not None and now - began > most / 1e3 + self.still else math.inf
-            )
-        self.looked = now
-        if self.urgent or any(
-            events & select.POLLRDHUP for _, events in ready
-        ):  # who has left is owed nothing more
-            ready.sort(key=lambda one: (not one[1] & select.POLLRDHUP, one[0] not in self.urgent))
-        for descriptor, events in ready:
-            call = self.calls.get(descriptor)
-            if call:
-                self.attempt(call, (events,))
-        self.ring()
+        self._note_stall(began, now, timeout_ms)
+        self._deliver(events)
+        self._fire_timers()
         while self.ready:
-            ready, self.ready = self.ready, []
-            for call, words in ready:
-                self.attempt(call, words)
+            ready = self.ready
+            self.ready = []
+            for call, arguments in ready:
+                self._call(call, arguments)
         self.longest = max(self.longest, self.monotonic() - now)
 
-    def stop(self):
-        self.running = False
-
-    def pause(self):
-        """Milliseconds until the next timer."""
-        while self.timers and self.timers[0][2].call is None:
-            heapq.heappop(self.timers)
+    def pause(self) -> int | None:
+        """Return the milliseconds until the next timer is due; None where there is none."""
+        while self._timers and self._timers[0][2].call is None:
+            heapq.heappop(self._timers)
         if self.ready:
             return 0
-        if not self.timers:
+        if not self._timers:
             return None
-        return max(0, int((self.timers[0][0] - self.monotonic()) * 1000 + 0.999))
+        seconds = self._timers[0][0] - self.monotonic()
+        return max(0, int(seconds * MILLISECONDS + ROUND_UP))
+
+    def _note_stall(self, began: float, now: float, timeout_ms: int | None) -> None:
+        """Note whether the process stood still between two polls, or within this one."""
+        if began - self._polled_at > self._stall_threshold:
+            self._earliest_arrival = self._polled_at
+        elif timeout_ms is not None and now - began > timeout_ms / 1e3 + self._stall_threshold:
+            self._earliest_arrival = began
+        else:
+            self._earliest_arrival = math.inf
+        self._polled_at = now
+
+    def _deliver(self, events: list[tuple[int, int]]) -> None:
+        """Call the handlers of descriptors that are ready.
 
-    def ring(self):
-        """Make the calls that are due; those they set for at once ring in the next turn."""
-        until, due = self.monotonic(), []
-        while self.timers and self.timers[0][0] <= until:
-            due.append(heapq.heappop(self.timers)[2])
+        Peers that have left go first, as nothing more is owed to them, then urgent descriptors.
+        """
+        if self._urgent or any(mask & select.POLLRDHUP for _, mask in events):
+            events.sort(
+                key=lambda event: (not event[1] & select.POLLRDHUP, event[0] not in self._urgent)
+            )
+        for descriptor, mask in events:
+            call = self.calls.get(descriptor)
+            if call:  # a call before it in this turn may have unregistered it
+                self._call(call, (mask,))
+
+    def _fire_timers(self) -> None:
+        """Make the calls that are due; a timer that one of them sets fires in the next turn."""
+        until = self.monotonic()
+        due = []
+        while self._timers and self._timers[0][0] <= until:
+            due.append(heapq.heappop(self._timers)[2])
         for timer in due:
             if timer.call:
-                self.attempt(timer.call, ())
+                self._call(timer.call, ())
 
-    def attempt(self, call, words):
+    def _call(self, call: Callable[..., object], arguments: tuple[object, ...]) -> None:
+        """Make a call; what it raises concerns one peer and must not reach the others."""
         try:
-            call(*words)
-        except Exception as error:  # one peer's trouble is not the others'
+            call(*arguments)
+        except Exception as error:
             self.fault(error)
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -1,21 +1,42 @@
-"""A non-blocking socket with a buffer for what came and one for what could not be written yet."""
+"""Non-blocking TCP and Unix sockets with a read buffer and a write queue.
 
+A `Stream` is read by one greenlet, which waits in `fill`, and written by anybody without waiting.
+Listening sockets are made by `listening` and emptied by `accepted`. Framing is left to the codecs.
+"""
+
+import contextlib
 import errno
 import itertools
 import select
 import socket
 from collections import deque
+from collections.abc import Callable, Iterator
+from typing import Any, Self
 
 import greenlet
 
+from petrellane.net.limits import Limits
+from petrellane.net.scheduler import Scheduler
+
+Address = tuple[str, int]
+
 READ = select.POLLIN
 WRITE = select.POLLOUT
-LEFT = select.POLLRDHUP  # the peer sends no more, told also while there is more to read
+LEFT = select.POLLRDHUP  # the peer sends no more; reported also while there is more to read
+OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+
+
+def listening(address: Address, backlog: int | None) -> socket.socket:
+    """Make a non-blocking socket that listens at an address.
 
+    Args:
+        address: Where to listen.
+        backlog: Connections that may wait to be accepted; None means that the address is only
+            bound, and whoever connects is refused.
 
-def listening(address, backlog):
-    """A socket that listens at an address and never waits, or one that is only bound there and refuses whoever comes, where
-    the backlog is None; raises OSError where that can't be."""
+    Raises:
+        OSError: The address cannot be bound.
+    """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -29,102 +50,162 @@
     return sock
 
 
-def accepted(listener, most, make_way):
-    """The connections that wait at a listening socket, at most so many; `make_way` is told where none can be taken as
-    no descriptor is left."""
-    for _ in range(most):
+def accepted(
+    listener: socket.socket, max_count: int, on_out_of_descriptors: Callable[[OSError], object]
+) -> Iterator[socket.socket]:
+    """Accept the connections that wait at a listening socket.
+
+    Args:
+        listener: A non-blocking listening socket.
+        max_count: How many to accept at most.
+        on_out_of_descriptors: Called where a connection waits and no descriptor is left for it.
+
+    Yields:
+        Each connection.
+    """
+    for _ in range(max_count):
         try:
             yield listener.accept()[0]
         except BlockingIOError:
             return
-        except OSError as trouble:
-            if trouble.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                make_way(trouble)
+        except OSError as error:
+            if error.errno in OUT_OF_DESCRIPTORS:
+                on_out_of_descriptors(error)
             return
 
 
-class Closed(Exception):
+class Closed(Exception):  # noqa: N818 - the end of a connection is no error of the program
     """The peer has ended the connection, or it broke."""
 
 
 class Ended(Closed):
-    """The peer has ended its sending in order, and all that it sent is read; a reset is no such end."""
+    """The peer has ended its sending in order, and all of it is read; a reset is no such end."""
 
 
 class Stream:
-    """A connection. One greenlet reads from it; anybody may write, which never waits. With `leaves`, a peer that ends its
-    sending has left: the stream breaks at once, whatever is still to be read, and also while nothing is read."""
-
-    def __init__(self, scheduler, limits, sock, urgent=False, leaves=False):
-        self.scheduler, self.limits, self.sock = scheduler, limits, sock
-        self.always = LEFT if leaves else 0
-        self.buffer = bytearray()  # read and not yet consumed
-        self.unsent = deque()  # to be written
-        self.queued = self.sent = 0  # bytes handed over for writing, and written, in all
-        self.reader, self.dialing, self.broken = None, False, None
-        self.unread = False  # broken as it was written to: what came before is still there
-        self.relief = None  # told when bytes have been written
-        self.in_row = 0  # reads since it last had nothing
-        self.deserted = (
-            None  # told when it breaks while nobody reads, as who does waits for something else
-        )
-        self.held = False  # nothing is read for a while, however much comes
-        self.finishing = False  # our sending ends once all is written
+    """One connection, from `dial` or an accepted socket until `close` or `release`.
+
+    Attributes:
+        scheduler: The scheduler that watches the socket.
+        limits: Sizes and counts of the reads and writes.
+        sock: The socket, which the stream owns.
+        buffer: Bytes read and not yet consumed; the reader deletes what it consumes.
+        unsent: Buffers that the socket has not taken yet.
+        queued: Bytes handed over for writing so far.
+        sent: Bytes written so far.
+        reader: The greenlet that waits for bytes, if one does.
+        broken: Why the stream is over; None while it is not.
+        unread: Whether it broke while writing, so that bytes that came before may still be read.
+        relief: Called after bytes have been written, if set.
+        deserted: Called when the stream breaks while nobody reads, if set.
+        held: Whether reading is suspended.
+        finishing: Whether our sending ends once all is written.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        limits: Limits,
+        sock: socket.socket,
+        urgent: bool = False,
+        leaves: bool = False,
+    ) -> None:
+        """Take over a socket and watch it.
+
+        Args:
+            scheduler: The scheduler that watches the socket.
+            limits: Sizes and counts of the reads and writes.
+            sock: An open socket; it is made non-blocking.
+            urgent: Whether its events go before those of others in a turn.
+            leaves: Whether a peer that ends its sending has left: the stream breaks at once, also
+                while there is more to read and while nobody reads.
+        """
+        self.scheduler = scheduler
+        self.limits = limits
+        self.sock = sock
+        self.buffer = bytearray()
+        self.unsent: deque[memoryview] = deque()
+        self.queued = 0
+        self.sent = 0
+        self.reader: Any = None  # a greenlet
+        self.broken: Closed | None = None
+        self.unread = False
+        self.relief: Callable[[], object] | None = None
+        self.deserted: Callable[[], object] | None = None
+        self.held = False
+        self.finishing = False
+        self._always = LEFT if leaves else 0
+        self._dialing = False
+        self._reads_in_row = 0  # since the socket last had nothing
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.events = READ | self.always
-        scheduler.register(sock.fileno(), self.events, self.on_events, urgent)
+        self._watched_events = READ | self._always
+        scheduler.register(sock.fileno(), self._watched_events, self._on_events, urgent)
 
     @classmethod
-    def dial(cls, scheduler, limits, address, timeout):
-        """A stream to an address; raises OSError when it does not come up in time."""
+    def dial(cls, scheduler: Scheduler, limits: Limits, address: Address, timeout: float) -> Self:
+        """Connect to an address; the calling greenlet waits.
+
+        Args:
+            scheduler: The scheduler that watches the socket.
+            limits: Sizes and counts of the reads and writes.
+            address: Where to connect.
+            timeout: Seconds until the attempt is given up.
+
+        Raises:
+            OSError: The connection is not up in time (TimeoutError), or is refused.
+        """
         stream = cls(scheduler, limits, socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         try:
-            stream.connect(address, timeout)
+            stream._connect(address, timeout)
         except OSError:
             stream.close()
             raise
         return stream
 
-    def connect(self, address, timeout):
+    def _connect(self, address: Address, timeout: float) -> None:
         try:
             self.sock.connect(address)
-            return
         except BlockingIOError:
-            pass
-        self.dialing = True
-        self.watch(WRITE)
+            self._wait_connected(timeout)
+
+    def _wait_connected(self, timeout: float) -> None:
+        self._dialing = True
+        self._watch(WRITE)
         self.reader = greenlet.getcurrent()
         in_time = self.scheduler.wait(timeout)
-        self.reader, self.dialing = None, False
+        self.reader = None
+        self._dialing = False
         if not in_time:
             raise TimeoutError("no connection in time")
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
             raise OSError(error, "no connection")
         self.sock.getpeername()  # raises where it is not up after all
-        self.watch(READ)
+        self._watch(READ)
 
-    def watch(self, events):
-        if events != self.events and self.sock.fileno() >= 0:
-            self.events = events
+    def _watch(self, events: int) -> None:
+        if events != self._watched_events and self.sock.fileno() >= 0:
+            self._watched_events = events
             self.scheduler.modify(self.sock.fileno(), events)
 
-    def hold(self, held=True):
-        """Read nothing for a while, or again."""
-        self.held = held
-        self.watch(self.wanted())
+    def _wanted_events(self) -> int:
+        reading = 0 if self.held else READ
+        writing = WRITE if self.unsent else 0
+        return reading | writing | self._always
 
-    def wanted(self):
-        return (0 if self.held else READ) | (WRITE if self.unsent else 0) | self.always
+    def hold(self, held: bool = True) -> None:
+        """Suspend reading, or resume it; meanwhile the kernel slows the peer down."""
+        self.held = held
+        self._watch(self._wanted_events())
 
-    def on_events(self, events):
-        if events & self.always or self.held and events & ~(READ | WRITE):
+    def _on_events(self, events: int) -> None:
+        if events & self._always or (self.held and events & ~(READ | WRITE)):
             self.sock_failed()
-            self.wake()
+            self._wake()
             return
-        if not self.dialing:
+        if not self._dialing:
             if events & WRITE:
                 self.flush()
             if not events & ~WRITE:
@@ -132,41 +213,60 @@
         if self.reader:
             self.reader.switch()
 
-    def fill(self, timeout=None):
-        """Wait for more bytes; Closed when there will be none, TimeoutError when none came in time. Others have their turn
-        in between, however fast the peer sends."""
+    def fill(self, timeout: float | None = None) -> None:
+        """Wait for more bytes and append them to `buffer`.
+
+        Args:
+            timeout: Seconds to wait at most; None means without end. Others have their turn in
+                between, however fast the peer sends.
+
+        Raises:
+            Closed: There will be no more (`Ended` where the peer ended its sending in order).
+            TimeoutError: Nothing came in time.
+        """
         while True:
             if self.broken and not self.unread:
                 raise self.broken
-            try:
-                data = None if self.held else self.sock.recv(self.limits.receive)
-            except BlockingIOError:
-                data = None
-            except OSError as error:
-                raise Closed(str(error)) from None
+            data = self._receive()
             if data is None:
-                self.in_row = 0
-                if self.broken:
-                    raise self.broken
-                self.reader = greenlet.getcurrent()
-                in_time = self.scheduler.wait(timeout)
-                self.reader = None
-                if not in_time:
-                    raise TimeoutError("nothing came in time")
+                self._wait_readable(timeout)
                 continue
-            if (
-                not data
-            ):  # where a write has found a reset, reading on finds an end, which it is not
+            if not data:
+                # Where a write has found a reset, a read finds an end, which it is not.
                 raise self.broken or Ended("ended by the peer")
             self.buffer += data
-            self.in_row += 1
-            if self.in_row >= self.limits.reads:
-                self.in_row = 0
+            self._reads_in_row += 1
+            if self._reads_in_row >= self.limits.reads:
+                self._reads_in_row = 0
                 self.scheduler.wait(0)
             return
 
-    def write(self, *pieces):
-        """Write these buffers behind what waits; what the socket does not take now is written later."""
+    def _receive(self) -> bytes | None:
+        """Return what the socket has, empty at the peer's end; None where it has nothing now."""
+        if self.held:
+            return None
+        try:
+            return self.sock.recv(self.limits.receive)
+        except BlockingIOError:
+            return None
+        except OSError as error:
+            raise Closed(str(error)) from None
+
+    def _wait_readable(self, timeout: float | None) -> None:
+        self._reads_in_row = 0
+        if self.broken:
+            raise self.broken
+        self.reader = greenlet.getcurrent()
+        in_time = self.scheduler.wait(timeout)
+        self.reader = None
+        if not in_time:
+            raise TimeoutError("nothing came in time")
+
+    def write(self, *pieces: bytes | bytearray | memoryview) -> None:
+        """Write buffers behind what is queued; what the socket does not take is written later.
+
+        A peer that leaves too much unread, or is gone, breaks the stream, which its reader learns.
+        """
         if self.unsent and self.queued - self.sent > self.limits.unsent:
             self.fail("the peer reads nothing")
             return
@@ -174,74 +274,86 @@
             if len(piece):  # an empty one would never be gone: the socket takes nothing of it
                 self.unsent.append(memoryview(piece))
                 self.queued += len(piece)
-        if not self.dialing and not self.events & WRITE:
+        if not self._dialing and not self._watched_events & WRITE:
             self.flush()
 
-    def flush(self):
+    def flush(self) -> None:
+        """Write what the socket takes now."""
         try:
             while self.unsent:
-                taken = self.sock.sendmsg(list(itertools.islice(self.unsent, self.limits.gathered)))
-                self.sent += taken
-                while taken:
-                    piece = self.unsent[0]
-                    if taken < len(piece):
-                        self.unsent[0] = piece[taken:]
-                        break
-                    taken -= len(self.unsent.popleft())
+                self._send_some()
         except BlockingIOError:
             pass
         except OSError as error:
-            self.unread = not self.always
+            self.unread = not self._always
             self.fail(str(error))
-        self.watch(self.wanted())
+        self._watch(self._wanted_events())
         if self.finishing and not self.unsent:
             self.shut()
         if self.relief:
             self.relief()
 
-    def sock_failed(self):
-        """Both ways are over: the poll would tell it at once again, for as long as nobody reads."""
+    def _send_some(self) -> None:
+        """Hand queued buffers to the socket once and drop what it took from the queue."""
+        taken = self.sock.sendmsg(list(itertools.islice(self.unsent, self.limits.gathered)))
+        self.sent += taken
+        while taken:
+            piece = self.unsent[0]
+            if taken < len(piece):
+                self.unsent[0] = piece[taken:]
+                break
+            taken -= len(self.unsent.popleft())
+
+    def sock_failed(self) -> None:
+        """Break the stream and stop watching it.
+
+        Both directions are over, and each poll would report so again for as long as nobody reads.
+        """
         self.scheduler.unregister(self.sock.fileno())
         self.fail("ended by the peer")
 
-    def bound(self, option):
-        """Let the kernel hold no more of a long value than we would: it counts as ours, and grows to megabytes."""
-        try:
+    def bound(self, option: int) -> None:
+        """Limit a buffer of the kernel to the window of a long value.
+
+        The kernel's memory counts as the process's, and grows to megabytes.
+
+        Args:
+            option: SO_RCVBUF or SO_SNDBUF.
+        """
+        with contextlib.suppress(OSError):  # the connection is over, which its reader learns
             self.sock.setsockopt(socket.SOL_SOCKET, option, self.limits.window)
-        except OSError:  # it is over, which its reader learns
-            pass
 
-    def detach(self):
-        """Give the socket to somebody else: nothing of it is watched or written here any more."""
+    def detach(self) -> None:
+        """Stop watching and writing the socket, which is handed to somebody else."""
         if self.sock.fileno() in self.scheduler.calls:
             self.scheduler.unregister(self.sock.fileno())
 
-    def attach(self):
-        """Take it back."""
-        self.events = self.wanted()
-        self.scheduler.register(self.sock.fileno(), self.events, self.on_events)
+    def attach(self) -> None:
+        """Watch the socket again after `detach`."""
+        self._watched_events = self._wanted_events()
+        self.scheduler.register(self.sock.fileno(), self._watched_events, self._on_events)
 
-    def fail(self, reason):
-        """Writing is over: the reader learns of it, whoever writes need not."""
+    def fail(self, reason: str) -> None:
+        """Break the stream; its reader learns of it at the end of this turn."""
         self.unsent.clear()
         if not self.broken:
             self.broken = Closed(reason)
-            self.scheduler.soon(self.wake)
+            self.scheduler.soon(self._wake)
 
-    def wake(self):
+    def _wake(self) -> None:
         if self.reader:
             self.reader.switch()
         elif self.deserted:
             self.deserted()
 
-    def left(self):
-        """Whether the peer has left, though no poll has told so yet."""
+    def left(self) -> bool:
+        """Return whether the peer has left, also where no poll has reported it yet."""
         poll = select.poll()
         poll.register(self.sock.fileno(), LEFT)
         return bool(poll.poll(0))
 
-    def quiet(self):
-        """Whether the peer has neither sent nor ended anything that we have not read."""
+    def quiet(self) -> bool:
+        """Return whether the peer has neither sent nor ended anything that is not read yet."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -250,35 +362,37 @@
             pass
         return False
 
-    def finish(self):
+    def finish(self) -> None:
         """End our sending once all is written; what the peer still sends can be read."""
         self.finishing = True
         if not self.unsent:
             self.shut()
 
-    def shut(self):
-        try:
+    def shut(self) -> None:
+        """End our sending at once."""
+        with contextlib.suppress(OSError):  # the connection is over, or was never up
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError:  # it is over, or was never up
-            pass
 
-    def close(self):
-        """End the connection at once; its reader, if another greenlet, ends with Closed. Our end goes out first and what
-        has come is passed over: a close over bytes that are not read would be a reset, which takes with it what the kernel
-        still holds of our last ones."""
+    def close(self) -> None:
+        """End the connection at once; its reader, if another greenlet, ends with Closed.
+
+        Our end goes out first, and what has come is discarded: closing a socket with unread bytes
+        is a reset, which takes with it what the kernel still holds of our last ones.
+        """
         if self.sock.fileno() < 0:
             return
         self.shut()
-        try:
+        with contextlib.suppress(OSError):  # nothing more has come
             for _ in range(self.limits.passed_over):
                 if not self.sock.recv(self.limits.receive):
                     break
-        except OSError:  # nothing more has come
-            pass
         self.release()
 
-    def release(self):
-        """Let go of a socket that is over here, or that another process has now: nothing is said to the peer."""
+    def release(self) -> None:
+        """Close our descriptor without a word to the peer.
+
+        For a socket that is over, or that another process has now.
+        """
         if self.sock.fileno() < 0:
             return
         self.detach()
