--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -118,10 +118,10 @@
             "pushed_for_the_change": pushed,
             "answers": counts,
             "broken": verdict.counts,
-            "first_breaks": [one.text for one in verdict.broken[:4]],
+            "first_breaks": [one.text for one in verdict.violations[:4]],
             "of_the_first": [
                 line
-                for one in verdict.broken[:2]
+                for one in verdict.violations[:2]
                 for rpc in one.rpcs
                 for line in lab.records.about(rpc)
             ],
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -59,20 +59,20 @@
 
     def take(self, record):
         kind = type(record)
-        if kind is invariants.Up:
+        if kind is invariants.EndpointStarted:
             self.ups[record.host], self.capacity[record.host] = record.at, record.capacity
             self.loads[record.host].clear()
-        elif kind is invariants.Told:
+        elif kind is invariants.EndpointNotified:
             self.told[record.gateway, record.host] = record.up_since
-        elif kind is invariants.Life and record.event == "killed":
+        elif kind is invariants.GatewayLifecycle and record.event == "killed":
             self.told = {
                 pair: since for pair, since in self.told.items() if pair[0] != record.gateway
             }
-        elif kind is invariants.Received:
+        elif kind is invariants.AttemptArrived:
             self.received(record)
-        elif kind is invariants.Ran and (record.rpc, record.host) in self.begun:
+        elif kind is invariants.RpcExecuted and (record.rpc, record.host) in self.begun:
             self.took.append(record.at - self.begun.pop((record.rpc, record.host)))
-        elif kind is invariants.Answered and self.any_cold(record.at):
+        elif kind is invariants.RpcAnswered and self.any_cold(record.at):
             self.answers[record.answer] += 1
 
     def any_cold(self, at):
@@ -94,7 +94,7 @@
         ratio = (
             work
             / terms.mean_work
-            / terms.cold_calls(age, self.capacity[record.host], terms.mean_work)
+            / terms.cold_budget(age, self.capacity[record.host], terms.mean_work)
         )
         span = record.host, up, int(age / terms.overload_for)
         if ratio > self.most.get(span, 0.0):
--- a/benchmarks/left.py
+++ b/benchmarks/left.py
@@ -90,11 +90,11 @@
             rpc = left.popleft()[1]
             waited |= {rpc} if not out.get(rpc) and rpc not in over else set()
         rpc = getattr(record, "rpc", None)
-        if type(record) is invariants.Answered:
+        if type(record) is invariants.RpcAnswered:
             over.add(rpc)
-        elif type(record) is invariants.Sent:
+        elif type(record) is invariants.AttemptSent:
             out[rpc] = out.get(rpc, 0) + 1
-        elif type(record) is invariants.Ended:
+        elif type(record) is invariants.AttemptEnded:
             out[rpc] = max(0, out.get(rpc, 0) - 1)
     return waited
 
@@ -193,7 +193,7 @@
         after = lab.records.sent_after
         late = [(rpc, number) for rpc, number, took in after if took > CROSSED]
         for rpc in sorted(
-            {rpc for rpc, _ in late} | {rpc for one in verdict.broken for rpc in one.rpcs}
+            {rpc for rpc, _ in late} | {rpc for one in verdict.violations for rpc in one.rpcs}
         ):
             print(
                 rpc,
@@ -201,7 +201,7 @@
                 *lab.records.about(rpc),
                 sep="\n    ",
             )
-        for one in verdict.broken:
+        for one in verdict.violations:
             print(f"{one.at:8.3f} {one.rule}: {one.text}")
         return {
             "seed": seed,
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -251,7 +251,7 @@
             "void": lab.void,
         }
         print(machine)
-        for broken in verdict.broken[:3]:
+        for broken in verdict.violations[:3]:
             print(
                 broken.text,
                 *(line for rpc in broken.rpcs for line in lab.records.about(rpc)),
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -22,7 +22,7 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from petrellane.invariants import Told  # noqa: E402
+from petrellane.invariants import EndpointNotified  # noqa: E402
 from petrellane.simulation.fleet import Fleet  # noqa: E402
 from petrellane.simulation.scenario import read  # noqa: E402
 from petrellane.testbed.fakes import Discovery  # noqa: E402
@@ -214,7 +214,7 @@
     fleet = Fleet(scenario(seed, gateways, trouble, rate), keep=True)
     run, back, first = fleet.play(), 10.0 if trouble == "turned away" else 10.0 + TOGETHER, {}
     for record in run.records:
-        if type(record) is Told and record.state == "draining":
+        if type(record) is EndpointNotified and record.state == "draining":
             first.setdefault((record.gateway, record.host), record.at)
     took = [first.get((node.name, f"h{host}")) for node in fleet.nodes for host in range(4)]
     took = [at and at - max(back, 14.0 + number % 4) for number, at in enumerate(took)]
--- a/petrellane/load_distribution/sources.py
+++ b/petrellane/load_distribution/sources.py
@@ -58,13 +58,13 @@
         *({"host": host, "capacity": size} for host, size in (capacities or {}).items()),
     ]
     for one in records:
-        if type(one) is invariants.Sent:
+        if type(one) is invariants.AttemptSent:
             rows.append({"at": round(one.at, 6), "by": one.gateway, "sent": one.host})
-        elif type(one) is invariants.Told:
+        elif type(one) is invariants.EndpointNotified:
             rows.append(
                 {"at": round(one.at, 6), "by": one.gateway, "told": one.host, "state": one.state}
             )
-        elif type(one) is invariants.Life and one.event == "killed":
+        elif type(one) is invariants.GatewayLifecycle and one.event == "killed":
             rows.append({"at": round(one.at, 6), "killed": one.gateway})
     pathlib.Path(path).write_bytes(b"\n".join(map(orjson.dumps, [*rows, {"end": end}])) + b"\n")
 
@@ -74,10 +74,10 @@
     has it as ready."""
     found, knows, begun = Told(since, until), {}, {}
     for one in records:
-        if type(one) is invariants.Sent:
+        if type(one) is invariants.AttemptSent:
             if since <= one.at < until:
                 found.sent.append((one.at, one.gateway, one.host, 1))
-        elif type(one) is invariants.Told:
+        elif type(one) is invariants.EndpointNotified:
             states = knows.setdefault(one.host, {})
             states[one.gateway] = one.state == invariants.READY
             if all(states.values()):
@@ -86,7 +86,7 @@
                 found.ready.setdefault(one.host, []).append(
                     (begun.pop(one.host), one.at, capacity(one.host))
                 )
-        elif type(one) is invariants.Life and one.event == "killed":
+        elif type(one) is invariants.GatewayLifecycle and one.event == "killed":
             for states in knows.values():
                 states.pop(one.gateway, None)
     for host, at in begun.items():
@@ -148,13 +148,13 @@
     if at is None:
         return None
     if isinstance(row.get("killed"), str):
-        return invariants.Life(at, row["killed"], "killed")
+        return invariants.GatewayLifecycle(at, row["killed"], "killed")
     if not isinstance(row.get("by"), str):
         return None
     if isinstance(row.get("sent"), str):
-        return invariants.Sent(at, row["by"], None, 0, row["sent"])
+        return invariants.AttemptSent(at, row["by"], None, 0, row["sent"])
     if isinstance(row.get("told"), str) and row.get("state") in STATES:
-        return invariants.Told(at, row["by"], row["told"], row["state"], 0.0)
+        return invariants.EndpointNotified(at, row["by"], row["told"], row["state"], 0.0)
     return None
 
 
--- a/petrellane/simulation/baselines.py
+++ b/petrellane/simulation/baselines.py
@@ -1,4 +1,4 @@
-"""Other ways to choose a host, behind the module's interface: what the model plays beside it, judged by the same referee.
+"""Other ways to choose a host, behind the module's interface: what the model plays beside it, judged by the same invariant checker.
 
 Each is written from its published description, as plainly as it goes, and decides which host alone: nothing is pushed back
 for pressure, there is no quota, and a further call-out follows only an outcome that proves that the one before never ran.
--- a/petrellane/simulation/clients.py
+++ b/petrellane/simulation/clients.py
@@ -1,7 +1,7 @@
 """Clients, who keep to the protocol, and the front that deals their RPCs out, late to notice that a gateway has died."""
 
 from petrellane.decisions import types as api
-from petrellane.invariants import ABORTED, OK, PUSHED_BACK
+from petrellane.invariants import ABORTED, OK, REJECTED
 from petrellane.simulation.event_queue import chance
 
 
@@ -158,7 +158,7 @@
             or method.effect == api.DEDUPLICATED
             and method.key_scope == "all"
         )
-        if answer == PUSHED_BACK or answer == ABORTED and repeats:
+        if answer == REJECTED or answer == ABORTED and repeats:
             self.again(call, max(0.02, wait), False)
 
     def again(self, call, pause, free):
--- a/petrellane/simulation/fleet.py
+++ b/petrellane/simulation/fleet.py
@@ -6,7 +6,14 @@
 
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
-from petrellane.invariants import Ceiling, MethodRule, Referee, Remains, Terms, Verdict
+from petrellane.invariants import (
+    HardLimit,
+    InvariantChecker,
+    MethodRule,
+    StateRetained,
+    Terms,
+    Verdict,
+)
 from petrellane.simulation.clients import Figures, Source
 from petrellane.simulation.counter import Counter
 from petrellane.simulation.discovery import Discovery
@@ -93,7 +100,7 @@
         )
         self.machines = [Machine(self, number) for number in range(world.hosts)]
         self.machines_by_name = {machine.name: machine for machine in self.machines}
-        self.referee = Referee(self.terms())
+        self.checker = InvariantChecker(self.terms())
         self.counter, self.discovery = Counter(self), Discovery(self)
         self.nodes = [Node(self, number) for number in range(world.gateways)]
         self.twins, self.down_at = {}, {}
@@ -112,8 +119,8 @@
             methods={
                 one.name: MethodRule(one.effect, one.scope, one.window) for one in self.methods_told
             },
-            ceilings={
-                one.name: Ceiling(
+            hard_limits={
+                one.name: HardLimit(
                     one.ceiling_rate,
                     one.ceiling_burst,
                     one.ceiling_slack + one.ceiling_rate * beside,
@@ -132,8 +139,8 @@
         )
 
     def note(self, record):
-        """Hand a record to the referee, and keep it where a person will read the run."""
-        self.referee.take(record)
+        """Hand a record to the invariant checker, and keep it where a person will read the run."""
+        self.checker.observe(record)
         if self.records is not None:
             self.records.append(record)
 
@@ -204,9 +211,9 @@
         self.heap.run(end)
         for node in self.living() if not getattr(self.module, "sees_node", False) else ():
             for kind, count in remains(node).items():
-                self.note(Remains(end, node.name, kind, count))
+                self.note(StateRetained(end, node.name, kind, count))
         return Run(
-            self.scenario, self.referee.close(end), self.figures.summary(), self.records, self.trace
+            self.scenario, self.checker.close(end), self.figures.summary(), self.records, self.trace
         )
 
 
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -6,14 +6,14 @@
 from petrellane.invariants import (
     ABORTED,
     OK,
-    PUSHED_BACK,
-    Answered,
-    Ended,
-    Left,
-    Life,
-    Sent,
-    Taken,
-    Told,
+    REJECTED,
+    AttemptEnded,
+    AttemptSent,
+    ClientDisconnected,
+    EndpointNotified,
+    GatewayLifecycle,
+    RpcAnswered,
+    RpcReceived,
 )
 from petrellane.operation import hot_restart
 from petrellane.simulation.event_queue import chance
@@ -72,7 +72,7 @@
         self.gateway = self.fleet.module(
             seed=self.rng.getrandbits(60), zone=f"z{self.zone}", **self.fleet.settings, **more
         )
-        self.note(Life, "started")
+        self.note(GatewayLifecycle, "started")
         self.carry(self.gateway.start(self.clock()))
         self.listed(True, self.fleet.discovery.stale())
         self.fleet.discovery.watch(self)
@@ -84,7 +84,7 @@
         self.alive, self.life, self.gateway = False, self.life + 1, None
         held, self.open = list(self.open.values()), {}
         waiting, self.queue = self.queue, []
-        self.note(Life, "killed")
+        self.note(GatewayLifecycle, "killed")
         self.fleet.died(self)
         for pending in self.pending_attempts:
             pending.given_up = True
@@ -120,13 +120,13 @@
     def pause(self):
         if self.alive and not self.paused:
             self.paused, self.stood = True, self.clock()
-            self.note(Life, "paused")
+            self.note(GatewayLifecycle, "paused")
 
     def resume(self):
         """Go on: all that came meanwhile is read now, in its order."""
         if self.alive and self.paused:
             self.paused = False
-            self.note(Life, "resumed")
+            self.note(GatewayLifecycle, "resumed")
             waiting, self.queue = self.queue, []
             for call, words in waiting:
                 call(*words)
@@ -154,10 +154,10 @@
             listings.append(
                 api.EndpointEvent(host, f"z{machine.zone}", "", machine.pod, state, 1.0, since)
             )
-            self.note(Told, machine.name, state, 0.0 if up_since is None else up_since)
+            self.note(EndpointNotified, machine.name, state, 0.0 if up_since is None else up_since)
         if full:
             for name in self.hosts.keys() - named:
-                self.note(Told, name, api.GONE, 0.0)
+                self.note(EndpointNotified, name, api.GONE, 0.0)
         self.carry(self.gateway.on_endpoint_events(self.clock(), full, listings))
         self.hosts = {
             name: host
@@ -195,7 +195,7 @@
         """The last byte of an RPC is here; a process that stands still has it all the same."""
         call = one.call
         self.note(
-            Taken,
+            RpcReceived,
             one.rpc,
             call.customer.name,
             call.customer.plan,
@@ -209,7 +209,7 @@
         """The client has closed its connection."""
         for rpc, other in self.open.items():
             if other is one:
-                self.note(Left, one.rpc)
+                self.note(ClientDisconnected, one.rpc)
                 del self.open[rpc]
                 self.carry(self.gateway.on_client_disconnected(self.clock(), rpc))
                 return
@@ -223,7 +223,7 @@
         pending.done = pending.given_up = True
         del self.pending_attempts[pending]
         rpc, now = pending.attempt.rpc, self.clock()
-        self.note(Ended, pending.rpc, pending.number, outcome)
+        self.note(AttemptEnded, pending.rpc, pending.number, outcome)
         if outcome == api.OK:
             self.finish(rpc, OK)
         self.carry(
@@ -262,9 +262,9 @@
         one = self.open.pop(rpc, None)
         if one is None:
             if answer != OK:  # the module has ended what was over
-                self.note(Answered, self.fleet.ids.get(rpc, "unknown"), answer)
+                self.note(RpcAnswered, self.fleet.ids.get(rpc, "unknown"), answer)
             return
-        self.note(Answered, one.rpc, answer)
+        self.note(RpcAnswered, one.rpc, answer)
         if self.heir:
             self.heir.settled(rpc.customer.name)
         if self.fleet.trace is not None:
@@ -272,7 +272,7 @@
         self.fleet.heap.after(self.fleet.world.latency, one.answered, answer, wait)
 
     def push_back(self, step):
-        self.finish(step.rpc, PUSHED_BACK, step.retry_after)
+        self.finish(step.rpc, REJECTED, step.retry_after)
 
     def abort(self, step):
         self.finish(step.rpc, ABORTED)
@@ -283,11 +283,11 @@
         one = self.open.get(step.rpc)
         machine = fleet.machines_by_name[step.endpoint.address]
         if one is None:
-            self.note(Sent, fleet.ids.get(step.rpc, "unknown"), step.number, machine.name)
+            self.note(AttemptSent, fleet.ids.get(step.rpc, "unknown"), step.number, machine.name)
             return
         pending = PendingAttempt(self, step, one.call, one.rpc, machine)
         self.pending_attempts[pending] = None
-        self.note(Sent, one.rpc, step.number, machine.name)
+        self.note(AttemptSent, one.rpc, step.number, machine.name)
         there = fleet.network.delay(self.zone, machine.zone, self.rng)
         back = fleet.network.delay(machine.zone, self.zone, self.rng)
         fleet.heap.after(max(1e-6, step.timeout), self.outcome, pending, api.LATE)
--- a/petrellane/simulation/hosts.py
+++ b/petrellane/simulation/hosts.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from petrellane.decisions import types as api
-from petrellane.invariants import Ran, Received, Up
+from petrellane.invariants import AttemptArrived, EndpointStarted, RpcExecuted
 from petrellane.simulation.event_queue import chance
 
 
@@ -68,7 +68,7 @@
             return
         now, world = self.fleet.heap.now, self.fleet.world
         self.fleet.note(
-            Received(
+            AttemptArrived(
                 now, pending.node.name, pending.rpc, pending.number, self.name, pending.call.work
             )
         )
@@ -109,7 +109,7 @@
         if self.rng.random() < self.failing:
             self.reply(pending, api.ERROR)
         else:
-            self.fleet.note(Ran(self.fleet.heap.now, pending.rpc, self.name))
+            self.fleet.note(RpcExecuted(self.fleet.heap.now, pending.rpc, self.name))
             self.fleet.worked += pending.call.work
             lost = self.rng.random() < self.fleet.answers_lost
             self.reply(pending, api.RESET if lost else api.OK)
@@ -137,4 +137,6 @@
         """A new process, cold."""
         if not self.alive:
             self.alive, self.hanging, self.up_since = True, False, self.fleet.heap.now
-            self.fleet.note(Up(self.fleet.heap.now, self.name, self.fleet.world.cores * self.speed))
+            self.fleet.note(
+                EndpointStarted(self.fleet.heap.now, self.name, self.fleet.world.cores * self.speed)
+            )
--- a/petrellane/simulation/property_search.py
+++ b/petrellane/simulation/property_search.py
@@ -202,7 +202,8 @@
 def shorter(scenario, run, rule):
     """The same up to the first break of the rule, without the faults that come after it."""
     first = min(
-        (one.at for one in run.verdict.broken if one.rule == rule), default=scenario.world.length
+        (one.at for one in run.verdict.violations if one.rule == rule),
+        default=scenario.world.length,
     )
     world: World = scenario.world
     if first + 0.1 < world.length:
--- a/petrellane/simulation/quotas.py
+++ b/petrellane/simulation/quotas.py
@@ -97,7 +97,7 @@
     sent, asked, rpcs, first = Stores(), Stores(), {}, set()
     found = {name: Counter() for name in (*plans, "all")}
     for record in sorted(records, key=lambda one: one.at):
-        if type(record) is invariants.Taken:
+        if type(record) is invariants.RpcReceived:
             rpcs[record.rpc] = record
             plan = plans[record.plan]
             worth = record.units * prices[record.method] * plan.price
@@ -105,7 +105,7 @@
             for name in (record.plan, "all"):
                 found[name]["asked inside"] += worth * inside
                 found[name]["asked"] += record.units
-        elif type(record) is invariants.Sent and record.rpc not in first:
+        elif type(record) is invariants.AttemptSent and record.rpc not in first:
             first.add(record.rpc)
             told = rpcs[record.rpc]
             plan = plans[told.plan]
--- a/petrellane/simulation/shrinking.py
+++ b/petrellane/simulation/shrinking.py
@@ -71,15 +71,15 @@
     until = run.scenario.world.length
     for record in run.records:
         kind = type(record)
-        if kind is invariants.Taken and since <= record.at < until:
+        if kind is invariants.RpcReceived and since <= record.at < until:
             taken[record.rpc] = record.at
-        elif kind is invariants.Answered and record.rpc in taken:
+        elif kind is invariants.RpcAnswered and record.rpc in taken:
             answers[record.rpc] = record.answer, record.at - taken[record.rpc]
-        elif kind is invariants.Sent and record.rpc in taken:
+        elif kind is invariants.AttemptSent and record.rpc in taken:
             sent += 1
     waits = sorted(took for answer, took in answers.values() if answer == invariants.OK) or [0.0]
     soft, number = run.scenario.methods[0].soft_deadline, max(1, len(taken))
-    pushed = sum(answer == invariants.PUSHED_BACK for answer, _ in answers.values())
+    pushed = sum(answer == invariants.REJECTED for answer, _ in answers.values())
     return Served(
         len(taken),
         len(waits) / number,
--- a/petrellane/simulation/timeline.py
+++ b/petrellane/simulation/timeline.py
@@ -1,17 +1,17 @@
 """A run as a person reads it: who knew what, when, around what was broken."""
 
 from petrellane.invariants import (
-    Answered,
-    Ended,
-    Left,
-    Life,
-    Ran,
-    Received,
-    Remains,
-    Sent,
-    Taken,
-    Told,
-    Up,
+    AttemptArrived,
+    AttemptEnded,
+    AttemptSent,
+    ClientDisconnected,
+    EndpointNotified,
+    EndpointStarted,
+    GatewayLifecycle,
+    RpcAnswered,
+    RpcExecuted,
+    RpcReceived,
+    StateRetained,
 )
 from petrellane.simulation.fleet import Run
 
@@ -21,58 +21,64 @@
 
 def words(record) -> str:
     """One record in words, without its time and its party."""
-    if isinstance(record, Taken):
+    if isinstance(record, RpcReceived):
         return (
             f"takes {record.rpc} ({record.method}, {record.units:g} units of {record.customer}, "
             f"until {record.deadline:.3f})"
         )
-    if isinstance(record, Sent):
+    if isinstance(record, AttemptSent):
         return f"sends {record.rpc} to {record.host}, call-out {record.number}"
-    if isinstance(record, Ended):
+    if isinstance(record, AttemptEnded):
         return f"sees call-out {record.number} of {record.rpc} end: {record.outcome}"
-    if isinstance(record, Received):
+    if isinstance(record, AttemptArrived):
         return f"has call-out {record.number} of {record.rpc}, {record.work:.3f} core seconds"
-    if isinstance(record, Ran):
+    if isinstance(record, RpcExecuted):
         return f"has run {record.rpc}"
-    if isinstance(record, Answered):
+    if isinstance(record, RpcAnswered):
         return f"answers {record.rpc}: {record.answer}"
-    if isinstance(record, Left):
+    if isinstance(record, ClientDisconnected):
         return f"sees the client of {record.rpc} leave"
-    if isinstance(record, Told):
+    if isinstance(record, EndpointNotified):
         return f"is told that {record.host} is {record.state}" + (
             f", up since {record.up_since:.3f}" if record.up_since else ""
         )
-    if isinstance(record, Up):
+    if isinstance(record, EndpointStarted):
         return "starts cold"
-    if isinstance(record, Remains):
+    if isinstance(record, StateRetained):
         return f"still holds {record.count} {record.kind} that are over"
-    return record.event if isinstance(record, Life) else str(record)
+    return record.event if isinstance(record, GatewayLifecycle) else str(record)
 
 
 def concerns(record, rpcs, hosts, customers) -> bool:
     """Whether a record has to do with these RPCs, hosts or customers."""
-    if isinstance(record, Life):
+    if isinstance(record, GatewayLifecycle):
         return True
-    if isinstance(record, (Told, Up)):
+    if isinstance(record, (EndpointNotified, EndpointStarted)):
         return record.host in hosts
-    if isinstance(record, Received):
+    if isinstance(record, AttemptArrived):
         return record.rpc in rpcs or record.host in hosts
-    if isinstance(record, Sent):
+    if isinstance(record, AttemptSent):
         return record.rpc in rpcs or record.rpc in customers and record.number == 0
     return getattr(record, "rpc", None) in rpcs
 
 
 def timeline(run: Run) -> list[str]:
     """The lines: faults and changes of mode all along, and what concerns the first break of each rule in full."""
-    broken = {one.rule: one for one in reversed(run.verdict.broken)}  # the first of each
+    broken = {one.rule: one for one in reversed(run.verdict.violations)}  # the first of each
     rpcs = {rpc for one in broken.values() for rpc in one.rpcs}
     records = run.records or []
-    hosts = {record.host for record in records if isinstance(record, Sent) and record.rpc in rpcs}
+    hosts = {
+        record.host for record in records if isinstance(record, AttemptSent) and record.rpc in rpcs
+    }
     mine = {
-        record.customer for record in records if isinstance(record, Taken) and record.rpc in rpcs
+        record.customer
+        for record in records
+        if isinstance(record, RpcReceived) and record.rpc in rpcs
     }
     customers = {
-        record.rpc for record in records if isinstance(record, Taken) and record.customer in mine
+        record.rpc
+        for record in records
+        if isinstance(record, RpcReceived) and record.customer in mine
     }
     start = min((one.at for one in broken.values()), default=0.0) - SPAN
     told = [
@@ -83,13 +89,13 @@
     ]
     for record in records:
         if (
-            isinstance(record, (Life, Up))
+            isinstance(record, (GatewayLifecycle, EndpointStarted))
             or start <= record.at
             and concerns(record, rpcs, hosts, customers)
         ):
             who = (
                 getattr(record, "gateway", None)
-                if not isinstance(record, (Received, Ran, Up))
+                if not isinstance(record, (AttemptArrived, RpcExecuted, EndpointStarted))
                 else record.host
             )
             told.append((record.at, who, words(record)))
--- a/petrellane/testbed/__init__.py
+++ b/petrellane/testbed/__init__.py
@@ -1,8 +1,8 @@
 """A rig of many processes on loopback: real gateways, stand-ins for all that they talk to, relays that inject faults
-between any two, clients in an open loop, and the referee over what everybody saw.
+between any two, clients in an open loop, and the invariant checker over what everybody saw.
 
     fleet (processes) -- relay -- standins (hosts, counter, discovery)
-    clients -- relay -- fleet            records -- referee
+    clients -- relay -- fleet            records -- checker
 
     hollow gateways, real ones (processes) -- services (a process each): `scale` plays it, `rig` holds the processes, each of
     which tells through `metered` what it spends
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -172,10 +172,10 @@
         del stream.buffer[:end]
         if kind == 0x24:
             return invariants.OK if text == rpc.encode() else "spoilt"
-        return invariants.PUSHED_BACK if text.startswith(b"BUSY") else text.decode("latin-1")
+        return invariants.REJECTED if text.startswith(b"BUSY") else text.decode("latin-1")
 
     def end(self, front, stream, method, rpc, verdict, intended):
-        if verdict in (invariants.OK, invariants.PUSHED_BACK) or verdict.startswith("ERR"):
+        if verdict in (invariants.OK, invariants.REJECTED) or verdict.startswith("ERR"):
             front.idle.append(stream)
             self.records.answered(
                 rpc, verdict if verdict[:3] != "ERR" else invariants.ABORTED, method.name
--- a/petrellane/testbed/command.py
+++ b/petrellane/testbed/command.py
@@ -6,7 +6,7 @@
 from rich.live import Live
 from rich.table import Table
 
-from petrellane.invariants import OK, PUSHED_BACK
+from petrellane.invariants import OK, REJECTED
 from petrellane.load_distribution import sources
 from petrellane.testbed.fleet import Lab, Shape
 from petrellane.testbed.runner import Figures, Play, Stage, Step, load, shape_of
@@ -94,8 +94,8 @@
     for (_, answer), number in lab.records.counts.items():
         counts[answer] = counts.get(answer, 0) + number
     total = sum(counts.values())
-    rest = total - counts.get(OK, 0) - counts.get(PUSHED_BACK, 0)
-    return f"{total} RPCs answered, {counts.get(OK, 0)} ok, {counts.get(PUSHED_BACK, 0)} pushed back, {rest} otherwise"
+    rest = total - counts.get(OK, 0) - counts.get(REJECTED, 0)
+    return f"{total} RPCs answered, {counts.get(OK, 0)} ok, {counts.get(REJECTED, 0)} pushed back, {rest} otherwise"
 
 
 def run(play, shape=None, records=""):
@@ -129,7 +129,7 @@
         print(
             f"answers after {p50:.3f} s at the median, {p99:.3f} s for 99 of 100, from intended times"
         )
-    for broken in verdict.broken:
+    for broken in verdict.violations:
         print(f"{broken.at:8.3f} rule {broken.rule} is broken: {broken.text}")
         for line in [line for rpc in broken.rpcs for line in lab.records.about(rpc)]:
             print(f"      {line}")
--- a/petrellane/testbed/fakes.py
+++ b/petrellane/testbed/fakes.py
@@ -224,7 +224,9 @@
         self.waiting.clear()
         self.up()
         self.moved()
-        self.records.take(invariants.Up(self.records.now(), self.name, float(self.slots)))
+        self.records.take(
+            invariants.EndpointStarted(self.records.now(), self.name, float(self.slots))
+        )
 
 
 class Counter(StandIn):
@@ -416,7 +418,9 @@
                     invariants.READY if status == "in_service" else status,
                     since and since - self.records.began,
                 )
-                self.records.take(invariants.Told(self.records.now(), gateway, host, state, since))
+                self.records.take(
+                    invariants.EndpointNotified(self.records.now(), gateway, host, state, since)
+                )
 
     def forget(self, gateway):
         """It was killed: the next process of its name knows nothing."""
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -244,12 +244,16 @@
     def stop(self):
         self.lab.records.tell(f"{self.name} is stopped")
         self.process.stop()
-        self.lab.records.take(invariants.Life(self.lab.records.now(), self.name, "paused"))
+        self.lab.records.take(
+            invariants.GatewayLifecycle(self.lab.records.now(), self.name, "paused")
+        )
 
     def go_on(self):
         self.lab.records.tell(f"{self.name} goes on")
         self.process.go_on()
-        self.lab.records.take(invariants.Life(self.lab.records.now(), self.name, "resumed"))
+        self.lab.records.take(
+            invariants.GatewayLifecycle(self.lab.records.now(), self.name, "resumed")
+        )
 
     def last(self, name):
         """The last event of this name, or None."""
@@ -384,7 +388,7 @@
                 relay.follow() for relay in self.between("host", to=[host.name])
             ]
             self.discovery.put(host.name, host.text)
-            self.records.referee.terms.groups[host.name] = 1, "z"
+            self.records.checker.terms.groups[host.name] = 1, "z"
         for number in range(shape.gateways):
             self.gateways.append(Gateway(self, number))
         self.fronts = []
@@ -416,7 +420,7 @@
             for name, row in rules.items()
         }
         ceilings = {
-            row["name"]: invariants.Ceiling(
+            row["name"]: invariants.HardLimit(
                 row["ceilingRate"],
                 row["ceilingBurst"],
                 row["ceilingSlack"] + 0.15 * row["ceilingRate"],
@@ -663,12 +667,12 @@
         )
 
     def verdict(self):
-        """The referee's verdict; crashes and faults of the rig itself are told with it."""
+        """The invariant checker's verdict; crashes and faults of the rig itself are told with it."""
         for control in self.controls.values():
             if control.process and control.process.up:
                 for one in control.ask("history").get("history", ()):
                     self.records.take(
-                        invariants.Decided(
+                        invariants.GenerationDecided(
                             self.records.now(), one["number"], one["outcome"] != "aborted"
                         )
                     )
--- a/petrellane/testbed/records.py
+++ b/petrellane/testbed/records.py
@@ -1,4 +1,4 @@
-"""What every party of a run saw, in the order of one clock, handed to the referee as it comes.
+"""What every party of a run saw, in the order of one clock, handed to the invariant checker as it comes.
 
 Gateways write no records: what one sent is what hosts got, what it answered is what clients read. A call-out that never
 reached a host is not seen. Under which settings a gateway admits is told by what it lets through: a method that one
@@ -35,12 +35,12 @@
 
 
 class Records:
-    """Records of one run, and its referee. `proves` maps a method to the number of the one generation that has it; `gone`
+    """Records of one run, and its invariant checker. `proves` maps a method to the number of the one generation that has it; `gone`
     an RPC to when its client left it; `sent_after` holds (RPC, number, seconds) of attempts that began after that; `after`
     makes a call after some seconds."""
 
     def __init__(self, terms, clock, after=None, keep=20_000):
-        self.referee, self.clock, self.began = invariants.Referee(terms), clock, clock()
+        self.checker, self.clock, self.began = invariants.InvariantChecker(terms), clock, clock()
         self.open, self.kept, self.most = {}, deque(maxlen=keep), keep
         self.pending, self.turns = (
             deque(),
@@ -73,13 +73,13 @@
         """Take a record of an RPC, before its answer where the rig has just stood still and that is still put in order."""
         if self.turns - self.stood_still < 2 * TURNS:
             for at, (other, turn) in enumerate(self.pending):
-                if isinstance(other, invariants.Answered) and other.rpc == record.rpc:
+                if isinstance(other, invariants.RpcAnswered) and other.rpc == record.rpc:
                     self.pending.insert(at, (record._replace(at=other.at), turn))
                     return
         self.take(record)
 
     def judge(self, record):
-        self.referee.take(record)
+        self.checker.observe(record)
         self.kept.append(record)
 
     def tell(self, text):
@@ -93,7 +93,7 @@
         now = self.now()
         self.open[rpc] = [gateway, 0, method, now, now + patience]
         self.take(
-            invariants.Taken(now, gateway, rpc, customer, plan, method, units, now + patience)
+            invariants.RpcReceived(now, gateway, rpc, customer, plan, method, units, now + patience)
         )
 
     def sent(self, rpc, host, work, key=None, late=False, came=None):
@@ -111,10 +111,10 @@
                 self.sent_after.append((rpc, number, after))
             if after <= CROSSED < self.now() - self.gone[rpc]:
                 return Call(rpc, number, host, None, key, True)
-        self.before_the_answer(invariants.Sent(self.now(), gateway, rpc, number, host))
-        self.take(invariants.Received(self.now(), gateway, rpc, number, host, work))
+        self.before_the_answer(invariants.AttemptSent(self.now(), gateway, rpc, number, host))
+        self.take(invariants.AttemptArrived(self.now(), gateway, rpc, number, host, work))
         if method in self.proves and not number:
-            self.take(invariants.Admitted(self.now(), gateway, rpc, self.proves[method], since))
+            self.take(invariants.RpcAdmitted(self.now(), gateway, rpc, self.proves[method], since))
         return Call(rpc, number, host, gateway, key)
 
     def ended(self, call, outcome):
@@ -122,10 +122,10 @@
         if call.over:
             return
         call.over = True
-        record = invariants.Ended(self.now(), call.gateway, call.rpc, call.number, outcome)
+        record = invariants.AttemptEnded(self.now(), call.gateway, call.rpc, call.number, outcome)
         for at, (other, turn) in enumerate(self.pending):
             if (
-                isinstance(other, invariants.Sent)
+                isinstance(other, invariants.AttemptSent)
                 and other.rpc == call.rpc
                 and other.number > call.number
             ):
@@ -134,28 +134,30 @@
         self.before_the_answer(record)
 
     def ran(self, call):
-        self.take(invariants.Ran(self.now(), call.rpc, call.host))
+        self.take(invariants.RpcExecuted(self.now(), call.rpc, call.host))
 
     def answered(self, rpc, answer, method):
         told = self.open.get(rpc)
         self.counts[method, answer] = self.counts.get((method, answer), 0) + 1
         if told is not None:
-            self.take(invariants.Answered(self.now(), told[0], rpc, answer))
+            self.take(invariants.RpcAnswered(self.now(), told[0], rpc, answer))
 
     def left(self, rpc):
-        """Its client closes its connection. For the referee that holds from when the gateway has surely seen it: what
+        """Its client closes its connection. For the invariant checker that holds from when the gateway has surely seen it: what
         crossed the end on its way is no fault. By its deadline it waits for no answer, also where that comes before the
         record of this."""
         if told := self.open.get(rpc):
             self.gone[rpc] = self.now()
             self.after(
                 CROSSED,
-                lambda: self.take(invariants.Left(min(self.now(), told[4] - 1e-6), told[0], rpc)),
+                lambda: self.take(
+                    invariants.ClientDisconnected(min(self.now(), told[4] - 1e-6), told[0], rpc)
+                ),
             )
 
     def forget(self, gateway):
         """A gateway was killed: it owes nothing."""
-        self.take(invariants.Life(self.now(), gateway, "killed"))
+        self.take(invariants.GatewayLifecycle(self.now(), gateway, "killed"))
         self.open = {rpc: told for rpc, told in self.open.items() if told[0] != gateway}
 
     def about(self, rpc):
@@ -175,4 +177,4 @@
         """The verdict, up to now."""
         while self.pending:
             self.judge(self.pending.popleft()[0])
-        return self.referee.close(self.now())
+        return self.checker.close(self.now())
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -22,7 +22,7 @@
     between = ["agents"]       # of relays: clients, counter, discovery, agents, hosts (those to `who`, or of it)
 
     [expect]
-    broken = []                # rules of the referee
+    broken = []                # rules of the invariant checker
 
 What is out of form raises PlayError, one line with the file and the key. The same file and seed bring the same faults at the
 same times; processes are real, so which RPC meets which fault may differ.
--- a/tests/lab/cases.py
+++ b/tests/lab/cases.py
@@ -93,7 +93,7 @@
         lab.quiet()
         verdict = lab.verdict()
         self.assertEqual(
-            sorted(verdict.counts), sorted(broken), f"{verdict.broken[:3]}\n{lab.timeline()}"
+            sorted(verdict.counts), sorted(broken), f"{verdict.violations[:3]}\n{lab.timeline()}"
         )
         self.assertEqual(len(lab.crashes), crashes, lab.crashes)
         self.assertFalse(lab.faults, lab.faults[:2])
@@ -122,7 +122,7 @@
             self.assertEqual(self.admits(lab), {"after"})
             self.judge(lab)
             self.assertFalse(
-                [kind for kind in lab.records.counts if kind[1] == invariants.PUSHED_BACK]
+                [kind for kind in lab.records.counts if kind[1] == invariants.REJECTED]
             )
 
     def test_open_rpcs_keep_the_method_that_is_dropped(self):
@@ -131,7 +131,10 @@
                 host.slow = 40.0
             lab.until(
                 lambda: (
-                    sum(one.taken.method == "before" for one in lab.records.referee.open.values())
+                    sum(
+                        one.received.method == "before"
+                        for one in lab.records.checker.open_rpcs.by_id.values()
+                    )
                     > 5
                 ),
                 "RPCs out",
@@ -237,7 +240,7 @@
             pushed = sum(
                 number
                 for (_, answer), number in lab.records.counts.items()
-                if answer == invariants.PUSHED_BACK
+                if answer == invariants.REJECTED
             )
             lab.heal()
             self.settles(lab, 2)
@@ -421,11 +424,11 @@
             lab.play(0.5)
             self.assertEqual(lab.change(new)["outcome"], "committed")
             lab.play(1.0)
-            lab.records.referee.terms.ceilings["sold"] = invariants.Ceiling(
+            lab.records.checker.terms.hard_limits["sold"] = invariants.HardLimit(
                 20.0, 20.0, 2.0 + 0.15 * 20
             )
-            level, at = lab.records.referee.stores["%016x" % 7]
-            lab.records.referee.stores["%016x" % 7] = min(level, 20.0), at
+            level, at = lab.records.checker.hard_limits.buckets["%016x" % 7]
+            lab.records.checker.hard_limits.buckets["%016x" % 7] = min(level, 20.0), at
             began, ok = lab.records.now(), self.ok(lab)
             lab.play(3.0)
             served = (self.ok(lab) - ok) / (lab.records.now() - began)
@@ -465,9 +468,11 @@
             lab.quiet()
             committed = {1: True, 2: "after" in allowed}
             for number, decided in committed.items():
-                lab.records.take(invariants.Decided(lab.records.now(), number, decided))
+                lab.records.take(invariants.GenerationDecided(lab.records.now(), number, decided))
             verdict = lab.records.close()
-            self.assertEqual(verdict.counts, {}, f"{step}: {verdict.broken[:2]}\n{lab.timeline()}")
+            self.assertEqual(
+                verdict.counts, {}, f"{step}: {verdict.violations[:2]}\n{lab.timeline()}"
+            )
             return serving, allowed
 
     def test_before_and_after_each_step(self):
@@ -817,7 +822,7 @@
         records.taken("r", "g0", "c", "free", "look", 1.0, 2.0)
         if stood_still:
             records.stood_still = records.turns
-        records.answered("r", invariants.PUSHED_BACK, "look")
+        records.answered("r", invariants.REJECTED, "look")
         records.ended(records.sent("r", "a", 0.1), "late")
         return records.close().counts
 
@@ -898,7 +903,7 @@
 
     def test_a_host_that_drains_gets_nothing_more(self):
         ran, verdict = self.drains()
-        self.assertEqual((ran[:2], verdict.counts), ([0, 0], {}), verdict.broken[:2])
+        self.assertEqual((ran[:2], verdict.counts), ([0, 0], {}), verdict.violations[:2])
         self.assertGreater(min(ran[2:]), 0)
         self.assertGreaterEqual(len([told for told in verdict.nearest.values() if told]), 1)
 
@@ -914,7 +919,7 @@
             self.late = {
                 one.gateway
                 for one in lab.records.kept
-                if isinstance(one, invariants.Sent)
+                if isinstance(one, invariants.AttemptSent)
                 and one.host == "h0"
                 and one.at > lab.records.now() - 0.8
             }
@@ -922,7 +927,7 @@
 
         self.do = do
         _, verdict = self.played(seconds=2.0)
-        self.assertEqual((self.late, verdict.counts), ({"g0"}, {}), verdict.broken[:2])
+        self.assertEqual((self.late, verdict.counts), ({"g0"}, {}), verdict.violations[:2])
 
     def cold(self, plant=None):
         """One of four hosts starts again, cold, at three quarters of what all can do."""
@@ -950,7 +955,7 @@
 
     def test_a_host_that_starts_cold_is_not_pushed_over(self):
         ran, verdict = self.cold()
-        self.assertEqual(verdict.counts, {}, verdict.broken[:2])
+        self.assertEqual(verdict.counts, {}, verdict.violations[:2])
         self.assertGreater(ran, 3)
 
     def test_who_pushes_a_cold_host_over_is_told(self):
@@ -985,10 +990,10 @@
 
     def test_faults_between_gateways_and_hosts_break_no_rule(self):
         lab, verdict = self.faults(self.FAULTS)
-        self.assertEqual(verdict.counts, {}, f"{verdict.broken[:3]}\n{lab.timeline()}")
+        self.assertEqual(verdict.counts, {}, f"{verdict.violations[:3]}\n{lab.timeline()}")
         self.assertFalse(lab.crashes)
         answers = {answer for _, answer in lab.records.counts}
-        self.assertLessEqual(answers, {invariants.OK, invariants.PUSHED_BACK, invariants.ABORTED})
+        self.assertLessEqual(answers, {invariants.OK, invariants.REJECTED, invariants.ABORTED})
         self.assertGreater(lab.records.counts["look", invariants.OK], 300)
 
     def test_who_sends_again_what_may_have_run_is_told(self):
@@ -1036,7 +1041,7 @@
             self.judge(lab)
             self.assertLessEqual(
                 {answer for _, answer in lab.records.counts},
-                {invariants.OK, invariants.PUSHED_BACK},
+                {invariants.OK, invariants.REJECTED},
             )
             return "serves" if lab.records.counts.get(("look", invariants.OK)) else "serves nobody"
 
--- a/tests/model/cases.py
+++ b/tests/model/cases.py
@@ -14,19 +14,19 @@
 
 from benchmarks.told import played
 from petrellane.invariants import (
-    Answered,
-    Ceiling,
-    Ended,
-    Left,
-    Life,
+    AttemptArrived,
+    AttemptEnded,
+    AttemptSent,
+    ClientDisconnected,
+    EndpointNotified,
+    EndpointStarted,
+    GatewayLifecycle,
+    HardLimit,
+    InvariantChecker,
     MethodRule,
-    Received,
-    Referee,
-    Sent,
-    Taken,
+    RpcAnswered,
+    RpcReceived,
     Terms,
-    Told,
-    Up,
 )
 from petrellane.net.limits import Limits
 from petrellane.simulation.discovery import TIMES
@@ -123,7 +123,7 @@
             with self.subTest(path.name):
                 scenario = read(path.read_text(), path.name)
                 run = Fleet(scenario).play()
-                self.assertEqual(scenario.expect.broken, run.broken, run.verdict.broken)
+                self.assertEqual(scenario.expect.broken, run.broken, run.verdict.violations)
                 self.assertGreater(run.figures["ok share"], 0)
 
     def test_what_is_found_is_cut_down_and_told(self):
@@ -200,64 +200,70 @@
 
 
 class Judged(unittest.TestCase):
-    """The referee on records made by hand: each rule broken, and only come near."""
+    """The checker on records made by hand: each rule broken, and only come near."""
 
     def setUp(self):
-        self.referee = Referee(
+        self.referee = InvariantChecker(
             Terms(
                 {
                     "look": MethodRule("idempotent"),
                     "post": MethodRule("non-idempotent"),
                     "lodge": MethodRule("deduplicated", "zone", 1.0),
                 },
-                {"chain": Ceiling(10.0, 20.0, 2.0)},
+                {"chain": HardLimit(10.0, 20.0, 2.0)},
                 {"a": (0, 0), "b": (1, 0), "c": (2, 1)},
             )
         )
 
     def verdict(self, *records):
         for record in records:
-            self.referee.take(record)
+            self.referee.observe(record)
         return self.referee.close(100.0)
 
     def rpc(self, method="look", at=1.0, plan="", units=1.0, rpc="r"):
-        return Taken(at, "g", rpc, "who", plan, method, units, at + 2.0)
+        return RpcReceived(at, "g", rpc, "who", plan, method, units, at + 2.0)
 
     def test_an_answer_that_never_comes(self):
         self.assertEqual({"lost": 1}, self.verdict(self.rpc()).counts)
 
     def test_an_answer_just_within_the_slack_and_one_after_it(self):
-        verdict = self.verdict(self.rpc(), Answered(3.04, "g", "r", "aborted"))
+        verdict = self.verdict(self.rpc(), RpcAnswered(3.04, "g", "r", "aborted"))
         self.assertEqual({}, verdict.counts)
         self.assertGreater(verdict.nearest["lost"], 0.99)
         self.setUp()
         self.assertEqual(
-            {"lost": 1}, self.verdict(self.rpc(), Answered(3.06, "g", "r", "aborted")).counts
+            {"lost": 1}, self.verdict(self.rpc(), RpcAnswered(3.06, "g", "r", "aborted")).counts
         )
 
     def test_a_killed_gateway_owes_nothing_and_a_client_that_left_early_is_owed_nothing(self):
-        self.assertEqual({}, self.verdict(self.rpc(), Life(2.0, "g", "killed")).counts)
-        self.assertEqual({}, self.verdict(self.rpc(), Left(2.0, "g", "r")).counts)
-        self.assertEqual({"lost": 1}, self.verdict(self.rpc(), Left(3.06, "g", "r")).counts)
+        self.assertEqual({}, self.verdict(self.rpc(), GatewayLifecycle(2.0, "g", "killed")).counts)
+        self.assertEqual({}, self.verdict(self.rpc(), ClientDisconnected(2.0, "g", "r")).counts)
+        self.assertEqual(
+            {"lost": 1}, self.verdict(self.rpc(), ClientDisconnected(3.06, "g", "r")).counts
+        )
 
     def test_a_key_is_good_for_its_zone_and_window(self):
-        first = [self.rpc("lodge"), Sent(1.0, "g", "r", 0, "a"), Ended(1.5, "g", "r", 0, "late")]
+        first = [
+            self.rpc("lodge"),
+            AttemptSent(1.0, "g", "r", 0, "a"),
+            AttemptEnded(1.5, "g", "r", 0, "late"),
+        ]
         self.assertEqual(
             {},
             self.verdict(
                 *first,
-                Sent(1.9, "g", "r", 1, "b"),
-                Ended(2.1, "g", "r", 1, "ok"),
-                Answered(2.1, "g", "r", "ok"),
+                AttemptSent(1.9, "g", "r", 1, "b"),
+                AttemptEnded(2.1, "g", "r", 1, "ok"),
+                RpcAnswered(2.1, "g", "r", "ok"),
             ).counts,
         )
         for at, host in ((1.9, "c"), (2.1, "b")):
             self.setUp()
             verdict = self.verdict(
                 *first,
-                Sent(at, "g", "r", 1, host),
-                Ended(2.2, "g", "r", 1, "ok"),
-                Answered(2.2, "g", "r", "ok"),
+                AttemptSent(at, "g", "r", 1, host),
+                AttemptEnded(2.2, "g", "r", 1, "ok"),
+                RpcAnswered(2.2, "g", "r", "ok"),
             )
             self.assertEqual({"twice": 1}, verdict.counts)
 
@@ -269,13 +275,13 @@
             (19, 13, {"cold": 1}),
             (19, 12, {}),
         ):
-            referee = Referee(dataclasses.replace(self.referee.terms, mean_work=0.075))
-            referee.take(Up(1.0, "a", 1.0))
-            referee.take(Told(1.0, "knows", "a", "ready", 1.0))
-            referee.take(Told(1.0, "not", "a", "ready", 0.0))
+            referee = InvariantChecker(dataclasses.replace(self.referee.terms, mean_work=0.075))
+            referee.observe(EndpointStarted(1.0, "a", 1.0))
+            referee.observe(EndpointNotified(1.0, "knows", "a", "ready", 1.0))
+            referee.observe(EndpointNotified(1.0, "not", "a", "ready", 0.0))
             for at in range(number):
-                referee.take(
-                    Received(1.0, "not" if at < number - told else "knows", at, 0, "a", 0.075)
+                referee.observe(
+                    AttemptArrived(1.0, "not" if at < number - told else "knows", at, 0, "a", 0.075)
                 )
             self.assertEqual(broken, referee.close(100.0).counts, (number, told))
 
@@ -284,9 +290,9 @@
             1,
             self.verdict(
                 self.rpc(),
-                Sent(1.0, "g", "r", 0, "a"),
-                Sent(1.1, "g", "r", 1, "b"),
-                Answered(1.2, "g", "r", "ok"),
+                AttemptSent(1.0, "g", "r", 0, "a"),
+                AttemptSent(1.1, "g", "r", 1, "b"),
+                RpcAnswered(1.2, "g", "r", "ok"),
             ).counts["twice"],
         )
 
@@ -299,10 +305,10 @@
         for number, (pause, units) in enumerate(draws):
             now += pause
             taken.append((now, units))
-            self.referee.take(self.rpc(at=now, plan="chain", units=float(units), rpc=number))
-            self.referee.take(Sent(now, "g", number, 0, "a"))
+            self.referee.observe(self.rpc(at=now, plan="chain", units=float(units), rpc=number))
+            self.referee.observe(AttemptSent(now, "g", number, 0, "a"))
             broken = broken or any(
                 sum(of for _, of in taken[first:]) > 22.0 + 10.0 * (now - taken[first][0]) + 1e-6
                 for first in range(len(taken))
             )
-        self.assertEqual(broken, "ceilings" in self.referee.counts)
+        self.assertEqual(broken, "ceilings" in self.referee.log.counts)
--- a/tests/spread/cases.py
+++ b/tests/spread/cases.py
@@ -253,7 +253,7 @@
 
     def test_a_host_is_ready_while_all_that_heard_of_it_have_it_so(self):
         def told(at, gateway, state):
-            return invariants.Told(at, gateway, "h0", state, 0.0)
+            return invariants.EndpointNotified(at, gateway, "h0", state, 0.0)
 
         rows = [
             told(0.0, "a", "ready"),
@@ -261,7 +261,7 @@
             told(4.0, "a", "gone"),
             told(5.0, "b", "gone"),
             told(6.0, "b", "ready"),
-            invariants.Life(7.0, "a", "killed"),
+            invariants.GatewayLifecycle(7.0, "a", "killed"),
             told(8.0, "b", "ready"),
         ]
         self.assertEqual(
@@ -420,7 +420,7 @@
             lab.quiet()
             lab.play(1.5)  # each gateway tells its last second, which a line a second may still owe
             verdict = lab.verdict()
-            came = sum(type(one) is invariants.Sent for one in lab.records.kept)
+            came = sum(type(one) is invariants.AttemptSent for one in lab.records.kept)
             events = {
                 one.name: [event for event in one.events if event["event"] == "figures"]
                 for one in lab.gateways
