--- a/petrellane/benchlink/__main__.py
+++ b/petrellane/benchlink/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from petrellane.benchlink.codec import serve
+from petrellane.benchlink.adapter import serve
 
 if __name__ == "__main__":
     sys.exit(serve(sys.stdin, sys.stdout, sys.stderr))
--- a/petrellane/benchlink/codec.py
+++ b/petrellane/benchlink/codec.py
@@ -1,86 +1,111 @@
-"""Read batches of events, hand each event to its instance's door, print one reply per batch."""
+"""Codec of the simulator's wire: lines of text to batches of events, and replies to text.
 
-import traceback
+A line is a verb and space-separated `name=value` fields; a text field runs to the end of its line.
+Values stay text here: what they mean is the instance's business.
+"""
 
-from petrellane.benchlink.instance import Door
+from collections.abc import Iterable, Iterator
+from typing import Final, NamedTuple
 
-TEXT_FIELDS = (" settings=", " reasonText=")
+Fields = dict[str, str]
 
+BATCH: Final = "BATCH"
+END_OF_BATCH: Final = "EOF_BATCH"
+ROW: Final = "ENTRY"
+END_OF_REPLY: Final = "EOR\n"
+TEXT_FIELDS: Final = (" settings=", " reasonText=")  # each runs to the end of its line
+MICROSECONDS: Final = 1e6  # in a second
+QUOTED: Final = 80  # characters of a bad line that an error shows
 
-class Malformed(Exception):
+
+class Malformed(Exception):  # noqa: N818 - its name is on the wire, in the reason of a GIVE_IN
     """A line that is not of the wire."""
 
 
-def parse(line):
-    """The verb of a line and its fields; a text field runs to the end of the line."""
-    text = {}
+class WireEvent(NamedTuple):
+    """One event of a batch; `rows` are the fields of the ENTRY lines behind it."""
+
+    verb: str
+    fields: Fields
+    rows: list[Fields]
+
+
+class Batch(NamedTuple):
+    """The events of one clock time, in seconds."""
+
+    now: float
+    events: list[WireEvent]
+
+
+def parse_line(line: str) -> tuple[str, Fields]:
+    """Return the verb of a line and its fields.
+
+    Raises:
+        Malformed: A field has no value.
+    """
+    text: Fields = {}
     for mark in TEXT_FIELDS:
-        head, found, tail = line.partition(mark)
+        before, found, value = line.partition(mark)
         if found:
-            line, text = head, {mark[1:-1]: tail}
+            line = before
+            text = {mark[1:-1]: value}
             break
     verb, *pairs = line.split(" ")
     try:
         fields = dict(pair.split("=", 1) for pair in pairs)
     except ValueError as error:
-        raise Malformed(f"malformed line: {line[:80]!r}") from error
-    return verb, {**fields, **text}
+        raise Malformed(f"malformed line: {line[:QUOTED]!r}") from error
+    fields.update(text)
+    return verb, fields
+
 
+def read_batches(lines: Iterable[str]) -> Iterator[Batch]:
+    """Read batches until the input ends; one that is cut short there is dropped.
 
-def batches(lines):
-    """Each batch of the input as its clock time and its list of (verb, fields, rows)."""
-    lines = (line.rstrip("\n") for line in lines)
+    Raises:
+        Malformed: A line is not of the wire, or not where it belongs.
+    """
+    stripped = (line.rstrip("\n") for line in lines)
+    for line in stripped:
+        if not line:
+            continue
+        verb, fields = parse_line(line)
+        if verb != BATCH:
+            raise Malformed(f"expected BATCH, read {line[:QUOTED]!r}")
+        events = _read_events(stripped)
+        if events is None:
+            return
+        yield Batch(int(fields["t"]) / MICROSECONDS, events)
+
+
+def _read_events(lines: Iterator[str]) -> list[WireEvent] | None:
+    """Read the events of a batch up to its end; None where the input ends before."""
+    events: list[WireEvent] = []
     for line in lines:
+        if line == END_OF_BATCH:
+            return events
         if not line:
             continue
-        verb, fields = parse(line)
-        if verb != "BATCH":
-            raise Malformed(f"expected BATCH, read {line[:80]!r}")
-        events = []
-        for line in lines:
-            if line == "EOF_BATCH":
-                break
-            if not line:
-                continue
-            verb, row = parse(line)
-            if verb != "ENTRY":
-                events.append((verb, row, []))
-            elif events:
-                events[-1][2].append(row)
-            else:
-                raise Malformed("ENTRY outside a list")
+        verb, fields = parse_line(line)
+        if verb != ROW:
+            events.append(WireEvent(verb, fields, []))
+        elif events:
+            events[-1].rows.append(fields)
         else:
-            return
-        yield int(fields["t"]) / 1e6, events
+            raise Malformed("ENTRY outside a list")
+    return None
 
 
-def play(now, event, doors):
-    """The lines that answer one event."""
-    verb, fields, rows = event
-    number = int(fields["gateway"])
-    if verb == "OPEN_INSTANCE":
-        doors[number] = Door(number, int(fields.get("randomSeed", 0)), fields["settings"])
-        return doors[number].start(now)
-    if verb == "DETACH":
-        doors.pop(number, None)
-    return doors[number].event(now, verb, fields, rows) if number in doors else []
+def encode_reply(actions: list[str]) -> str:
+    """Return the text of a reply with these lines."""
+    return "\n".join([*actions, END_OF_REPLY])
 
 
-def serve(stdin, stdout, stderr):
-    """Answer batches until the input ends; an exception ends in GIVE_IN with one plain line."""
-    doors, event = {}, None
-    try:
-        for now, events in batches(stdin):
-            reply = []
-            for event in events:
-                reply += play(now, event, doors)
-            stdout.write("\n".join(reply + ["EOR\n"]))
-            stdout.flush()
-    except Exception as error:  # the wire wants a plain word in place of a half reply
-        traceback.print_exc(file=stderr)
-        number = event[1].get("gateway", "0") if event else "0"
-        cause = " ".join(f"{type(error).__name__}: {error}".split())[:200]
-        stdout.write(f"GIVE_IN gateway={number} reasonText={cause}\nEOR\n")
-        stdout.flush()
-        return 1
-    return 0
+def seconds(text: str | None) -> float:
+    """Return a time of the wire, microseconds as text, in seconds; 0 for a missing one."""
+    return int(text or 0) / MICROSECONDS
+
+
+def microseconds(value: float) -> int:
+    """Return seconds as whole microseconds of the wire."""
+    return round(value * MICROSECONDS)
--- a/petrellane/benchlink/instance.py
+++ b/petrellane/benchlink/instance.py
@@ -1,15 +1,24 @@
-"""One instance at the door: the wire's ids and units on one side, the module's objects on the other."""
+"""One simulated gateway: the wire's ids and units on one side, the decisions' objects on the other.
+
+Handlers turn an event into a call of the admission controller; encoders turn the actions that it
+returns into lines. Nothing is decided here, and the batch's clock is the only time there is.
+"""
 
 import json
 import re
 from collections import defaultdict, deque
+from collections.abc import Callable, Iterable
+from typing import Any, Final
 from weakref import WeakValueDictionary
 
 from petrellane import config
+from petrellane.benchlink.codec import Fields, WireEvent, microseconds, seconds
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 
-OUTCOMES = {
+Actions = Iterable[object]  # actions of the decisions, in order
+
+OUTCOMES: Final = {
     "GOOD": api.OK,
     "BAD": api.ERROR,
     "LATE": api.LATE,
@@ -19,210 +28,265 @@
     "NOCONN": api.UNREACHABLE,
     "NOP": api.NEVER_SENT,
 }
-STATES = {"0": api.GONE, "1": api.READY, "2": api.DRAINING}
-NUMBER = re.compile(r"-?\d+(\.\d+)?(e[-+]?\d+)?", re.IGNORECASE)
-FULL_KINDS = {"1", "2"}
-FAILED_KIND = "3"
-
+STATES: Final = {"0": api.GONE, "1": api.READY, "2": api.DRAINING}
+COMPLETE_LISTS: Final = frozenset(("1", "2"))  # kinds of endpoint lists: full, cached
+FAILED_LIST: Final = "3"  # the kind that reports a failed call to discovery
+TRUE: Final = "1"
+NUMBER: Final = re.compile(r"-?\d+(\.\d+)?(e[-+]?\d+)?", re.IGNORECASE)
+SHORTEST_TIME: Final = 1  # microseconds; 0 would mean none
 
-def seconds(text):
-    """Microseconds of the wire as seconds."""
-    return int(text or 0) / 1e6
 
+class SimulatedInstance:
+    """One instance of the simulator, from its OPEN_INSTANCE until DETACH or the end of the input.
 
-def micros(value):
-    """Seconds as microseconds of the wire."""
-    return int(round(value * 1e6))
+    It keeps the ids by which the wire names requests, timers and counter calls. A request is
+    forgotten once it is finished and all its attempts have ended.
+    """
 
+    def __init__(self, number: int, seed: int, settings_json: str) -> None:
+        """Open an instance.
 
-class Door:
-    """An instance: turns events into calls of its gateway, and what these return into actions."""
+        Args:
+            number: The simulator's number of it.
+            seed: The seed of its random source.
+            settings_json: The operators' settings, a JSON object.
 
-    def __init__(self, number, seed, settings):
-        told = config.settings(config.Section(json.loads(settings), "settings"))
+        Raises:
+            ConfigError: A setting is missing or wrong.
+        """
+        settings = config.settings(config.Section(json.loads(settings_json), "settings"))
         self.number = number
-        self.methods, self.plans, self.report_fields = told.methods, told.plans, told.report_fields
-        self.hosts, self.rpcs, self.handles = {}, {}, {}
-        self.customers = WeakValueDictionary()
-        self.closing = []  # RPCs that may be let go of once the event's lines are made
-        self.adds = defaultdict(deque)
-        self.wakes, self.nonce = {}, 0
-        self.gateway = AdmissionController(
-            seed=seed, uses_counter=told.uses_counter, must_watch=told.must_watch, **told.gateway
+        self.controller = AdmissionController(
+            seed=seed,
+            uses_counter=settings.uses_counter,
+            must_watch=settings.must_watch,
+            **settings.gateway,
         )
+        self._methods = settings.methods
+        self._plans = settings.plans
+        self._report_fields = settings.report_fields
+        self._endpoints: dict[str, api.Endpoint] = {}
+        self._customers: WeakValueDictionary[str, api.Customer] = WeakValueDictionary()
+        self._rpcs: dict[str, api.Rpc] = {}  # by handle
+        self._handles: dict[api.Rpc, str] = {}
+        self._maybe_settled: list[api.Rpc] = []  # to be looked at once the event is answered
+        self._counter_adds: defaultdict[int, deque[api.CounterAdd]] = defaultdict(deque)
+        self._timer_subjects: dict[int, object] = {}  # by nonce
+        self._last_nonce = 0
 
-    def start(self, now):
-        """The instance's first actions."""
-        return self.say(self.gateway.start(now))
+    def start(self, now: float) -> list[str]:
+        """Return the lines of the instance's first actions."""
+        return self._encode(self.controller.start(now))
 
-    def event(self, now, verb, fields, rows):
-        """One event of the wire; gives the lines to print."""
-        handler = HANDLERS.get(verb)
-        lines = self.say(handler(self, now, fields, rows)) if handler else []
-        while self.closing:
-            rpc = self.closing.pop()
-            if rpc.is_finished and all(attempt.outcome for attempt in rpc.attempts):
-                self.rpcs.pop(self.handles.pop(rpc, None), None)
+    def handle(self, now: float, event: WireEvent) -> list[str]:
+        """Return the lines that answer one event; none for a verb that means nothing here."""
+        handler = HANDLERS.get(event.verb)
+        lines = self._encode(handler(self, now, event)) if handler else []
+        self._forget_settled_rpcs()
         return lines
 
-    def listed(self, now, fields, rows):
-        """A host list, or changes to it."""
-        if fields.get("kind") == FAILED_KIND:
-            return self.gateway.on_endpoint_events(now, False, None)
-        listings = []
-        for row in rows:
-            host = self.hosts.setdefault(row["host"], api.Endpoint(row["host"]))
-            listings.append(
-                api.EndpointEvent(
-                    host,
-                    row.get("az", ""),
-                    row.get("type", ""),
-                    int(row.get("pod", 0)),
-                    STATES.get(row.get("state", "0"), api.GONE),
-                    float(row.get("share", 0)),
-                    seconds(row.get("upSince")),
-                )
-            )
-        return self.gateway.on_endpoint_events(now, fields.get("kind") in FULL_KINDS, listings)
-
-    def demand(self, now, fields, rows):
-        """A client's RPC."""
+    def _forget_settled_rpcs(self) -> None:
+        while self._maybe_settled:
+            rpc = self._maybe_settled.pop()
+            if rpc.is_finished and all(attempt.outcome for attempt in rpc.attempts):
+                handle = self._handles.pop(rpc, None)
+                if handle is not None:
+                    self._rpcs.pop(handle, None)
+
+    def on_endpoint_events(self, now: float, event: WireEvent) -> Actions:
+        """Handle PEERS_KNOWN: an endpoint list, changes to it, or a failed call to discovery."""
+        kind = event.fields.get("kind")
+        if kind == FAILED_LIST:
+            return self.controller.on_endpoint_events(now, False, None)
+        events = [self._endpoint_event(row) for row in event.rows]
+        is_complete = kind in COMPLETE_LISTS
+        return self.controller.on_endpoint_events(now, is_complete, events)
+
+    def _endpoint_event(self, row: Fields) -> api.EndpointEvent:
+        address = row["host"]
+        endpoint = self._endpoints.setdefault(address, api.Endpoint(address))
+        return api.EndpointEvent(
+            endpoint,
+            row.get("az", ""),
+            row.get("type", ""),
+            int(row.get("pod", 0)),
+            STATES.get(row.get("state", "0"), api.GONE),
+            float(row.get("share", 0)),
+            seconds(row.get("upSince")),
+        )
+
+    def on_request(self, now: float, event: WireEvent) -> Actions:
+        """Handle DEMAND: a client's request."""
+        fields = event.fields
+        customer = self._customer(fields)
+        rpc = api.Rpc(
+            method=self._methods[fields["grade"]],
+            customer=customer,
+            units=float(fields.get("priceUnits", 0)),
+            deadline=seconds(fields["expires"]),
+            arrived_at=now,
+            is_client_retry=fields.get("resent") == TRUE,
+            is_write=fields.get("write") == TRUE,
+        )
+        handle = fields["handle"]
+        self._rpcs[handle] = rpc
+        self._handles[rpc] = handle
+        return self.controller.admit(now, rpc)
+
+    def _customer(self, fields: Fields) -> api.Customer:
+        """Return the customer of a request, with the gateways that it comes through now."""
         name = fields.get("customer", "")
-        customer = self.customers.get(name)
+        customer = self._customers.get(name)
         if customer is None:
-            plan = self.plans.setdefault(fields.get("gradeOfService", ""), api.Plan(""))
-            customer = self.customers[name] = api.Customer(name, plan)
+            plan = self._plans.setdefault(fields.get("gradeOfService", ""), api.Plan(""))
+            customer = api.Customer(name, plan)
+            self._customers[name] = customer
         customer.first_gateway = int(fields.get("setStart", 0))
         customer.gateway_count = int(fields.get("entryPoints", 0))
-        rpc = api.Rpc(
-            self.methods[fields["grade"]],
-            customer,
-            float(fields.get("priceUnits", 0)),
-            seconds(fields["expires"]),
-            now,
-            is_client_retry=fields.get("resent") == "1",
-            is_write=fields.get("write") == "1",
-        )
-        self.rpcs[fields["handle"]], self.handles[rpc] = rpc, fields["handle"]
-        return self.gateway.admit(now, rpc)
+        return customer
 
-    def answer(self, now, fields, rows):
-        """How a call-out ended."""
-        rpc = self.rpcs.get(fields["handle"])
+    def on_attempt_ended(self, now: float, event: WireEvent) -> Actions:
+        """Handle ANSWER: the outcome of an attempt."""
+        fields = event.fields
+        rpc = self._rpcs.get(fields["handle"])
         number = int(fields.get("sendNo", 0))
         if rpc is None or number >= len(rpc.attempts):
-            return []
-        self.closing.append(rpc)
-        return self.gateway.on_attempt_ended(
+            return ()
+        self._maybe_settled.append(rpc)
+        return self.controller.on_attempt_ended(
             now,
             rpc.attempts[number],
-            OUTCOMES.get(fields.get("outcome"), api.ERROR),
-            over=fields.get("over") == "1",
+            self._outcome(fields),
+            over=fields.get("over") == TRUE,
             took=seconds(fields.get("took")),
             usage=int(fields.get("usage", 0)),
             units=float(fields.get("finalUnits", 0)),
-            report=self.report(fields),
+            report=self._load_report(fields),
         )
 
-    def streaming(self, now, fields, rows):
-        """A streamed answer has begun."""
-        rpc = self.rpcs.get(fields["handle"])
-        return (
-            self.gateway.on_response_started(now, rpc.attempts[int(fields.get("sendNo", 0))])
-            if rpc
-            else []
-        )
+    def on_response_started(self, now: float, event: WireEvent) -> Actions:
+        """Handle FIRST: a streamed response has begun."""
+        rpc = self._rpcs.get(event.fields["handle"])
+        if rpc is None:
+            return ()
+        attempt = rpc.attempts[int(event.fields.get("sendNo", 0))]
+        return self.controller.on_response_started(now, attempt)
 
-    def expired(self, now, fields, rows):
-        """The client has left."""
-        rpc = self.rpcs.get(fields["handle"])
+    def on_client_disconnected(self, now: float, event: WireEvent) -> Actions:
+        """Handle EXPIRED: the client has left."""
+        rpc = self._rpcs.get(event.fields["handle"])
         if rpc is None:
-            return []
-        self.closing.append(rpc)
-        return self.gateway.on_client_disconnected(now, rpc)
+            return ()
+        self._maybe_settled.append(rpc)
+        return self.controller.on_client_disconnected(now, rpc)
 
-    def ring(self, now, fields, rows):
-        """A timer of ours."""
-        about = self.wakes.pop(int(fields["nonce"]), None)
-        return self.gateway.on_timer(now, about) if about is not None else []
+    def on_timer(self, now: float, event: WireEvent) -> Actions:
+        """Handle RING: a timer is due."""
+        subject = self._timer_subjects.pop(int(event.fields["nonce"]), None)
+        if subject is None:
+            return ()
+        return self.controller.on_timer(now, subject)
 
-    def counted(self, now, fields, rows):
-        """What the counter said to one add."""
+    def on_counter_reply(self, now: float, event: WireEvent) -> Actions:
+        """Handle COUNTER_REPLY: the result of the oldest call for its name."""
+        fields = event.fields
         name = int(fields["cname"])
-        waiting = self.adds[name]
+        waiting = self._counter_adds[name]
         if not waiting:
-            return []
+            return ()
         add = waiting.popleft()
         if not waiting:
-            del self.adds[name]
-        outcome = OUTCOMES.get(fields.get("outcome"), api.ERROR)
-        return self.gateway.on_counter_reply(now, add, outcome, float(fields.get("reading", 0)))
+            del self._counter_adds[name]
+        total = float(fields.get("reading", 0))
+        return self.controller.on_counter_reply(now, add, self._outcome(fields), total)
 
-    def report(self, fields):
-        """A load report as a dict by field name; empty when none came."""
+    @staticmethod
+    def _outcome(fields: Fields) -> str:
+        return OUTCOMES.get(fields.get("outcome", ""), api.ERROR)
+
+    def _load_report(self, fields: Fields) -> dict[str, float]:
+        """Return a host's load report by field name; empty when none came."""
         values = fields.get("healthInfo", "").split(",")
         return {
             name: float(text)
-            for name, text in zip(self.report_fields, values, strict=False)
+            for name, text in zip(self._report_fields, values, strict=False)
             if NUMBER.fullmatch(text)
         }
 
-    def say(self, steps):
-        """The module's plain values as lines of the wire."""
+    def _encode(self, actions: Actions) -> list[str]:
+        """Return the lines of actions, in their order."""
         lines = []
-        for step in steps:
-            lines.append(SAYERS[type(step)](self, step))
-            if isinstance(step, (api.Reject, api.Abort)):
-                self.closing.append(step.rpc)
+        for action in actions:
+            lines.append(ENCODERS[type(action)](self, action))
+            if isinstance(action, (api.Reject, api.Abort)):
+                self._maybe_settled.append(action.rpc)
         return lines
 
-    def say_send_attempt(self, step):
+    def encode_send_attempt(self, action: api.SendAttempt) -> str:
+        """Return a DISPATCH: send an attempt."""
         return (
-            f"DISPATCH gateway={self.number} handle={self.handles[step.rpc]} host={step.endpoint.address} "
-            f"timeout={max(1, micros(step.timeout))}"
+            f"DISPATCH gateway={self.number} handle={self._handles[action.rpc]} "
+            f"host={action.endpoint.address} "
+            f"timeout={max(SHORTEST_TIME, microseconds(action.timeout))}"
         )
 
-    def say_push_back(self, step):
-        return f"REJECT gateway={self.number} handle={self.handles[step.rpc]} retryAfter={micros(step.retry_after)}"
+    def encode_reject(self, action: api.Reject) -> str:
+        """Return a REJECT: reject the request."""
+        return (
+            f"REJECT gateway={self.number} handle={self._handles[action.rpc]} "
+            f"retryAfter={microseconds(action.retry_after)}"
+        )
 
-    def say_abort(self, step):
-        return f"END_FAILED gateway={self.number} handle={self.handles[step.rpc]}"
+    def encode_abort(self, action: api.Abort) -> str:
+        """Return an END_FAILED: fail the request."""
+        return f"END_FAILED gateway={self.number} handle={self._handles[action.rpc]}"
 
-    def say_cancel(self, step):
-        return f"RECALL gateway={self.number} handle={self.handles[step.attempt.rpc]} sendNo={step.attempt.number}"
+    def encode_cancel_attempt(self, action: api.CancelAttempt) -> str:
+        """Return a RECALL: cancel an attempt."""
+        attempt = action.attempt
+        handle = self._handles[attempt.rpc]
+        return f"RECALL gateway={self.number} handle={handle} sendNo={attempt.number}"
 
-    def say_add(self, step):
-        self.adds[step.name].append(step)
-        return f"POST_AMOUNT gateway={self.number} cname={step.name} delta={step.amount:.7g} ttl={micros(step.ttl)}"
+    def encode_counter_add(self, action: api.CounterAdd) -> str:
+        """Return a POST_AMOUNT: add to a named number of the counter."""
+        self._counter_adds[action.name].append(action)
+        return (
+            f"POST_AMOUNT gateway={self.number} cname={action.name} "
+            f"delta={action.amount:.7g} ttl={microseconds(action.ttl)}"
+        )
 
-    def say_wake(self, step):
-        self.nonce += 1
-        self.wakes[self.nonce] = step.subject
-        return f"WAKE_AT gateway={self.number} nonce={self.nonce} in={max(1, micros(step.delay))}"
+    def encode_set_timer(self, action: api.SetTimer) -> str:
+        """Return a WAKE_AT: set a timer."""
+        self._last_nonce += 1
+        self._timer_subjects[self._last_nonce] = action.subject
+        delay = max(SHORTEST_TIME, microseconds(action.delay))
+        return f"WAKE_AT gateway={self.number} nonce={self._last_nonce} in={delay}"
 
-    def say_log(self, step):
-        return f"RECORD gateway={self.number} reasonText={step.text}"
+    def encode_write_log(self, action: api.WriteLog) -> str:
+        """Return a RECORD: add a line to the report."""
+        return f"RECORD gateway={self.number} reasonText={action.text}"
 
-    def say_subscribe(self, step):
+    def encode_watch_endpoints(self, _action: api.WatchEndpoints) -> str:
+        """Return a STREAM_CHANGES: subscribe to changes of the endpoint list."""
         return f"STREAM_CHANGES gateway={self.number} on=1"
 
 
-HANDLERS = {
-    "PEERS_KNOWN": Door.listed,
-    "DEMAND": Door.demand,
-    "ANSWER": Door.answer,
-    "FIRST": Door.streaming,
-    "EXPIRED": Door.expired,
-    "RING": Door.ring,
-    "COUNTER_REPLY": Door.counted,
+HANDLERS: Final[dict[str, Callable[[SimulatedInstance, float, WireEvent], Actions]]] = {
+    "PEERS_KNOWN": SimulatedInstance.on_endpoint_events,
+    "DEMAND": SimulatedInstance.on_request,
+    "ANSWER": SimulatedInstance.on_attempt_ended,
+    "FIRST": SimulatedInstance.on_response_started,
+    "EXPIRED": SimulatedInstance.on_client_disconnected,
+    "RING": SimulatedInstance.on_timer,
+    "COUNTER_REPLY": SimulatedInstance.on_counter_reply,
 }
-SAYERS = {
-    api.SendAttempt: Door.say_send_attempt,
-    api.Reject: Door.say_push_back,
-    api.Abort: Door.say_abort,
-    api.CancelAttempt: Door.say_cancel,
-    api.CounterAdd: Door.say_add,
-    api.SetTimer: Door.say_wake,
-    api.WriteLog: Door.say_log,
-    api.WatchEndpoints: Door.say_subscribe,
+ENCODERS: Final[dict[type, Callable[[SimulatedInstance, Any], str]]] = {
+    api.SendAttempt: SimulatedInstance.encode_send_attempt,
+    api.Reject: SimulatedInstance.encode_reject,
+    api.Abort: SimulatedInstance.encode_abort,
+    api.CancelAttempt: SimulatedInstance.encode_cancel_attempt,
+    api.CounterAdd: SimulatedInstance.encode_counter_add,
+    api.SetTimer: SimulatedInstance.encode_set_timer,
+    api.WriteLog: SimulatedInstance.encode_write_log,
+    api.WatchEndpoints: SimulatedInstance.encode_watch_endpoints,
 }
