--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -128,7 +128,8 @@
     last_command: float = 1.8  # connections take commands for so long after a drain began
     drain_idle: float = 0.25  # while draining, a connection that has only pinged is idle after this
     shutdown_timeout: float = 15.0  # for clients that never disconnect
-    kill_after: float = 0.5  # all is answered so long, and the longest deadline, after SIGTERM
+    # The kill comes 0.7 s and the longest deadline after SIGTERM: all is answered by then.
+    kill_after: float = 0.5  # seconds beyond the longest deadline until the last answers go out
     kill_longest: float = 3.0  # a longer deadline counts as this
     hand_over: float = 3.0  # the predecessor has handed over its state by then
     take_back: float = 0.5  # a connection that the successor has not received by then stays here
--- a/petrellane/net/scheduler.py
+++ b/petrellane/net/scheduler.py
@@ -49,6 +49,7 @@
         fault: Called with each exception that nothing else caught.
         monotonic: The clock of timers, in seconds.
         hub: The greenlet that runs the turns; a greenlet waits by switching to it.
+        poll: The poll object that watches the descriptors.
         calls: The handler of each registered descriptor.
         ready: Calls deferred to the end of this turn.
         running: Whether `run` goes on after this turn.
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -134,13 +134,13 @@
         self.deserted: Callable[[], object] | None = None
         self.held = False
         self.finishing = False
-        self._always = LEFT if leaves else 0
+        self._always_watched = LEFT if leaves else 0
         self._dialing = False
         self._reads_in_row = 0  # since the socket last had nothing
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._watched_events = READ | self._always
+        self._watched_events = READ | self._always_watched
         scheduler.register(sock.fileno(), self._watched_events, self._on_events, urgent)
 
     @classmethod
@@ -193,7 +193,7 @@
     def _wanted_events(self) -> int:
         reading = 0 if self.held else READ
         writing = WRITE if self.unsent else 0
-        return reading | writing | self._always
+        return reading | writing | self._always_watched
 
     def hold(self, held: bool = True) -> None:
         """Suspend reading, or resume it; meanwhile the kernel slows the peer down."""
@@ -201,7 +201,7 @@
         self._watch(self._wanted_events())
 
     def _on_events(self, events: int) -> None:
-        if events & self._always or (self.held and events & ~(READ | WRITE)):
+        if events & self._always_watched or (self.held and events & ~(READ | WRITE)):
             self.sock_failed()
             self._wake()
             return
@@ -285,7 +285,7 @@
         except BlockingIOError:
             pass
         except OSError as error:
-            self.unread = not self._always
+            self.unread = not self._always_watched
             self.fail(str(error))
         self._watch(self._wanted_events())
         if self.finishing and not self.unsent:
