--- a/tests/lab/cases.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -81,7 +81,7 @@
 
 def plant_in(party, plant, step=""):
     party.build, party.environ = (
-        {"module": "tests.lab.planted"},
+        {"module": "tests.integration.testbed.planted"},
         {"LAB_PLANT": plant, "LAB_STEP": step},
     )
 
@@ -1130,6 +1130,3 @@
             return file.read().rsplit(")", 1)[1].split()[0] != "Z"
     except OSError:
         return False
-
-
-CASES = [Changes, Ceilings, Kills, Staff, Relays, Order, Hosts, Starts, Runs]
