--- a/petrellane/benchlink/instance.py
+++ b/petrellane/benchlink/instance.py
@@ -13,10 +13,11 @@
 
 from petrellane import config
 from petrellane.benchlink.codec import Fields, WireEvent, microseconds, seconds
+from petrellane.decisions import actions as act
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 
-Actions = Iterable[object]  # actions of the decisions, in order
+Actions = Iterable[act.Action]
 
 OUTCOMES: Final = {
     "GOOD": api.OK,
@@ -54,13 +55,13 @@
         Raises:
             ConfigError: A setting is missing or wrong.
         """
-        settings = config.settings(config.Section(json.loads(settings_json), "settings"))
+        settings = config.parse_settings(config.Section(json.loads(settings_json), "settings"))
         self.number = number
         self.controller = AdmissionController(
             seed=seed,
             uses_counter=settings.uses_counter,
             must_watch=settings.must_watch,
-            **settings.gateway,
+            **settings.controller_options,
         )
         self._methods = settings.methods
         self._plans = settings.plans
@@ -70,7 +71,7 @@
         self._rpcs: dict[str, api.Rpc] = {}  # by handle
         self._handles: dict[api.Rpc, str] = {}
         self._maybe_settled: list[api.Rpc] = []  # to be looked at once the event is answered
-        self._counter_adds: defaultdict[int, deque[api.CounterAdd]] = defaultdict(deque)
+        self._counter_adds: defaultdict[int, deque[act.CounterAdd]] = defaultdict(deque)
         self._timer_subjects: dict[int, object] = {}  # by nonce
         self._last_nonce = 0
 
@@ -201,7 +202,7 @@
         return self.controller.on_counter_reply(now, add, self._outcome(fields), total)
 
     @staticmethod
-    def _outcome(fields: Fields) -> str:
+    def _outcome(fields: Fields) -> api.Outcome:
         return OUTCOMES.get(fields.get("outcome", ""), api.ERROR)
 
     def _load_report(self, fields: Fields) -> dict[str, float]:
@@ -218,11 +219,11 @@
         lines = []
         for action in actions:
             lines.append(ENCODERS[type(action)](self, action))
-            if isinstance(action, (api.Reject, api.Abort)):
+            if isinstance(action, (act.Reject, act.Abort)):
                 self._maybe_settled.append(action.rpc)
         return lines
 
-    def encode_send_attempt(self, action: api.SendAttempt) -> str:
+    def encode_send_attempt(self, action: act.SendAttempt) -> str:
         """Return a DISPATCH: send an attempt."""
         return (
             f"DISPATCH gateway={self.number} handle={self._handles[action.rpc]} "
@@ -230,24 +231,24 @@
             f"timeout={max(SHORTEST_TIME, microseconds(action.timeout))}"
         )
 
-    def encode_reject(self, action: api.Reject) -> str:
+    def encode_reject(self, action: act.Reject) -> str:
         """Return a REJECT: reject the request."""
         return (
             f"REJECT gateway={self.number} handle={self._handles[action.rpc]} "
             f"retryAfter={microseconds(action.retry_after)}"
         )
 
-    def encode_abort(self, action: api.Abort) -> str:
+    def encode_abort(self, action: act.Abort) -> str:
         """Return an END_FAILED: fail the request."""
         return f"END_FAILED gateway={self.number} handle={self._handles[action.rpc]}"
 
-    def encode_cancel_attempt(self, action: api.CancelAttempt) -> str:
+    def encode_cancel_attempt(self, action: act.CancelAttempt) -> str:
         """Return a RECALL: cancel an attempt."""
         attempt = action.attempt
         handle = self._handles[attempt.rpc]
         return f"RECALL gateway={self.number} handle={handle} sendNo={attempt.number}"
 
-    def encode_counter_add(self, action: api.CounterAdd) -> str:
+    def encode_counter_add(self, action: act.CounterAdd) -> str:
         """Return a POST_AMOUNT: add to a named number of the counter."""
         self._counter_adds[action.name].append(action)
         return (
@@ -255,18 +256,18 @@
             f"delta={action.amount:.7g} ttl={microseconds(action.ttl)}"
         )
 
-    def encode_set_timer(self, action: api.SetTimer) -> str:
+    def encode_set_timer(self, action: act.SetTimer) -> str:
         """Return a WAKE_AT: set a timer."""
         self._last_nonce += 1
         self._timer_subjects[self._last_nonce] = action.subject
         delay = max(SHORTEST_TIME, microseconds(action.delay))
         return f"WAKE_AT gateway={self.number} nonce={self._last_nonce} in={delay}"
 
-    def encode_write_log(self, action: api.WriteLog) -> str:
+    def encode_write_log(self, action: act.WriteLog) -> str:
         """Return a RECORD: add a line to the report."""
         return f"RECORD gateway={self.number} reasonText={action.text}"
 
-    def encode_watch_endpoints(self, _action: api.WatchEndpoints) -> str:
+    def encode_watch_endpoints(self, _action: act.WatchEndpoints) -> str:
         """Return a STREAM_CHANGES: subscribe to changes of the endpoint list."""
         return f"STREAM_CHANGES gateway={self.number} on=1"
 
@@ -281,12 +282,12 @@
     "COUNTER_REPLY": SimulatedInstance.on_counter_reply,
 }
 ENCODERS: Final[dict[type, Callable[[SimulatedInstance, Any], str]]] = {
-    api.SendAttempt: SimulatedInstance.encode_send_attempt,
-    api.Reject: SimulatedInstance.encode_reject,
-    api.Abort: SimulatedInstance.encode_abort,
-    api.CancelAttempt: SimulatedInstance.encode_cancel_attempt,
-    api.CounterAdd: SimulatedInstance.encode_counter_add,
-    api.SetTimer: SimulatedInstance.encode_set_timer,
-    api.WriteLog: SimulatedInstance.encode_write_log,
-    api.WatchEndpoints: SimulatedInstance.encode_watch_endpoints,
+    act.SendAttempt: SimulatedInstance.encode_send_attempt,
+    act.Reject: SimulatedInstance.encode_reject,
+    act.Abort: SimulatedInstance.encode_abort,
+    act.CancelAttempt: SimulatedInstance.encode_cancel_attempt,
+    act.CounterAdd: SimulatedInstance.encode_counter_add,
+    act.SetTimer: SimulatedInstance.encode_set_timer,
+    act.WriteLog: SimulatedInstance.encode_write_log,
+    act.WatchEndpoints: SimulatedInstance.encode_watch_endpoints,
 }
--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -10,7 +10,7 @@
 
 import greenlet
 
-from petrellane.config import ConfigError, Section, lacks, settings
+from petrellane.config import ConfigError, Section, check_no_key_removed, parse_settings
 from petrellane.config_consensus import coordinator as rules
 from petrellane.config_consensus import message_authentication, rpc_client, safe_settings
 from petrellane.config_consensus.coordinator import Coordinator, CoordinatorState
@@ -19,8 +19,8 @@
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.operation.lifecycle import Service
-from petrellane.operation.management_api import Management
+from petrellane.operation.lifecycle import Lifecycle
+from petrellane.operation.management_api import ManagementServer
 
 
 class Control:
@@ -43,8 +43,8 @@
         )
         self.calls, self.told, self.parked, self.complained = {}, None, {}, 0.0
         self.nonces = {}  # of the last calls: one that was listened to must do nothing when it is said again
-        self.desk = Management(
-            self.scheduler, self.limits, Service(0.0, 0.0), lambda: None, lambda trouble: None
+        self.desk = ManagementServer(
+            self.scheduler, self.limits, Lifecycle(0.0, 0.0), lambda: None, lambda trouble: None
         )
         self.desk.handlers[message_authentication.STAFF] = self.heard
         self.desk.listen(config.listen)
@@ -71,7 +71,7 @@
             epoch=self.leader.epoch.number,
         )
         self.scheduler.run()
-        self.desk.end()
+        self.desk.close()
         self.journal.close()
         self.log.event("ended")
         self.log.flush()
@@ -262,11 +262,11 @@
         if not isinstance(without, list) or not all(isinstance(name, str) for name in without):
             return 400, {"refused": "form", "why": "without: expected a list of names"}
         try:
-            settings(Section(content, "settings"))
+            parse_settings(Section(content, "settings"))
             if self.leader.in_force and self.leader.in_force.number and not message.get("less"):
-                lacks(self.leader.in_force.content, content, "settings")
+                check_no_key_removed(self.leader.in_force.content, content, "settings")
             if self.leader.in_force:
-                settings(
+                parse_settings(
                     Section(safe_settings.meet(self.leader.in_force.content, content), "settings")
                 )
         except (ConfigError, ValueError, TypeError, AttributeError, KeyError) as error:
--- a/tests/integration/testbed/planted.py
+++ b/tests/integration/testbed/planted.py
@@ -92,9 +92,9 @@
 
 def refuses():
     """A gateway of an older build, which does not know what it is told."""
-    from petrellane.gateway.process import Node
+    from petrellane.gateway.configuration_changes import ConfigurationChanges
 
-    takes = Node.takes
+    takes = ConfigurationChanges.check_agreed
 
     def planted(self, content):
         return (
@@ -103,7 +103,7 @@
             else takes(self, content)
         )
 
-    Node.takes = planted
+    ConfigurationChanges.check_agreed = planted
 
 
 def takes_the_file():
@@ -115,24 +115,26 @@
 
 def goes_on_to_drained():
     """A gateway that sends on to hosts that drain."""
-    from petrellane.decisions.controller import READY, LoadBalancer
+    from petrellane.decisions.load_balancing import LoadBalancer
+    from petrellane.decisions.types import READY
 
-    listed = LoadBalancer.listed
+    on_endpoint_events = LoadBalancer.on_endpoint_events
 
-    def planted(self, now, full, listings):
-        listed(self, now, full, [row._replace(state=READY) for row in listings])
+    def planted(self, now, is_full, events):
+        drained = [event._replace(state=READY) for event in events]
+        on_endpoint_events(self, now, is_full, drained)
 
-    LoadBalancer.listed = planted
+    LoadBalancer.on_endpoint_events = planted
 
 
 def emptiest_first():
     """A gateway that fills the host that started last, as it looks empty."""
-    from petrellane.decisions.controller import LoadBalancer
+    from petrellane.decisions.load_balancing import LoadBalancer
 
     pick_endpoint = LoadBalancer.pick_endpoint
 
     def planted(self, now, rpc, scope):
-        newest = max(self.hosts, key=lambda host: host.started_at)
+        newest = max(self.endpoints, key=lambda host: host.started_at)
         fits = newest.started_at and scope in (None, newest.zone, newest.pod)
         return newest if fits else pick_endpoint(self, now, rpc, scope)
 
@@ -141,24 +143,24 @@
 
 def waits_for_discovery():
     """A gateway that serves once discovery has told it of a list."""
-    from petrellane.gateway.process import Node
+    from petrellane.gateway.process import GatewayProcess
 
-    listed, settle = Node.listed, Node.settle
-    Node.settle = lambda self: None
+    listed, settle = GatewayProcess.on_endpoint_list, GatewayProcess.begin_serving
+    GatewayProcess.begin_serving = lambda self: None
 
     def planted(self, told):
         listed(self, told)
         if told:
             settle(self)
 
-    Node.listed = planted
+    GatewayProcess.on_endpoint_list = planted
 
 
 def runs_twice():
     """A gateway to which every method may run again."""
-    from petrellane.decisions.controller import AdmissionController
+    from petrellane.decisions import retries
 
-    AdmissionController.retry_targets = lambda self, now, rpc: (None, float("inf"))
+    retries.retry_targets = lambda now, rpc: (None, float("inf"))
 
 
 if __name__ == "__main__":
--- a/tests/unit/decisions/scenario.py
+++ b/tests/unit/decisions/scenario.py
@@ -3,6 +3,7 @@
 import contextlib
 import re
 
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 
@@ -65,17 +66,17 @@
     def take(self, steps):
         for step in steps:
             kind = type(step).__name__
-            if isinstance(step, api.SetTimer):
+            if isinstance(step, actions.SetTimer):
                 self.wakes.append(
                     (self.now + step.delay, len(self.wakes), step.subject, self.gateway)
                 )
-            elif isinstance(step, api.CounterAdd):
+            elif isinstance(step, actions.CounterAdd):
                 self.adds.append((step, self.gateway))
-            elif isinstance(step, api.WriteLog):
+            elif isinstance(step, actions.WriteLog):
                 self.log.append(step.text)
             rpc = (
                 step.attempt.rpc
-                if isinstance(step, api.CancelAttempt)
+                if isinstance(step, actions.CancelAttempt)
                 else getattr(step, "rpc", None)
             )
             self.said.append((kind, rpc, step))
@@ -238,7 +239,9 @@
 
     def do_unknown(self, *words):
         self.take(self.gateway.on_timer(self.now, "nobody"))
-        self.take(self.gateway.on_counter_reply(self.now, api.CounterAdd(7, 1.0, 1.0), "odd", 0.0))
+        self.take(
+            self.gateway.on_counter_reply(self.now, actions.CounterAdd(7, 1.0, 1.0), "odd", 0.0)
+        )
 
     def do_expect(self, what, *words):
         if what == "log":
@@ -283,12 +286,14 @@
         assert float(low) <= number <= float(high), f"{number} of {kind}"
 
     def do_leases(self, low, high):
-        assert int(low) <= len(self.gateway.leases.leases) <= int(high), len(
-            self.gateway.leases.leases
+        assert int(low) <= len(self.gateway.lease_manager.leases) <= int(high), len(
+            self.gateway.lease_manager.leases
         )
 
     def do_forgets(self):
-        gone = [host.address for host, _ in self.gateway.fleet.used if host.state == api.GONE]
+        gone = [
+            host.address for host, _ in self.gateway.load_balancer.subset if host.state == api.GONE
+        ]
         assert not gone, gone
 
     def do_clear(self):
