--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -114,13 +114,15 @@
             self.client.report(self.pending.popleft(), outcome, total)
 
     @staticmethod
-    def _decode_answer(buffer: bytearray, kind: int, content: Span | None) -> tuple[str, float]:
+    def _decode_answer(
+        buffer: bytearray, kind: int, content: Span | list[Span | None] | None
+    ) -> tuple[str, float]:
         """Return an answer's outcome and total.
 
         Raises:
             Malformed: It has none of the forms of an answer.
         """
-        if kind == BULK_STRING and content:
+        if kind == BULK_STRING and isinstance(content, tuple):
             try:
                 total = float(bytes(buffer[slice(*content)]))
             except ValueError:
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -171,13 +171,13 @@
                     return
                 self._relay_data(buffer)
                 continue
-            if not self.relay and (found := resp.long_answer(buffer, limits)):
-                self._begin_relay(buffer, *found)
+            if not self.relay and (head := resp.long_answer(buffer, limits)):
+                self._begin_relay(buffer, *head)
                 continue
-            found = resp.answer(buffer, 0, limits)
-            if not found:
+            reply = resp.answer(buffer, 0, limits)
+            if not reply:
                 return
-            kind, content, end = found
+            kind, content, end = reply
             if not self.in_flight:
                 raise resp.Malformed("an answer to nothing")
             answer = self._decode_answer(kind, content)
@@ -272,7 +272,7 @@
         self.pool.remove(self)
         for pending in in_flight:
             is_written = pending.end_offset is not None and pending.end_offset <= self.stream.sent
-            outcome = RESET if is_written else UNREACHABLE
+            outcome: str = RESET if is_written else UNREACHABLE
             if pending.abandoned_as and (is_written or pending.abandoned_as == NEVER_SENT):
                 outcome = pending.abandoned_as
             self.pool.pools.report(pending, outcome)
--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -37,7 +37,7 @@
     def window(self) -> int:
         """Return the bytes that may wait in one relay."""
         share = (self.limits.waiting - self.reserved) // max(1, len(self.relays))
-        return max(self.limits.window_least, min(self.limits.window, share))
+        return max(self.limits.window_minimum, min(self.limits.window, share))
 
     def reserve(self, owner: object, size: int) -> None:
         """Set the bytes of a body that are kept for an owner; 0 ends its reservation."""
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -241,6 +241,8 @@
             )
 
     def _accept(self, _events: int) -> None:
+        if not self._listener:
+            return
         for sock in accepted(self._listener, 1, self._on_descriptor_shortage):
             if len(self.links) >= self._limits.callers:  # the oldest that is no successor makes way
                 next(link for link in self.links if link is not self._successor).close()
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -7,7 +7,7 @@
 
 import select
 import socket
-from collections.abc import Callable, Iterator, Mapping
+from collections.abc import Callable, Mapping
 
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
@@ -99,18 +99,14 @@
             self._scheduler.after(self.limits.out_of_descriptors, self.resume_accepting)
 
     def _accept(self, _events: int = 0) -> None:
-        for sock in self._accepted():
+        if not self.listener:
+            return
+        for sock in accepted(self.listener, self.limits.accepts, self._on_descriptor_shortage):
             self._make_room()
             stream = Stream(self._scheduler, self.limits, sock, urgent=True)
             self.callers[stream] = None
             self._scheduler.spawn(self._serve, stream)
 
-    def _accepted(self) -> Iterator[socket.socket]:
-        sockets: Iterator[socket.socket] = accepted(
-            self.listener, self.limits.accepts, self._on_descriptor_shortage
-        )
-        return sockets
-
     def _make_room(self) -> None:
         """Close the oldest connection, one that got its answer before one that did not."""
         for streams in (self.answered, self.callers):
