--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -42,7 +42,7 @@
     from collections.abc import Callable, Iterable
 
     from petrellane.config import Config, EndpointListUpdate, Settings
-    from petrellane.decisions.types import Customer, Endpoint, Method, Plan
+    from petrellane.decisions.types import Customer, Endpoint, Method, Outcome, Plan
     from petrellane.gateway.client_request import ClientRequest
     from petrellane.gateway.counter_client import CounterClient
     from petrellane.gateway.endpoint_connection import PendingAttempt
@@ -100,8 +100,7 @@
         self.attempts_by_address: Counter[str] | None = (
             Counter() if config.figures_by_endpoint else None
         )
-        # The time at which every open request has its answer, once the process is ending.
-        self.final_deadline = math.inf
+        self.final_deadline = math.inf  # when all open requests have ended, once we are ending
         self.endpoint_pools: EndpointPools
         self.counter_client: CounterClient
         self.handover: HotRestartTransport | None = None
@@ -143,11 +142,9 @@
         """Apply an endpoint list or changes to it, in chunks.
 
         First come the rows that the list names, then, for a complete list, the end of the endpoints
-        that it leaves out. No other list may be given while `applying_endpoint_list` is set.
-
-        Args:
-            endpoint_list: What the registry answered; None when the request failed.
-            yield_turn: Called between chunks, so that other work has its turn. None: all at once.
+        that it leaves out. No other list may be given while `applying_endpoint_list` is set. None
+        in place of a list says that the request for it failed. `yield_turn` is called between
+        chunks, so that other work has its turn; without it all is applied at once.
         """
         if endpoint_list is None:
             self.execute(self.controller.on_endpoint_events(self.now(), False, None))
@@ -303,15 +300,12 @@
         return True
 
     def on_attempt_ended(
-        self, pending: PendingAttempt, outcome: str, value: bytes, report: bytes
+        self, pending: PendingAttempt, outcome: Outcome, value: bytes, report: bytes
     ) -> None:
         """Report an attempt's outcome; the first that is ok answers the client by itself.
 
-        Args:
-            pending: The attempt that ended.
-            outcome: What became of it.
-            value: The response, where the outcome is ok and it was not relayed.
-            report: The endpoint's load report, `name=number` pairs with commas between.
+        `value` is the response, where the outcome is ok and it was not relayed; `report` is the
+        endpoint's load report, `name=number` pairs with commas between.
         """
         attempt = pending.attempt
         now = self.now()
@@ -334,7 +328,7 @@
             report=figures,
         )
 
-    def on_counter_reply(self, add: CounterAdd, outcome: str, total: float) -> None:
+    def on_counter_reply(self, add: CounterAdd, outcome: Outcome, total: float) -> None:
         """Report what became of an addition to the shared counter."""
         self.counts["add " + outcome] += 1
         self.execute(self.controller.on_counter_reply(self.now(), add, outcome, total))
--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -20,6 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from petrellane.decisions.types import Outcome
     from petrellane.gateway.client_request import Span
     from petrellane.gateway.runtime import Address, Runtime
     from petrellane.net.scheduler import Timer
@@ -114,7 +115,7 @@
             self.client.report(self.pending.popleft(), outcome, total)
 
     @staticmethod
-    def _decode_answer(buffer: bytearray, kind: int, content: Span | None) -> tuple[str, float]:
+    def _decode_answer(buffer: bytearray, kind: int, content: Span | None) -> tuple[Outcome, float]:
         """Return an answer's outcome and total.
 
         Raises:
@@ -165,7 +166,7 @@
         self,
         runtime: Runtime,
         address: Address,
-        on_reply: Callable[[CounterAdd, str, float], object],
+        on_reply: Callable[[CounterAdd, Outcome, float], object],
     ) -> None:
         """Begin with no connection.
 
@@ -229,7 +230,7 @@
     def _on_late(self, pending: PendingAdd) -> None:
         self.report(pending, LATE if pending.end_offset else UNREACHABLE, 0.0)
 
-    def report(self, pending: PendingAdd, outcome: str, total: float) -> None:
+    def report(self, pending: PendingAdd, outcome: Outcome, total: float) -> None:
         """Report what became of an addition, once, at the end of this turn."""
         if not pending.is_reported:
             pending.is_reported = True
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -21,6 +21,7 @@
     OK,
     RESET,
     UNREACHABLE,
+    Outcome,
 )
 from petrellane.gateway.response_relay import ResponseRelay
 from petrellane.net import resp
@@ -40,7 +41,7 @@
 class Answer(NamedTuple):
     """What an answer says: the outcome, the value, and the load report that came with it."""
 
-    outcome: str
+    outcome: Outcome
     value: bytes
     report: bytes
 
@@ -50,7 +51,7 @@
 
     `connection` is None until it is written. `end_offset` is then the number of bytes that the
     connection's stream has sent once the attempt is completely out; None while it is being written.
-    `abandoned_as` is the outcome to report once its connection allows, empty while it is awaited.
+    `abandoned_as` is the outcome to report once its connection allows, None while it is awaited.
     """
 
     __slots__ = (
@@ -81,7 +82,7 @@
         self.timer: Timer | None = None
         self.end_offset: int | None = None
         self.is_relaying = False  # its response has begun to go to the client
-        self.abandoned_as = ""
+        self.abandoned_as: Outcome | None = None
 
 
 class EndpointConnection:
@@ -277,7 +278,7 @@
                 outcome = pending.abandoned_as
             self.pool.pools.report(pending, outcome)
 
-    def give_up(self, pending: PendingAttempt, outcome: str) -> None:
+    def give_up(self, pending: PendingAttempt, outcome: Outcome) -> None:
         """Stop waiting for an attempt without ending the others on the connection.
 
         Where the endpoint has answered nothing since it was sent, idle connections from before may
@@ -287,7 +288,7 @@
             self.pool.retire(pending.attempt.sent_at)
         self.abandon(pending, outcome)
 
-    def abandon(self, pending: PendingAttempt, outcome: str) -> None:
+    def abandon(self, pending: PendingAttempt, outcome: Outcome) -> None:
         """Stop waiting for an attempt, with no doubt about the endpoint."""
         pending.abandoned_as = outcome
         self.is_retiring = True
--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -18,7 +18,7 @@
     from collections.abc import Callable, Iterable
 
     from petrellane.decisions.actions import SendAttempt
-    from petrellane.decisions.types import Endpoint
+    from petrellane.decisions.types import Endpoint, Outcome
     from petrellane.gateway.client_request import ClientRequest
     from petrellane.gateway.response_relay import BufferBudget, ResponseRelay
     from petrellane.gateway.runtime import Address, Runtime
@@ -33,7 +33,7 @@
         """Begin a long response; return False where nobody waits for it."""
 
     def on_attempt_ended(
-        self, pending: PendingAttempt, outcome: str, value: bytes, report: bytes
+        self, pending: PendingAttempt, outcome: Outcome, value: bytes, report: bytes
     ) -> None:
         """Take an attempt's outcome, once."""
 
@@ -192,7 +192,7 @@
         for pending in list(filter(None, map(self.pending_attempts.get, attempts))):
             self._give_up(pending, LATE)
 
-    def _give_up(self, pending: PendingAttempt, outcome: str) -> None:
+    def _give_up(self, pending: PendingAttempt, outcome: Outcome) -> None:
         """Stop waiting for an attempt, unless that has been done or its response is under way."""
         if pending.attempt not in self.pending_attempts or pending.is_relaying:
             return
@@ -212,7 +212,7 @@
         return pending.is_relaying
 
     def report(
-        self, pending: PendingAttempt, outcome: str, value: bytes = b"", report: bytes = b""
+        self, pending: PendingAttempt, outcome: Outcome, value: bytes = b"", report: bytes = b""
     ) -> None:
         """Report what became of an attempt, once."""
         if self.pending_attempts.pop(pending.attempt, None):
