--- a/benchmarks/messages.py
+++ b/benchmarks/messages.py
@@ -31,13 +31,14 @@
     safe_settings,
     state_store,
 )
+from petrellane.config_consensus import messages as protocol
 from petrellane.net import http, resp
 from petrellane.testbed import fleet
 
 VERSION = 1
 METHODS, PLANS, MEMBERS, HOSTS = 4100, 300, 1200, 13_000
 KEY, HOST, MICRO = b"0123456789abcdef", "10.23.145.67:18800", 1_000_000
-FIELD = message_authentication.FIELD.decode()
+FIELD = message_authentication.SIGNATURE_FIELD.decode()
 REPEATS, LONG = 5, 5.0
 
 
@@ -113,8 +114,12 @@
 
 def asked(message):
     """Bytes of a question under the key."""
-    body, sign = message_authentication.question(KEY, message)
-    return len(http.post(message_authentication.PATH.decode(), HOST, {FIELD: sign.decode()}, body))
+    body, sign = message_authentication.sign_request(KEY, message)
+    return len(
+        http.post(
+            message_authentication.PARTICIPANT_PATH.decode(), HOST, {FIELD: sign.decode()}, body
+        )
+    )
 
 
 def timed(step, repeats=REPEATS):
@@ -159,14 +164,17 @@
         for name in self.states:
             began = time.process_time()
             message = self.leader.build_message(name, self.now)
+            wire = message and message.to_dict()
             spent += time.process_time() - began
             if message is None:
                 continue
             sent += 1
             self.states[name], answer = participant.handle_message(
-                self.states[name], message, lambda content: None
+                self.states[name], wire, lambda content: None
             )
+            told = answer.to_dict()
             began = time.process_time()
+            answer = protocol.decode_answer(message, told)
             self.leader.handle_answer(name, message, answer, self.now)
             spent += time.process_time() - began
         return sent, spent
@@ -366,24 +374,26 @@
         (
             "prepare_write_ms",
             "a prepare written at a control process: JSON and seal, once a gateway",
-            lambda: message_authentication.question(KEY, message),
+            lambda: message_authentication.sign_request(KEY, message),
         ),
         (
             "seal_prepare_ms",
             "a prepare's seal, written or checked",
-            lambda: message_authentication.sealed(KEY, b"question", body),
+            lambda: message_authentication.compute_signature(KEY, b"question", body),
         ),
         (
             "remember_ms",
             "what is remembered while in doubt, as JSON and with its check, without the disk",
-            lambda: (state_store.check(told_of(after)), orjson.dumps(told_of(after))),
+            lambda: (state_store.checksum(told_of(after)), orjson.dumps(told_of(after))),
         ),
         (
             "look_ms",
             "an answer to a look made and sealed, and read and checked: the gateway's and control's halves",
-            lambda: participant.parse_peer_state(
-                message_authentication.answered(
-                    KEY, b"s", *reversed(message_authentication.answer(KEY, b"s", state.to_dict()))
+            lambda: protocol.PeerState.from_dict(
+                message_authentication.verify_response(
+                    KEY,
+                    b"s",
+                    *reversed(message_authentication.sign_response(KEY, b"s", state.to_dict())),
                 )
             ),
         ),
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -13,23 +13,25 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any, Protocol
 
-from petrellane.decisions.controller import AdmissionController
-from petrellane.decisions.types import (
-    DEDUPLICATED,
-    GONE,
-    IDEMPOTENT,
-    OK,
-    READY,
+from petrellane.decisions.actions import (
     Abort,
     CancelAttempt,
     CounterAdd,
     Reject,
-    Rpc,
     SendAttempt,
     SetTimer,
     WatchEndpoints,
     WriteLog,
 )
+from petrellane.decisions.controller import AdmissionController
+from petrellane.decisions.types import (
+    DEDUPLICATED,
+    GONE,
+    IDEMPOTENT,
+    OK,
+    READY,
+    Rpc,
+)
 from petrellane.gateway.client_request import InvalidFieldError
 from petrellane.gateway.customers import Customers
 from petrellane.gateway.endpoint_updates import endpoint_updates
@@ -62,7 +64,7 @@
 class AdmissionGate(Protocol):
     """Says whether RPCs may be admitted under the settings that are in force here."""
 
-    def admits(self) -> bool:
+    def may_admit(self) -> bool:
         """Return False while other gateways may have left these settings behind."""
 
 
@@ -200,7 +202,7 @@
         """
         now = self.now()
         # Asked before the request is looked at under settings that other gateways may have left.
-        if self.agent and not self.agent.admits():
+        if self.agent and not self.agent.may_admit():
             self.counts["pushed generation"] += 1
             request.finish(BUSY)
             return
--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -46,7 +46,8 @@
         counter = config.counter or before.counter  # it cannot be removed in service
         moved = _moved_addresses(before, config)
         settings = config.settings
-        if process.agent and not process.agent.drifts(config.raw["settings"]):
+        file_settings = config.raw["settings"]
+        if process.agent and not process.agent.accept_file_settings(file_settings):
             settings = before.settings
         process.config = replace(
             before, discovery=config.discovery, counter=counter, raw=config.raw
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -27,7 +27,7 @@
 from petrellane.net.stream import Closed, Stream
 
 if TYPE_CHECKING:
-    from petrellane.decisions.types import SendAttempt
+    from petrellane.decisions.actions import SendAttempt
     from petrellane.gateway.client_request import ClientRequest, Span
     from petrellane.gateway.endpoint_pool import EndpointPool
     from petrellane.net.scheduler import Timer
--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -17,7 +17,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from petrellane.decisions.types import Endpoint, SendAttempt
+    from petrellane.decisions.actions import SendAttempt
+    from petrellane.decisions.types import Endpoint
     from petrellane.gateway.client_request import ClientRequest
     from petrellane.gateway.response_relay import BufferBudget, ResponseRelay
     from petrellane.gateway.runtime import Address, Runtime
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -36,8 +36,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from petrellane.config import Config, EndpointListUpdate
-    from petrellane.config_consensus.participant_service import Agent
+    from petrellane.config import Config, ConsensusConfig, EndpointListUpdate
+    from petrellane.config_consensus.participant_service import ParticipantService
 
 STANDARD_OUTPUT = 1
 EXIT_OK = 0
@@ -79,9 +79,9 @@
         buffer_budget = BufferBudget(self.limits)
         self._make_client_side(buffer_budget)
         self._make_endpoint_side(buffer_budget)
-        self.agent: Agent | None = None
+        self.agent: ParticipantService | None = None
         if config.consensus:
-            self._make_agent()
+            self._make_agent(config.consensus)
         self.is_ending = False
         self.is_taking_over = False
         self.handover: HotRestartTransport | None = None
@@ -115,24 +115,29 @@
             self.executor.counter_client = self.counter_client
         self.endpoint_watch = self.make_watch(config.known.index if config.known.entries else None)
 
-    def _make_agent(self) -> None:
+    def _make_agent(self, consensus: ConsensusConfig) -> None:
         # Imported where it is asked for: a gateway alone starts without it.
-        from petrellane.config_consensus.message_authentication import PATH
-        from petrellane.config_consensus.participant_service import Agent
+        from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
+        from petrellane.config_consensus.participant_service import (
+            GatewayInterface,
+            ParticipantService,
+        )
 
-        self.agent = Agent(
+        self.agent = ParticipantService(
             self.scheduler,
             self.limits,
             self.log,
-            self.config.consensus,
-            self.config.name,
-            self.config.raw["settings"],
-            self.configuration.check_agreed,
-            self.configuration.adopt_agreed,
-            self.executor.controller.random,
+            consensus,
+            GatewayInterface(
+                name=self.config.name,
+                settings=self.config.raw["settings"],
+                validate=self.configuration.check_agreed,
+                apply_settings=self.configuration.adopt_agreed,
+                random=self.executor.controller.random,
+            ),
         )
         self.executor.agent = self.agent
-        self.management.handlers[PATH] = self.agent.desk
+        self.management.handlers[PARTICIPANT_PATH] = self.agent.handle_call
 
     def _make_handover(self) -> None:
         self.handover = HotRestartTransport(
@@ -238,7 +243,8 @@
         it asks again after it has.
         """
         if self.agent:
-            self.agent.start(self._serve_clients, self.handover and self.handover.generation)
+            predecessor_state = self.handover.generation if self.handover else None
+            self.agent.start(self._serve_clients, predecessor_state)
         else:
             self._serve_clients()
 
@@ -252,7 +258,7 @@
         """Never let a poll last long: one that overruns shows that the process stood still."""
         self.scheduler.after(self.limits.beat, self.run_heartbeat)
         if self.agent:
-            self.agent.look()
+            self.agent.check_stall()
 
     def log_figures(self) -> None:
         """Log what was counted since the last line, if anything; a line a second at most."""
@@ -277,8 +283,8 @@
                 clients=len(self.client_listener.clients),
                 connections=self.endpoint_pools.open_connections,
                 busy=sum(len(pool.busy) for pool in pools),
-                pressure=round(controller.pressure, 3),
-                crowded=int(controller.leases.crowded(self.scheduler.now())),
+                pressure=round(controller.overload, 3),
+                crowded=int(controller.lease_manager.counter.is_degraded(self.scheduler.now())),
             )
         self.scheduler.longest = 0.0
 
@@ -296,7 +302,7 @@
             pool.retire(math.inf)
         generation = None
         if self.agent:
-            self.agent.leave()
+            self.agent.hand_over()
             generation = self.agent.state.to_dict()
         return hot_restart.export_leases(self.executor.controller, self.scheduler.now(), generation)
 
@@ -311,7 +317,7 @@
         if not successor:
             hot_restart.resume(self.executor.controller, self.scheduler.now())
             if self.agent:
-                self.agent.back()
+                self.agent.resume()
 
     # Signals, drain and end.
 
@@ -359,7 +365,7 @@
             return
         self.management.close()
         if self.agent:
-            self.agent.end()
+            self.agent.stop()
         if self.handover:
             self.handover.close()
         self.scheduler.stop()
--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -74,10 +74,10 @@
                 customer.plan.name,
                 customer.first_gateway,
                 customer.gateway_count,
-                _replace_infinities(lease.given(now)),
+                _replace_infinities(lease.export_state(now)),
             )
         )
-        for customer, lease in controller.leases.leases.items()
+        for customer, lease in controller.lease_manager.leases.items()
     ]
     messages: list[Message] = []
     if generation:
@@ -119,7 +119,7 @@
                 record.customer, record.plan, record.first_gateway, record.gateway_count
             )
             if customer:
-                controller.leases.of(customer, now).taken(record.state)
+                controller.lease_manager.lease_of(customer, now).import_state(record.state)
                 count += 1
         except (KeyError, TypeError, ValueError):
             continue
@@ -134,10 +134,10 @@
     Returns:
         How many of them the customer's lease counted.
     """
-    lease = controller.leases.of(customer, now)
-    in_flight_before = lease.out
-    lease.out = max(0, lease.out - count)
-    return int(in_flight_before - lease.out)
+    lease = controller.lease_manager.lease_of(customer, now)
+    in_flight_before = lease.in_flight
+    lease.in_flight = max(0, lease.in_flight - count)
+    return int(in_flight_before - lease.in_flight)
 
 
 def predecessor_still_running(controller: AdmissionController, now: float) -> None:
@@ -145,13 +145,13 @@
 
     Ours stay empty until it is surely gone.
     """
-    controller.leases.born = now + PREDECESSOR_GONE_AFTER_S
+    controller.lease_manager.started_at = now + PREDECESSOR_GONE_AFTER_S
 
 
 def resume(controller: AdmissionController, now: float) -> None:
     """The successor is gone, and what was given up with it: shares grow again, from nothing."""
-    for lease in controller.leases.leases.values():
-        lease.filled = min(lease.filled, now)
+    for lease in controller.lease_manager.leases.values():
+        lease.hard_limit_filled_at = min(lease.hard_limit_filled_at, now)
 
 
 class HandoffSender(Generic[ItemT]):
--- a/petrellane/testbed/hollow.py
+++ b/petrellane/testbed/hollow.py
@@ -128,10 +128,10 @@
         self.log_figures()
         self.begin_serving()
         if self.agent and self.fresh:
-            standing = self.agent.standing
+            standing = self.agent.status
             standing.responders.update(standing.roster)
             standing.set_roster(standing.roster)
-            self.agent.knows()
+            self.agent.notify_if_ready()
 
     def make_watch(self, index):
         return Watch(
--- a/tests/integration/testbed/planted.py
+++ b/tests/integration/testbed/planted.py
@@ -2,7 +2,7 @@
 
 import os
 
-from petrellane.config_consensus import coordinator, participant
+from petrellane.config_consensus import ballots, coordinator, participant
 
 
 def steps():
@@ -25,10 +25,10 @@
 
 def saved():
     """A gateway that ends in the n-th write of its memory (LAB_STEP: number, and before or after it lasts)."""
-    from petrellane.config_consensus.state_store import Store
+    from petrellane.config_consensus.state_store import StateStore
 
     number, when = os.environ["LAB_STEP"].split()
-    save, count = Store.save, []
+    save, count = StateStore.save, []
 
     def planted(self, state):
         count.append(None)
@@ -39,17 +39,17 @@
         if when == "before":
             save(self, state)
 
-    Store.save = planted
+    StateStore.save = planted
 
 
 def unwritable():
     """A gateway whose disk is full."""
-    from petrellane.config_consensus.state_store import Store
+    from petrellane.config_consensus.state_store import StateStore
 
     def planted(self, state):
         raise OSError(28, "No space left on device")
 
-    Store.save = planted
+    StateStore.save = planted
 
 
 def knows_at_once():
@@ -80,9 +80,9 @@
 
     def planted(self, now):
         change = self.change
-        if change and sum(
-            said == "prepared" for said in change.votes.values()
-        ) >= coordinator.majority(change.participants):
+        if change and sum(said == "prepared" for said in change.votes.values()) >= ballots.majority(
+            change.participants
+        ):
             self.decide(coordinator.ChangeOutcome.COMMITTED, "", now)
         else:
             judge(self, now)
@@ -108,31 +108,33 @@
 
 def takes_the_file():
     """SIGHUP puts in force whatever the file says."""
-    from petrellane.config_consensus.participant_service import Agent
+    from petrellane.config_consensus.participant_service import ParticipantService
 
-    Agent.drifts = lambda self, settings: True
+    ParticipantService.accept_file_settings = lambda self, settings: True
 
 
 def goes_on_to_drained():
     """A gateway that sends on to hosts that drain."""
-    from petrellane.decisions.controller import READY, LoadBalancer
+    from petrellane.decisions.load_balancing import LoadBalancer
+    from petrellane.decisions.types import READY
 
-    listed = LoadBalancer.listed
+    on_endpoint_events = LoadBalancer.on_endpoint_events
 
-    def planted(self, now, full, listings):
-        listed(self, now, full, [row._replace(state=READY) for row in listings])
+    def planted(self, now, is_full, events):
+        drained = [event._replace(state=READY) for event in events]
+        on_endpoint_events(self, now, is_full, drained)
 
-    LoadBalancer.listed = planted
+    LoadBalancer.on_endpoint_events = planted
 
 
 def emptiest_first():
     """A gateway that fills the host that started last, as it looks empty."""
-    from petrellane.decisions.controller import LoadBalancer
+    from petrellane.decisions.load_balancing import LoadBalancer
 
     pick_endpoint = LoadBalancer.pick_endpoint
 
     def planted(self, now, rpc, scope):
-        newest = max(self.hosts, key=lambda host: host.started_at)
+        newest = max(self.endpoints, key=lambda host: host.started_at)
         fits = newest.started_at and scope in (None, newest.zone, newest.pod)
         return newest if fits else pick_endpoint(self, now, rpc, scope)
 
@@ -156,9 +158,9 @@
 
 def runs_twice():
     """A gateway to which every method may run again."""
-    from petrellane.decisions.controller import AdmissionController
+    from petrellane.decisions import retries
 
-    AdmissionController.retry_targets = lambda self, now, rpc: (None, float("inf"))
+    retries.retry_targets = lambda now, rpc: (None, float("inf"))
 
 
 if __name__ == "__main__":
--- a/tests/unit/testbed/test_capacity.py
+++ b/tests/unit/testbed/test_capacity.py
@@ -285,7 +285,7 @@
 def test_adds_an_rpc_fall_with_a_customers_demand_at_one_gateway() -> None:
     # 100 RPCs of 400 customers: 25 a second at each hundredth of a gateway
     one = capacity.credit(book(), 0.01)
-    demand = 25.0 * 8.0 * capacity.WINDOW * capacity.AHEAD * capacity.HEADROOM
+    demand = 25.0 * 8.0 * capacity.WINDOW_FILLS * capacity.LEASE_AHEAD * capacity.HEADROOM
     assert one.value == almost(1 / demand)
     assert capacity.credit(book(), 100.0).value == 1.0  # never more than one
 
