--- a/tests/unit/decisions/scenario.py
+++ b/tests/unit/decisions/scenario.py
@@ -1,4 +1,7 @@
-"""The steps of the decisions' scenario files, played against `AdmissionController` alone; the notation is in tests/README.md."""
+"""The steps of the decisions' scenario files, played against `AdmissionController` alone.
+
+The notation is in tests/README.md.
+"""
 
 import contextlib
 import re
@@ -254,7 +257,7 @@
             return
         wanted = {
             "sent": "SendAttempt",
-            "pushed-back": "Reject",
+            "rejected": "Reject",
             "aborted": "Abort",
             "cancelled": "CancelAttempt",
         }[what]
@@ -262,7 +265,7 @@
         on = options(words[1:]).get("on")
         assert on is None or rpc.attempts[-1].endpoint.address in on.split(","), rpc.attempts[
             -1
-        ].host.address
+        ].endpoint.address
         self.said = [entry for entry in self.said if entry[1] is not rpc]
 
     def do_tally(self, kind, low, high):
