--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -73,13 +73,6 @@
     ]
 
 
-def name_of(node_id: str) -> str:
-    """Return a node id without the group that pytest-xdist appends, as in `a.py::test_b@group`."""
-    if node_id.rfind("@") > node_id.rfind("]"):
-        return node_id.rpartition("@")[0]
-    return node_id
-
-
 def describe(entry: KnownFailure) -> str:
     """Return the line that a run prints for a listed test that failed."""
     return f"known red: {entry.test}: {entry.cause} ({entry.issue})"
--- a/tests/known_red_plugin.py
+++ b/tests/known_red_plugin.py
@@ -54,8 +54,7 @@
         """
         if not self.is_complete_run:
             return
-        names = [known_red.name_of(node_id) for node_id in node_ids]
-        if messages := known_red.missing(self.known.values(), names):
+        if messages := known_red.missing(self.known.values(), node_ids):
             raise pytest.UsageError("\n".join(messages))
 
     def pytest_collection_finish(self, session: pytest.Session) -> None:
@@ -81,7 +80,7 @@
     @pytest.hookimpl(tryfirst=True)
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
         """Change the report of a listed test before it is counted, and keep what is printed."""
-        entry = self.known.get(known_red.name_of(report.nodeid))
+        entry = self.known.get(report.nodeid)
         if entry is None:
             return
         if self.is_running:
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -108,19 +108,12 @@
 
 
 def test_exists(request: pytest.FixtureRequest) -> None:
-    names = [known_red.name_of(item.nodeid) for item in request.session.items]
+    names = [item.nodeid for item in request.session.items]
     assert "tests/unit/test_known_red.py::test_exists" in names
     assert known_red.missing([KnownFailure(names[0], "", "")], names) == []
     assert len(known_red.missing([ENTRY], names)) == 1
 
 
-def test_a_name_is_the_same_with_and_without_a_group() -> None:
-    assert known_red.name_of(f"{TEST}@gateway") == TEST
-    assert known_red.name_of(TEST) == TEST
-    assert known_red.name_of("test_a.py::test_c[a@b]") == "test_a.py::test_c[a@b]"
-    assert known_red.name_of("test_a.py::test_c[a@b]@gateway") == "test_a.py::test_c[a@b]"
-
-
 def test_a_run_passes_over_the_listed_test_and_prints_its_cause(run: Run) -> None:
     result = run(TESTS, LINE)
     result.assert_outcomes(passed=1, xfailed=1)
