--- a/tests/groups.py
+++ b/tests/groups.py
@@ -1,9 +1,9 @@
 """The four groups of tests, which run side by side with pytest-xdist, a process each.
 
 Tests that start many processes are sensitive to time and must not run beside each other; therefore
-the tests of a group run one after the other in one worker. The groups are given out by a scheduler
-of our own: `--dist loadgroup` passes groups as a suffix of node ids, which pytest 9.2 does not keep,
-and then gives out single tests without a word.
+the tests of a group run one after the other in one worker. A scheduler of our own gives out the
+groups: `--dist loadgroup` marks them by a suffix of node ids, which pytest 9.2 does not keep, and
+then gives out single tests without a warning.
 """
 
 import pytest
