--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -204,6 +204,6 @@
             found.append(told["content"])
         else:
             found.append(settings_file(which))
-    lines = safe_settings.compared(*found)
+    lines = safe_settings.describe_changes(*found)
     say({"lines": lines}, as_json, "\n".join(lines) or "they say the same")
     return DONE
