--- a/petrellane/config_consensus/changes.py
+++ b/petrellane/config_consensus/changes.py
@@ -98,7 +98,7 @@
 
     def prepared_names(self) -> list[str]:
         """The participants that prepared, sorted."""
-        return sorted(name for name, vote in self.votes.items() if vote == Vote.PREPARED)
+        return sorted(name for name, vote in self.votes.items() if vote is Vote.PREPARED)
 
     def to_dict(self) -> dict[str, Any]:
         """The change as staff see it, as JSON."""
@@ -120,7 +120,7 @@
         """Whether a participant has to be asked to prepare, for the first time or once more."""
         return (
             name in self.participants
-            and self.votes.get(name) != Vote.PREPARED
+            and self.votes.get(name) is not Vote.PREPARED
             and name not in self.confirmed_absent
         )
 
@@ -138,7 +138,7 @@
             name: the participant.
             last_message: sequence number of the last request sent to anybody.
         """
-        if self.votes.get(name) == Vote.PREPARED:
+        if self.votes.get(name) is Vote.PREPARED:
             return
         self.votes[name] = Vote.PREPARED
         self.confirmed_absent.clear()
@@ -151,7 +151,7 @@
             name: the participant.
             sequence: that of the request for which the connection was refused.
         """
-        if name not in self.participants or self.votes.get(name) == Vote.PREPARED:
+        if name not in self.participants or self.votes.get(name) is Vote.PREPARED:
             return
         self.votes[name] = Vote.ABSENT
         if sequence > self.settled_message:
@@ -159,7 +159,7 @@
 
     def retract_absence(self, name: str) -> None:
         """Forget that a participant was absent: it may run, as it only didn't answer."""
-        if self.votes.get(name) == Vote.ABSENT:
+        if self.votes.get(name) is Vote.ABSENT:
             del self.votes[name]
             self.confirmed_absent.discard(name)
 
@@ -184,7 +184,7 @@
             if now - self.started_at < CHANGE_TIMEOUT_S:
                 return None
             return self._timed_out(sorted((first, *waiting)), unreachable)
-        prepared = {name for name in self.participants if self.votes.get(name) == Vote.PREPARED}
+        prepared = {name for name in self.participants if self.votes.get(name) is Vote.PREPARED}
         for members in (self.previous_roster, roster):
             if members and len(prepared & set(members)) < majority(members):
                 return self._without_majority(prepared, members)
@@ -194,10 +194,13 @@
 
     def _waiting(self) -> Iterator[str]:
         """Participants that have neither prepared nor been confirmed absent."""
+        votes = self.votes  # looked up once: a roster is gone through at each answer
+        confirmed_absent = self.confirmed_absent
+        prepared = Vote.PREPARED
         return (
             name
             for name in self.participants
-            if self.votes.get(name) != Vote.PREPARED and name not in self.confirmed_absent
+            if votes.get(name) is not prepared and name not in confirmed_absent
         )
 
     @staticmethod
