--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -18,7 +18,8 @@
 
 import typer
 
-from petrellane.config import Section, settings
+from petrellane.config import Section, parse_settings
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 
@@ -36,21 +37,24 @@
 
 def play(hosts: int, rpcs: int, seed: int) -> float:
     """CPU microseconds per RPC."""
-    told, rng = settings(Section(SETTINGS, "settings")), random.Random(seed)
+    told, rng = parse_settings(Section(SETTINGS, "settings")), random.Random(seed)
     gateway = AdmissionController(
-        seed=seed, uses_counter=told.uses_counter, must_watch=told.must_watch, **told.gateway
+        seed=seed,
+        uses_counter=told.uses_counter,
+        must_watch=told.must_watch,
+        **told.controller_options,
     )
     now, due, order = 1000.0, [], itertools.count()
     customers = [api.Customer(f"c{number}", told.plans["plan"], 0, 4) for number in range(200)]
 
     def carry(steps):
         for step in steps:
-            if isinstance(step, api.SendAttempt):
+            if isinstance(step, actions.SendAttempt):
                 took = rng.uniform(0.01, 0.1)
                 heapq.heappush(due, (now + took, next(order), "again", step, took))
-            elif isinstance(step, api.CounterAdd):
+            elif isinstance(step, actions.CounterAdd):
                 heapq.heappush(due, (now + 0.001, next(order), "counted", step, 0.0))
-            elif isinstance(step, api.SetTimer):
+            elif isinstance(step, actions.SetTimer):
                 heapq.heappush(due, (now + step.delay, next(order), "woken", step.subject, 0.0))
 
     carry(gateway.start(now))
--- a/petrellane/config_consensus/__init__.py
+++ b/petrellane/config_consensus/__init__.py
@@ -6,6 +6,8 @@
 `notifications` (who is due what), `safe_settings` (canonical form, digest, meet and comparison of
 settings), `errors`.
 
-Services: `participant_service` and `control_service` with `state_store` and `journal` (what
-outlives a crash), `rpc_client`, `message_authentication` and `commands` (the command line).
+Services: `participant_service` and `peer_polling` at a gateway; `control_service`, `staff_calls`
+and `participant_notifier` in a control process; `commands` and `staff_messages` for staff. They
+stand on `message_authentication` and `rpc_client` (who sends what to whom), and on `state_store`,
+`state_writer` and `journal` (what outlives a crash).
 """
--- a/petrellane/simulation/quotas.py
+++ b/petrellane/simulation/quotas.py
@@ -1,13 +1,13 @@
 """What is let through beyond quotas over a whole fleet, and a policy that sees the true stores late to hold it against.
 
-The definition is in docs/acceptance.md. `Stores` is the truth, `Late` a way to decide in place of the module's, `spent` what
+The definition is in docs/history/acceptance.md. `Stores` is the truth, `Late` a way to decide in place of the module's, `spent` what
 a run's records say.
 """
 
 from collections import Counter, deque
 
 from petrellane import invariants
-from petrellane.decisions import types as api
+from petrellane.decisions import actions
 from petrellane.simulation.baselines import TwoChoices
 from petrellane.simulation.scenario import Scenario
 
@@ -54,9 +54,9 @@
             < rpc.units
         ):
             rpc.is_finished = True
-            return [api.Reject(rpc, 0.0, "credit")]
+            return [actions.Reject(rpc, 0.0, "credit")]
         steps = super().place(now, rpc)
-        if any(isinstance(step, api.SendAttempt) for step in steps):
+        if any(isinstance(step, actions.SendAttempt) for step in steps):
             own.append((now, rpc.units))
             self.past.take(name, plan, now, rpc.units)
         return steps
--- a/tests/agreement/size.py
+++ b/tests/unit/config_consensus/test_cost.py
@@ -5,7 +5,7 @@
 from petrellane.config_consensus import messages, participant, safe_settings
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.coordinator import ChangeOutcome, Coordinator, CoordinatorState
-from tests.choosing import operations
+from tests.unit.decisions.test_load_balancing import operations
 
 
 class Name(str):
@@ -137,6 +137,3 @@
             {roster.states[name].in_force.ballot for name in set(roster.names) - roster.down},
             {change.generation.ballot},
         )
-
-
-CASES = [Size]
--- a/tests/model/cases.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -29,13 +29,14 @@
     Up,
 )
 from petrellane.net.limits import Limits
+from petrellane.operation.backoff import PollTimes
 from petrellane.simulation.discovery import TIMES
 from petrellane.simulation.fleet import Fleet
 from petrellane.simulation.property_search import cut_down, hunt
 from petrellane.simulation.scenario import ScenarioError, read, write
 from petrellane.simulation.scenario_generation import draw, followed, mutate
 from petrellane.simulation.timeline import timeline
-from tests.model.planted import CHANGES, needed, planted
+from tests.unit.simulation.planted import CHANGES, needed, planted
 
 HERE = pathlib.Path(__file__).parent
 SEEDS = 1500  # scenarios that CI plays, a third of them neighbours of the nearest
@@ -90,8 +91,10 @@
         both = planted(
             {
                 "name": "what is given is kept as well",
-                "before": "self.held, self.ceiling, self.filled = 0.0, kept, math.inf",
-                "after": "self.ceiling += told['ceiling']",
+                "module": "leases",
+                "before": "self.available = 0.0\n        self.hard_limit = kept\n"
+                "        self.hard_limit_filled_at = math.inf",
+                "after": "self.hard_limit += stored['ceiling']",
             }
         )
         path = HERE / "scenarios" / "followed-and-gone.ndjson"
@@ -101,14 +104,14 @@
         """Sixty gateways, at the calls that discovery serves a little less than one a second for each."""
         self.assertEqual(
             TIMES,
-            {
-                "most": Limits.watch_next,
-                "at_first": Limits.watch_next,
-                "hold": Limits.watch_hold,
-                "grace": Limits.watch_grace,
-                "silent": Limits.watch_timeout,
-                "first": Limits.backoff_first,
-            },
+            PollTimes(
+                max_interval=Limits.watch_next,
+                first_interval=Limits.watch_next,
+                max_hold=Limits.watch_hold,
+                grace=Limits.watch_grace,
+                poll_timeout=Limits.watch_timeout,
+                initial_pause=Limits.backoff_first,
+            ),
         )
         for trouble in ("refused", "silent", "turned away"):
             with self.subTest(trouble):
