--- a/petrellane/operation/lifecycle.py
+++ b/petrellane/operation/lifecycle.py
@@ -26,9 +26,10 @@
 REPORTED_WITH_SUCCESSOR = "followed"
 """What management answers say of a serving process whose clients go to its successor."""
 
-# Tuples at module level: they are read for each command, and `in` compares identities first.
+# Read for each command, where a class attribute of an enumeration would cost more.
+_ENDING = LifecycleState.ENDING
 _IN_SERVICE = (LifecycleState.STARTING, LifecycleState.SERVING)
-_PASSES_HEALTH_CHECK = (*_IN_SERVICE, LifecycleState.ENDING)
+_PASSES_HEALTH_CHECK = (*_IN_SERVICE, _ENDING)
 _RESUMABLE = (LifecycleState.DRAINING, LifecycleState.DRAINED)
 
 
@@ -147,7 +148,7 @@
         An ending process accepts a command that had begun to arrive, but none behind replies that
         are still pending: such a connection would never end.
         """
-        if self.state is LifecycleState.ENDING:
+        if self.state is _ENDING:
             return not (has_pending_replies and self.closes_idle_connections(now))
         if self.state in _IN_SERVICE:
             return True
