--- a/benchmarks/scale_play.py
+++ b/benchmarks/scale_play.py
@@ -1,6 +1,6 @@
 """One run of `benchmarks/scale.py`, in a process of its own: `python benchmarks/scale_play.py JSON`, one JSON line back.
 
-A module run has a whole gateway without sockets' peers: configuration, driver, host side and decisions as `serve` puts them
+A module run has a whole gateway without sockets' peers: configuration, executor, host side and decisions as `serve` puts them
 together, on a clock that is told. RPCs of made-up customers come evenly drawn, are answered after 10 to 100 ms (one in a
 hundred is turned away once), and a counter without faults answers within 2 ms. What a call of the decisions took is the
 thread's CPU time (`time.thread_time`), so that a busy machine does not count; a run ends at its simulated length or once
@@ -23,9 +23,10 @@
 import orjson
 
 from petrellane.config import Section, parse_config, parse_endpoint_list, parse_settings
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
-from petrellane.gateway.process import Node
+from petrellane.gateway.process import GatewayProcess
 from petrellane.net.scheduler import Scheduler
 
 EFFECTS = ("pure", "token", "side_effect")
@@ -121,7 +122,7 @@
 
 
 def changes(index, rows):
-    """Changes to a host list, as the driver is told of them."""
+    """Changes to a host list, as the executor is told of them."""
     return parse_endpoint_list(Section({"index": index, "endpoints": rows}, "list"))
 
 
@@ -200,15 +201,15 @@
     def carry(self, gateway, steps):
         for step in steps:
             kind = type(step)
-            if kind is api.SendAttempt:
+            if kind is actions.SendAttempt:
                 self.units += step.rpc.units * (step.number == 0)
                 self.later(self.random.uniform(*ANSWER), "answer", gateway, step)
-            elif kind is api.CounterAdd:
+            elif kind is actions.CounterAdd:
                 self.costs.adds += 1
                 self.later(COUNTER, "counted", gateway, step)
-            elif kind is api.SetTimer:
+            elif kind is actions.SetTimer:
                 self.later(step.delay, "woken", gateway, step.subject)
-            elif kind is api.Reject:
+            elif kind is actions.Reject:
                 self.costs.pushed += 1
 
     def settled(self, steps, cost):
@@ -216,7 +217,7 @@
         decided = [
             step.rpc
             for step in steps
-            if isinstance(step, api.SendAttempt | api.Reject) and step.rpc in self.owed
+            if isinstance(step, actions.SendAttempt | actions.Reject) and step.rpc in self.owed
         ]
         for rpc in decided:
             self.costs.decisions.append(self.owed.pop(rpc) + cost / len(decided))
@@ -244,7 +245,7 @@
                     about,
                     api.FULL if full else api.OK,
                     over=not full,
-                    took=self.now - about.sent,
+                    took=self.now - about.sent_at,
                 )
                 self.costs.agains.append(cost)
             elif what == "counted":
@@ -274,7 +275,7 @@
         while len(times) < 5 and sum(times) < 300.0:
             times.append(timed(parse_settings, Section(raw, "settings"))[1])
         self.figures["settings_read_ms"] = statistics.median(times)
-        self.node = Node(
+        self.node = GatewayProcess(
             parse_config(
                 {
                     "name": "g0",
@@ -288,9 +289,9 @@
             os.open(os.devnull, os.O_WRONLY),
             scheduler=Scheduler(monotonic=self.clock),
         )
-        self.driver, self.gateway = self.node.driver, self.node.driver.gateway
+        self.executor, self.gateway = self.node.executor, self.node.executor.controller
         self.node.scheduler.offset = 0.0
-        self.driver.start(self.node.config.known)
+        self.executor.start(self.node.config.known)
         gc.collect()
         gc.freeze()  # as `serve` does
         times = []
@@ -302,24 +303,29 @@
             listed, told["hosts"]
         )
         self.traffic = Traffic(told["seed"], self.clock.told)
-        self.methods = list(self.driver.settings.methods.values())
-        self.plans, self.number = list(self.driver.settings.plans.values()), itertools.count()
+        self.methods = list(self.executor.settings.methods.values())
+        self.plans, self.number = list(self.executor.settings.plans.values()), itertools.count()
 
     def take(self, listed, known=None):
-        """Have the driver take a list over; the CPU milliseconds in all and of the longest turn. `known`: so many hosts
+        """Have the executor take a list over; the CPU milliseconds in all and of the longest turn. `known`: so many hosts
         must be known then."""
         scheduler, done, spent, end = self.node.scheduler, [], [], time.monotonic() + FACED
         self.clock.live = time.monotonic()
 
         def told():
-            self.node.listed(listed)
+            self.node.on_endpoint_list(listed)
             done.append(True)
 
         scheduler.spawn(told)
-        while not done or scheduler.ready or known is not None and len(self.driver.hosts) != known:
+        while (
+            not done
+            or scheduler.ready
+            or known is not None
+            and len(self.executor.endpoints) != known
+        ):
             if time.monotonic() > end:
                 raise SystemExit(
-                    f"list: expected it taken over in {FACED:g} s, found {len(self.driver.hosts)} hosts"
+                    f"list: expected it taken over in {FACED:g} s, found {len(self.executor.endpoints)} hosts"
                 )
             spent.append(timed(scheduler.turn, 0)[1])
         self.clock.told, self.clock.live = self.clock(), None
@@ -333,7 +339,7 @@
 
     def customer(self, number=None):
         number = self.traffic.random.randrange(self.told["customers"]) if number is None else number
-        return self.driver.customers.of(
+        return self.executor.customers.get_or_create(
             f"customer{number}", self.plans[number % len(self.plans)], 0, 4, self.traffic.now
         )
 
@@ -360,14 +366,14 @@
         return traffic.now - began
 
     def flips(self, times):
-        """CPU milliseconds of one host's change of state, by the driver, and by the decisions alone."""
+        """CPU milliseconds of one host's change of state, by the executor, and by the decisions alone."""
         by_driver, alone = [], []
         for number in range(times):
             which = number // 2 % self.told["hosts"]
             state = "terminating" if number % 2 == 0 else "in_service"
             by_driver.append(self.change([row_of_host(which, state)])[0])
         for number in range(times):
-            host = self.driver.hosts[f"host{number // 2 % self.told['hosts']}"]
+            host = self.executor.endpoints[f"host{number // 2 % self.told['hosts']}"]
             state = api.DRAINING if number % 2 == 0 else api.READY
             row = api.EndpointEvent(
                 host, host.zone, host.kind, host.pod, state, host.weight, host.started_at
@@ -387,10 +393,10 @@
                 host.weight,
                 host.started_at,
             )
-            for name, host in self.driver.hosts.items()
+            for name, host in self.executor.endpoints.items()
         ]
         fresh = AdmissionController(
-            seed=1, uses_counter=True, must_watch=False, **self.driver.settings.controller_options
+            seed=1, uses_counter=True, must_watch=False, **self.executor.settings.controller_options
         )
         return timed(fresh.on_endpoint_events, self.traffic.now, True, rows)[1]
 
@@ -403,7 +409,7 @@
     rig.play(told["seconds"], budget=told["budget"])
     found = {**rig.figures, **rig.traffic.costs.figures(rig.traffic.now)}
     found["memory_mb"] = resident() - rig.before
-    found["leases"] = len(rig.gateway.leases.leases)
+    found["leases"] = len(rig.gateway.lease_manager.leases)
     found["list_change_ms"], found["list_change_choice_ms"] = rig.flips(12)
     found["list_choice_ms"] = rig.alone()
     return found
@@ -483,7 +489,7 @@
         **rig.traffic.costs.figures(rig.traffic.now),
         "seconds": seconds,
         "customers_seen": rig.traffic.placed,
-        "leases": len(rig.gateway.leases.leases),
+        "leases": len(rig.gateway.lease_manager.leases),
         "memory_mb": resident() - rig.before,
     }
 
@@ -625,7 +631,7 @@
                 traffic.place(gateway, method, traffic.random.choice(customers))
 
     def in_use():
-        return [{host.address for host, _ in gateway.fleet.used} for gateway in all_of]
+        return [{host.address for host, _ in gateway.load_balancer.subset} for gateway in all_of]
 
     play(told["each"])
     first = in_use()
@@ -633,7 +639,7 @@
     second = in_use()
     gone = next(iter(second[0]))
     for gateway in all_of:
-        host = next(host for host in gateway.fleet.hosts if host.address == gone)
+        host = next(host for host in gateway.load_balancer.endpoints if host.address == gone)
         new = api.Endpoint("host-new", zone=host.zone, started_at=traffic.now)
         traffic.carry(
             gateway,
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from petrellane.config import Config
-    from petrellane.config_consensus import commands
+    from petrellane.config_consensus.commands import SettingsCommands
 
 app = typer.Typer(
     help="An admission gateway that leases customers' credit from a shared count.",
@@ -122,7 +122,7 @@
 
 @app.command(
     help="How even load is over hosts: peaks, troughs, idle hosts, herds and swings; "
-    "docs/spread.md defines them."
+    "docs/history/load-distribution.md defines them."
 )
 def spread(  # noqa: PLR0913 - a parameter for each option
     path: Annotated[str, typer.Argument(help="A file of records, or a folder of gateways' logs.")],
@@ -171,37 +171,49 @@
 
 @app.command()
 def control(
-    file: Annotated[str, typer.Argument(help="A TOML file; docs/agreeing.md names its keys.")],
+    file: Annotated[
+        str, typer.Argument(help="A TOML file; docs/changing-settings.md names its keys.")
+    ],
 ) -> None:
     """Run the control process that staff propose settings to, until SIGTERM."""
     from petrellane.config import ConfigError, load_control_config
-    from petrellane.config_consensus.control_service import Control
+    from petrellane.config_consensus.control_service import ControlService
     from petrellane.config_consensus.journal import JournalError
 
     try:
-        process = Control(load_control_config(file))
+        service = ControlService(load_control_config(file))
     except (ConfigError, JournalError) as error:
         _exit_with_error(error)
     except OSError as error:
         _exit_with_error(
             f"{file}: expected an address to listen at and a journal to write: {error}"
         )
-    process.obey({signal.SIGTERM, signal.SIGINT})
-    process.run()
+    service.stop_on_signals({signal.SIGTERM, signal.SIGINT})
+    service.run()
 
 
-def _exit_with_result(control_file: str, call: Callable[["commands.Control"], int]) -> NoReturn:
+def _exit_with_result(
+    control_file: str, as_json: bool, call: Callable[["SettingsCommands"], int]
+) -> NoReturn:
     """Call a control process, and end with the exit code that `call` returns.
 
     Args:
         control_file: The control process's TOML file.
-        call: Given what reaches the control process; its ConfigError ends the command.
+        as_json: Print JSON in place of words.
+        call: Runs one command; its ConfigError and CommandFailedError end the command line.
     """
     from petrellane.config import ConfigError, load_control_config
-    from petrellane.config_consensus import commands
+    from petrellane.config_consensus.commands import (
+        CommandFailedError,
+        ControlClient,
+        SettingsCommands,
+    )
 
     try:
-        raise typer.Exit(call(commands.Control(load_control_config(control_file))))
+        client = ControlClient(load_control_config(control_file))
+        raise typer.Exit(call(SettingsCommands(client, as_json)))
+    except CommandFailedError as error:
+        raise typer.Exit(error.exit_code) from None
     except ConfigError as error:
         _exit_with_error(error)
 
@@ -224,11 +236,7 @@
     json: JSON = False,
 ) -> None:
     """Propose settings and follow the change."""
-    from petrellane.config_consensus import commands
-
-    _exit_with_result(
-        control, lambda client: commands.propose(client, file, without, wait, less, json)
-    )
+    _exit_with_result(control, json, lambda commands: commands.propose(file, without, wait, less))
 
 
 @settings_app.command("back")
@@ -240,33 +248,25 @@
     json: JSON = False,
 ) -> None:
     """Propose the settings of an earlier generation again, as a new change."""
-    from petrellane.config_consensus import commands
-
-    _exit_with_result(control, lambda client: commands.back(client, number, without, wait, json))
+    _exit_with_result(control, json, lambda commands: commands.propose_again(number, without, wait))
 
 
 @settings_app.command("status")
 def settings_status(control: CONTROL, json: JSON = False) -> None:
     """What is in force where, and what is under way."""
-    from petrellane.config_consensus import commands
-
-    _exit_with_result(control, lambda client: commands.status(client, json))
+    _exit_with_result(control, json, lambda commands: commands.show_status())
 
 
 @settings_app.command("history")
 def settings_history(control: CONTROL, json: JSON = False) -> None:
     """All changes, with what became of each."""
-    from petrellane.config_consensus import commands
-
-    _exit_with_result(control, lambda client: commands.history(client, json))
+    _exit_with_result(control, json, lambda commands: commands.show_history())
 
 
 @settings_app.command("show")
 def settings_show(number: int, control: CONTROL, json: JSON = False) -> None:
     """The settings of a generation."""
-    from petrellane.config_consensus import commands
-
-    _exit_with_result(control, lambda client: commands.show(client, number, json))
+    _exit_with_result(control, json, lambda commands: commands.show_generation(number))
 
 
 @settings_app.command("diff")
@@ -277,9 +277,7 @@
     json: JSON = False,
 ) -> None:
     """What changes for whom between two generations, or to a file's settings, in words."""
-    from petrellane.config_consensus import commands
-
-    _exit_with_result(control, lambda client: commands.diff(client, one, other, json))
+    _exit_with_result(control, json, lambda commands: commands.show_differences(one, other))
 
 
 lab_app = typer.Typer(
@@ -297,7 +295,7 @@
     "crashed.",
 )
 def lab_run(
-    file: Annotated[str, typer.Argument(help="A run file; docs/lab.md has the notation.")],
+    file: Annotated[str, typer.Argument(help="A run file; docs/testbed.md has the notation.")],
     records: Annotated[
         str, typer.Option(help="Write what was seen to this file, for `spread`.")
     ] = "",
@@ -326,7 +324,7 @@
     "code 1 when the run proves nothing.",
 )
 def lab_scale(
-    file: Annotated[str, typer.Argument(help="A scale file; docs/lab.md has the notation.")],
+    file: Annotated[str, typer.Argument(help="A scale file; docs/testbed.md has the notation.")],
 ) -> None:
     """Run many hollow gateways beside some real ones."""
     from petrellane.testbed import scale
--- a/petrellane/config_consensus/participant.py
+++ b/petrellane/config_consensus/participant.py
@@ -1,284 +1,341 @@
-"""One gateway's part in agreement, as rules free of I/O. On one page, what it remembers and what it answers:
-
-    remembered (State, durable before any answer that rests on it)
-      promised   the highest epoch it has answered: lower ones are refused from then on
-      in_force   the generation that it admits under
-      possible   generations prepared here, of which it doesn't know whether they were decided: while there are any it is
-                 in doubt, and admits what `in_force` and all of these allow
-      denied     the last ballots that it was told will never be in force
-
-    promise E              E >= promised                  promised = E, answer what is remembered
-    prepare E, G, base     E >= promised, G after in_force, in_force not before base, G takes here, G not denied
-                                                           G joins possible
-    commit E, G            G in possible, or comes with its content
-                                                           in_force = G, possible keeps what is after G
-    deny E, B              B not in force                  B leaves possible, joins denied
-    learn P                what another gateway remembers: its in_force, if later than ours, becomes ours; what is
-                           possible there and after that is possible here; what it knows denied is denied
-
-Said again, each has the same result. What is in force never goes back to an earlier ballot. A gateway *knows* what is
-in force once it has heard so many others that every majority has one of them; a control process's word is not enough, as
-another may have gone on without it. Before, and after having stood still, a gateway admits nothing. `heard` and `learn`
-change nothing: they give what to remember, which takes effect once it is durable.
+"""A participant's rules, free of I/O: what one gateway remembers and what it answers.
+
+State, durable before any answer that depends on it (`ParticipantState`):
+
+    promised   the highest epoch answered; lower ones are rejected from then on
+    in_force   the generation that the gateway admits under
+    prepared   generations prepared here whose outcome is not known: while there are any, the
+               gateway is in doubt, and admits only what `in_force` and all of these allow
+    aborted    the last ballots known never to commit
+
+Rules, each idempotent (E: the sender's epoch, G: a generation, B: a ballot):
+
+    message            condition                            effect
+    promise E          E >= promised                        promised = E
+    prepare E, G, base E >= promised, G after in_force,     G joins prepared
+                       base not after in_force, G not
+                       aborted, settings valid here
+    commit E, G        E >= promised, G prepared here       in_force = G, prepared keeps what
+                       or sent with its content             is after G
+    abort E, B         E >= promised, B after in_force      B leaves prepared, joins aborted
+    peer's report      (from another participant)           its later in_force, its aborted and
+                                                            its prepared ballots become ours
+
+`in_force` never returns to an earlier ballot. A participant *knows* what is in force once it has
+heard from so many others that every majority has one of them; a coordinator's word is not enough,
+as another one may have gone on without this gateway. Until then, and after it has stalled, it
+admits nothing (`ParticipantStatus`).
+
+All functions return the state to remember, which takes effect once `participant_service` has
+made it durable. Whether settings are valid here is the caller's `validate`: it returns what is
+wrong in one line, or None.
 """
 
-from typing import NamedTuple
+from collections.abc import Callable, Iterable, Mapping, Sequence
+from typing import Any, NamedTuple
 
 from petrellane.config_consensus import safe_settings
 from petrellane.config_consensus.ballots import (
-    NOBODY,
+    NO_EPOCH,
     Ballot,
     Epoch,
     Generation,
-    ballot_of,
-    enough,
-    epoch_of,
-    generation_of,
+    intersects_every_majority,
 )
+from petrellane.config_consensus.errors import MessageRejected
+from petrellane.config_consensus.messages import MessageKind, PeerState, ReceivedRequest
 
-KEPT = 16  # ballots kept as denied: of changes that far back nobody speaks any more
-MOST = 8  # generations that may be possible at a time
-FENCE = 1.0  # seconds of standing still after which a gateway can have been counted out meanwhile
-ASK = 0.5  # seconds, about, between rounds of asking others while in doubt or unknowing
-FIRST = Ballot(0, NOBODY)
+MAX_ABORTED = 16  # aborted ballots remembered: nobody asks about changes further back
+MAX_PREPARED = 8  # generations prepared at a time
+STALL_LIMIT_S = 1.0  # a stall longer than this may have excluded the gateway from a change
+PEER_POLL_INTERVAL_S = 0.5  # mean time between rounds of asking others while in doubt
+INITIAL_BALLOT = Ballot(0, NO_EPOCH)  # that of the gateway's own file
 
+Validator = Callable[[dict[str, Any]], str | None]
 
-class State(NamedTuple):
-    """What a gateway remembers."""
+
+class ParticipantState(NamedTuple):
+    """What a participant remembers; as an answer, its report without contents."""
 
     in_force: Generation
-    promised: Epoch = NOBODY
-    possible: tuple = ()
-    denied: tuple = ()
+    promised: Epoch = NO_EPOCH
+    prepared: tuple[Generation, ...] = ()
+    aborted: tuple[Ballot, ...] = ()
 
-    def told(self):
-        """As JSON, without contents."""
+    def to_dict(self) -> dict[str, Any]:
+        """The report as JSON."""
         return {
             "promised": list(self.promised),
-            "in_force": self.in_force.named(),
-            "possible": [one.named() for one in self.possible],
-            "denied": [{"number": one.number, "epoch": list(one.epoch)} for one in self.denied],
-            "members": list(self.in_force.members),
+            "in_force": self.in_force.identity_to_dict(),
+            "possible": [generation.identity_to_dict() for generation in self.prepared],
+            "denied": [ballot.to_dict() for ballot in self.aborted],
+            "members": list(self.in_force.roster),
         }
 
-    def holds(self, ballot):
-        """The generation of a ballot, where it is in force or possible here."""
-        return next((one for one in (self.in_force, *self.possible) if one.ballot == ballot), None)
-
+    def find_generation(self, ballot: Ballot) -> Generation | None:
+        """The generation of a ballot that is in force or prepared here, None for others."""
+        for generation in (self.in_force, *self.prepared):
+            if generation.ballot == ballot:
+                return generation
+        return None
 
-class Refusal(Exception):
-    """A message that is turned down: HTTP status, cause, and one line."""
 
-    def __init__(self, status, cause, text, **more):
-        super().__init__(text)
-        self.status, self.cause, self.text, self.more = status, cause, text, more
+def admissible_settings(state: ParticipantState) -> dict[str, Any]:
+    """The settings to admit under: those in force; in doubt, what all candidates allow."""
+    settings = state.in_force.content
+    for generation in state.prepared:
+        settings = safe_settings.meet(settings, generation.content)
+    return settings
 
-    def told(self):
-        return {"refused": self.cause, "why": self.text, **self.more}
 
+def handle_message(
+    state: ParticipantState, message: Mapping[str, Any], validate: Validator
+) -> tuple[ParticipantState, ParticipantState | Generation]:
+    """Handle a request of a coordinator or of another participant.
 
-def admitted(state):
-    """The settings that a gateway admits under: those in force, or while in doubt what all allow."""
-    met = state.in_force.content
-    for one in state.possible:
-        met = safe_settings.meet(met, one.content)
-    return met
+    Args:
+        state: what the participant remembers.
+        message: the request as JSON.
+        validate: tells why settings are not valid here, None where they are.
 
+    Returns:
+        The state to remember, and the answer: that state, or the content asked for.
 
-def heard(state, message, takes):
-    """A message of a control process or another gateway: what to remember, and the answer. `takes` says why settings will
-    not do here (one line), or None. Raises Refusal; whatever is out of form is one with status 400."""
+    Raises:
+        MessageRejected: a rule rejects the request; status 400 where it is malformed.
+    """
     try:
-        do = message.get("do")
-        if do == "state":
-            return state, state.told()
-        if do == "content":
-            found = state.holds(ballot_of(message))
-            if not found:
-                raise Refusal(404, "unknown", "no such generation here")
-            return state, found.told()
-        if do not in ("promise", "prepare", "commit", "deny"):
-            raise Refusal(400, "form", f"do: expected a known word, found {str(do)[:40]}")
-        epoch = epoch_of(message.get("epoch_of"))
-        if epoch < state.promised:
-            raise Refusal(
-                409,
-                "epoch",
-                f"epoch {epoch.number} of {epoch.control}: expected at least "
-                f"{state.promised.number} of {state.promised.control}",
-                promised=list(state.promised),
-            )
-        after = state._replace(promised=epoch)
-        if do == "prepare":
-            after = prepared(
-                after,
-                generation_of(message, safe_settings.digest),
-                ballot_of(message.get("base")),
-                takes,
-            )
-        elif do == "commit":
-            after = committed(after, message, takes)
-        elif do == "deny":
-            after = denied(after, ballot_of(message))
-        return after, after.told()
+        request = ReceivedRequest.from_dict(message)
+        if request.epoch is None:
+            return state, _read(state, request)
+        after = _apply(_promise(state, request.epoch), request, validate)
     except ValueError as error:
-        raise Refusal(400, "form", str(error)) from None
+        raise MessageRejected(400, "form", str(error)) from None
+    return after, after
+
+
+def _read(state: ParticipantState, request: ReceivedRequest) -> ParticipantState | Generation:
+    """The answer to a question for state or content."""
+    if request.kind is MessageKind.STATE:
+        return state
+    generation = state.find_generation(request.ballot())
+    if generation is None:
+        raise MessageRejected(404, "unknown", "no such generation here")
+    return generation
 
 
-def prepared(state, generation, base, takes):
+def _promise(state: ParticipantState, epoch: Epoch) -> ParticipantState:
+    """Follow an epoch, unless a higher one was promised."""
+    if epoch < state.promised:
+        raise MessageRejected(
+            409,
+            "epoch",
+            f"epoch {epoch.number} of {epoch.control}: expected at least "
+            f"{state.promised.number} of {state.promised.control}",
+            promised=list(state.promised),
+        )
+    return state._replace(promised=epoch)
+
+
+def _apply(
+    state: ParticipantState, request: ReceivedRequest, validate: Validator
+) -> ParticipantState:
+    """Apply a request whose epoch is promised."""
+    if request.kind is MessageKind.PREPARE:
+        return prepare(state, request.generation(), request.base(), validate)
+    if request.kind is MessageKind.COMMIT:
+        return commit(state, request, validate)
+    if request.kind is MessageKind.ABORT:
+        return abort(state, request.ballot())
+    return state
+
+
+def prepare(
+    state: ParticipantState, generation: Generation, base: Ballot, validate: Validator
+) -> ParticipantState:
+    """Prepare a generation that follows `base`; one that is known already changes nothing.
+
+    Raises:
+        MessageRejected: the generation can't commit any more, `base` is not known here, the
+            settings are not valid here, or too many generations are prepared.
+    """
     ballot = generation.ballot
-    if state.holds(ballot):
+    if state.find_generation(ballot):
         return state
     if ballot <= state.in_force.ballot:
-        raise Refusal(
+        raise MessageRejected(
             409, "past", f"generation {ballot.number}: {state.in_force.number} is in force"
         )
-    if ballot in state.denied:
-        raise Refusal(409, "past", f"generation {ballot.number}: it was given up")
+    if ballot in state.aborted:
+        raise MessageRejected(409, "past", f"generation {ballot.number}: it was given up")
     if state.in_force.ballot < base:
-        raise Refusal(
+        raise MessageRejected(
             409,
             "behind",
             f"generation {base.number} is not in force here, but {state.in_force.number}",
         )
-    if wrong := takes(generation.content):
-        raise Refusal(422, "settings", wrong)
-    if len(state.possible) >= MOST:
-        raise Refusal(409, "crowded", f"{MOST} generations are possible here already")
-    return state._replace(
-        possible=tuple(sorted((*state.possible, generation), key=lambda one: one.ballot))
-    )
+    _require_valid(generation, validate)
+    if len(state.prepared) >= MAX_PREPARED:
+        raise MessageRejected(
+            409, "crowded", f"{MAX_PREPARED} generations are possible here already"
+        )
+    return _with_prepared(state, generation)
+
+
+def _require_valid(generation: Generation, validate: Validator) -> None:
+    if wrong := validate(generation.content):
+        raise MessageRejected(422, "settings", wrong)
+
+
+def _with_prepared(state: ParticipantState, generation: Generation) -> ParticipantState:
+    """The state with one more prepared generation, in the order of ballots."""
+    prepared = sorted((*state.prepared, generation), key=lambda candidate: candidate.ballot)
+    return state._replace(prepared=tuple(prepared))
+
 
+def commit(
+    state: ParticipantState, request: ReceivedRequest, validate: Validator
+) -> ParticipantState:
+    """Put a committed generation in force, unless a later one is.
 
-def committed(state, message, takes):
-    ballot = ballot_of(message)
+    Raises:
+        MessageRejected: the content is neither here nor in the request, or is not valid here;
+            the decision holds all the same, and this gateway can't follow it.
+    """
+    ballot = request.ballot()
     if ballot <= state.in_force.ballot:
         return state
-    found = state.holds(ballot)
-    if found is None:
-        if "content" not in message:
-            raise Refusal(409, "unknown", f"generation {ballot.number}: its content is not here")
-        found = generation_of(message, safe_settings.digest)
-        if wrong := takes(
-            found.content
-        ):  # the decision holds; this gateway can't follow it, and says so
-            raise Refusal(422, "settings", wrong)
-    return put_in_force(state, found)
-
-
-def put_in_force(state, generation):
+    generation = state.find_generation(ballot)
+    if generation is None:
+        if not request.has_content:
+            raise MessageRejected(
+                409, "unknown", f"generation {ballot.number}: its content is not here"
+            )
+        generation = request.generation()
+        _require_valid(generation, validate)
+    return put_in_force(state, generation)
+
+
+def put_in_force(state: ParticipantState, generation: Generation) -> ParticipantState:
+    """The state with a generation in force; only later ones stay prepared."""
     return state._replace(
         in_force=generation,
-        possible=tuple(one for one in state.possible if one.ballot > generation.ballot),
+        prepared=tuple(later for later in state.prepared if later.ballot > generation.ballot),
     )
 
 
-def denied(state, ballot):
-    if ballot <= state.in_force.ballot or ballot in state.denied:
+def abort(state: ParticipantState, ballot: Ballot) -> ParticipantState:
+    """The state once a ballot is known never to commit; no change where it is in the past."""
+    if ballot <= state.in_force.ballot or ballot in state.aborted:
         return state
     return state._replace(
-        possible=tuple(one for one in state.possible if one.ballot != ballot),
-        denied=(*state.denied, ballot)[-KEPT:],
+        prepared=tuple(other for other in state.prepared if other.ballot != ballot),
+        aborted=(*state.aborted, ballot)[-MAX_ABORTED:],
     )
 
 
-class Learnt(NamedTuple):
-    """What another gateway remembers, as it told."""
-
-    in_force: Ballot
-    digest: str
-    possible: tuple
-    denied: tuple
-    members: tuple
-
-
-def learnt_of(told):
-    """What another gateway told of itself. Raises ValueError."""
-    rows = told.get("possible", []), told.get("denied", []), told.get("members", [])
-    if not all(isinstance(row, list) for row in rows):
-        raise ValueError("possible, denied, members: expected lists")
-    force = told.get("in_force")
-    return Learnt(
-        ballot_of(force),
-        str(force.get("digest")),
-        tuple(map(ballot_of, rows[0])),
-        tuple(map(ballot_of, rows[1])),
-        tuple(map(str, rows[2])),
-    )
-
-
-def missing(state, learnt):
-    """Ballots of which the content has to be fetched from a gateway before what it told can be learnt."""
-    wanted = [learnt.in_force] if learnt.in_force > state.in_force.ballot else []
+def missing_ballots(state: ParticipantState, peer: PeerState) -> list[Ballot]:
+    """Ballots whose content has to be fetched from a peer before its report can be merged."""
+    wanted = [peer.in_force] if peer.in_force > state.in_force.ballot else []
+    newest = max(peer.in_force, state.in_force.ballot)
     wanted += [
-        one
-        for one in learnt.possible
-        if one > max(learnt.in_force, state.in_force.ballot) and one not in state.denied
+        ballot for ballot in peer.prepared if ballot > newest and ballot not in state.aborted
     ]
-    return [one for one in wanted if not state.holds(one)]
-
-
-def learn(state, learnt, fetched, takes):
-    """What to remember after another gateway told what it does; `fetched` are the generations that were missing. Raises
-    Refusal where settings that are in force elsewhere will not do here."""
-    got = {one.ballot: one for one in fetched}
-    for ballot in learnt.denied:
-        if state.holds(ballot):
-            state = denied(state, ballot)
-    if learnt.in_force > state.in_force.ballot:
-        found = state.holds(learnt.in_force) or got.get(learnt.in_force)
-        if found:
-            if wrong := takes(found.content):
-                raise Refusal(422, "settings", wrong)
-            state = put_in_force(state, found)
-    for ballot in learnt.possible:
-        found = got.get(ballot)
-        if (
-            found
-            and ballot > state.in_force.ballot
-            and not state.holds(ballot)
-            and ballot not in state.denied
-        ):
-            if takes(found.content) is None and len(state.possible) < MOST:
-                state = state._replace(
-                    possible=tuple(sorted((*state.possible, found), key=lambda one: one.ballot))
-                )
+    return [ballot for ballot in wanted if not state.find_generation(ballot)]
+
+
+def merge_peer_state(
+    state: ParticipantState,
+    peer: PeerState,
+    fetched: Iterable[Generation],
+    validate: Validator,
+) -> ParticipantState:
+    """The state to remember after a peer's report.
+
+    Args:
+        state: what the participant remembers.
+        peer: the report.
+        fetched: the generations of `missing_ballots`.
+        validate: tells why settings are not valid here, None where they are.
+
+    Raises:
+        MessageRejected: what is in force at the peer is not valid here.
+    """
+    contents = {generation.ballot: generation for generation in fetched}
+    for ballot in peer.aborted:
+        if state.find_generation(ballot):
+            state = abort(state, ballot)
+    if peer.in_force > state.in_force.ballot:
+        committed = state.find_generation(peer.in_force) or contents.get(peer.in_force)
+        if committed:
+            _require_valid(committed, validate)
+            state = put_in_force(state, committed)
+    for ballot in peer.prepared:
+        generation = contents.get(ballot)
+        if generation and _may_join_prepared(state, generation, validate):
+            state = _with_prepared(state, generation)
     return state
 
 
-class Standing:
-    """Whether a gateway may admit: it is a member, knows what is in force, and has not stood still since. Times are seconds
-    of one steady clock; `remembers` is whether what it once said is still here."""
-
-    def __init__(self, name, members, remembers, now):
-        self.name, self.remembers = name, remembers
-        self.heard, self.looked, self.known = set(), now, False
-        self.since = 0  # times that it stood still: what was asked before says nothing after
-        self.of(members)
-
-    def of(self, members):
-        """These are the members now. One that is not among them is told of no change, so it admits nothing."""
-        self.members = tuple(members)
-        if self.name not in self.members:
-            self.known = False
-        elif enough(self.members, self.heard, self.remembers):
-            self.known = True
-
-    def told(self, name, since):
-        """Another gateway has answered what was asked at `since`, and all that it told is remembered here. An answer that
-        lay here while we stood still may be older than what others did meanwhile."""
-        if since == self.since:
-            self.heard.add(name)
-            self.of(self.members)
-
-    def look(self, now):
-        """Told often. True where this gateway stood still for so long that others may have gone on without it."""
-        still, self.looked = now - self.looked > FENCE, max(now, self.looked)
-        if still:
-            self.heard, self.known, self.since = set(), False, self.since + 1
-            self.of(self.members)
-        return still
-
-    def admits(self, now):
+def _may_join_prepared(
+    state: ParticipantState, generation: Generation, validate: Validator
+) -> bool:
+    """Whether a generation that a peer prepared may still commit and is valid here."""
+    ballot = generation.ballot
+    if ballot <= state.in_force.ballot or ballot in state.aborted:
+        return False
+    if state.find_generation(ballot):
+        return False
+    return validate(generation.content) is None and len(state.prepared) < MAX_PREPARED
+
+
+class ParticipantStatus:
+    """Whether a gateway may admit: on the roster, aware of what is in force, not stalled since.
+
+    Owned by the participant's service and replaced each time it starts to ask anew. Times are
+    seconds of one steady clock.
+    """
+
+    def __init__(self, name: str, roster: Sequence[str], remembers: bool, now: float) -> None:
+        self.name = name
+        self.remembers = remembers  # whether the state of an earlier life is here
+        self.responders: set[str] = set()
+        self.last_checked = now
+        self.knows_in_force = False
+        self.stall_count = 0  # an answer to a question from before a stall says nothing after it
+        self.set_roster(roster)
+
+    def set_roster(self, roster: Sequence[str]) -> None:
+        """Take the roster in force; a gateway off the roster hears of no change: it admits none."""
+        self.roster = tuple(roster)
+        if self.name not in self.roster:
+            self.knows_in_force = False
+        elif intersects_every_majority(self.roster, self.responders, self.remembers):
+            self.knows_in_force = True
+
+    def on_peer_answered(self, name: str, asked_at_stall: int) -> None:
+        """Count a peer whose report is remembered here.
+
+        Args:
+            name: the peer.
+            asked_at_stall: `stall_count` when it was asked; the answer is ignored where the
+                gateway has stalled since, as others may have gone on meanwhile.
+        """
+        if asked_at_stall == self.stall_count:
+            self.responders.add(name)
+            self.set_roster(self.roster)
+
+    def check_stall(self, now: float) -> bool:
+        """Note the time, often; True after a stall in which others may have gone on."""
+        has_stalled = now - self.last_checked > STALL_LIMIT_S
+        self.last_checked = max(now, self.last_checked)
+        if has_stalled:
+            self.responders = set()
+            self.knows_in_force = False
+            self.stall_count += 1
+            self.set_roster(self.roster)
+        return has_stalled
+
+    def may_admit(self, now: float) -> bool:
         """Whether an RPC that is here now may be admitted."""
-        return self.known and now - self.looked <= FENCE
+        return self.knows_in_force and now - self.last_checked <= STALL_LIMIT_S
--- a/petrellane/testbed/capacity.py
+++ b/petrellane/testbed/capacity.py
@@ -17,8 +17,14 @@
 from dataclasses import dataclass
 from functools import partial
 
-from petrellane.config_consensus.coordinator import LOOK
-from petrellane.decisions.controller import AHEAD, EXCHANGE, HEADROOM, IN_USE, KNOWN, MEMORY, WINDOW
+from petrellane.config_consensus.notifications import POLL_INTERVAL_S
+from petrellane.decisions.endpoint_health import SAMPLE_LIFETIME
+from petrellane.decisions.leases import HEADROOM, LEASE_AHEAD, WINDOW_FILLS
+from petrellane.decisions.load_balancing import (
+    SAMPLES_PER_ENDPOINT,
+    SUBSET_MINIMUM,
+    SUBSET_ROTATION,
+)
 from petrellane.net.limits import Limits
 from petrellane.operation.backoff import SPREAD_DRAW_MINIMUM
 
@@ -250,7 +256,7 @@
 
 def looks_bytes(book, answer="state_bytes_1200"):
     """Bytes a second of the looks of one control process at one gateway."""
-    return (book.message("look_bytes") + book.message(answer)) / LOOK
+    return (book.message("look_bytes") + book.message(answer)) / POLL_INTERVAL_S
 
 
 def watch_bytes(book):
@@ -279,7 +285,7 @@
 
 def in_use(book):
     """Hosts that a gateway uses: as many as its call-outs keep known."""
-    return (rpcs_each(book) * MEMORY / KNOWN).least(IN_USE)
+    return (rpcs_each(book) * SAMPLE_LIFETIME / SAMPLES_PER_ENDPOINT).least(SUBSET_MINIMUM)
 
 
 def settings_ms(book):
@@ -290,7 +296,7 @@
     """Adds an RPC where a customer comes to so many gateways: a lease covers a part of a window's demand, with headroom, and
     one RPC at least; with customers whose RPCs are alike."""
     each = book.size("rpcs") / book.size("customers") / spread
-    held = (each * book.estimate("window_s") * (WINDOW * AHEAD * HEADROOM)).least(1.0)
+    held = (each * book.estimate("window_s") * (WINDOW_FILLS * LEASE_AHEAD * HEADROOM)).least(1.0)
     return Figure(1.0) / held
 
 
@@ -450,8 +456,8 @@
         + book.message("look_ms") * gateways
     ) / MS
     rest = (
-        book.message(f"leader_look_ms_{number}") / MS / LOOK
-        + book.message("look_ms") / MS / LOOK * gateways
+        book.message(f"leader_look_ms_{number}") / MS / POLL_INTERVAL_S
+        + book.message("look_ms") / MS / POLL_INTERVAL_S * gateways
     )
     return [
         Row(
@@ -656,7 +662,12 @@
             "gateways",
         ),
         Row(role, "RPCs from one gateway on one host in use", rpcs_each(book) / used, "1/s"),
-        Row(role, "exchanges in the sets of all gateways", book.size("gateways") / EXCHANGE, "1/s"),
+        Row(
+            role,
+            "exchanges in the sets of all gateways",
+            book.size("gateways") / SUBSET_ROTATION,
+            "1/s",
+        ),
     ]
 
 
--- a/tests/lab/planted.py
+++ b/tests/integration/testbed/planted.py
@@ -2,7 +2,7 @@
 
 import os
 
-from petrellane.config_consensus import coordinator, participant
+from petrellane.config_consensus import ballots, coordinator, participant
 
 
 def steps():
@@ -10,7 +10,7 @@
     from petrellane.config_consensus.journal import Journal
 
     kind, when = os.environ["LAB_STEP"].split()
-    note = Journal.note
+    note = Journal.append
 
     def planted(self, record, at):
         if when == "after":
@@ -20,15 +20,15 @@
         if when == "before":
             note(self, record, at)
 
-    Journal.note = planted
+    Journal.append = planted
 
 
 def saved():
     """A gateway that ends in the n-th write of its memory (LAB_STEP: number, and before or after it lasts)."""
-    from petrellane.config_consensus.state_store import Store
+    from petrellane.config_consensus.state_store import StateStore
 
     number, when = os.environ["LAB_STEP"].split()
-    save, count = Store.save, []
+    save, count = StateStore.save, []
 
     def planted(self, state):
         count.append(None)
@@ -39,62 +39,62 @@
         if when == "before":
             save(self, state)
 
-    Store.save = planted
+    StateStore.save = planted
 
 
 def unwritable():
     """A gateway whose disk is full."""
-    from petrellane.config_consensus.state_store import Store
+    from petrellane.config_consensus.state_store import StateStore
 
     def planted(self, state):
         raise OSError(28, "No space left on device")
 
-    Store.save = planted
+    StateStore.save = planted
 
 
 def knows_at_once():
     """A gateway that starts serves by its own file."""
-    participant.enough = lambda members, heard, self_known: True
+    participant.intersects_every_majority = lambda members, heard, self_known: True
 
 
 def never_stood_still():
     """A gateway that was stopped goes on as if nothing had been."""
-    participant.FENCE = 1e9
+    participant.STALL_LIMIT_S = 1e9
 
 
 def no_meet():
     """A gateway in doubt admits by what was in force before."""
-    participant.admitted = lambda state: state.in_force.content
+    participant.admissible_settings = lambda state: state.in_force.content
 
 
 def silent_is_absent():
     """A gateway that says nothing counts as down."""
-    coordinator.Leader.silent = lambda self, name, message, now, why="": self.refused(
-        name, message, now
+    coordinator.Coordinator.handle_no_answer = lambda self, name, message, now, why="": (
+        self.handle_connection_refused(name, message, now)
     )
 
 
 def majority_is_enough():
     """A change is decided once a majority has prepared it."""
-    judge = coordinator.Leader.judge
+    judge = coordinator.Coordinator.try_to_decide
 
     def planted(self, now):
         change = self.change
-        if change and sum(
-            said == "prepared" for said in change.replies.values()
-        ) >= coordinator.majority(change.needed):
-            self.decide(coordinator.COMMITTED, "", now)
+        if change and sum(said == "prepared" for said in change.votes.values()) >= ballots.majority(
+            change.participants
+        ):
+            self.decide(coordinator.ChangeOutcome.COMMITTED, "", now)
         else:
             judge(self, now)
 
-    coordinator.Leader.judge = planted
+    coordinator.Coordinator.try_to_decide = planted
 
 
 def refuses():
     """A gateway of an older build, which does not know what it is told."""
-    from petrellane.gateway.process import Node
+    from petrellane.gateway.configuration_changes import ConfigurationChanges
 
-    takes = Node.takes
+    takes = ConfigurationChanges.check_agreed
 
     def planted(self, content):
         return (
@@ -103,36 +103,38 @@
             else takes(self, content)
         )
 
-    Node.takes = planted
+    ConfigurationChanges.check_agreed = planted
 
 
 def takes_the_file():
     """SIGHUP puts in force whatever the file says."""
-    from petrellane.config_consensus.participant_service import Agent
+    from petrellane.config_consensus.participant_service import ParticipantService
 
-    Agent.drifts = lambda self, settings: True
+    ParticipantService.accept_file_settings = lambda self, settings: True
 
 
 def goes_on_to_drained():
     """A gateway that sends on to hosts that drain."""
-    from petrellane.decisions.controller import READY, LoadBalancer
+    from petrellane.decisions.load_balancing import LoadBalancer
+    from petrellane.decisions.types import READY
 
-    listed = LoadBalancer.listed
+    on_endpoint_events = LoadBalancer.on_endpoint_events
 
-    def planted(self, now, full, listings):
-        listed(self, now, full, [row._replace(state=READY) for row in listings])
+    def planted(self, now, is_full, events):
+        drained = [event._replace(state=READY) for event in events]
+        on_endpoint_events(self, now, is_full, drained)
 
-    LoadBalancer.listed = planted
+    LoadBalancer.on_endpoint_events = planted
 
 
 def emptiest_first():
     """A gateway that fills the host that started last, as it looks empty."""
-    from petrellane.decisions.controller import LoadBalancer
+    from petrellane.decisions.load_balancing import LoadBalancer
 
     pick_endpoint = LoadBalancer.pick_endpoint
 
     def planted(self, now, rpc, scope):
-        newest = max(self.hosts, key=lambda host: host.started_at)
+        newest = max(self.endpoints, key=lambda host: host.started_at)
         fits = newest.started_at and scope in (None, newest.zone, newest.pod)
         return newest if fits else pick_endpoint(self, now, rpc, scope)
 
@@ -141,24 +143,24 @@
 
 def waits_for_discovery():
     """A gateway that serves once discovery has told it of a list."""
-    from petrellane.gateway.process import Node
+    from petrellane.gateway.process import GatewayProcess
 
-    listed, settle = Node.listed, Node.settle
-    Node.settle = lambda self: None
+    listed, settle = GatewayProcess.on_endpoint_list, GatewayProcess.begin_serving
+    GatewayProcess.begin_serving = lambda self: None
 
     def planted(self, told):
         listed(self, told)
         if told:
             settle(self)
 
-    Node.listed = planted
+    GatewayProcess.on_endpoint_list = planted
 
 
 def runs_twice():
     """A gateway to which every method may run again."""
-    from petrellane.decisions.controller import AdmissionController
+    from petrellane.decisions import retries
 
-    AdmissionController.retry_targets = lambda self, now, rpc: (None, float("inf"))
+    retries.retry_targets = lambda now, rpc: (None, float("inf"))
 
 
 if __name__ == "__main__":
--- a/tests/lab/cases.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -81,7 +81,7 @@
 
 def plant_in(party, plant, step=""):
     party.build, party.environ = (
-        {"module": "tests.lab.planted"},
+        {"module": "tests.integration.testbed.planted"},
         {"LAB_PLANT": plant, "LAB_STEP": step},
     )
 
@@ -645,7 +645,7 @@
                 (100.0, (401, 401)),
             ):  # staff's call counts once, and while it is new
                 with unittest.mock.patch("time.time", lambda true=time.time, age=age: true() - age):
-                    body, own = message_authentication.question(
+                    body, own = message_authentication.sign_request(
                         lab.key, {"do": "history", "to": "control"}
                     )
                 head = (
@@ -1125,6 +1125,3 @@
             return file.read().rsplit(")", 1)[1].split()[0] != "Z"
     except OSError:
         return False
-
-
-CASES = [Changes, Ceilings, Kills, Staff, Relays, Order, Hosts, Starts, Runs]
--- a/tests/spread/cases.py
+++ b/tests/unit/load_distribution/test_load_distribution.py
@@ -13,6 +13,7 @@
 from hypothesis import strategies as st
 
 from petrellane import invariants
+from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 from petrellane.load_distribution import commands, sources
@@ -394,12 +395,12 @@
             now += max(every, took)
             rpc = api.Rpc(method, customer, 1.0, now + 4.0, now)
             attempt = next(
-                step for step in gateway.admit(now, rpc) if isinstance(step, api.SendAttempt)
+                step for step in gateway.admit(now, rpc) if isinstance(step, actions.SendAttempt)
             )
             gateway.on_attempt_ended(
                 now + took, attempt, api.OK, over=True, took=took
             )  # the next comes later
-        return gateway.fleet.pressure(now + took)
+        return gateway.load_balancer.overload(now + took)
 
     def test_a_run_of_long_rpcs_among_few_is_chance_and_no_pressure(self):
         self.assertEqual(self.pressure(48 * [0.1] + 16 * [0.27], every=0.15), 0.0)
@@ -435,6 +436,3 @@
         found = figures(told)
         self.assertEqual((found.gateways, found.hosts, found.idle), (12, 8, ()))
         self.assertLess(found.spans[1].excess, 1.4)
-
-
-CASES = [Chance, Planted, Sources, Thin, Few, Processes]
--- a/tests/model/cases.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -36,7 +36,7 @@
 from petrellane.simulation.scenario import ScenarioError, read, write
 from petrellane.simulation.scenario_generation import draw, followed, mutate
 from petrellane.simulation.timeline import timeline
-from tests.model.planted import CHANGES, needed, planted
+from tests.unit.simulation.planted import CHANGES, needed, planted
 
 HERE = pathlib.Path(__file__).parent
 SEEDS = 1500  # scenarios that CI plays, a third of them neighbours of the nearest
@@ -91,8 +91,10 @@
         both = planted(
             {
                 "name": "what is given is kept as well",
-                "before": "self.held, self.ceiling, self.filled = 0.0, kept, math.inf",
-                "after": "self.ceiling += told['ceiling']",
+                "module": "leases",
+                "before": "self.available = 0.0\n        self.hard_limit = kept\n"
+                "        self.hard_limit_filled_at = math.inf",
+                "after": "self.hard_limit += stored['ceiling']",
             }
         )
         path = HERE / "scenarios" / "followed-and-gone.ndjson"
