--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -302,6 +302,7 @@
         before = shedder.overload
         shedder.overload = self.load_balancer.overload(now)
         if (shedder.overload > 0) != (before > 0):
+            # The words are stable, as logs are searched for them.
             state = "at ease" if before else "pressed"
             actions.append(WriteLog(f"hosts {state}: {before:.2f} to {shedder.overload:.2f}"))
         self._has_check_timer = bool(self.load_balancer.in_flight or shedder.overload)
--- a/petrellane/decisions/counter_health.py
+++ b/petrellane/decisions/counter_health.py
@@ -13,7 +13,7 @@
 
 SILENT_AFTER = 2  # failed top-ups in a row after which the counter counts as silent; ours
 DEGRADED_SHARE = 0.05  # share of failed top-ups from which the counter counts as degraded; ours
-PROBE_INTERVAL = 1.0  # seconds, about, between top-ups while the counter is silent; ours
+PROBE_INTERVAL = 1.0  # mean seconds between top-ups while the counter is silent; ours
 TIMEOUT_SHARE = 0.6  # our deadline for a top-up, as a share of the counter's own timeout; ours
 RESULTS_KEPT = 32  # the last top-ups that are looked at; ours
 
@@ -45,7 +45,10 @@
         return failed >= SILENT_AFTER and failed > DEGRADED_SHARE * len(recent)
 
     def schedule_probe(self, now: float) -> None:
-        """Set when a silent counter is asked next, not in step with other gateways."""
+        """Set when a silent counter is asked next.
+
+        Half to one and a half intervals from now, so that gateways do not ask in step.
+        """
         self.next_probe_at = now + PROBE_INTERVAL * (0.5 + self._random())
 
     def on_failure(self, now: float) -> list[WriteLog]:
--- a/petrellane/decisions/hard_limits.py
+++ b/petrellane/decisions/hard_limits.py
@@ -15,7 +15,7 @@
 
 ESCROW_TTL_WINDOWS = 2  # windows that an escrow's count is kept for; ours
 ESCROW_TTL_MAXIMUM = 60.0  # seconds that it is kept for at most; ours
-RETRY_SECONDS = 1.0  # an empty escrow is asked again after a part of this, or of the window; ours
+RETRY_BASE = 1.0  # seconds; WORTHWHILE_SHARE of this or of the window before a retry; ours
 
 
 class HardLimitEscrow:
@@ -43,6 +43,7 @@
         else:
             return []
         lease.escrow_pending = piece
+        # The word is part of the count's name, which all versions of the gateway share.
         name = stable_hash(f"{lease.customer.name} {lease.window} ceiling")
         ttl = min(ESCROW_TTL_MAXIMUM, ESCROW_TTL_WINDOWS * lease.window_length)
         return [CounterAdd(name, piece, ttl, window=lease.window, escrow_lease=lease)]
@@ -71,7 +72,7 @@
             taken = add.amount  # it never went there
         lease.hard_limit += taken
         if not taken and (add.amount < 0 or outcome != OK):
-            pause = WORTHWHILE_SHARE * min(lease.window_length, RETRY_SECONDS)
+            pause = WORTHWHILE_SHARE * min(lease.window_length, RETRY_BASE)
             lease.next_escrow_at = now + pause
         if outcome == OK and add.window == lease.window:
             actions += self._follow_up(now, lease, add, total)
--- a/petrellane/decisions/load_balancing.py
+++ b/petrellane/decisions/load_balancing.py
@@ -47,6 +47,7 @@
 TYPICAL_SHARE = 8  # a method of which nothing is known takes its latency objective by this; ours
 SAME_ZONE_ODDS = 3.0  # odds of an endpoint in our zone, where crossing zones has a price; ours
 ANSWER_TIMES_KEPT = 64  # the last times of ok answers of a method; ours
+PRIOR_SUCCESSES = 2  # ok answers assumed beside an endpoint's samples, so that few say little; ours
 LATENCY_SAMPLES_KEPT = 1024  # the last attempts of all endpoints: a bound on memory, ours
 
 Candidate: TypeAlias = tuple[Endpoint, EndpointHealth]
@@ -266,11 +267,12 @@
 
     def _capacity(self, endpoint: Endpoint, samples: list[EndpointSample], latency: float) -> float:
         """What an endpoint is thought to carry, in no unit but its own; 0.0 under overload."""
-        succeeded = (sum(sample[2] == OK for sample in samples) + 2) / (len(samples) + 2)
+        succeeded = sum(sample[2] == OK for sample in samples) + PRIOR_SUCCESSES
+        share = succeeded / (len(samples) + PRIOR_SUCCESSES)
         odds = self.same_zone_odds if endpoint.zone == self.zone else 1.0
         if latency >= OVERLOAD_FULL:
             return 0.0
-        return odds * endpoint.weight * (succeeded / latency) ** 2
+        return odds * endpoint.weight * (share / latency) ** 2
 
     def _current_capacity(
         self, endpoint: Endpoint, health: EndpointHealth, method: Method, now: float
--- a/petrellane/decisions/warm_up.py
+++ b/petrellane/decisions/warm_up.py
@@ -25,6 +25,7 @@
     Returns:
         At least `capacity`; more once endpoints carry less than half of what is sent.
     """
+    # At least 1 while half of what is sent, or more, is answered within its latency objective.
     in_time = sum(latency < 1 for latency in latencies)
     carried = 2 * (1 + in_time) / (1 + len(latencies) + in_flight)
     return max(capacity, recent_maximum / DEPARTED_CAPACITY_FACTOR) / min(1.0, carried)
