--- a/petrellane/__main__.py
+++ b/petrellane/__main__.py
@@ -4,6 +4,7 @@
 start of a gateway.
 """
 
+import gc
 import os
 import signal
 import sys
@@ -15,6 +16,9 @@
         # Signals that arrive before the gateway handles them wait: by default they would kill it.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
     if sys.argv[1:] == ["serve"]:
+        # What a start imports lives as long as the process: to collect garbage meanwhile only costs
+        # time. `serve` enables collections before it runs.
+        gc.disable()
         from petrellane.gateway.process import serve
 
         sys.exit(serve(os.environ))
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -176,7 +176,8 @@
     ],
 ) -> None:
     """Run the control process that staff propose settings to, until SIGTERM."""
-    from petrellane.config import ConfigError, load_control_config
+    from petrellane.config import ConfigError
+    from petrellane.config.consensus import load_control_config
     from petrellane.config_consensus.control_service import ControlService
     from petrellane.config_consensus.journal import JournalError
 
@@ -202,7 +203,8 @@
         as_json: Print JSON in place of words.
         call: Runs one command; its ConfigError and CommandFailedError end the command line.
     """
-    from petrellane.config import ConfigError, load_control_config
+    from petrellane.config import ConfigError
+    from petrellane.config.consensus import load_control_config
     from petrellane.config_consensus.commands import (
         CommandFailedError,
         ControlClient,
--- a/petrellane/config/__init__.py
+++ b/petrellane/config/__init__.py
@@ -2,15 +2,10 @@
 
 `section` reads typed values and names the key in its errors; `settings`, `endpoints` and
 `consensus` know the parts; `process` puts them together for one gateway; `reload` decides what may
-change in service. The names below are what other packages use.
+change in service. The names below are what other packages use; those of `consensus` are imported
+from there, as a gateway that does not agree on settings starts without it.
 """
 
-from petrellane.config.consensus import (
-    ConsensusConfig,
-    ControlConfig,
-    Roster,
-    load_control_config,
-)
 from petrellane.config.endpoints import (
     EndpointEntry,
     EndpointListUpdate,
@@ -27,19 +22,15 @@
     "Address",
     "Config",
     "ConfigError",
-    "ConsensusConfig",
-    "ControlConfig",
     "ControllerOptions",
     "EndpointEntry",
     "EndpointListUpdate",
     "JsonObject",
-    "Roster",
     "Section",
     "Settings",
     "check_no_key_removed",
     "iter_endpoint_entries",
     "load",
-    "load_control_config",
     "load_settings_file",
     "parse_config",
     "parse_endpoint_entry",
--- a/petrellane/config/process.py
+++ b/petrellane/config/process.py
@@ -10,8 +10,8 @@
 import socket
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
 
-from petrellane.config.consensus import ConsensusConfig, parse_consensus
 from petrellane.config.endpoints import EndpointListUpdate, parse_endpoint_list
 from petrellane.config.reload import check_no_key_removed, reload_settings
 from petrellane.config.section import (
@@ -24,6 +24,9 @@
 )
 from petrellane.config.settings import Settings, parse_settings
 
+if TYPE_CHECKING:
+    from petrellane.config.consensus import ConsensusConfig
+
 VARIABLE_PREFIX = "PROXY_"
 KEYS_OF_VARIABLES = ("name", "listen", "discovery", "management")
 """Keys of the file that a variable of the environment may set."""
@@ -67,7 +70,7 @@
     sockets: int
     known: EndpointListUpdate
     settings: Settings
-    consensus: ConsensusConfig | None
+    consensus: "ConsensusConfig | None"
     figures_by_endpoint: bool
     raw: JsonObject
 
@@ -141,7 +144,7 @@
         discovery=section.address("discovery"),
         listen_fd=_parse_listen_fd(environment.get("PROXY_LISTEN_FD")),
         management=management,
-        consensus=parse_consensus(section, name, management),
+        consensus=_parse_consensus(section, name, management),
         figures_by_endpoint=section.section("figures", {}).flag("hosts"),
         counter=section.address("counter") if settings.uses_counter else None,
         seed=seed,
@@ -153,6 +156,17 @@
     )
 
 
+def _parse_consensus(
+    section: Section, name: str, management: Address | None
+) -> "ConsensusConfig | None":
+    if section.value.get("agreement") is None:
+        return None
+    # Imported where it is asked for: a gateway alone starts without it.
+    from petrellane.config.consensus import parse_consensus
+
+    return parse_consensus(section, name, management)
+
+
 def _apply_variables(
     section: Section, environment: Mapping[str, str], current: Config | None
 ) -> Section:
--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -12,7 +12,8 @@
 
 import greenlet
 
-from petrellane.config import ControlConfig, load_settings_file
+from petrellane.config import load_settings_file
+from petrellane.config.consensus import ControlConfig
 from petrellane.config_consensus import safe_settings
 from petrellane.config_consensus.changes import ChangeOutcome
 from petrellane.config_consensus.errors import ConsensusError
--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -10,7 +10,7 @@
 import socket
 from collections.abc import Callable, Iterable, Mapping
 
-from petrellane.config import ControlConfig
+from petrellane.config.consensus import ControlConfig
 from petrellane.config_consensus.coordinator import Coordinator
 from petrellane.config_consensus.journal import Journal
 from petrellane.config_consensus.message_authentication import (
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from http import HTTPStatus
 
-from petrellane.config import ConsensusConfig
+from petrellane.config.consensus import ConsensusConfig
 from petrellane.config_consensus import participant
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.errors import MessageRejected
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -36,7 +36,6 @@
 from petrellane.gateway.customers import Customers
 from petrellane.gateway.endpoint_updates import endpoint_updates
 from petrellane.gateway.load_report import parse_load_report
-from petrellane.operation import hot_restart
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -342,26 +341,6 @@
             if self.handover:
                 self.handover.report_request_ended(rpc.customer.name)
 
-    # Hot restart.
-
-    def import_leases(self, rows: Iterable[dict[str, Any]]) -> int:
-        """Take over the leases that the predecessor has given up; return how many."""
-        plans = self.settings.plans
-        now = self.now()
-
-        def customer_of(name: str, plan: str, first: int, count: int) -> Customer | None:
-            if plan not in plans:
-                return None
-            return self.customers.get_or_create(name, plans[plan], first, count, now)
-
-        taken: int = hot_restart.import_leases(self.controller, now, rows, customer_of)
-        return taken
-
-    def on_predecessor_requests_ended(self, name: str, number: int) -> None:
-        """Note that so many requests of a customer, still open at the predecessor, have ended."""
-        for customer in self.customers.with_name(name):
-            number -= hot_restart.release_in_flight(self.controller, self.now(), customer, number)
-
     # Handlers of actions.
 
     def _send_attempt(self, action: SendAttempt) -> None:
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import gc
-import math
 import signal
 import sys
 import time
@@ -27,17 +26,16 @@
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.operation import hot_restart
-from petrellane.operation.hot_restart_messages import Message
-from petrellane.operation.hot_restart_transport import HotRestartHandlers, HotRestartTransport
 from petrellane.operation.lifecycle import Lifecycle
 from petrellane.operation.management_api import ManagementServer
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from petrellane.config import Config, ConsensusConfig, EndpointListUpdate
+    from petrellane.config import Config, EndpointListUpdate
+    from petrellane.config.consensus import ConsensusConfig
     from petrellane.config_consensus.participant_service import ParticipantService
+    from petrellane.operation.hot_restart_transport import HotRestartTransport
 
 STANDARD_OUTPUT = 1
 EXIT_OK = 0
@@ -140,20 +138,10 @@
         self.management.handlers[PARTICIPANT_PATH] = self.agent.handle_call
 
     def _make_handover(self) -> None:
-        self.handover = HotRestartTransport(
-            self.scheduler,
-            self.limits,
-            self.log,
-            self.config.name,
-            HotRestartHandlers(
-                export_state=self._export_state,
-                on_successor=self._set_successor,
-                import_leases=self.executor.import_leases,
-                adopt_connection=self.client_listener.adopt,
-                release_in_flight=self.executor.on_predecessor_requests_ended,
-                on_predecessor_still_running=self._on_predecessor_still_running,
-            ),
-        )
+        # Imported where it is needed: a gateway alone starts without it.
+        from petrellane.gateway.process_handover import ProcessHandover
+
+        self.handover = ProcessHandover(self).make_transport()
         self.executor.handover = self.handover
 
     def make_watch(self, index: int | None) -> EndpointWatch:
@@ -296,29 +284,6 @@
             self.is_taking_over = True
             self.handover.request_transfer(self.begin_serving)
 
-    def _export_state(self) -> list[Message]:
-        """Give up what the successor is to have, and return what it was."""
-        for pool in self.endpoint_pools.pools.values():
-            pool.retire(math.inf)
-        generation = None
-        if self.agent:
-            self.agent.hand_over()
-            generation = self.agent.state.to_dict()
-        return hot_restart.export_leases(self.executor.controller, self.scheduler.now(), generation)
-
-    def _on_predecessor_still_running(self) -> None:
-        """Note that the predecessor gave nothing, and may go on."""
-        hot_restart.predecessor_still_running(self.executor.controller, self.scheduler.now())
-
-    def _set_successor(self, successor: HotRestartTransport | None) -> None:
-        """Give way to a successor, or go on when it is gone (None)."""
-        self.service.has_successor = bool(successor)
-        self.client_listener.set_successor(successor)
-        if not successor:
-            hot_restart.resume(self.executor.controller, self.scheduler.now())
-            if self.agent:
-                self.agent.resume()
-
     # Signals, drain and end.
 
     def handle_signals(self, calls: Mapping[int, Callable[[], object]]) -> None:
@@ -392,5 +357,6 @@
             signal.SIGHUP: partial(process.reload, partial(load, environ)),
         }
     )
+    gc.enable()  # the entry point disables it while modules are imported
     process.run()
     return EXIT_OK
--- /dev/null
+++ b/petrellane/gateway/process_handover.py
@@ -0,0 +1,90 @@
+"""The gateway's side of a hot restart: what it gives to a successor and takes from a predecessor.
+
+Imported only where the configuration names an inherited listening socket: without one, a gateway
+starts without this module and what it stands on. The rules are in
+`petrellane.operation.hot_restart`, the packets in `petrellane.operation.hot_restart_transport`.
+"""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING, Any
+
+from petrellane.operation import hot_restart
+from petrellane.operation.hot_restart_transport import HotRestartHandlers, HotRestartTransport
+
+if TYPE_CHECKING:
+    from petrellane.decisions.types import Customer
+    from petrellane.gateway.process import GatewayProcess
+    from petrellane.operation.hot_restart_messages import Message
+
+
+class ProcessHandover:
+    """Answers the steps of a hot restart; owned by its transport, for the life of the process."""
+
+    def __init__(self, process: GatewayProcess) -> None:
+        self.process = process
+        self.executor = process.executor
+        self.scheduler = process.scheduler
+
+    def make_transport(self) -> HotRestartTransport:
+        """Return the transport that calls back here; it opens nothing yet."""
+        return HotRestartTransport(
+            self.scheduler,
+            self.process.limits,
+            self.process.log,
+            self.process.config.name,
+            HotRestartHandlers(
+                export_state=self.export_state,
+                on_successor=self.on_successor,
+                import_leases=self.import_leases,
+                adopt_connection=self.process.client_listener.adopt,
+                release_in_flight=self.on_predecessor_requests_ended,
+                on_predecessor_still_running=self.on_predecessor_still_running,
+            ),
+        )
+
+    def export_state(self) -> list[Message]:
+        """Give up what the successor is to have, and return what it was."""
+        for pool in self.process.endpoint_pools.pools.values():
+            pool.retire(math.inf)
+        generation = None
+        agent = self.process.agent
+        if agent:
+            agent.hand_over()
+            generation = agent.state.to_dict()
+        return hot_restart.export_leases(self.executor.controller, self.scheduler.now(), generation)
+
+    def on_successor(self, successor: HotRestartTransport | None) -> None:
+        """Give way to a successor, or go on when it is gone (None)."""
+        self.process.service.has_successor = bool(successor)
+        self.process.client_listener.set_successor(successor)
+        if successor:
+            return
+        hot_restart.resume(self.executor.controller, self.scheduler.now())
+        if self.process.agent:
+            self.process.agent.resume()
+
+    def import_leases(self, rows: list[dict[str, Any]]) -> int:
+        """Take over the leases that the predecessor has given up; return how many."""
+        plans = self.executor.settings.plans
+        customers = self.executor.customers
+        now = self.scheduler.now()
+
+        def customer_of(name: str, plan: str, first: int, count: int) -> Customer | None:
+            if plan not in plans:
+                return None
+            return customers.get_or_create(name, plans[plan], first, count, now)
+
+        return hot_restart.import_leases(self.executor.controller, now, rows, customer_of)
+
+    def on_predecessor_requests_ended(self, name: str, number: int) -> None:
+        """Note that so many requests of a customer, still open at the predecessor, have ended."""
+        controller = self.executor.controller
+        for customer in self.executor.customers.with_name(name):
+            now = self.scheduler.now()
+            number -= hot_restart.release_in_flight(controller, now, customer, number)
+
+    def on_predecessor_still_running(self) -> None:
+        """Note that the predecessor gave nothing, and may go on."""
+        hot_restart.predecessor_still_running(self.executor.controller, self.scheduler.now())
--- a/tests/unit/config/test_config.py
+++ b/tests/unit/config/test_config.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from petrellane.config import ConfigError, Section, load_control_config, parse_endpoint_list
-from petrellane.config.consensus import parse_roster
+from petrellane.config import ConfigError, Section, parse_endpoint_list
+from petrellane.config.consensus import load_control_config, parse_roster
 from petrellane.config.reload import check_no_key_removed
 
 
