--- a/Makefile
+++ b/Makefile
@@ -11,6 +11,7 @@
 	$(PYTHON) -m ruff format --check petrellane benchmarks tests
 	$(PYTHON) -m ruff check petrellane benchmarks tests
 	.venv/bin/lint-imports
+	$(PYTHON) -m pytest -q tests/compatibility
 	$(PYTHON) -m tests.runner
 
 hunt: .venv/ready
--- /dev/null
+++ b/tests/compatibility/digests.py
@@ -0,0 +1,61 @@
+"""The digest of a simulated run: one sha256 over its records as text, so that any digit that differs shows.
+
+A record is one line: its label, then its values. Floats stand in full (repr), texts and None as in JSON, sequences in
+brackets. Three digests a scenario: what happened, what gateways still hold at the end, and what the rules say.
+"""
+
+import hashlib
+import json
+import multiprocessing
+from concurrent.futures import ProcessPoolExecutor
+from typing import Any
+
+from tests.compatibility import build
+
+NAMES = (
+    *(f"draw {seed}" for seed in range(140)),
+    *(f"followed {seed}" for seed in range(30)),
+    *(f"neighbour {seed}" for seed in range(10)),
+)
+WORKERS = 2
+PARTS = ("happened", "remains", "rules")
+
+
+def text_of(value: Any) -> str:
+    """A plain value as canonical text."""
+    if isinstance(value, (list, tuple)):
+        return "[" + " ".join(map(text_of, value)) + "]"
+    if isinstance(value, float):
+        return repr(value)
+    return json.dumps(value)
+
+
+def digest_of(lines: list[str]) -> str:
+    """The digest of some lines."""
+    return hashlib.sha256("\n".join(lines).encode()).hexdigest()
+
+
+def of_scenario(name: str) -> list[str]:
+    """The digests of one scenario, one for each of PARTS."""
+    records, verdict = build.played(name)
+    lines = [(label, f"{label} {text_of(values)}") for label, values in records]
+    return [
+        digest_of([line for label, line in lines if label != "remains"]),
+        digest_of([line for label, line in lines if label == "remains"]),
+        digest_of([text_of(verdict)]),
+    ]
+
+
+def of_all() -> dict[str, list[str]]:
+    """The digests of all scenarios, by name."""
+    spawn = multiprocessing.get_context("spawn")
+    with ProcessPoolExecutor(WORKERS, mp_context=spawn) as pool:
+        return dict(zip(NAMES, pool.map(of_scenario, NAMES, chunksize=5), strict=True))
+
+
+def whole(digests: dict[str, list[str]]) -> dict[str, str]:
+    """One digest for each of PARTS over all scenarios."""
+    return {
+        part: digest_of([f"{name} {digests[name][index]}" for name in NAMES])
+        for index, part in enumerate(PARTS)
+    }
--- /dev/null
+++ b/tests/compatibility/files.py
@@ -0,0 +1,31 @@
+"""Where recordings are, and how they are read and written."""
+
+import json
+import pathlib
+from typing import Any
+
+ROOT = pathlib.Path(__file__).parent.parent.parent
+RECORDED = pathlib.Path(__file__).parent / "recorded"
+
+
+def load(name: str) -> Any:
+    """A recording in JSON."""
+    return json.loads((RECORDED / name).read_text())
+
+
+def save(name: str, told: Any) -> None:
+    """Write a recording in JSON."""
+    path = RECORDED / name
+    path.parent.mkdir(parents=True, exist_ok=True)
+    path.write_text(json.dumps(told, indent=1) + "\n")
+
+
+def key_set(told: Any, path: str = "") -> list[str]:
+    """All keys of a JSON value as paths, those of a list's items under []."""
+    if isinstance(told, dict):
+        found = {f"{path}.{key}" for key in told}
+        found.update(one for key in told for one in key_set(told[key], f"{path}.{key}"))
+        return sorted(found)
+    if isinstance(told, list):
+        return sorted({one for item in told for one in key_set(item, f"{path}[]")})
+    return []
