--- a/tests/compatibility/build.py
+++ b/tests/compatibility/build.py
@@ -553,3 +553,91 @@
     if dataclasses.is_dataclass(value):
         return [plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
     raise TypeError(f"expected plain values in a record, found {type(value).__name__}")
+
+
+# Hot restart, played.
+
+
+def packet(message: Json) -> str:
+    """The packet that a message is sent as, without data."""
+    ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    link = handover.Link(Scheduler(), LIMITS, ours, None, lambda link: None)
+    with theirs:
+        theirs.settimeout(5.0)
+        link.send(message)
+        sent = theirs.recv(LIMITS.packet)
+        link.close()
+    return sent.decode("latin-1")
+
+
+def _received(sock: socket.socket) -> list[Json]:
+    """All packets that have come: text, and whether a descriptor came along."""
+    found: list[Json] = []
+    sock.setblocking(False)
+    while True:
+        try:
+            data, descriptors, _, _ = socket.recv_fds(sock, LIMITS.packet, 1)
+        except BlockingIOError:
+            return found
+        for descriptor in descriptors:
+            os.close(descriptor)
+        found.append([data.decode("latin-1"), bool(descriptors)])
+        if not data:
+            return found
+
+
+def predecessor_dialogue(folder: pathlib.Path, script: list[Json]) -> list[Json]:
+    """What the end that gives says and does at each step: ["say", who, packet], ["pass", data, asked], ["ended", name]."""
+    messages = script[0]
+    old = Predecessor("g1", lambda: messages)
+    peers: dict[str, socket.socket] = {}
+    passed: list[socket.socket] = []
+    found: list[Json] = []
+    for what, *words in script[1:]:
+        if what == "say":
+            who, text = words
+            if who not in peers:
+                peers[who] = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+                peers[who].connect(str(folder / socket_name("g1")))
+            peers[who].send(text.encode("latin-1"))
+        elif what == "pass":
+            pair = socket.socketpair()
+            passed += pair
+            old.pass_on(pair[0], words[0].encode(), words[1])
+        elif what == "ended":
+            old.ended(words[0])
+        elif what == "wait":
+            turns(old.scheduler, 20)
+        old.turn()
+        heard = {who: _received(sock) for who, sock in peers.items()}
+        found.append([what, heard, old.events])
+        old.events = []
+        peers = {who: sock for who, sock in peers.items() if ["", False] not in heard[who]}
+    for sock in (*peers.values(), *passed):
+        sock.close()
+    old.close()
+    return found
+
+
+def successor_dialogue(listener: socket.socket, script: list[Json]) -> tuple[list[Json], Json]:
+    """What the end that takes says to each packet [text, with a descriptor], and what it is told in all."""
+    new = Successor("g1")
+    new.ask()
+    link, _ = listener.accept()
+    new.turn()
+    said = [_received(link)]
+    kept: list[socket.socket] = []
+    for text, descriptor in script:
+        fds = []
+        if descriptor:
+            kept += socket.socketpair()
+            fds = [kept[-1].fileno()]
+        socket.send_fds(link, [text.encode("latin-1")], fds)
+        new.turn()
+        said.append(_received(link))
+    link.close()
+    new.turn()
+    for sock in kept:
+        sock.close()
+    new.close()
+    return said, new.events
