--- a/tests/compatibility/build.py
+++ b/tests/compatibility/build.py
@@ -641,3 +641,48 @@
         sock.close()
     new.close()
     return said, new.events
+
+
+# Agreement, played.
+
+
+class ControlPlay:
+    """A control process that is led through a script, step by step; answers are those of the script."""
+
+    def __init__(self, path: str, members: list[str]) -> None:
+        self.path, self.members = path, members
+        self.leads: ControlProcess | None = None
+        self.last: dict[str, str] = {}
+
+    def take(self, step: Json) -> Json:
+        """Take one step; what is said to it."""
+        what, now, *words = step
+        if what == "start":
+            self.leads = ControlProcess(self.path, words[0], self.members, b"k" * 16, now)
+            return None
+        if self.leads is None:
+            raise ValueError("expected a start first")
+        if what == "message":
+            said = self.leads.message(words[0], now)
+            self.last[words[0]] = said or ""
+            return said
+        if what == "staff":
+            return self.leads.staff(words[0], now)
+        if what == "heard":
+            self.leads.heard(words[0], self.last[words[0]], words[1], now)
+        elif what == "refused":
+            self.leads.refused(words[0], self.last[words[0]], now)
+        elif what == "silent":
+            self.leads.silent(words[0], self.last[words[0]], now)
+        elif what == "judge":
+            self.leads.judge(now)
+        elif what == "end":
+            self.leads.close()
+            self.leads = None
+        return None
+
+
+def control_play(path: str, members: list[str], script: list[Json]) -> list[Json]:
+    """What a control process says at each step of a script."""
+    play = ControlPlay(path, members)
+    return [play.take(step) for step in script]
--- a/tests/compatibility/files.py
+++ b/tests/compatibility/files.py
@@ -2,6 +2,7 @@
 
 import json
 import pathlib
+import sqlite3
 from typing import Any
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
@@ -29,3 +30,19 @@
     if isinstance(told, list):
         return sorted({one for item in told for one in key_set(item, f"{path}[]")})
     return []
+
+
+def journal_rows(path: pathlib.Path) -> list[Any]:
+    """A journal file's schema, version and rows, read without the program."""
+    base = sqlite3.connect(path)
+    try:
+        schema = base.execute("SELECT type, name, sql FROM sqlite_master").fetchall()
+        version = base.execute("PRAGMA user_version").fetchone()[0]
+        rows = base.execute("SELECT number, at, told FROM records ORDER BY number").fetchall()
+    finally:
+        base.close()
+    return [
+        [list(one) for one in schema],
+        version,
+        [[number, at, bytes(told).decode()] for number, at, told in rows],
+    ]
--- a/tests/compatibility/recording.py
+++ b/tests/compatibility/recording.py
@@ -1,10 +1,13 @@
 """What each part of the recordings is made of; `record.py` says from which checkout."""
 
+import json
 import os
 import pathlib
+import shutil
 import socket
 import tempfile
 from collections.abc import Callable
+from typing import Any
 
 from tests.compatibility import build, digests, files
 
@@ -16,6 +19,8 @@
     files.save("simulation/digest.json", digests.whole(found))
 
 
+Json = Any
+
 PLANS = {
     "basic": {"rate": 2.0, "store": 10.0},
     "capped": {
@@ -131,7 +136,246 @@
     )
 
 
+OLD = {
+    "classes": [
+        {"name": "look", "effect": "pure", "goalTime": 1000000, "giveUp": 4000000, "worth": 1}
+    ],
+    "contracts": [{"name": "basic", "quotaRate": 50, "storeSize": 100, "pays": 1}],
+    "discovery": "push",
+    "familyInfo": {"counterTimeout": 80000, "mayCount": True},
+    "limits": {
+        "connIdle": 30000000,
+        "dialTimeout": 250000,
+        "mayCancel": True,
+        "maxAttempts": 4,
+        "maxRetryAfter": 500000,
+        "retryAfter": True,
+        "streamsPerConn": 4,
+    },
+    "obligations": {"cold": 0, "coldFrom": 1},
+}
+NEW = {**OLD, "contracts": [{"name": "basic", "quotaRate": 20, "storeSize": 120, "pays": 2}]}
+MEMBERS = ["g1", "g2", "g3"]
+KEY = "0123456789abcdef0123456789abcdef"
+
+
+def generation(number: int, content: Json, epoch: Json = (1, "c1")) -> Json:
+    """A generation, whole."""
+    return {
+        "number": number,
+        "epoch": list(epoch),
+        "digest": build.digest(content),
+        "content": content,
+        "members": MEMBERS,
+    }
+
+
+def state(
+    number: int = 2, promised: Json = (3, "c1"), possible: Json = (), denied: Json = ()
+) -> Json:
+    """What a participant remembers, in stored form."""
+    return {
+        "in_force": generation(number, OLD),
+        "promised": list(promised),
+        "possible": list(possible),
+        "denied": list(denied),
+    }
+
+
+def messages() -> list[Json]:
+    """Messages to participants: a name, what it remembers, the message, and why settings won't do there."""
+    three, denied = generation(3, NEW, (3, "c1")), {"number": 3, "epoch": [3, "c1"]}
+    named = {key: three[key] for key in ("number", "epoch", "digest")}
+    speaks = {"epoch_of": [3, "c1"], "to": "g1", "order": 7}
+    base = {"base": {"number": 2, "epoch": [1, "c1"]}}
+    prepare = {"do": "prepare", **base, **three, **speaks}
+    commit = {"do": "commit", **speaks}
+    held, crowd = state(possible=[three]), [generation(n, NEW, (3, "c1")) for n in range(4, 12)]
+    many = [{"number": n, "epoch": [2, "c2"]} for n in range(3, 19)]
+    return [
+        ["state", held, {"do": "state", "to": "g1"}, None],
+        ["content", held, {"do": "content", "to": "g1", **named}, None],
+        ["content unknown", state(), {"do": "content", **named}, None],
+        ["no such word", state(), {"do": "sing", **speaks}, None],
+        ["no word", state(), {}, None],
+        ["promise", state(), {"do": "promise", "epoch_of": [4, "c2"]}, None],
+        ["promise the same", state(), {"do": "promise", **speaks}, None],
+        ["promise lower", state(), {"do": "promise", "epoch_of": [2, "c9"]}, None],
+        ["promise lower name", state(), {"do": "promise", "epoch_of": [3, "c0"]}, None],
+        ["promise no epoch", state(), {"do": "promise", "epoch_of": "x"}, None],
+        ["prepare", state(), prepare, None],
+        ["prepare again", held, prepare, None],
+        ["prepare past", state(5), prepare, None],
+        ["prepare given up", state(denied=[denied]), prepare, None],
+        ["prepare behind", state(1), prepare, None],
+        ["prepare settings", state(), prepare, "classes: expected one"],
+        ["prepare crowded", state(possible=crowd), prepare, None],
+        ["prepare digest", state(), {**prepare, "digest": "0"}, None],
+        ["prepare content", state(), {**prepare, "content": []}, None],
+        ["prepare members", state(), {**prepare, "members": [1]}, None],
+        ["prepare number", state(), {**prepare, "number": -1}, None],
+        ["prepare no base", state(), {**prepare, "base": None}, None],
+        ["prepare lower epoch", state(promised=(9, "c2")), prepare, None],
+        ["commit", held, {**commit, **named}, None],
+        ["commit whole", state(), {**commit, **three}, None],
+        ["commit unknown", state(), {**commit, **named}, None],
+        ["commit settings", state(), {**commit, **three}, "contracts: expected one"],
+        ["commit past", state(5), {**commit, **named}, None],
+        ["commit keeps later", state(possible=[three, *crowd[:2]]), {**commit, **named}, None],
+        ["deny", held, {"do": "deny", **denied, **speaks}, None],
+        ["deny again", state(denied=[denied]), {"do": "deny", **denied, **speaks}, None],
+        ["deny in force", state(3), {"do": "deny", **denied, **speaks}, None],
+        ["deny many", state(denied=many), {"do": "deny", **denied, **speaks}, None],
+    ]
+
+
+def control_script(folder: str, name: str, what: str) -> Json:
+    """A play of a control process before participants that answer by the rules; the script with their answers."""
+    now, play = 100.0, build.ControlPlay(str(pathlib.Path(folder) / f"{name}-live"), MEMBERS)
+    remembers = {one: state() for one in MEMBERS}
+    script: list[Json] = [["start", now, "c1"]]
+    proposes: Json = {"do": "propose", "settings": NEW, "by": "staff"}
+    down = {"g3"} if what in ("absent", "silent") else set()
+    status: list[Json] = [{"do": "status"}, {"do": "history"}]
+    play.take(script[0])
+    if what == "deposed":
+        remembers["g2"]["promised"] = [7, "c9"]
+    for turn in range(60):
+        now = 100.0 + turn / 8
+        if turn == 8:
+            calls = [*status, proposes, {"do": "change", "number": 3}, status[0]]
+            for call in calls:
+                script.append(["staff", now, call])
+                play.take(script[-1])
+        if turn == 9 and what == "deposed late":
+            remembers["g1"]["promised"] = [9, "c9"]
+        for one in MEMBERS:
+            message = play.take(["message", now, one])
+            script.append(["message", now, one])
+            if message is None:
+                continue
+            if one in down and turn >= 8:
+                script.append([{"absent": "refused", "silent": "silent"}[what], now, one])
+            else:
+                wrong = "no" if what == "aborted" and one == "g2" and "prepare" in message else None
+                found = build.participant_answer(remembers[one], json.loads(message), wrong)
+                remembers[one] = found["after"]
+                script.append(["heard", now, one, found["answer"]])
+            play.take(script[-1])
+        script.append(["judge", now])
+        play.take(script[-1])
+    play.take(["end", now])
+    script += [["staff", now, one] for one in status]
+    for number in (2, 3, 4, 99):
+        script += [["staff", now, {"do": do, "number": number}] for do in ("show", "change")]
+    script += [
+        ["staff", now, {"do": "back", "number": 99}],
+        ["staff", now, {"do": "sing"}],
+        ["staff", now, {"do": "propose", "settings": {"classes": 7}}],
+        ["staff", now, {"do": "propose", "settings": NEW, "without": 7}],
+        ["staff", now, {"do": "propose", "settings": NEW, "without": ["g9"]}],
+        ["end", now],
+        ["start", now + 10.0, "c1"],
+        ["staff", now + 10.0, status[0]],
+        ["staff", now + 10.0, status[1]],
+        ["end", now + 10.0],
+    ]
+    return script
+
+
+def agreement(checkout: pathlib.Path) -> None:
+    """Messages and answers of participants and control processes, seals, state files and a journal."""
+    three = generation(3, NEW, (3, "c1"))
+    four = generation(4, OLD, (4, "c2"))
+    told = {
+        "promised": [4, "c2"],
+        "in_force": {key: three[key] for key in ("number", "epoch", "digest")},
+        "possible": [{key: four[key] for key in ("number", "epoch", "digest")}],
+        "denied": [{"number": 3, "epoch": [2, "c2"]}],
+        "members": MEMBERS,
+    }
+    stray = generation(3, OLD, (2, "c2"))
+    learns = [
+        ["in force and possible", state(), told, [three, four]],
+        ["nothing fetched", state(), told, []],
+        ["denied", state(possible=[stray]), told, [three]],
+        ["nothing new", state(3, possible=[four]), told, []],
+    ]
+    files.save(
+        "agreement/participant.json",
+        {
+            "messages": [
+                {
+                    "name": name,
+                    "remembers": before,
+                    "message": message,
+                    "wrong": wrong,
+                    "found": build.participant_answer(before, message, wrong),
+                }
+                for name, before, message, wrong in messages()
+            ],
+            "learns": [
+                {
+                    "name": name,
+                    "remembers": before,
+                    "told": said,
+                    "fetched": fetched,
+                    "found": build.participant_learns(before, said, fetched),
+                }
+                for name, before, said, fetched in learns
+            ],
+        },
+    )
+    plays = []
+    with tempfile.TemporaryDirectory() as folder:
+        for what in ("committed", "aborted", "absent", "silent", "deposed", "deposed late"):
+            script = control_script(folder, what, what)
+            path = pathlib.Path(folder) / what
+            found = build.control_play(str(path), MEMBERS, script)
+            rows = files.journal_rows(path)
+            plays.append({"name": what, "script": script, "found": found, "rows": rows})
+            if what == "committed":
+                kept = files.RECORDED / "agreement/journal.sqlite"
+                kept.unlink(missing_ok=True)
+                shutil.copy(path, kept)
+                records = build.journal_records(str(path))
+    files.save("agreement/control.json", {"members": MEMBERS, "plays": plays})
+    states = [state(), state(possible=[three]), state(denied=[{"number": 3, "epoch": [3, "c1"]}])]
+    for name in build.state_files("g1"):
+        (files.RECORDED / "agreement" / name).unlink(missing_ok=True)
+    build.save_states(str(files.RECORDED / "agreement"), "g1", states)
+    files.save(
+        "agreement/stored.json",
+        {
+            "records": records,
+            "names": build.state_files("g1"),
+            "states": states,
+            "last": len(states) % 2,
+        },
+    )
+    message = {"do": "promise", "to": "g1", "epoch_of": [3, "c1"], "order": 1}
+    body, seal = build.seal_question(KEY.encode(), message)
+    answer = {"promised": [3, "c1"], "possible": []}
+    answer_body, answer_seal = build.seal_answer(KEY.encode(), seal, answer)
+    paths = build.agreement_paths()
+    files.save(
+        "agreement/seals.json",
+        {
+            "key": KEY,
+            "question": {"message": message, "body": body.decode(), "seal": seal.decode()},
+            "answer": {
+                "told": answer,
+                "body": answer_body.decode(),
+                "seal": answer_seal.decode(),
+            },
+            "paths": paths,
+            "call": build.sealed_call(paths[0], "127.0.0.1:7", seal, body).decode(),
+        },
+    )
+
+
 PARTS: dict[str, Callable[[pathlib.Path], None]] = {
     "simulation": simulation,
     "handover": handover,
+    "agreement": agreement,
 }
