--- a/tests/compatibility/recording.py
+++ b/tests/compatibility/recording.py
@@ -374,8 +374,86 @@
     )
 
 
+STATES: dict[str, list[Json]] = {
+    "starting": [],
+    "serving": [["begin"]],
+    "draining": [["begin"], ["drain", 50.0]],
+    "drained": [["begin"], ["drain", 50.0], ["emptied", 0]],
+    "ending": [["begin"], ["end", 50.0]],
+    "followed": [["begin"], ["followed"]],
+}
+HEADS = {
+    "ready": "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n",
+    "ready with a query": "GET /-/ready?x=1 HTTP/1.0\r\n\r\n",
+    "drain": "POST /-/drain HTTP/1.1\r\nHost: x\r\n\r\n",
+    "resume": "POST /-/resume HTTP/1.1\r\nHost: x\r\n\r\n",
+}
+ODD_HEADS = {
+    "another method": "GET /-/drain HTTP/1.1\r\n\r\n",
+    "post to ready": "POST /-/ready HTTP/1.1\r\n\r\n",
+    "another path": "GET /-/nothing HTTP/1.1\r\n\r\n",
+    "no form": "hello\r\n\r\n",
+    "no version": "GET /-/ready FTP/1\r\n\r\n",
+    "no path": "GET ready HTTP/1.1\r\n\r\n",
+    "bad field": "GET /-/ready HTTP/1.1\r\nx\r\n\r\n",
+    "folded field": "GET /-/ready HTTP/1.1\r\nx: 1\r\n y: 2\r\n\r\n",
+    "half": "GET /-/ready HTTP/1.1\r\nHost:",
+    "nothing": "",
+    "too long": "GET /-/ready HTTP/1.1\r\nx: " + "y" * 9000,
+    "body": "POST /-/agreement HTTP/1.1\r\nContent-Length: 5\r\nPetrellane-Seal: 7\r\n\r\nabcde",
+    "half a body": "POST /-/agreement HTTP/1.1\r\nContent-Length: 5\r\n\r\nabc",
+    "body without length": "POST /-/agreement HTTP/1.1\r\n\r\n",
+    "body in chunks": "POST /-/agreement HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+    "body too long": "POST /-/agreement HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n",
+    "get of a body": "GET /-/agreement HTTP/1.1\r\n\r\n",
+}
+
+
+def management(checkout: pathlib.Path) -> None:
+    """Calls of staff in each state, and calls out of form."""
+    calls = [(f"{name} {state}", state, head) for state in STATES for name, head in HEADS.items()]
+    calls += [(name, "serving", head) for name, head in ODD_HEADS.items()]
+    cases = [
+        {
+            "name": name,
+            "steps": STATES[state],
+            "call": call,
+            "at": 50.25,
+            "found": build.management_call(STATES[state], call.encode("latin-1"), 50.25),
+        }
+        for name, state, call in calls
+    ]
+    files.save("management/calls.json", cases)
+
+
+def measured(checkout: pathlib.Path) -> None:
+    """Keys and readings of the measured files, copies of the scale runs."""
+    runs = {}
+    (files.RECORDED / "measured").mkdir(parents=True, exist_ok=True)
+    for path in sorted((checkout / "docs" / "runs").glob("*.toml")):
+        shutil.copy(path, files.RECORDED / "measured" / path.name)
+        runs[path.name] = build.scale_run(path)
+    benchmarks = checkout / "benchmarks"
+    files.save(
+        "measured/readings.json",
+        {
+            "runs": runs,
+            "keys": {
+                name: files.key_set(json.loads((benchmarks / name).read_text()))
+                for name in ("scale.json", "messages.json")
+            },
+            "inputs": [files.key_set(one) for one in build.capacity_inputs(benchmarks)],
+            "tables": [
+                [str(table[0]), len(table[2])] for table in build.capacity_tables(benchmarks)
+            ],
+        },
+    )
+
+
 PARTS: dict[str, Callable[[pathlib.Path], None]] = {
     "simulation": simulation,
     "handover": handover,
     "agreement": agreement,
+    "management": management,
+    "measured": measured,
 }
