--- a/tests/compatibility/recording.py
+++ b/tests/compatibility/recording.py
@@ -6,10 +6,11 @@
 import shutil
 import socket
 import tempfile
+import time
 from collections.abc import Callable
 from typing import Any
 
-from tests.compatibility import build, digests, files
+from tests.compatibility import build, digests, files, neighbours, played
 
 
 def simulation(checkout: pathlib.Path) -> None:
@@ -450,10 +451,46 @@
     )
 
 
+def processes(checkout: pathlib.Path) -> None:
+    """What a real process of the checkout says as the successor and as the predecessor of one that is played."""
+    lease = {
+        **{"window": None, "ends": 0.0, "shares": True, "held": 0.0, "got": 0.0, "added": 0.0},
+        **{"owed": 0.0, "total": 0.0, "carry": None, "part": 0.0, "dry_until": 0.0},
+        **{"single_at": 0.0, "since": 0.0, "ceiling": 10.0, "filled": time.time(), "pooled": 0.0},
+        **{"pool_at": 0.0, "busy": False, "out": 0, "demand": []},
+    }
+    row = {"customer": "%016x" % 1, "plan": "basic", "first": 0, "spread": 1, "lease": lease}
+    packets = [json.dumps(one) + "\n" for one in ({"leases": [row]}, {"given": 1})]
+    name = build.socket_name("g1")
+    with tempfile.TemporaryDirectory(dir="/tmp") as folder:
+        world = neighbours.Neighbours(pathlib.Path(folder))
+        listener = world.bind(name)
+        process = world.start(checkout)
+        link, _ = listener.accept()
+        link.recv(4096)
+        for packet in packets:
+            link.send(packet.encode())
+        process.wait_for(200, "serving")
+        client = world.client()
+        first = played.served(client, 4)
+        found = played.take_over(world, process, world.connect(name), client)
+        world.close()
+    with tempfile.TemporaryDirectory(dir="/tmp") as folder:
+        world = neighbours.Neighbours(pathlib.Path(folder))
+        listener = world.bind(name)
+        process = world.start(checkout)
+        moved = [played.moved(one, time.time() - found["at"]) for one in found["packets"]]
+        said = played.hand_over(world, process, listener, moved)
+        world.close()
+    recorded = {"name": name, "first": first, **found, "said": said}
+    files.save("processes/handover.json", recorded)
+
+
 PARTS: dict[str, Callable[[pathlib.Path], None]] = {
     "simulation": simulation,
     "handover": handover,
     "agreement": agreement,
     "management": management,
     "measured": measured,
+    "processes": processes,
 }
