--- a/tests/compatibility/build.py
+++ b/tests/compatibility/build.py
@@ -528,14 +528,55 @@
     return drawn
 
 
-def played(name: str) -> tuple[list[tuple[str, list[Any]]], list[Any]]:
-    """A scenario's records, each as a label and plain values, and what the rules say of them: counts and distances."""
-    run = fleet.Fleet(scenario(name), keep=True).play()
+ENTRIES = ("started", "listed", "place", "again", "left", "streaming", "counted", "woken")
+
+
+def step_values(step: Any) -> list[Any]:
+    """A step that the decisions answer with, as a label and its figures."""
+    if isinstance(step, interface.CallOut):
+        figures = [step.host.address, step.number, step.sent, step.timeout, step.by]
+        return ["attempt", *figures]
+    if isinstance(step, interface.Add):
+        return ["add", step.name, step.amount, step.ttl, step.window]
+    if isinstance(step, interface.Wake):
+        return ["timer", step.after]
+    if isinstance(step, interface.PushBack):
+        return ["reject", step.wait]
+    others = {interface.Abort: "abort", interface.Cancel: "cancel", interface.Subscribe: "ask"}
+    return [others.get(type(step), "log")]
+
+
+def noted_decisions(log: list[list[Any]]) -> Any:
+    """The decisions, with all steps that they answer to each event noted in a log."""
+    depth = [0]
+
+    def noted(entry: str) -> Any:
+        inner = getattr(Gateway, entry)
+
+        def call(self: Any, *words: Any, **more: Any) -> Any:
+            depth[0] += 1
+            try:
+                steps = inner(self, *words, **more)
+            finally:
+                depth[0] -= 1
+            if not depth[0]:
+                log.extend(step_values(step) for step in steps)
+            return steps
+
+        return call
+
+    return type("NotedDecisions", (Gateway,), {entry: noted(entry) for entry in ENTRIES})
+
+
+def played(name: str) -> tuple[list[tuple[str, list[Any]]], list[Any], list[list[Any]]]:
+    """A scenario's records, each as a label and plain values; what the rules say: counts and distances; all decisions."""
+    log: list[list[Any]] = []
+    run = fleet.Fleet(scenario(name), noted_decisions(log), keep=True).play()
     records = [(RECORD_LABELS[type(one)], [plain(value) for value in one]) for one in run.records]
     verdict = [
         [run.verdict.counts.get(rule, 0), run.verdict.nearest[rule]] for rule in referee.RULES
     ]
-    return records, verdict
+    return records, verdict, log
 
 
 def plain(value: Any) -> Any:
--- a/tests/compatibility/digests.py
+++ b/tests/compatibility/digests.py
@@ -1,7 +1,8 @@
 """The digest of a simulated run: one sha256 over its records as text, so that any digit that differs shows.
 
 A record is one line: its label, then its values. Floats stand in full (repr), texts and None as in JSON, sequences in
-brackets. Three digests a scenario: what happened, what gateways still hold at the end, and what the rules say.
+brackets. Four digests a scenario: what happened, what gateways still hold at the end, what the
+rules say, and each step that the decisions answered with.
 """
 
 import hashlib
@@ -20,7 +21,7 @@
 )
 WORKERS = 2
 HASH_SEED = "0"
-PARTS = ("happened", "remains", "rules")
+PARTS = ("happened", "remains", "rules", "decided")
 
 
 def text_of(value: Any) -> str:
@@ -39,12 +40,13 @@
 
 def of_scenario(name: str) -> list[str]:
     """The digests of one scenario, one for each of PARTS."""
-    records, verdict = build.played(name)
+    records, verdict, decisions = build.played(name)
     lines = [(label, f"{label} {text_of(values)}") for label, values in records]
     return [
         digest_of([line for label, line in lines if label != "remains"]),
         digest_of([line for label, line in lines if label == "remains"]),
         digest_of([text_of(verdict)]),
+        digest_of([text_of(step) for step in decisions]),
     ]
 
 
