--- a/tests/compatibility/build.py
+++ b/tests/compatibility/build.py
@@ -13,25 +13,41 @@
 import sys
 import tempfile
 import tomllib
-import types
 from collections.abc import Callable
+from types import SimpleNamespace
 from typing import Any
 
 import orjson
 
 from benchmarks import capacity as capacity_page
-from petrellane import interface, referee
-from petrellane.agreement import ballots, control, journal, member, policy, seal, store
-from petrellane.choice import HANDED, Gateway
-from petrellane.lab import capacity, scale
-from petrellane.model import draw, fleet
+from petrellane import invariants
+from petrellane.config_consensus import (
+    ballots,
+    control_service,
+    journal,
+    message_authentication,
+    messages,
+    participant,
+    safe_settings,
+    state_store,
+)
+from petrellane.config_consensus.errors import MessageRejected
+from petrellane.decisions import actions, leases, types
+from petrellane.decisions.controller import AdmissionController
 from petrellane.net import http
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Closed
-from petrellane.operation import handover, succession
-from petrellane.operation.management import Management
-from petrellane.operation.states import Service
+from petrellane.operation import (
+    hot_restart,
+    hot_restart_link,
+    hot_restart_messages,
+    hot_restart_transport,
+)
+from petrellane.operation.lifecycle import Lifecycle
+from petrellane.operation.management_api import ManagementServer
+from petrellane.simulation import fleet, scenario_generation
+from petrellane.testbed import capacity, scale
 
 Json = Any
 
@@ -39,31 +55,48 @@
     "zone": "z1",
     "counter_timeout": 0.05,
     "may_cancel": True,
-    "max_wait": 0.5,
-    "cold": 10.0,
-    "cold_from": 0.25,
-    "cross_zone": 0.0,
+    "max_retry_after": 0.5,
+    "slow_start": 10.0,
+    "slow_start_minimum": 0.25,
+    "cross_zone_price": 0.0,
 }
 LIMITS = Limits(256, 1.0, 1.0, 1, 1.0, take_back=0.05)
 
 # What a lease is made of: the key in a hand-over, and the attribute that holds it here.
-LEASE_KEYS = {key: key for key in HANDED}
+LEASE_KEYS = leases.STORED_FIELDS
+
+# The figures of a plan: the key in a recording, and the field that holds it here.
+PLAN_FIELDS = {
+    "rate": "rate",
+    "store": "burst",
+    "ceiling_rate": "hard_limit_rate",
+    "ceiling_burst": "hard_limit_burst",
+    "ceiling_slack": "hard_limit_slack",
+}
+
+# The step of a management case that the recording names, and the method that takes it here.
+LIFECYCLE_STEPS = {
+    "begin": "start",
+    "drain": "drain",
+    "emptied": "complete_drain",
+    "end": "begin_shutdown",
+}
 
 # The label of each kind of record in the digests of the fleet model.
 RECORD_LABELS = {
-    referee.Taken: "taken",
-    referee.Sent: "sent",
-    referee.Ended: "ended",
-    referee.Received: "received",
-    referee.Ran: "ran",
-    referee.Answered: "answered",
-    referee.Left: "left",
-    referee.Told: "told",
-    referee.Life: "life",
-    referee.Up: "up",
-    referee.Remains: "remains",
-    referee.Admitted: "admitted",
-    referee.Decided: "decided",
+    invariants.Taken: "taken",
+    invariants.Sent: "sent",
+    invariants.Ended: "ended",
+    invariants.Received: "received",
+    invariants.Ran: "ran",
+    invariants.Answered: "answered",
+    invariants.Left: "left",
+    invariants.Told: "told",
+    invariants.Life: "life",
+    invariants.Up: "up",
+    invariants.Remains: "remains",
+    invariants.Admitted: "admitted",
+    invariants.Decided: "decided",
 }
 
 # Words that records hold here, and those that stand in the recorded digests, where they differ.
@@ -77,46 +110,58 @@
     """The decisions of one gateway, told of RPCs and counts as a script says."""
 
     def __init__(self, plans: dict[str, dict[str, float]], now: float) -> None:
-        self.gateway = Gateway(seed=0x5EED, counter=True, must_ask=False, **SETTINGS)
-        self.plans = {name: interface.Plan(name, **told) for name, told in plans.items()}
-        self.method = interface.Method("look", 1.0, 4.0, interface.IDEMPOTENT)
-        self.customers: dict[str, interface.Customer] = {}
+        self.controller = AdmissionController(
+            seed=0x5EED, uses_counter=True, must_watch=False, **SETTINGS
+        )
+        self.plans = {
+            name: types.Plan(name, **{PLAN_FIELDS[key]: told[key] for key in told})
+            for name, told in plans.items()
+        }
+        self.method = types.Method("look", 1.0, 4.0, types.IDEMPOTENT)
+        self.customers: dict[str, types.Customer] = {}
         self.ledger: dict[int, float] = {}
-        self.adds: list[interface.Add] = []
-        self.rpcs: list[interface.Rpc] = []
-        self._take(self.gateway.started(now))
-        hosts = [interface.Host(f"127.0.0.1:{port}") for port in (1, 2)]
+        self.adds: list[actions.CounterAdd] = []
+        self.rpcs: list[types.Rpc] = []
+        self._take(self.controller.start(now))
+        endpoints = [types.Endpoint(f"127.0.0.1:{port}") for port in (1, 2)]
         rows = [
-            interface.Listing(host, "z1", "std", 0, interface.READY, 1.0, 0.0) for host in hosts
+            types.EndpointEvent(endpoint, "z1", "std", 0, types.READY, 1.0, 0.0)
+            for endpoint in endpoints
         ]
-        self._take(self.gateway.listed(now, True, rows))
+        self._take(self.controller.on_endpoint_events(now, True, rows))
 
     def _take(self, steps: list[Any]) -> None:
-        self.adds += [step for step in steps if isinstance(step, interface.Add)]
+        self.adds += [step for step in steps if isinstance(step, actions.CounterAdd)]
 
-    def customer(self, name: str, plan: str, first: int, spread: int) -> interface.Customer | None:
+    def customer(self, name: str, plan: str, first: int, spread: int) -> types.Customer | None:
         """The customer of that name; None where its plan is unknown."""
         if plan not in self.plans:
             return None
         if name not in self.customers:
-            self.customers[name] = interface.Customer(name, self.plans[plan], first, spread)
+            self.customers[name] = types.Customer(name, self.plans[plan], first, spread)
         return self.customers[name]
 
     def play(self, script: list[Json]) -> None:
-        """Carry out steps: ["rpc", at, name, plan, first, spread, units], ["count", at, outcome], ["end", at, index]."""
+        """Carry out steps.
+
+        These are ["rpc", at, name, plan, first, spread, units], ["count", at, outcome] and
+        ["end", at, index].
+        """
         for what, now, *words in script:
             if what == "rpc":
                 *named, units = words
                 customer = self.customer(*named)
-                rpc = interface.Rpc(self.method, customer, units, now + 4.0, now)
+                rpc = types.Rpc(self.method, customer, units, now + 4.0, now)
                 self.rpcs.append(rpc)
-                self._take(self.gateway.place(now, rpc))
+                self._take(self.controller.admit(now, rpc))
             elif what == "count":
                 self._count(now, words[0])
             elif what == "end":
-                call_out = self.rpcs[words[0]].call_outs[-1]
+                attempt = self.rpcs[words[0]].attempts[-1]
                 self._take(
-                    self.gateway.again(now, call_out, interface.OK, over=True, took=0.1, units=0.0)
+                    self.controller.on_attempt_ended(
+                        now, attempt, types.OK, over=True, took=0.1, units=0.0
+                    )
                 )
 
     def _count(self, now: float, outcome: str) -> None:
@@ -125,30 +170,31 @@
             total = self.ledger.get(add.name, 0.0) + (add.amount if outcome == "ok" else 0.0)
             self.ledger[add.name] = total
             answered = total if outcome == "ok" else 0.0
-            self._take(self.gateway.counted(now, add, outcome, answered))
+            self._take(self.controller.on_counter_reply(now, add, outcome, answered))
 
     def given(self, now: float, generation: Json = None) -> list[Json]:
         """The messages that give all leases up."""
-        return list(succession.given(self.gateway, now, generation))
+        exported = hot_restart.export_leases(self.controller, now, generation)
+        return [hot_restart_messages.encode(message) for message in exported]
 
     def taken(self, now: float, rows: list[Json]) -> int:
         """Take leases over; how many."""
-        return succession.taken(self.gateway, now, rows, self.customer)
+        return hot_restart.import_leases(self.controller, now, rows, self.customer)
 
     def settled(self, now: float, name: str, number: int) -> int:
         """RPCs of a customer that were out at the process before have ended; how many its lease had."""
-        return succession.settled(self.gateway, now, self.customers[name], number)
+        return hot_restart.release_in_flight(self.controller, now, self.customers[name], number)
 
     def values(self) -> dict[str, Json]:
         """What each lease is: the stored keys and their values, and its recent demand."""
         found = {}
-        for customer, lease in self.gateway.leases.leases.items():
+        for customer, lease in self.controller.lease_manager.leases.items():
             told = {key: getattr(lease, name) for key, name in LEASE_KEYS.items()}
             told["demand"] = [list(pair) for pair in lease.demand]
             found[customer.name] = {
                 "plan": customer.plan.name,
-                "first": customer.first,
-                "spread": customer.spread,
+                "first": customer.first_gateway,
+                "spread": customer.gateway_count,
                 "lease": told,
             }
         return found
@@ -166,7 +212,7 @@
 
 def socket_name(gateway: str) -> str:
     """The file name of a gateway's hand-over socket."""
-    return handover.file_name(gateway)
+    return hot_restart_transport.socket_name(gateway)
 
 
 def turns(scheduler: Scheduler, number: int = 8) -> None:
@@ -179,25 +225,40 @@
         raise faults[0]
 
 
+def typed(told: Json) -> hot_restart_messages.Message:
+    """A message of a hot restart from its JSON object."""
+    message = hot_restart_messages.decode(told)
+    if message is None:
+        raise ValueError(f"expected a message of a hot restart, found {told}")
+    return message
+
+
+def never(*words: Any) -> Any:
+    """Stand for what the other end of a hot restart is asked for."""
+    raise AssertionError(f"expected no call at this end, found one with {words}")
+
+
 class Predecessor:
     """The present build's end that gives, found under TMPDIR; `give` gives its messages."""
 
     def __init__(self, gateway: str, give: Callable[[], list[Json]]) -> None:
         self.events: list[Json] = []
         self.scheduler = Scheduler()
-        self.handover = handover.Handover(
+        self.transport = hot_restart_transport.HotRestartTransport(
             self.scheduler,
             LIMITS,
             _Log(),
             gateway,
-            give,
-            lambda heir: self.events.append(["followed", heir is not None]),
-            None,
-            None,
-            None,
-            None,
+            hot_restart_transport.HotRestartHandlers(
+                export_state=lambda: [typed(told) for told in give()],
+                on_successor=lambda heir: self.events.append(["followed", heir is not None]),
+                import_leases=never,
+                adopt_connection=never,
+                release_in_flight=never,
+                on_predecessor_still_running=never,
+            ),
         )
-        self.handover.offer()
+        self.transport.listen()
 
     def turn(self) -> None:
         """Do what is due."""
@@ -205,18 +266,18 @@
 
     def pass_on(self, sock: socket.socket, data: bytes, asked: bool) -> None:
         """Offer a connection; what becomes of it is an event."""
-        self.handover.pass_on(
+        self.transport.offer_connection(
             sock, data, asked, lambda passed: self.events.append(["passed", passed])
         )
 
     def ended(self, customer: str) -> None:
         """An RPC of a customer has ended here."""
-        self.handover.owed(customer)
+        self.transport.report_request_ended(customer)
 
     def close(self) -> None:
         """Be found no more."""
-        self.handover.close()
-        for link in list(self.handover.links):
+        self.transport.close()
+        for link in list(self.transport.links):
             link.close()
 
 
@@ -227,17 +288,19 @@
         self.events: list[Json] = []
         self.adopted: list[socket.socket] = []
         self.scheduler = Scheduler()
-        self.handover = handover.Handover(
+        self.transport = hot_restart_transport.HotRestartTransport(
             self.scheduler,
             LIMITS,
             _Log(),
             gateway,
-            None,
-            None,
-            self._taken,
-            self._adopt,
-            lambda name, number: self.events.append(["ended", name, number]),
-            lambda: self.events.append(["beside"]),
+            hot_restart_transport.HotRestartHandlers(
+                export_state=never,
+                on_successor=never,
+                import_leases=self._taken,
+                adopt_connection=self._adopt,
+                release_in_flight=lambda *ended: self.events.append(["ended", *ended]),
+                on_predecessor_still_running=lambda: self.events.append(["beside"]),
+            ),
         )
 
     def _taken(self, rows: list[Json]) -> int:
@@ -250,17 +313,17 @@
 
     def ask(self) -> None:
         """Ask the process before."""
-        self.handover.ask(lambda: self.events.append(["begins", self.handover.generation]))
+        self.transport.request_transfer(
+            lambda: self.events.append(["begins", self.transport.generation])
+        )
 
     def turn(self) -> None:
         """Do what is due."""
         turns(self.scheduler)
 
     def close(self) -> None:
-        """Let go of all."""
-        if self.handover.link:
-            self.handover.link.close()
-        self.handover.close()
+        """Let go of all; the process before has closed its end by now."""
+        self.transport.close()
         for sock in self.adopted:
             sock.close()
 
@@ -275,56 +338,74 @@
 
 def digest(settings: Json) -> str:
     """The digest of settings that are agreed on."""
-    return policy.digest(settings)
+    return safe_settings.digest(settings)
 
 
-def state_of(stored: Json) -> member.State:
+def state_of(told: Json) -> participant.ParticipantState:
     """What a participant remembers, from the form in which it is stored."""
-    return store.Store.state_of(stored)
-
-
-def stored(state: member.State) -> Json:
+    with tempfile.TemporaryDirectory() as folder:
+        store = state_store.StateStore(folder, "any")
+        content = {
+            "version": state_store.VERSION,
+            "gateway": "any",
+            "turn": 1,
+            "check": state_store.checksum(told),
+            "remembers": told,
+        }
+        pathlib.Path(store.paths[0]).write_bytes(orjson.dumps(content))
+        state, fault = store.load()
+    if state is None:
+        raise ValueError(f"expected a stored state: {fault}")
+    return state
+
+
+def stored(state: participant.ParticipantState) -> Json:
     """The form in which what a participant remembers is stored."""
     with tempfile.TemporaryDirectory() as folder:
-        store.Store(folder, "any").save(state)
+        state_store.StateStore(folder, "any").save(state)
         (path,) = pathlib.Path(folder).iterdir()
         return orjson.loads(path.read_bytes())["remembers"]
 
 
 def participant_answer(remembered: Json, message: Json, wrong: str | None) -> Json:
-    """A participant's answer to a message, as text that is sent, its status, and what it remembers and admits then."""
+    """A participant's answer to a message.
+
+    That is the text that is sent, its status, and what it remembers and admits then.
+    """
     state, status = state_of(remembered), 200
     try:
-        state, told = member.heard(state, message, lambda content: wrong)
-    except member.Refusal as refusal:
-        status, told = refusal.status, refusal.told()
+        state, answer = participant.handle_message(state, message, lambda content: wrong)
+        told = answer.to_dict()
+    except MessageRejected as rejection:
+        status, told = rejection.status, rejection.to_dict()
     return {
         "status": status,
         "answer": orjson.dumps(told).decode(),
         "after": stored(state),
-        "admits": member.admitted(state),
+        "admits": participant.admissible_settings(state),
     }
 
 
 def participant_learns(remembered: Json, told: Json, fetched: list[Json]) -> Json:
     """What a participant looks for and remembers after another one told what it remembers."""
-    state, learnt = state_of(remembered), member.learnt_of(told)
+    state, peer = state_of(remembered), messages.PeerState.from_dict(told)
     missing = [
-        {"number": one.number, "epoch": list(one.epoch)} for one in member.missing(state, learnt)
+        {"number": ballot.number, "epoch": list(ballot.epoch)}
+        for ballot in participant.missing_ballots(state, peer)
     ]
-    got = [ballots.generation_of(one, policy.digest) for one in fetched]
-    after = member.learn(state, learnt, got, lambda content: None)
+    got = [ballots.parse_generation(one, safe_settings.digest) for one in fetched]
+    after = participant.merge_peer_state(state, peer, got, lambda content: None)
     return {"missing": missing, "after": stored(after)}
 
 
 class ControlProcess:
-    """A control process with its journal, without its listener's calls; time is what the test says."""
+    """A control process with its journal, without its calls; time is what the test says."""
 
     def __init__(self, path: str, name: str, members: list[str], key: bytes, now: float) -> None:
         self.now = now
         scheduler = Scheduler(monotonic=lambda: self.now)
         scheduler.offset = 0.0
-        config = types.SimpleNamespace(
+        config = SimpleNamespace(
             name=name,
             journal=path,
             members=dict.fromkeys(members, ()),
@@ -332,57 +413,67 @@
             listen=("127.0.0.1", 0),
         )
         self.devnull = os.open(os.devnull, os.O_WRONLY)
-        self.control = control.Control(config, self.devnull, scheduler)
+        self.control = control_service.ControlService(config, self.devnull, scheduler)
+        self.sent: dict[str, messages.Request] = {}
+        self.calls = 0
 
     def message(self, name: str, now: float) -> str | None:
         """The message that a participant is due, as the text that is sent; None where it is due none."""
         self.now = now
-        message, _ = self.control.leader.next(name, now)
-        return None if message is None else orjson.dumps(message).decode()
+        request, _ = self.control.coordinator.next_message(name, now)
+        if request is None:
+            return None
+        text = orjson.dumps(request.to_dict()).decode()
+        self.sent[text] = request
+        return text
 
     def heard(self, name: str, message: str, answer: str, now: float) -> None:
         """A participant's answer to a message."""
         self.now = now
-        self.control.leader.heard(name, orjson.loads(message), orjson.loads(answer), now)
+        request = self.sent[message]
+        found = messages.decode_answer(request, orjson.loads(answer))
+        self.control.coordinator.handle_answer(name, request, found, now)
 
     def refused(self, name: str, message: str, now: float) -> None:
         """Nobody listens at a participant's addresses."""
         self.now = now
-        self.control.leader.refused(name, orjson.loads(message), now)
+        self.control.coordinator.handle_connection_refused(name, self.sent[message], now)
 
     def silent(self, name: str, message: str, now: float) -> None:
         """A participant gave no answer."""
         self.now = now
-        self.control.leader.silent(name, orjson.loads(message), now)
+        self.control.coordinator.handle_no_answer(name, self.sent[message], now)
 
     def judge(self, now: float) -> None:
         """What time alone brings."""
         self.now = now
-        self.control.leader.judge(now)
+        self.control.coordinator.try_to_decide(now)
 
     def staff(self, message: Json, now: float) -> Json:
-        """What staff are answered: the status and the text."""
+        """What staff are answered: the status and the text; each call is a new one."""
         self.now = now
-        status, told = self.control.obeyed(message)
+        self.calls += 1
+        call = {**message, "nonce": str(self.calls), "at": now}
+        status, told = self.control._staff_calls.handle(call)
         return [status, orjson.dumps(told).decode()]
 
     def close(self) -> None:
         """Let go of the journal and the listener."""
-        self.control.desk.end()
+        self.control._management.close()
         self.control.journal.close()
         os.close(self.devnull)
 
 
 def seal_question(key: bytes, message: Json) -> tuple[bytes, bytes]:
     """A question's body and seal."""
-    return seal.question(key, message)
+    return message_authentication.sign_request(key, message)
 
 
 def understand_question(key: bytes, name: str, sealed: bytes, body: bytes) -> Json:
     """The message of a sealed question to us, or the kind of its refusal as text."""
     try:
-        return seal.understood(key, name, sealed, body)
-    except seal.Unsealed:
+        return message_authentication.verify_request(key, name, sealed, body)
+    except message_authentication.AuthenticationError:
         return "unsealed"
     except ValueError:
         return "out of form"
@@ -390,14 +481,14 @@
 
 def seal_answer(key: bytes, asked: bytes, told: Json) -> tuple[bytes, bytes]:
     """An answer's body and seal, to the question of that seal."""
-    return seal.answer(key, asked, told)
+    return message_authentication.sign_response(key, asked, told)
 
 
 def understand_answer(key: bytes, asked: bytes, sealed: bytes, body: bytes) -> Json:
     """What was answered to a question, or the kind of its refusal as text."""
     try:
-        return seal.answered(key, asked, sealed, body)
-    except seal.Unsealed:
+        return message_authentication.verify_response(key, asked, sealed, body)
+    except message_authentication.AuthenticationError:
         return "unsealed"
     except ValueError:
         return "out of form"
@@ -405,31 +496,33 @@
 
 def sealed_call(path: str, host: str, sealed: bytes, body: bytes) -> bytes:
     """The bytes of a sealed question over HTTP."""
-    return http.post(path, host, {seal.FIELD.decode(): sealed.decode()}, body)
+    field = message_authentication.SIGNATURE_FIELD.decode()
+    return http.post(path, host, {field: sealed.decode()}, body)
 
 
 def agreement_paths() -> list[str]:
     """Where participants and control processes are asked."""
-    return [seal.PATH.decode(), seal.STAFF.decode()]
+    paths = (message_authentication.PARTICIPANT_PATH, message_authentication.STAFF_PATH)
+    return [path.decode() for path in paths]
 
 
 def state_files(gateway: str) -> list[str]:
     """The names of a participant's files."""
-    return [os.path.basename(path) for path in store.Store("", gateway).paths]
+    return [os.path.basename(path) for path in state_store.StateStore("", gateway).paths]
 
 
 def load_state(folder: str, gateway: str) -> Json:
     """What a participant's files hold, in stored form; and whether that is surely the last that it said."""
-    state, why = store.Store(folder, gateway).load()
-    return [None if state is None else stored(state), why is None]
+    state, fault = state_store.StateStore(folder, gateway).load()
+    return [None if state is None else stored(state), fault is None]
 
 
 def save_states(folder: str, gateway: str, states: list[Json]) -> None:
     """Remember these, one after the other."""
-    keeper = store.Store(folder, gateway)
-    keeper.load()
+    store = state_store.StateStore(folder, gateway)
+    store.load()
     for told in states:
-        keeper.save(state_of(told))
+        store.save(state_of(told))
 
 
 def journal_records(path: str) -> list[Json]:
@@ -446,7 +539,7 @@
     kept = journal.Journal(path)
     try:
         for record in records:
-            kept.note({key: told for key, told in record.items() if key != "at"}, record["at"])
+            kept.append({key: told for key, told in record.items() if key != "at"}, record["at"])
     finally:
         kept.close()
 
@@ -469,25 +562,29 @@
 
 def management_call(steps: list[Json], call: bytes, now: float) -> Json:
     """The bytes that answer a call, in the state that some steps lead to; the state then, and whether it changed."""
-    service = Service(0.5, 1.8)
+    lifecycle = Lifecycle(0.5, 1.8)
     for step, *words in steps:
         if step == "followed":
-            service.followed = True
+            lifecycle.has_successor = True
         else:
-            getattr(service, step)(*words)
+            getattr(lifecycle, LIFECYCLE_STEPS[step])(*words)
     changes: list[None] = []
     scheduler = Scheduler(monotonic=lambda: now)
     scheduler.offset = 0.0
-    desk = Management(
-        scheduler, LIMITS, service, lambda: changes.append(None), lambda trouble: False
+    server = ManagementServer(
+        scheduler, LIMITS, lifecycle, lambda: changes.append(None), lambda error: False
     )
-    desk.handlers[b"/-/agreement"] = lambda fields, body: (
+    server.handlers[b"/-/agreement"] = lambda fields, body: (
         200,
         body[::-1],
         {"petrellane-seal": fields.get(b"petrellane-seal", b"none").decode()},
     )
-    answer = desk.heard(_CallStream(call, False), now + 1.0)
-    return {"answer": answer.decode("latin-1"), "state": service.told, "changed": len(changes)}
+    answer = server._answer(_CallStream(call, False), now + 1.0)
+    return {
+        "answer": answer.decode("latin-1"),
+        "state": lifecycle.reported_state,
+        "changed": len(changes),
+    }
 
 
 # Files that CI reads.
@@ -520,29 +617,43 @@
 def scenario(name: str) -> Any:
     """A scenario by its name: "draw 17", "followed 17" or "neighbour 17"."""
     kind, seed = name.split()
-    drawn = draw.draw(int(seed))
+    drawn = scenario_generation.draw(int(seed))
     if kind == "followed":
-        return draw.followed(drawn, int(seed))
+        return scenario_generation.followed(drawn, int(seed))
     if kind == "neighbour":
-        return draw.mutate(drawn, int(seed))
+        return scenario_generation.mutate(drawn, int(seed))
     return drawn
 
 
-ENTRIES = ("started", "listed", "place", "again", "left", "streaming", "counted", "woken")
+# The event methods of the decisions, each of which answers with actions.
+ENTRIES = (
+    "start",
+    "on_endpoint_events",
+    "admit",
+    "on_attempt_ended",
+    "on_client_disconnected",
+    "on_response_started",
+    "on_counter_reply",
+    "on_timer",
+)
 
 
 def step_values(step: Any) -> list[Any]:
     """A step that the decisions answer with, as a label and its figures."""
-    if isinstance(step, interface.CallOut):
-        figures = [step.host.address, step.number, step.sent, step.timeout, step.by]
+    if isinstance(step, actions.SendAttempt):
+        figures = [step.endpoint.address, step.number, step.sent_at, step.timeout, step.send_by]
         return ["attempt", *figures]
-    if isinstance(step, interface.Add):
+    if isinstance(step, actions.CounterAdd):
         return ["add", step.name, step.amount, step.ttl, step.window]
-    if isinstance(step, interface.Wake):
-        return ["timer", step.after]
-    if isinstance(step, interface.PushBack):
-        return ["reject", step.wait]
-    others = {interface.Abort: "abort", interface.Cancel: "cancel", interface.Subscribe: "ask"}
+    if isinstance(step, actions.SetTimer):
+        return ["timer", step.delay]
+    if isinstance(step, actions.Reject):
+        return ["reject", step.retry_after]
+    others = {
+        actions.Abort: "abort",
+        actions.CancelAttempt: "cancel",
+        actions.WatchEndpoints: "ask",
+    }
     return [others.get(type(step), "log")]
 
 
@@ -551,7 +662,7 @@
     depth = [0]
 
     def noted(entry: str) -> Any:
-        inner = getattr(Gateway, entry)
+        inner = getattr(AdmissionController, entry)
 
         def call(self: Any, *words: Any, **more: Any) -> Any:
             depth[0] += 1
@@ -565,7 +676,9 @@
 
         return call
 
-    return type("NotedDecisions", (Gateway,), {entry: noted(entry) for entry in ENTRIES})
+    return type(
+        "NotedDecisions", (AdmissionController,), {entry: noted(entry) for entry in ENTRIES}
+    )
 
 
 def played(name: str) -> tuple[list[tuple[str, list[Any]]], list[Any], list[list[Any]]]:
@@ -574,7 +687,7 @@
     run = fleet.Fleet(scenario(name), noted_decisions(log), keep=True).play()
     records = [(RECORD_LABELS[type(one)], [plain(value) for value in one]) for one in run.records]
     verdict = [
-        [run.verdict.counts.get(rule, 0), run.verdict.nearest[rule]] for rule in referee.RULES
+        [run.verdict.counts.get(rule, 0), run.verdict.nearest[rule]] for rule in invariants.RULES
     ]
     return records, verdict, log
 
@@ -602,10 +715,10 @@
 def packet(message: Json) -> str:
     """The packet that a message is sent as, without data."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    link = handover.Link(Scheduler(), LIMITS, ours, None, lambda link: None)
+    link = hot_restart_link.MessageLink(Scheduler(), LIMITS, ours, never, lambda link: None)
     with theirs:
         theirs.settimeout(5.0)
-        link.send(message)
+        link.send(typed(message))
         sent = theirs.recv(LIMITS.packet)
         link.close()
     return sent.decode("latin-1")
