--- a/tests/compatibility/build.py
+++ b/tests/compatibility/build.py
@@ -215,14 +215,22 @@
     return hot_restart_transport.socket_name(gateway)
 
 
-def turns(scheduler: Scheduler, number: int = 8) -> None:
-    """Let a scheduler do what is due, for some ten milliseconds; what fails there fails here."""
-    faults: list[Exception] = []
-    scheduler.fault = faults.append
-    for _ in range(number):
-        scheduler.turn(5)
-    if faults:
-        raise faults[0]
+class Turns:
+    """A scheduler and its clock, which each turn moves on by 5 ms, however long the turn takes."""
+
+    def __init__(self) -> None:
+        self.now = 1000.0
+        self.faults: list[Exception] = []
+        self.scheduler = Scheduler(monotonic=lambda: self.now)
+        self.scheduler.fault = self.faults.append
+
+    def take(self, number: int = 8) -> None:
+        """Let the scheduler do what is due, for some turns; what fails there fails here."""
+        for _ in range(number):
+            self.scheduler.turn(5)
+            self.now += 0.005
+        if self.faults:
+            raise self.faults[0]
 
 
 def typed(told: Json) -> hot_restart_messages.Message:
@@ -243,9 +251,9 @@
 
     def __init__(self, gateway: str, give: Callable[[], list[Json]]) -> None:
         self.events: list[Json] = []
-        self.scheduler = Scheduler()
+        self.turns = Turns()
         self.transport = hot_restart_transport.HotRestartTransport(
-            self.scheduler,
+            self.turns.scheduler,
             LIMITS,
             _Log(),
             gateway,
@@ -262,7 +270,7 @@
 
     def turn(self) -> None:
         """Do what is due."""
-        turns(self.scheduler)
+        self.turns.take()
 
     def pass_on(self, sock: socket.socket, data: bytes, asked: bool) -> None:
         """Offer a connection; what becomes of it is an event."""
@@ -287,9 +295,9 @@
     def __init__(self, gateway: str) -> None:
         self.events: list[Json] = []
         self.adopted: list[socket.socket] = []
-        self.scheduler = Scheduler()
+        self.turns = Turns()
         self.transport = hot_restart_transport.HotRestartTransport(
-            self.scheduler,
+            self.turns.scheduler,
             LIMITS,
             _Log(),
             gateway,
@@ -319,7 +327,7 @@
 
     def turn(self) -> None:
         """Do what is due."""
-        turns(self.scheduler)
+        self.turns.take()
 
     def close(self) -> None:
         """Let go of all; the process before has closed its end by now."""
@@ -761,7 +769,7 @@
         elif what == "ended":
             old.ended(words[0])
         elif what == "wait":
-            turns(old.scheduler, 20)
+            old.turns.take(20)
         old.turn()
         heard = {who: _received(sock) for who, sock in peers.items()}
         found.append([what, heard, old.events])
