--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -21,6 +21,7 @@
     "tests/integration/testbed/test_testbed.py": "processes",
     "tests/integration/testbed/": "config_consensus",
     "tests/unit/testbed/test_capacity.py": "capacity",
+    "tests/compatibility/": "capacity",
     "tests/unit/testbed/": "config_consensus",
     "tests/unit/config_consensus/": "config_consensus",
     "tests/unit/load_distribution/": "config_consensus",
