--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -1,14 +1,24 @@
-"""The command line. A sub-command imports what it needs when it runs, so that `serve` starts light."""
+"""The command line.
+
+A sub-command imports what it needs when it runs, so that `serve` starts light. The docstring of a
+command is its help text. Errors that a user can mend end in one line on standard error and exit
+code 2.
+"""
 
 import os
 import signal
 import sys
-from typing import Annotated
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Annotated, NoReturn
 
 import typer
 
 from petrellane import __version__
 
+if TYPE_CHECKING:
+    from petrellane.config import Config
+    from petrellane.config_consensus.commands import SettingsCommands
+
 app = typer.Typer(
     help="An admission gateway that leases customers' credit from a shared count.",
     no_args_is_help=True,
@@ -18,48 +28,56 @@
 )
 
 
-def configuration():
-    """The configuration, or one line on standard error and exit code 2."""
+EXIT_USAGE = 2
+"""Exit code where the command, its files or its environment are wrong."""
+
+
+def _load_config() -> "Config":
+    """The configuration that the environment names; ends the command where it is wrong."""
     from petrellane.config import ConfigError, load
 
     try:
         return load(os.environ)
     except ConfigError as error:
-        refuse(error)
+        _exit_with_error(error)
 
 
-def refuse(error):
-    """End with one line on standard error and exit code 2."""
+def _exit_with_error(error: Exception | str) -> NoReturn:
+    """End the command with one line on standard error."""
     print(f"petrellane: {error}", file=sys.stderr)
-    raise typer.Exit(2) from None
+    raise typer.Exit(EXIT_USAGE) from None
 
 
-@app.command()
-def serve():
-    """Serve until SIGTERM; PROXY_CONFIG names the configuration file, which SIGHUP has read anew."""
+@app.command(
+    help="Serve until SIGTERM; PROXY_CONFIG names the configuration file, which SIGHUP has read "
+    "anew."
+)
+def serve() -> None:
+    """Serve until SIGTERM."""
     from petrellane.gateway import process
 
     raise typer.Exit(process.serve(os.environ))
 
 
 @app.command()
-def version():
+def version() -> None:
     """Print the version."""
     print(__version__)
 
 
 @app.command()
-def check_config():
+def check_config() -> None:
     """Read the configuration as serve would, and say what it holds or what is wrong with it."""
-    config = configuration()
+    config = _load_config()
+    host, port = config.listen
     print(
-        f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, {len(config.settings.methods)} methods, "
+        f"{config.name}: listens on {host}:{port}, {len(config.settings.methods)} methods, "
         f"{len(config.settings.plans)} plans, {len(config.known.entries)} hosts known"
     )
 
 
-@app.command()
-def hunt(
+@app.command("hunt")
+def search_properties(
     seeds: Annotated[int, typer.Option(min=1, help="Scenarios to play.")] = 2000,
     first: Annotated[
         int, typer.Option(min=0, help="The first seed; the same one gives the same hunt.")
@@ -69,14 +87,17 @@
         int, typer.Option(min=1, help="End once so many scenarios have broken a rule.")
     ] = 1,
     out: Annotated[str, typer.Option(help="Folder for what is found.")] = "found",
-):
+) -> None:
     """Look for a run of the fleet model that breaks a rule; exit code 1 when there is one."""
     from petrellane.simulation import command
 
     raise typer.Exit(command.hunt(seeds, first, jobs, enough, out))
 
 
-@app.command()
+@app.command(
+    help="Play one scenario of the fleet model and tell it as a time line; exit code 1 when it is "
+    "not as expected."
+)
 def replay(
     file: Annotated[
         str, typer.Argument(help="A scenario file, or the number of a seed with --seed.")
@@ -88,19 +109,22 @@
     records: Annotated[
         str, typer.Option(help="Write what was seen to this file, for `spread`.")
     ] = "",
-):
-    """Play one scenario of the fleet model and tell it as a time line; exit code 1 when it is not as expected."""
+) -> None:
+    """Play one scenario in simulated time."""
     from petrellane.simulation import command
     from petrellane.simulation.scenario import ScenarioError
 
     try:
         raise typer.Exit(command.replay(file, seed, write, records))
     except ScenarioError as error:
-        refuse(error)
+        _exit_with_error(error)
 
 
-@app.command()
-def spread(
+@app.command(
+    help="How even load is over hosts: peaks, troughs, idle hosts, herds and swings; "
+    "docs/history/load-distribution.md defines them."
+)
+def spread(  # noqa: PLR0913 - a parameter for each option
     path: Annotated[str, typer.Argument(help="A file of records, or a folder of gateways' logs.")],
     since: Annotated[
         float, typer.Option(min=0.0, help="Seconds from the begin to leave out.")
@@ -115,15 +139,15 @@
         str, typer.Option(help="Write a heat map of hosts over time to this file.")
     ] = "",
     seed: Annotated[int, typer.Option(help="Of the draws that tell what chance gives.")] = 0,
-):
-    """How even load is over hosts: peaks, troughs, idle hosts, herds and swings; docs/history/load-distribution.md defines them."""
+) -> None:
+    """Print how evenly load is distributed over endpoints."""
     from petrellane.load_distribution import commands
     from petrellane.load_distribution.sources import SpreadError
 
     try:
         commands.tell(path, since, until or None, json, svg, seed)
     except SpreadError as error:
-        refuse(error)
+        _exit_with_error(error)
 
 
 settings_app = typer.Typer(
@@ -150,7 +174,7 @@
     file: Annotated[
         str, typer.Argument(help="A TOML file; docs/changing-settings.md names its keys.")
     ],
-):
+) -> None:
     """Run the control process that staff propose settings to, until SIGTERM."""
     from petrellane.config import ConfigError, load_control_config
     from petrellane.config_consensus.control_service import ControlService
@@ -159,15 +183,25 @@
     try:
         service = ControlService(load_control_config(file))
     except (ConfigError, JournalError) as error:
-        refuse(error)
+        _exit_with_error(error)
     except OSError as error:
-        refuse(f"{file}: expected an address to listen at and a journal to write: {error}")
+        _exit_with_error(
+            f"{file}: expected an address to listen at and a journal to write: {error}"
+        )
     service.stop_on_signals({signal.SIGTERM, signal.SIGINT})
     service.run()
 
 
-def run_settings_command(file, as_json, command, *arguments):
-    """Run a method of SettingsCommands, and end with its exit code."""
+def _exit_with_result(
+    control_file: str, as_json: bool, call: Callable[["SettingsCommands"], int]
+) -> NoReturn:
+    """Call a control process, and end with the exit code that `call` returns.
+
+    Args:
+        control_file: The control process's TOML file.
+        as_json: Print JSON in place of words.
+        call: Runs one command; its ConfigError and CommandFailedError end the command line.
+    """
     from petrellane.config import ConfigError, load_control_config
     from petrellane.config_consensus.commands import (
         CommandFailedError,
@@ -176,16 +210,20 @@
     )
 
     try:
-        commands = SettingsCommands(ControlClient(load_control_config(file)), as_json)
-        raise typer.Exit(getattr(commands, command)(*arguments))
+        client = ControlClient(load_control_config(control_file))
+        raise typer.Exit(call(SettingsCommands(client, as_json)))
     except CommandFailedError as error:
         raise typer.Exit(error.exit_code) from None
     except ConfigError as error:
-        refuse(error)
+        _exit_with_error(error)
 
 
-@settings_app.command("propose")
-def settings_propose(
+@settings_app.command(
+    "propose",
+    help="Propose settings. Exit code 0 in force, 2 what you gave is wrong, 3 refused, 4 aborted, "
+    "5 in doubt.",
+)
+def settings_propose(  # noqa: PLR0913 - a parameter for each option
     file: Annotated[
         str, typer.Argument(help="JSON: settings, or a gateway's whole configuration.")
     ],
@@ -196,9 +234,9 @@
         bool, typer.Option(help="Keys of the settings in force may be lacking.")
     ] = False,
     json: JSON = False,
-):
-    """Propose settings. Exit code 0 in force, 2 what you gave is wrong, 3 refused, 4 aborted, 5 in doubt."""
-    run_settings_command(control, json, "propose", file, without, wait, less)
+) -> None:
+    """Propose settings and follow the change."""
+    _exit_with_result(control, json, lambda commands: commands.propose(file, without, wait, less))
 
 
 @settings_app.command("back")
@@ -208,27 +246,27 @@
     without: WITHOUT = [],  # noqa: B006 - typer never changes it
     wait: WAIT = 10.0,
     json: JSON = False,
-):
+) -> None:
     """Propose the settings of an earlier generation again, as a new change."""
-    run_settings_command(control, json, "propose_again", number, without, wait)
+    _exit_with_result(control, json, lambda commands: commands.propose_again(number, without, wait))
 
 
 @settings_app.command("status")
-def settings_status(control: CONTROL, json: JSON = False):
+def settings_status(control: CONTROL, json: JSON = False) -> None:
     """What is in force where, and what is under way."""
-    run_settings_command(control, json, "show_status")
+    _exit_with_result(control, json, lambda commands: commands.show_status())
 
 
 @settings_app.command("history")
-def settings_history(control: CONTROL, json: JSON = False):
+def settings_history(control: CONTROL, json: JSON = False) -> None:
     """All changes, with what became of each."""
-    run_settings_command(control, json, "show_history")
+    _exit_with_result(control, json, lambda commands: commands.show_history())
 
 
 @settings_app.command("show")
-def settings_show(number: int, control: CONTROL, json: JSON = False):
+def settings_show(number: int, control: CONTROL, json: JSON = False) -> None:
     """The settings of a generation."""
-    run_settings_command(control, json, "show_generation", number)
+    _exit_with_result(control, json, lambda commands: commands.show_generation(number))
 
 
 @settings_app.command("diff")
@@ -237,9 +275,9 @@
     other: Annotated[str, typer.Argument(help="A generation's number, or a file.")],
     control: CONTROL,
     json: JSON = False,
-):
+) -> None:
     """What changes for whom between two generations, or to a file's settings, in words."""
-    run_settings_command(control, json, "show_differences", one, other)
+    _exit_with_result(control, json, lambda commands: commands.show_differences(one, other))
 
 
 lab_app = typer.Typer(
@@ -251,40 +289,47 @@
 app.add_typer(lab_app, name="lab")
 
 
-@lab_app.command("run")
+@lab_app.command(
+    "run",
+    help="Play a run file and tell what happened; exit code 1 when a rule broke or a process "
+    "crashed.",
+)
 def lab_run(
     file: Annotated[str, typer.Argument(help="A run file; docs/testbed.md has the notation.")],
     records: Annotated[
         str, typer.Option(help="Write what was seen to this file, for `spread`.")
     ] = "",
-):
-    """Play a run file and tell what happened; exit code 1 when a rule broke or a process crashed."""
+) -> None:
+    """Play a run file and tell what happened."""
     from petrellane.testbed import command
     from petrellane.testbed.runner import PlayError
 
     try:
         raise typer.Exit(command.play_file(file, records))
     except PlayError as error:
-        refuse(error)
+        _exit_with_error(error)
 
 
 @lab_app.command("demo")
-def lab_demo():
+def lab_demo() -> None:
     """Three gateways, six hosts, 20 s of load, one host killed half way; ends by itself."""
     from petrellane.testbed import command
 
     raise typer.Exit(command.demo())
 
 
-@lab_app.command("scale")
+@lab_app.command(
+    "scale",
+    help="Run many hollow gateways beside some real ones, and tell what each role spends; exit "
+    "code 1 when the run proves nothing.",
+)
 def lab_scale(
     file: Annotated[str, typer.Argument(help="A scale file; docs/testbed.md has the notation.")],
-):
-    """Run many hollow gateways beside some real ones, and tell what each role spends; exit code 1 when the run proves
-    nothing."""
+) -> None:
+    """Run many hollow gateways beside some real ones."""
     from petrellane.testbed import scale
 
     try:
         raise typer.Exit(scale.play_file(file))
     except scale.ScaleError as error:
-        refuse(error)
+        _exit_with_error(error)
