--- a/tests/compatibility/build.py
+++ b/tests/compatibility/build.py
@@ -750,8 +750,7 @@
 
 def predecessor_dialogue(folder: pathlib.Path, script: list[Json]) -> list[Json]:
     """What the end that gives says and does at each step: ["say", who, packet], ["pass", data, asked], ["ended", name]."""
-    messages = script[0]
-    old = Predecessor("g1", lambda: messages)
+    old = Predecessor("g1", lambda: script[0])
     peers: dict[str, socket.socket] = {}
     passed: list[socket.socket] = []
     found: list[Json] = []
