--- /dev/null
+++ b/tests/compatibility/build/participant.py
@@ -0,0 +1,100 @@
+"""A participant of the consensus on settings: messages, stored state."""
+
+import os
+import pathlib
+import tempfile
+from typing import Any
+
+import orjson
+
+from petrellane.config_consensus import (
+    ballots,
+    messages,
+    participant,
+    safe_settings,
+    state_store,
+)
+from petrellane.config_consensus.errors import MessageRejected
+
+Json = Any
+
+
+def digest(settings: Json) -> str:
+    """The digest of settings that are agreed on."""
+    return safe_settings.digest(settings)
+
+
+def state_of(told: Json) -> participant.ParticipantState:
+    """What a participant remembers, from the form in which it is stored."""
+    with tempfile.TemporaryDirectory() as folder:
+        store = state_store.StateStore(folder, "any")
+        content = {
+            "version": state_store.VERSION,
+            "gateway": "any",
+            "turn": 1,
+            "check": state_store.checksum(told),
+            "remembers": told,
+        }
+        pathlib.Path(store.paths[0]).write_bytes(orjson.dumps(content))
+        state, fault = store.load()
+    if state is None:
+        raise ValueError(f"expected a stored state: {fault}")
+    return state
+
+
+def stored(state: participant.ParticipantState) -> Json:
+    """The form in which what a participant remembers is stored."""
+    with tempfile.TemporaryDirectory() as folder:
+        state_store.StateStore(folder, "any").save(state)
+        (path,) = pathlib.Path(folder).iterdir()
+        return orjson.loads(path.read_bytes())["remembers"]
+
+
+def participant_answer(remembered: Json, message: Json, wrong: str | None) -> Json:
+    """A participant's answer to a message.
+
+    That is the text that is sent, its status, and what it remembers and admits then.
+    """
+    state, status = state_of(remembered), 200
+    try:
+        state, answer = participant.handle_message(state, message, lambda content: wrong)
+        told = answer.to_dict()
+    except MessageRejected as rejection:
+        status, told = rejection.status, rejection.to_dict()
+    return {
+        "status": status,
+        "answer": orjson.dumps(told).decode(),
+        "after": stored(state),
+        "admits": participant.admissible_settings(state),
+    }
+
+
+def participant_learns(remembered: Json, told: Json, fetched: list[Json]) -> Json:
+    """What a participant looks for and remembers after another one told what it remembers."""
+    state, peer = state_of(remembered), messages.PeerState.from_dict(told)
+    missing = [
+        {"number": ballot.number, "epoch": list(ballot.epoch)}
+        for ballot in participant.missing_ballots(state, peer)
+    ]
+    got = [ballots.parse_generation(one, safe_settings.digest) for one in fetched]
+    after = participant.merge_peer_state(state, peer, got, lambda content: None)
+    return {"missing": missing, "after": stored(after)}
+
+
+def state_files(gateway: str) -> list[str]:
+    """The names of a participant's files."""
+    return [os.path.basename(path) for path in state_store.StateStore("", gateway).paths]
+
+
+def load_state(folder: str, gateway: str) -> Json:
+    """What a participant's files hold, in stored form; and whether that is surely the last that it said."""
+    state, fault = state_store.StateStore(folder, gateway).load()
+    return [None if state is None else stored(state), fault is None]
+
+
+def save_states(folder: str, gateway: str, states: list[Json]) -> None:
+    """Remember these, one after the other."""
+    store = state_store.StateStore(folder, gateway)
+    store.load()
+    for told in states:
+        store.save(state_of(told))
--- /dev/null
+++ b/tests/compatibility/build/simulation.py
@@ -0,0 +1,103 @@
+"""The simulated fleet: its scenarios, records and decisions."""
+
+from typing import Any
+
+from petrellane import invariants
+from petrellane.decisions import actions
+from petrellane.decisions.controller import AdmissionController
+from petrellane.simulation import fleet, scenario_generation
+from tests.compatibility.build.values import plain
+
+# The label of each kind of record in the recorded digests.
+RECORD_LABELS = {
+    invariants.Taken: "taken",
+    invariants.Sent: "sent",
+    invariants.Ended: "ended",
+    invariants.Received: "received",
+    invariants.Ran: "ran",
+    invariants.Answered: "answered",
+    invariants.Left: "left",
+    invariants.Told: "told",
+    invariants.Life: "life",
+    invariants.Up: "up",
+    invariants.Remains: "remains",
+    invariants.Admitted: "admitted",
+    invariants.Decided: "decided",
+}
+
+# The event methods of the decisions, each of which answers with actions.
+ENTRIES = (
+    "start",
+    "on_endpoint_events",
+    "admit",
+    "on_attempt_ended",
+    "on_client_disconnected",
+    "on_response_started",
+    "on_counter_reply",
+    "on_timer",
+)
+
+
+def scenario(name: str) -> Any:
+    """A scenario by its name: "draw 17", "followed 17" or "neighbour 17"."""
+    kind, seed = name.split()
+    drawn = scenario_generation.draw(int(seed))
+    if kind == "followed":
+        return scenario_generation.followed(drawn, int(seed))
+    if kind == "neighbour":
+        return scenario_generation.mutate(drawn, int(seed))
+    return drawn
+
+
+def step_values(step: Any) -> list[Any]:
+    """A step that the decisions answer with, as a label and its figures."""
+    if isinstance(step, actions.SendAttempt):
+        figures = [step.endpoint.address, step.number, step.sent_at, step.timeout, step.send_by]
+        return ["attempt", *figures]
+    if isinstance(step, actions.CounterAdd):
+        return ["add", step.name, step.amount, step.ttl, step.window]
+    if isinstance(step, actions.SetTimer):
+        return ["timer", step.delay]
+    if isinstance(step, actions.Reject):
+        return ["reject", step.retry_after]
+    others = {
+        actions.Abort: "abort",
+        actions.CancelAttempt: "cancel",
+        actions.WatchEndpoints: "ask",
+    }
+    return [others.get(type(step), "log")]
+
+
+def noted_decisions(log: list[list[Any]]) -> Any:
+    """The decisions, with all steps that they answer to each event noted in a log."""
+    depth = [0]
+
+    def noted(entry: str) -> Any:
+        inner = getattr(AdmissionController, entry)
+
+        def call(self: Any, *words: Any, **more: Any) -> Any:
+            depth[0] += 1
+            try:
+                steps = inner(self, *words, **more)
+            finally:
+                depth[0] -= 1
+            if not depth[0]:
+                log.extend(step_values(step) for step in steps)
+            return steps
+
+        return call
+
+    return type(
+        "NotedDecisions", (AdmissionController,), {entry: noted(entry) for entry in ENTRIES}
+    )
+
+
+def played(name: str) -> tuple[list[tuple[str, list[Any]]], list[Any], list[list[Any]]]:
+    """A scenario's records, each as a label and plain values; what the rules say: counts and distances; all decisions."""
+    log: list[list[Any]] = []
+    run = fleet.Fleet(scenario(name), noted_decisions(log), keep=True).play()
+    records = [(RECORD_LABELS[type(one)], [plain(value) for value in one]) for one in run.records]
+    verdict = [
+        [run.verdict.counts.get(rule, 0), run.verdict.nearest[rule]] for rule in invariants.RULES
+    ]
+    return records, verdict, log
