--- a/tests/compatibility/build/__init__.py
+++ b/tests/compatibility/build/__init__.py
@@ -31,11 +31,11 @@
 )
 from tests.compatibility.build.signatures import (
     agreement_paths,
-    seal_answer,
-    seal_question,
-    sealed_call,
-    understand_answer,
-    understand_question,
+    sign_request,
+    sign_response,
+    signed_call,
+    verify_request,
+    verify_response,
 )
 from tests.compatibility.build.simulation import played
 
@@ -57,14 +57,14 @@
     "predecessor_dialogue",
     "save_states",
     "scale_run",
-    "seal_answer",
-    "seal_question",
-    "sealed_call",
+    "sign_response",
+    "sign_request",
+    "signed_call",
     "serve_command",
     "socket_name",
     "state_files",
     "successor_dialogue",
-    "understand_answer",
-    "understand_question",
+    "verify_response",
+    "verify_request",
     "write_journal",
 ]
--- a/tests/compatibility/build/control_process.py
+++ b/tests/compatibility/build/control_process.py
@@ -32,7 +32,7 @@
         self.calls = 0
 
     def message(self, name: str, now: float) -> str | None:
-        """The message that a participant is due, as the text that is sent; None where it is due none."""
+        """The message that a participant is due, as the text that is sent; None for none."""
         self.now = now
         request, _ = self.control.coordinator.next_message(name, now)
         if request is None:
@@ -41,7 +41,7 @@
         self.sent[text] = request
         return text
 
-    def heard(self, name: str, message: str, answer: str, now: float) -> None:
+    def answered(self, name: str, message: str, answer: str, now: float) -> None:
         """A participant's answer to a message."""
         self.now = now
         request = self.sent[message]
@@ -68,8 +68,8 @@
         self.now = now
         self.calls += 1
         call = {**message, "nonce": str(self.calls), "at": now}
-        status, told = self.control._staff_calls.handle(call)
-        return [status, orjson.dumps(told).decode()]
+        status, body = self.control._staff_calls.handle(call)
+        return [status, orjson.dumps(body).decode()]
 
     def close(self) -> None:
         """Let go of the journal and the listener."""
@@ -79,7 +79,7 @@
 
 
 class ControlPlay:
-    """A control process that is led through a script, step by step; answers are those of the script."""
+    """A control process led through a script, step by step; answers are those of the script."""
 
     def __init__(self, path: str, members: list[str]) -> None:
         self.path, self.members = path, members
@@ -101,7 +101,7 @@
         if what == "staff":
             return self.leads.staff(words[0], now)
         if what == "heard":
-            self.leads.heard(words[0], self.last[words[0]], words[1], now)
+            self.leads.answered(words[0], self.last[words[0]], words[1], now)
         elif what == "refused":
             self.leads.refused(words[0], self.last[words[0]], now)
         elif what == "silent":
@@ -134,6 +134,6 @@
     kept = journal.Journal(path)
     try:
         for record in records:
-            kept.append({key: told for key, told in record.items() if key != "at"}, record["at"])
+            kept.append({key: record[key] for key in record if key != "at"}, record["at"])
     finally:
         kept.close()
--- a/tests/compatibility/build/hot_restart.py
+++ b/tests/compatibility/build/hot_restart.py
@@ -50,11 +50,11 @@
             raise self.faults[0]
 
 
-def typed(told: Json) -> hot_restart_messages.Message:
+def typed(fields: Json) -> hot_restart_messages.Message:
     """A message of a hot restart from its JSON object."""
-    message = hot_restart_messages.decode(told)
+    message = hot_restart_messages.decode(fields)
     if message is None:
-        raise ValueError(f"expected a message of a hot restart, found {told}")
+        raise ValueError(f"expected a message of a hot restart, found {fields}")
     return message
 
 
@@ -75,8 +75,10 @@
             _Log(),
             gateway,
             hot_restart_transport.HotRestartHandlers(
-                export_state=lambda: [typed(told) for told in give()],
-                on_successor=lambda heir: self.events.append(["followed", heir is not None]),
+                export_state=lambda: [typed(fields) for fields in give()],
+                on_successor=lambda successor: self.events.append(
+                    ["followed", successor is not None]
+                ),
                 import_leases=never,
                 adopt_connection=never,
                 release_in_flight=never,
@@ -107,7 +109,7 @@
 
 
 class Successor:
-    """The present build's end that takes; what it is told shows as events, in order."""
+    """The present build's end that takes; what it is notified of shows as events, in order."""
 
     def __init__(self, gateway: str) -> None:
         self.events: list[Json] = []
@@ -187,7 +189,10 @@
 
 
 def predecessor_dialogue(folder: pathlib.Path, script: list[Json]) -> list[Json]:
-    """What the end that gives says and does at each step: ["say", who, packet], ["pass", data, asked], ["ended", name]."""
+    """What the end that gives says and does at each step.
+
+    Steps are ["say", who, packet], ["pass", data, asked], ["ended", name] and ["wait"].
+    """
     old = Predecessor("g1", lambda: script[0])
     peers: dict[str, socket.socket] = {}
     passed: list[socket.socket] = []
@@ -208,10 +213,10 @@
         elif what == "wait":
             old.turns.take(20)
         old.turn()
-        heard = {who: _received(sock) for who, sock in peers.items()}
-        found.append([what, heard, old.events])
+        received = {who: _received(sock) for who, sock in peers.items()}
+        found.append([what, received, old.events])
         old.events = []
-        peers = {who: sock for who, sock in peers.items() if ["", False] not in heard[who]}
+        peers = {who: sock for who, sock in peers.items() if ["", False] not in received[who]}
     for sock in (*peers.values(), *passed):
         sock.close()
     old.close()
@@ -219,7 +224,7 @@
 
 
 def successor_dialogue(listener: socket.socket, script: list[Json]) -> tuple[list[Json], Json]:
-    """What the end that takes says to each packet [text, with a descriptor], and what it is told in all."""
+    """What the end that takes says to each packet [text, with a descriptor], and all its events."""
     new = Successor("g1")
     new.ask()
     link, _ = listener.accept()
--- a/tests/compatibility/build/leases.py
+++ b/tests/compatibility/build/leases.py
@@ -32,15 +32,15 @@
 
 
 class Leases:
-    """The decisions of one gateway, told of RPCs and counts as a script says."""
+    """The decisions of one gateway, notified of RPCs and counts as a script says."""
 
     def __init__(self, plans: dict[str, dict[str, float]], now: float) -> None:
         self.controller = AdmissionController(
             seed=0x5EED, uses_counter=True, must_watch=False, **SETTINGS
         )
         self.plans = {
-            name: types.Plan(name, **{PLAN_FIELDS[key]: told[key] for key in told})
-            for name, told in plans.items()
+            name: types.Plan(name, **{PLAN_FIELDS[key]: figures[key] for key in figures})
+            for name, figures in plans.items()
         }
         self.method = types.Method("look", 1.0, 4.0, types.IDEMPOTENT)
         self.customers: dict[str, types.Customer] = {}
@@ -107,19 +107,19 @@
         return hot_restart.import_leases(self.controller, now, rows, self.customer)
 
     def settled(self, now: float, name: str, number: int) -> int:
-        """RPCs of a customer that were out at the process before have ended; how many its lease had."""
+        """End RPCs that the process before had in flight; how many the lease counted."""
         return hot_restart.release_in_flight(self.controller, now, self.customers[name], number)
 
     def values(self) -> dict[str, Json]:
         """What each lease is: the stored keys and their values, and its recent demand."""
         found = {}
         for customer, lease in self.controller.lease_manager.leases.items():
-            told = {key: getattr(lease, name) for key, name in LEASE_KEYS.items()}
-            told["demand"] = [list(pair) for pair in lease.demand]
+            stored = {key: getattr(lease, name) for key, name in LEASE_KEYS.items()}
+            stored["demand"] = [list(pair) for pair in lease.demand]
             found[customer.name] = {
                 "plan": customer.plan.name,
                 "first": customer.first_gateway,
                 "spread": customer.gateway_count,
-                "lease": told,
+                "lease": stored,
             }
         return found
--- a/tests/compatibility/build/management.py
+++ b/tests/compatibility/build/management.py
@@ -33,7 +33,11 @@
 
 
 def management_call(steps: list[Json], call: bytes, now: float) -> Json:
-    """The bytes that answer a call, in the state that some steps lead to; the state then, and whether it changed."""
+    """Make a call in the state that some steps lead to.
+
+    Returns:
+        The bytes that answer it, the state then, and how often it changed.
+    """
     lifecycle = Lifecycle(0.5, 1.8)
     for step, *words in steps:
         if step == "followed":
--- a/tests/compatibility/build/measured.py
+++ b/tests/compatibility/build/measured.py
@@ -15,12 +15,12 @@
 
 def scale_run(path: pathlib.Path) -> Json:
     """A scale run as the reader of its file understands it."""
-    told = scale.load(str(path))
-    return {name: getattr(told, name) for name in told.__struct_fields__}
+    run = scale.load(str(path))
+    return {name: getattr(run, name) for name in run.__struct_fields__}
 
 
 def capacity_inputs(folder: pathlib.Path) -> tuple[Json, Json, Json, Json]:
-    """The plan, the slopes, the figures of messages, and the run, read as the capacity page reads them."""
+    """Plan, slopes, figures of messages and the run, as the capacity page reads them."""
     return (
         capacity_page.read(folder / "capacity.toml", lambda text: tomllib.loads(text.decode())),
         capacity_page.read(folder / "scale.json", orjson.loads),
--- a/tests/compatibility/build/participant.py
+++ b/tests/compatibility/build/participant.py
@@ -24,18 +24,18 @@
     return safe_settings.digest(settings)
 
 
-def state_of(told: Json) -> participant.ParticipantState:
+def state_of(content: Json) -> participant.ParticipantState:
     """What a participant remembers, from the form in which it is stored."""
     with tempfile.TemporaryDirectory() as folder:
         store = state_store.StateStore(folder, "any")
-        content = {
+        file = {
             "version": state_store.VERSION,
             "gateway": "any",
             "turn": 1,
-            "check": state_store.checksum(told),
-            "remembers": told,
+            "check": state_store.checksum(content),
+            "remembers": content,
         }
-        pathlib.Path(store.paths[0]).write_bytes(orjson.dumps(content))
+        pathlib.Path(store.paths[0]).write_bytes(orjson.dumps(file))
         state, fault = store.load()
     if state is None:
         raise ValueError(f"expected a stored state: {fault}")
@@ -58,20 +58,20 @@
     state, status = state_of(remembered), 200
     try:
         state, answer = participant.handle_message(state, message, lambda content: wrong)
-        told = answer.to_dict()
+        body = answer.to_dict()
     except MessageRejected as rejection:
-        status, told = rejection.status, rejection.to_dict()
+        status, body = rejection.status, rejection.to_dict()
     return {
         "status": status,
-        "answer": orjson.dumps(told).decode(),
+        "answer": orjson.dumps(body).decode(),
         "after": stored(state),
         "admits": participant.admissible_settings(state),
     }
 
 
-def participant_learns(remembered: Json, told: Json, fetched: list[Json]) -> Json:
-    """What a participant looks for and remembers after another one told what it remembers."""
-    state, peer = state_of(remembered), messages.PeerState.from_dict(told)
+def participant_learns(remembered: Json, report: Json, fetched: list[Json]) -> Json:
+    """What a participant looks for and remembers after another one's report."""
+    state, peer = state_of(remembered), messages.PeerState.from_dict(report)
     missing = [
         {"number": ballot.number, "epoch": list(ballot.epoch)}
         for ballot in participant.missing_ballots(state, peer)
@@ -87,7 +87,7 @@
 
 
 def load_state(folder: str, gateway: str) -> Json:
-    """What a participant's files hold, in stored form; and whether that is surely the last that it said."""
+    """The state that a participant's files hold, and whether it is surely the last."""
     state, fault = state_store.StateStore(folder, gateway).load()
     return [None if state is None else stored(state), fault is None]
 
@@ -96,5 +96,5 @@
     """Remember these, one after the other."""
     store = state_store.StateStore(folder, gateway)
     store.load()
-    for told in states:
-        store.save(state_of(told))
+    for content in states:
+        store.save(state_of(content))
--- a/tests/compatibility/build/signatures.py
+++ b/tests/compatibility/build/signatures.py
@@ -8,40 +8,40 @@
 Json = Any
 
 
-def seal_question(key: bytes, message: Json) -> tuple[bytes, bytes]:
-    """A question's body and seal."""
+def sign_request(key: bytes, message: Json) -> tuple[bytes, bytes]:
+    """A request's body and signature."""
     return message_authentication.sign_request(key, message)
 
 
-def understand_question(key: bytes, name: str, sealed: bytes, body: bytes) -> Json:
-    """The message of a sealed question to us, or the kind of its refusal as text."""
+def verify_request(key: bytes, name: str, signature: bytes, body: bytes) -> Json:
+    """The message of a signed request to us, or the kind of its refusal as text."""
     try:
-        return message_authentication.verify_request(key, name, sealed, body)
+        return message_authentication.verify_request(key, name, signature, body)
     except message_authentication.AuthenticationError:
         return "unsealed"
     except ValueError:
         return "out of form"
 
 
-def seal_answer(key: bytes, asked: bytes, told: Json) -> tuple[bytes, bytes]:
-    """An answer's body and seal, to the question of that seal."""
-    return message_authentication.sign_response(key, asked, told)
+def sign_response(key: bytes, request_signature: bytes, message: Json) -> tuple[bytes, bytes]:
+    """A response's body and signature, to the request of that signature."""
+    return message_authentication.sign_response(key, request_signature, message)
 
 
-def understand_answer(key: bytes, asked: bytes, sealed: bytes, body: bytes) -> Json:
-    """What was answered to a question, or the kind of its refusal as text."""
+def verify_response(key: bytes, request_signature: bytes, signature: bytes, body: bytes) -> Json:
+    """The message of a response, or the kind of its refusal as text."""
     try:
-        return message_authentication.verify_response(key, asked, sealed, body)
+        return message_authentication.verify_response(key, request_signature, signature, body)
     except message_authentication.AuthenticationError:
         return "unsealed"
     except ValueError:
         return "out of form"
 
 
-def sealed_call(path: str, host: str, sealed: bytes, body: bytes) -> bytes:
-    """The bytes of a sealed question over HTTP."""
+def signed_call(path: str, host: str, signature: bytes, body: bytes) -> bytes:
+    """The bytes of a signed request over HTTP."""
     field = message_authentication.SIGNATURE_FIELD.decode()
-    return http.post(path, host, {field: sealed.decode()}, body)
+    return http.post(path, host, {field: signature.decode()}, body)
 
 
 def agreement_paths() -> list[str]:
--- a/tests/compatibility/build/simulation.py
+++ b/tests/compatibility/build/simulation.py
@@ -93,7 +93,12 @@
 
 
 def played(name: str) -> tuple[list[tuple[str, list[Any]]], list[Any], list[list[Any]]]:
-    """A scenario's records, each as a label and plain values; what the rules say: counts and distances; all decisions."""
+    """Play a scenario.
+
+    Returns:
+        Its records, each as a label and plain values; what the rules say: counts and distances;
+        and all steps that were decided.
+    """
     log: list[list[Any]] = []
     run = fleet.Fleet(scenario(name), noted_decisions(log), keep=True).play()
     records = [(RECORD_LABELS[type(one)], [plain(value) for value in one]) for one in run.records]
--- a/tests/compatibility/digests.py
+++ b/tests/compatibility/digests.py
@@ -1,8 +1,8 @@
-"""The digest of a simulated run: one sha256 over its records as text, so that any digit that differs shows.
+"""The digest of a simulated run: one sha256 over its records as text; any other digit shows.
 
-A record is one line: its label, then its values. Floats stand in full (repr), texts and None as in JSON, sequences in
-brackets. Four digests a scenario: what happened, what gateways still hold at the end, what the
-rules say, and each step that the decisions answered with.
+A record is one line: its label, then its values. Floats stand in full (repr), texts and None as in
+JSON, sequences in brackets. Four digests a scenario: what happened, what gateways still hold at the
+end, what the rules say, and each step that the decisions answered with.
 """
 
 import hashlib
@@ -52,7 +52,7 @@
 
 def of_all() -> dict[str, list[str]]:
     """The digests of all scenarios, by name."""
-    # One scenario's run hangs on the order of a set of texts, so workers hash texts alike in every run.
+    # One scenario's run depends on the order of a set of texts: workers hash texts alike.
     before = os.environ.get("PYTHONHASHSEED")
     os.environ["PYTHONHASHSEED"] = HASH_SEED
     try:
@@ -69,7 +69,7 @@
         return dict(zip(NAMES, pool.map(of_scenario, NAMES, chunksize=5), strict=True))
 
 
-def whole(digests: dict[str, list[str]]) -> dict[str, str]:
+def of_parts(digests: dict[str, list[str]]) -> dict[str, str]:
     """One digest for each of PARTS over all scenarios."""
     return {
         part: digest_of([f"{name} {digests[name][index]}" for name in NAMES])
--- a/tests/compatibility/files.py
+++ b/tests/compatibility/files.py
@@ -14,21 +14,21 @@
     return json.loads((RECORDED / name).read_text())
 
 
-def save(name: str, told: Any) -> None:
+def save(name: str, content: Any) -> None:
     """Write a recording in JSON."""
     path = RECORDED / name
     path.parent.mkdir(parents=True, exist_ok=True)
-    path.write_text(json.dumps(told, indent=1) + "\n")
+    path.write_text(json.dumps(content, indent=1) + "\n")
 
 
-def key_set(told: Any, path: str = "") -> list[str]:
+def key_set(content: Any, path: str = "") -> list[str]:
     """All keys of a JSON value as paths, those of a list's items under []."""
-    if isinstance(told, dict):
-        found = {f"{path}.{key}" for key in told}
-        found.update(one for key in told for one in key_set(told[key], f"{path}.{key}"))
+    if isinstance(content, dict):
+        found = {f"{path}.{key}" for key in content}
+        found.update(one for key in content for one in key_set(content[key], f"{path}.{key}"))
         return sorted(found)
-    if isinstance(told, list):
-        return sorted({one for item in told for one in key_set(item, f"{path}[]")})
+    if isinstance(content, list):
+        return sorted({one for item in content for one in key_set(item, f"{path}[]")})
     return []
 
 
@@ -44,5 +44,5 @@
     return [
         [list(one) for one in schema],
         version,
-        [[number, at, bytes(told).decode()] for number, at, told in rows],
+        [[number, at, bytes(content).decode()] for number, at, content in rows],
     ]
--- a/tests/compatibility/neighbours.py
+++ b/tests/compatibility/neighbours.py
@@ -1,7 +1,8 @@
-"""What a real gateway process needs around it on loopback: an endpoint, a counter, discovery; free of program code.
+"""What a real gateway process needs on loopback: an endpoint, a counter, discovery.
 
-Each connection is served by a thread that ends with it. `Neighbours.start` starts a process of the gateway with the
-listening socket that the test holds; every wait here ends after PATIENCE seconds.
+Free of program code. Each connection is served by a thread that ends with it. `Neighbours.start`
+starts a process of the gateway with the listening socket that the test holds; every wait here ends
+after PATIENCE seconds.
 """
 
 import contextlib
@@ -103,7 +104,7 @@
             "since_ms": 0,
         }
         self.listing = {"index": 2, "snapshot": True, "endpoints": [row]}
-        told = {
+        config = {
             "name": "g1",
             "listen": "%s:%d" % self.address,
             "discovery": self._serve(self._discovery),
@@ -114,7 +115,7 @@
             "settings": SETTINGS,
         }
         self.file = folder / "config.json"
-        self.file.write_text(json.dumps(told))
+        self.file.write_text(json.dumps(config))
 
     def close(self) -> None:
         """End all that was started."""
--- a/tests/compatibility/played.py
+++ b/tests/compatibility/played.py
@@ -1,4 +1,4 @@
-"""Both ends of a hand-over, played against a real process: recorded packets go out, what comes is noted."""
+"""Both ends of a hand-over, played against a real process with recorded packets."""
 
 import json
 import socket
@@ -23,7 +23,7 @@
 
 
 def served(sock: socket.socket, number: int) -> str:
-    """How so many RPCs of the customer are answered: a letter each, s for served and b for pushed back."""
+    """How so many RPCs of the customer are answered: s for served, b for pushed back."""
     said = ""
     for index in range(number):
         sock.sendall(rpc(b"rpc%d" % index))
@@ -34,7 +34,13 @@
 def hand_over(
     world: Neighbours, process: Process, listener: socket.socket, packets: list[bytes]
 ) -> tuple[list[str], socket.socket]:
-    """Be the process before a new one: leases, a connection with half a command, one that is kept; the first client."""
+    """Be the process before a new one.
+
+    Gives it leases, a connection with half a command, and one that is kept.
+
+    Returns:
+        What the process and the clients received, and the client of the first connection.
+    """
     said = []
     link, _ = listener.accept()
     link.settimeout(20.0)
@@ -66,7 +72,7 @@
 def take_over(
     world: Neighbours, process: Process, link: socket.socket, client: socket.socket
 ) -> Any:
-    """Be the process after one: all packets until leases are given, then the client's connection."""
+    """Be the process after one: take all packets, then the client's connection."""
     link.send(b'{"ask":1}\n')
     packets: list[str] = []
     while not packets or "given" not in json.loads(packets[-1]):
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -1,7 +1,8 @@
 """Make the recordings from a checkout: python tests/compatibility/record.py CHECKOUT [PART...]
 
-The program is taken from CHECKOUT, what plays it (build/) and where recordings go from here; so the names in build/
-have to be those of that checkout. Parts: simulation, handover, agreement, management, scale, processes. All by default.
+The program is taken from CHECKOUT, what plays it (build/) and where recordings go from here; so the
+names in build/ have to be those of that checkout. Parts: simulation, handover, agreement,
+management, measured, processes. All by default.
 """
 
 import importlib
--- a/tests/compatibility/recording.py
+++ b/tests/compatibility/recording.py
@@ -17,7 +17,7 @@
     """The digests of the fleet model's scenarios."""
     found = {name: digests.of_scenario(name) for name in digests.NAMES}
     files.save("simulation/digests.json", found)
-    files.save("simulation/digest.json", digests.whole(found))
+    files.save("simulation/digest.json", digests.of_parts(found))
 
 
 Json = Any
@@ -65,10 +65,10 @@
     leases.play(SCRIPT)
     given = leases.given(GIVEN, GENERATION)
     rows = [row for message in given for row in message.get("leases", ())]
-    heir = build.Leases(PLANS, GIVEN)
-    number = heir.taken(GIVEN, rows)
-    values = heir.values()
-    again = [build.packet(message) for message in heir.given(GIVEN)]
+    successor_leases = build.Leases(PLANS, GIVEN)
+    number = successor_leases.taken(GIVEN, rows)
+    values = successor_leases.values()
+    again = [build.packet(message) for message in successor_leases.given(GIVEN)]
     other = build.Leases(PLANS, GIVEN)
     other.taken(GIVEN, rows)
     settle = [["bob", 1], ["ann", 9], ["eve", 0]]
@@ -117,7 +117,7 @@
     names = {name: build.socket_name(name) for name in ("g1", "gateway-17", "a b/c")}
     with tempfile.TemporaryDirectory() as folder:
         os.environ["TMPDIR"] = folder
-        told = build.predecessor_dialogue(pathlib.Path(folder), predecessor)
+        given_dialogue = build.predecessor_dialogue(pathlib.Path(folder), predecessor)
     with tempfile.TemporaryDirectory(dir="/tmp") as folder:
         os.environ["TMPDIR"] = folder
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener:
@@ -129,7 +129,7 @@
         {
             "names": names,
             "predecessor": predecessor,
-            "given": told,
+            "given": given_dialogue,
             "successor": successor,
             "said": said,
             "events": events,
@@ -184,7 +184,7 @@
 
 
 def messages() -> list[Json]:
-    """Messages to participants: a name, what it remembers, the message, and why settings won't do there."""
+    """Messages to participants: name, state, message, and why settings are not valid there."""
     three, denied = generation(3, NEW, (3, "c1")), {"number": 3, "epoch": [3, "c1"]}
     named = {key: three[key] for key in ("number", "epoch", "digest")}
     speaks = {"epoch_of": [3, "c1"], "to": "g1", "order": 7}
@@ -232,7 +232,7 @@
 
 
 def control_script(folder: str, name: str, what: str) -> Json:
-    """A play of a control process before participants that answer by the rules; the script with their answers."""
+    """The script of a control process, with the answers of participants that follow the rules."""
     now, play = 100.0, build.ControlPlay(str(pathlib.Path(folder) / f"{name}-live"), MEMBERS)
     remembers = {one: state() for one in MEMBERS}
     script: list[Json] = [["start", now, "c1"]]
@@ -286,10 +286,10 @@
 
 
 def agreement(checkout: pathlib.Path) -> None:
-    """Messages and answers of participants and control processes, seals, state files and a journal."""
+    """Messages and answers of participants and control processes, signatures and stored state."""
     three = generation(3, NEW, (3, "c1"))
     four = generation(4, OLD, (4, "c2"))
-    told = {
+    report = {
         "promised": [4, "c2"],
         "in_force": {key: three[key] for key in ("number", "epoch", "digest")},
         "possible": [{key: four[key] for key in ("number", "epoch", "digest")}],
@@ -298,10 +298,10 @@
     }
     stray = generation(3, OLD, (2, "c2"))
     learns = [
-        ["in force and possible", state(), told, [three, four]],
-        ["nothing fetched", state(), told, []],
-        ["denied", state(possible=[stray]), told, [three]],
-        ["nothing new", state(3, possible=[four]), told, []],
+        ["in force and possible", state(), report, [three, four]],
+        ["nothing fetched", state(), report, []],
+        ["denied", state(possible=[stray]), report, [three]],
+        ["nothing new", state(3, possible=[four]), report, []],
     ]
     files.save(
         "agreement/participant.json",
@@ -356,22 +356,22 @@
         },
     )
     message = {"do": "promise", "to": "g1", "epoch_of": [3, "c1"], "order": 1}
-    body, seal = build.seal_question(KEY.encode(), message)
+    body, signature = build.sign_request(KEY.encode(), message)
     answer = {"promised": [3, "c1"], "possible": []}
-    answer_body, answer_seal = build.seal_answer(KEY.encode(), seal, answer)
+    answer_body, answer_signature = build.sign_response(KEY.encode(), signature, answer)
     paths = build.agreement_paths()
     files.save(
         "agreement/seals.json",
         {
             "key": KEY,
-            "question": {"message": message, "body": body.decode(), "seal": seal.decode()},
+            "question": {"message": message, "body": body.decode(), "seal": signature.decode()},
             "answer": {
                 "told": answer,
                 "body": answer_body.decode(),
-                "seal": answer_seal.decode(),
+                "seal": answer_signature.decode(),
             },
             "paths": paths,
-            "call": build.sealed_call(paths[0], "127.0.0.1:7", seal, body).decode(),
+            "call": build.signed_call(paths[0], "127.0.0.1:7", signature, body).decode(),
         },
     )
 
@@ -453,7 +453,7 @@
 
 
 def processes(checkout: pathlib.Path) -> None:
-    """What a real process of the checkout says as the successor and as the predecessor of one that is played."""
+    """What a real process says as the successor and as the predecessor of one that is played."""
     lease = {
         **{"window": None, "ends": 0.0, "shares": True, "held": 0.0, "got": 0.0, "added": 0.0},
         **{"owed": 0.0, "total": 0.0, "carry": None, "part": 0.0, "dry_until": 0.0},
--- a/tests/compatibility/test_agreement.py
+++ b/tests/compatibility/test_agreement.py
@@ -1,4 +1,4 @@
-"""Agreement's messages, stored state and journal: read, answered and written as by the build before."""
+"""Consensus on settings: read, answered and written as by the build before."""
 
 import hashlib
 import hmac
@@ -88,33 +88,33 @@
 
 
 def test_recorded_question_verifies() -> None:
-    seal, body = SEALS["question"]["seal"].encode(), SEALS["question"]["body"].encode()
-    understood = build.understand_question(KEY, "g1", seal, body)
+    signature, body = SEALS["question"]["seal"].encode(), SEALS["question"]["body"].encode()
+    understood = build.verify_request(KEY, "g1", signature, body)
     assert understood == json.loads(SEALS["question"]["body"])
-    assert build.understand_question(KEY, "g2", seal, body) == "unsealed"
-    assert build.understand_question(KEY[:-1], "g1", seal, body) == "unsealed"
-    assert build.understand_question(KEY, "g1", seal, body + b" ") == "unsealed"
+    assert build.verify_request(KEY, "g2", signature, body) == "unsealed"
+    assert build.verify_request(KEY[:-1], "g1", signature, body) == "unsealed"
+    assert build.verify_request(KEY, "g1", signature, body + b" ") == "unsealed"
 
 
-def test_question_has_the_same_keys_and_seal() -> None:
-    body, seal = build.seal_question(KEY, SEALS["question"]["message"])
+def test_question_has_the_same_keys_and_signature() -> None:
+    body, signature = build.sign_request(KEY, SEALS["question"]["message"])
     assert list(json.loads(body)) == list(json.loads(SEALS["question"]["body"]))
     parts = b"".join(b"%d:%b" % (len(part), part) for part in (b"question", body))
-    assert seal.decode() == hmac.new(KEY, parts, hashlib.sha256).hexdigest()
+    assert signature.decode() == hmac.new(KEY, parts, hashlib.sha256).hexdigest()
 
 
 def test_recorded_answer_verifies_and_is_sealed_the_same() -> None:
-    asked, told = SEALS["question"]["seal"].encode(), SEALS["answer"]["told"]
-    body, seal = build.seal_answer(KEY, asked, told)
-    assert [body.decode(), seal.decode()] == [SEALS["answer"]["body"], SEALS["answer"]["seal"]]
-    assert build.understand_answer(KEY, asked, seal, body) == told
-    assert build.understand_answer(KEY, asked[:-1], seal, body) == "unsealed"
+    asked, message = SEALS["question"]["seal"].encode(), SEALS["answer"]["told"]
+    body, signature = build.sign_response(KEY, asked, message)
+    assert [body.decode(), signature.decode()] == [SEALS["answer"]["body"], SEALS["answer"]["seal"]]
+    assert build.verify_response(KEY, asked, signature, body) == message
+    assert build.verify_response(KEY, asked[:-1], signature, body) == "unsealed"
 
 
 def test_sealed_call_has_the_same_bytes() -> None:
     assert build.agreement_paths() == SEALS["paths"]
     question = SEALS["question"]
-    sent = build.sealed_call(
+    sent = build.signed_call(
         SEALS["paths"][0], "127.0.0.1:7", question["seal"].encode(), question["body"].encode()
     )
     assert sent.decode() == SEALS["call"]
--- a/tests/compatibility/test_cases.py
+++ b/tests/compatibility/test_cases.py
@@ -1,7 +1,7 @@
 """Each test case of the build before has a successor among the tests that pytest collects.
 
-A line of cases-now.txt is the name of a case of the build before, then the node ids of the tests that took its place. An
-id without parameters stands for all of its parameters.
+A line of cases-now.txt is the name of a case of the build before, then the node ids of the tests
+that took its place. An id without parameters stands for all of its parameters.
 """
 
 import pathlib
--- a/tests/compatibility/test_leases.py
+++ b/tests/compatibility/test_leases.py
@@ -1,4 +1,4 @@
-"""Hand-over packets of the build before: leases are given with the same bytes and taken to the same values."""
+"""Hand-overs: leases are given with the same bytes and taken to the same values as before."""
 
 import json
 import pathlib
--- a/tests/compatibility/test_measured_files.py
+++ b/tests/compatibility/test_measured_files.py
@@ -1,4 +1,4 @@
-"""Measured files that CI reads: the present readers read them to the same keys and values as the build before."""
+"""Measured files that CI reads: read to the same keys and values as by the build before."""
 
 import json
 import pathlib
--- a/tests/compatibility/test_processes.py
+++ b/tests/compatibility/test_processes.py
@@ -1,4 +1,4 @@
-"""A real process of the present build before and after a peer that speaks as the build before did."""
+"""A real process of the present build before and after a peer of the build before."""
 
 import json
 import pathlib
--- a/tests/compatibility/test_simulation.py
+++ b/tests/compatibility/test_simulation.py
@@ -17,4 +17,4 @@
     index = digests.PARTS.index(part)
     differ = [name for name in digests.NAMES if played[name][index] != recorded[name][index]]
     assert not differ
-    assert digests.whole(played)[part] == files.load("simulation/digest.json")[part]
+    assert digests.of_parts(played)[part] == files.load("simulation/digest.json")[part]
