--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -129,6 +129,8 @@
         take the room, clients wait in the backlog.
         """
         is_full = False
+        if not self.listener:
+            return
         if not self.make_room(1):
             self.free_descriptors("connections to hosts are all busy")
             return
--- a/tests/compatibility/build/simulation.py
+++ b/tests/compatibility/build/simulation.py
@@ -10,19 +10,19 @@
 
 # The label of each kind of record in the recorded digests.
 RECORD_LABELS = {
-    invariants.Taken: "taken",
-    invariants.Sent: "sent",
-    invariants.Ended: "ended",
-    invariants.Received: "received",
-    invariants.Ran: "ran",
-    invariants.Answered: "answered",
-    invariants.Left: "left",
-    invariants.Told: "told",
-    invariants.Life: "life",
-    invariants.Up: "up",
-    invariants.Remains: "remains",
-    invariants.Admitted: "admitted",
-    invariants.Decided: "decided",
+    invariants.RpcReceived: "taken",
+    invariants.AttemptSent: "sent",
+    invariants.AttemptEnded: "ended",
+    invariants.AttemptArrived: "received",
+    invariants.RpcExecuted: "ran",
+    invariants.RpcAnswered: "answered",
+    invariants.ClientDisconnected: "left",
+    invariants.EndpointNotified: "told",
+    invariants.GatewayLifecycle: "life",
+    invariants.EndpointStarted: "up",
+    invariants.StateRetained: "remains",
+    invariants.RpcAdmitted: "admitted",
+    invariants.GenerationDecided: "decided",
 }
 
 # The event methods of the decisions, each of which answers with actions.
