--- a/benchmarks/left.py
+++ b/benchmarks/attempts_after_disconnect.py
@@ -1,6 +1,6 @@
 """RPCs whose clients leave while they wait: how many reach a host all the same, and how late.
 
-    python benchmarks/left.py [--seeds 10] [--first 1] [--seconds 15] [--rate 150] [--leaving 0.5] [--build FOLDER] [--quiet]
+    python benchmarks/attempts_after_disconnect.py [--seeds 10] [--first 1] [--seconds 15] [--rate 150] [--leaving 0.5] [--build FOLDER] [--quiet]
 
 Processes on loopback, four gateways before four hosts; half of the clients close their connection, or end their sending,
 some time within their patience, while hosts fail half of what they take or turn all away, connections to hosts come up late
--- a/benchmarks/agreement.py
+++ b/benchmarks/config_consensus.py
@@ -1,6 +1,6 @@
 """How long a change of settings takes by the number of gateways, what it costs each, and what it costs clients.
 
-    python benchmarks/agreement.py [--gateways 10,100,300] [--changes 30] [--faults] [--rate 100]
+    python benchmarks/config_consensus.py [--gateways 10,100,300] [--changes 30] [--faults] [--rate 100]
 
 Real processes on loopback, one control process, no relays but with --faults, where a tenth of the gateways is down and a
 twentieth of the connections of the control process goes nowhere. Prints a table, and one JSON line last. Times are from the
--- a/benchmarks/told.py
+++ b/benchmarks/endpoint_list_delay.py
@@ -1,8 +1,8 @@
 """How late a change is in force at a gateway after discovery, which was in trouble, is back.
 
-    python benchmarks/told.py [--gateways 24] [--seconds 150] [--seed 1] [--kinds refused,silent] [--build FOLDER]
-    python benchmarks/told.py --together "turned away" [--gateways 30] [--rate 12] [--build FOLDER]
-    python benchmarks/told.py --model [--gateways 200] [--seeds 5] [--rate 80]
+    python benchmarks/endpoint_list_delay.py [--gateways 24] [--seconds 150] [--seed 1] [--kinds refused,silent] [--build FOLDER]
+    python benchmarks/endpoint_list_delay.py --together "turned away" [--gateways 30] [--rate 12] [--build FOLDER]
+    python benchmarks/endpoint_list_delay.py --model [--gateways 200] [--seeds 5] [--rate 80]
 
 Processes on loopback, without load. Each gateway has a discovery of its own, which is in trouble for 3 to 25 s
 (`--longest`), again and again, each time by one of the kinds of `petrellane/testbed/fakes.py`. A host's state changes
--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_log_counts.py
@@ -1,4 +1,4 @@
-"""Count over a fleet from the logs of its gateways: `python benchmarks/fleet_count.py FOLDER`.
+"""Count over a fleet from the logs of its gateways: `python benchmarks/fleet_log_counts.py FOLDER`.
 
 FOLDER holds one log a gateway (*.log), one JSON line an event, with or without a word before it. The `figures` events
 are added up by second from the first event of all; what stands at one time (connections, pressure) is told as the mean
--- a/benchmarks/spread.py
+++ b/benchmarks/load_balancing_comparison.py
@@ -1,8 +1,8 @@
 """How even load is over hosts: the module beside other ways to choose, in the model, and hundreds of real gateways.
 
-    python benchmarks/spread.py model [--gateways 200] [--hosts 100] [--loads 0.5,0.8,0.95] [--seeds 5] [--patience 8]
-    python benchmarks/spread.py hard [--gateways 200] [--hosts 100] [--load 0.5] [--ways module,two choices]
-    python benchmarks/spread.py processes [--gateways 200] [--hosts 60] [--load 0.5] [--seconds 40] [--rate 400]
+    python benchmarks/load_balancing_comparison.py model [--gateways 200] [--hosts 100] [--loads 0.5,0.8,0.95] [--seeds 5] [--patience 8]
+    python benchmarks/load_balancing_comparison.py hard [--gateways 200] [--hosts 100] [--load 0.5] [--ways module,two choices]
+    python benchmarks/load_balancing_comparison.py processes [--gateways 200] [--hosts 60] [--load 0.5] [--seconds 40] [--rate 400]
 
 `model` prints a row for each way and load, medians over seeds with the least and the most; times are multiples of the
 mean work. `hard` plays one fault of each kind at 8 s; its figures are of 8 to 20 s. `processes` starts so many gateways on
@@ -20,7 +20,7 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from benchmarks.agreement import memory  # noqa: E402
+from benchmarks.config_consensus import memory  # noqa: E402
 from petrellane.decisions.controller import AdmissionController  # noqa: E402
 from petrellane.load_distribution import sources  # noqa: E402
 from petrellane.load_distribution.figures import figures  # noqa: E402
--- a/benchmarks/quota.py
+++ b/benchmarks/quota_excess.py
@@ -1,6 +1,6 @@
 """Units let through beyond quotas over a whole fleet on a quiet day, beside a policy that sees the true stores late.
 
-    python benchmarks/quota.py [--gateways 3,40,200] [--seeds 5] [--seconds 20] [--late 0.25] [--jobs N]
+    python benchmarks/quota_excess.py [--gateways 3,40,200] [--seeds 5] [--seconds 20] [--late 0.25] [--jobs N]
 
 The definition is in docs/history/acceptance.md. A row for each fleet and plan: medians over seeds with the least and the most. One
 JSON line last, with every run.
--- a/benchmarks/cold.py
+++ b/benchmarks/slow_start.py
@@ -1,7 +1,7 @@
 """What cold hosts get from a whole fleet, against the operators' bound of N + 2 x root of N + 2 RPCs of mean work a span.
 
-    python benchmarks/cold.py model [--gateways 3,20,30,200] [--shapes even,skewed,restarted,burst] [--seeds 5]
-    python benchmarks/cold.py processes [--gateways 20] [--shapes even] [--seeds 1]
+    python benchmarks/slow_start.py model [--gateways 3,20,30,200] [--shapes even,skewed,restarted,burst] [--seeds 5]
+    python benchmarks/slow_start.py processes [--gateways 20] [--shapes even] [--seeds 1]
 
 Both take [--load 0.7] [--rate 200]: a share of what all hosts can do, and RPCs a second. The work of an RPC is within
 half of its mean in the model; with [--exponential], and always with processes, it is drawn exponentially. Three tenths of
--- a/benchmarks/ready.py
+++ b/benchmarks/start_up_time.py
@@ -1,6 +1,6 @@
 """How long a gateway that starts again takes until it is ready, and what it waits for.
 
-    python benchmarks/ready.py [--gateways 200] [--rows roll,kill] [--cores 0] [--agreed 20] [--single 15]
+    python benchmarks/start_up_time.py [--gateways 200] [--rows roll,kill] [--cores 0] [--agreed 20] [--single 15]
 
 Real processes on loopback, one rig that plays hosts, counter, discovery and a light load. A row a round: a tenth at a time
 is told to end (SIGTERM), each process started again as soon as it has ended; or seven in ten are killed and started again at
@@ -319,7 +319,7 @@
     )
     with Lab(shape) as lab:
         for one in lab.gateways:
-            one.build = {"module": "benchmarks.ready", "cwd": ROOT}
+            one.build = {"module": "benchmarks.start_up_time", "cwd": ROOT}
             one.environ = {"READY_LISTENS": str(one.listen)}
             one.start()
             if cores:
--- a/tests/integration/gateway/scenario.py
+++ b/tests/integration/gateway/scenario.py
@@ -19,7 +19,7 @@
 from collections import Counter
 from types import SimpleNamespace
 
-from benchmarks import fleet_count
+from benchmarks import fleet_log_counts
 from petrellane import config
 from petrellane.gateway.endpoint_watch import EndpointWatch
 from petrellane.gateway.process import GatewayProcess
@@ -1065,7 +1065,7 @@
         with tempfile.TemporaryDirectory() as folder:
             with open(os.path.join(folder, "g1.log"), "wb") as copy:
                 copy.write(b"0.1 " + self.log.read() + b"{no event\n")
-            counts, stands, waits = fleet_count.count(fleet_count.events(folder))
+            counts, stands, waits = fleet_log_counts.count(fleet_log_counts.events(folder))
         total = sum(counts.values(), Counter())
         for word in wanted:
             name, number = word.split("=")
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.told import played
+from benchmarks.endpoint_list_delay import played
 from petrellane.invariants import (
     AttemptArrived,
     AttemptEnded,
