--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,11 +1,17 @@
-"""What one decision costs with 8, 60 and 200 hosts: CPU time per RPC of the module alone, and of place and again apart.
+"""Measures the CPU time of one RPC in the decisions, by number of endpoints.
 
-The module is driven as the network drives it: RPCs of many customers, each answered after a while, with the counter
-granting at once. Run it on two checkouts one after the other on an idle machine to compare builds:
+Question: what does one RPC cost in the admission controller, and how does that grow with the
+size of the endpoint list?
+
+The controller is driven as the gateway drives it: RPCs of many customers arrive at random times,
+each attempt is answered after a while, and the counter grants at once. Nothing but the controller
+and this loop takes CPU time. Run it on two checkouts, one after the other on an idle machine, to
+compare builds:
 
     .venv/bin/python -m benchmarks.decision_cost [--rpcs N] [--plays N]
 
-Prints a table (microseconds, the median of the plays and their spread) and one JSON line last.
+Columns: the number of endpoints, then CPU microseconds per RPC: the median of the runs, the
+lowest and the highest. The last line is a JSON object with the cost of every run.
 """
 
 import heapq
@@ -14,17 +20,26 @@
 import random
 import statistics
 import time
-from typing import Annotated
+from collections.abc import Callable
+from functools import partial
+from typing import Annotated, NamedTuple
 
 import typer
 
-from petrellane.config import Section, parse_settings
+from petrellane.config import Section, Settings, parse_settings
 from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 
-HOSTS = (8, 60, 200)
-RATE = 200.0  # RPCs a second of the clock that the module is told
+ENDPOINT_COUNTS = (8, 60, 200)
+CUSTOMERS = 200
+GATEWAYS_OF_A_CUSTOMER = 4
+RATE = 200.0  # RPCs a second of the simulated clock
+FASTEST_ANSWER_S = 0.01
+SLOWEST_ANSWER_S = 0.1
+COUNTER_DELAY_S = 0.001
+DEADLINE_S = 4.0
+START_TIME_S = 1000.0
 SETTINGS = {
     "classes": [
         {"name": "look", "effect": "pure", "goalTime": 1000000, "giveUp": 4000000, "worth": 1.0}
@@ -35,73 +50,111 @@
 }
 
 
-def play(hosts: int, rpcs: int, seed: int) -> float:
-    """CPU microseconds per RPC."""
-    told, rng = parse_settings(Section(SETTINGS, "settings")), random.Random(seed)
-    gateway = AdmissionController(
+class ScheduledEvent(NamedTuple):
+    """One event of the simulated network; events sort by time, then by order of scheduling."""
+
+    at: float
+    order: int
+    report: Callable[[float], list[actions.Action]]  # tells the controller, given the time
+
+
+class SimulatedNetwork:
+    """Executes the controller's actions and reports their outcomes; lives for one run."""
+
+    def __init__(self, controller: AdmissionController, rng: random.Random) -> None:
+        self.controller = controller
+        self.rng = rng
+        self.now = START_TIME_S
+        self.events: list[ScheduledEvent] = []
+        self.order = itertools.count()
+
+    def execute(self, due_actions: list[actions.Action]) -> None:
+        """Schedule the outcome of each action."""
+        for action in due_actions:
+            if isinstance(action, actions.SendAttempt):
+                duration_s = self.rng.uniform(FASTEST_ANSWER_S, SLOWEST_ANSWER_S)
+                self._schedule(duration_s, partial(self._end_attempt, action, duration_s))
+            elif isinstance(action, actions.CounterAdd):
+                self._schedule(COUNTER_DELAY_S, partial(self._reply, action))
+            elif isinstance(action, actions.SetTimer):
+                self._schedule(action.delay, partial(self._fire_timer, action.subject))
+
+    def advance(self, now: float) -> None:
+        """Report all events that are due by `now`, in order."""
+        self.now = now
+        while self.events and self.events[0].at <= now:
+            event = heapq.heappop(self.events)
+            self.execute(event.report(event.at))
+
+    def _schedule(self, delay_s: float, report: Callable[[float], list[actions.Action]]) -> None:
+        heapq.heappush(self.events, ScheduledEvent(self.now + delay_s, next(self.order), report))
+
+    def _end_attempt(
+        self, attempt: actions.SendAttempt, duration_s: float, at: float
+    ) -> list[actions.Action]:
+        return self.controller.on_attempt_ended(at, attempt, api.OK, over=True, took=duration_s)
+
+    def _reply(self, request: actions.CounterAdd, at: float) -> list[actions.Action]:
+        total = max(0.0, request.amount)
+        return self.controller.on_counter_reply(at, request, api.OK, total)
+
+    def _fire_timer(self, subject: object, at: float) -> list[actions.Action]:
+        return self.controller.on_timer(at, subject)
+
+
+def start_network(
+    settings: Settings, seed: int, endpoint_count: int, rng: random.Random
+) -> SimulatedNetwork:
+    """Return a network whose controller has started and has its endpoint list."""
+    controller = AdmissionController(
         seed=seed,
-        uses_counter=told.uses_counter,
-        must_watch=told.must_watch,
-        **told.controller_options,
+        uses_counter=settings.uses_counter,
+        must_watch=settings.must_watch,
+        **settings.controller_options,
     )
-    now, due, order = 1000.0, [], itertools.count()
-    customers = [api.Customer(f"c{number}", told.plans["plan"], 0, 4) for number in range(200)]
-
-    def carry(steps):
-        for step in steps:
-            if isinstance(step, actions.SendAttempt):
-                took = rng.uniform(0.01, 0.1)
-                heapq.heappush(due, (now + took, next(order), "again", step, took))
-            elif isinstance(step, actions.CounterAdd):
-                heapq.heappush(due, (now + 0.001, next(order), "counted", step, 0.0))
-            elif isinstance(step, actions.SetTimer):
-                heapq.heappush(due, (now + step.delay, next(order), "woken", step.subject, 0.0))
-
-    carry(gateway.start(now))
-    carry(
-        gateway.on_endpoint_events(
-            now,
-            True,
-            [
-                api.EndpointEvent(api.Endpoint(f"h{at}"), "", "", 0, api.READY, 1.0, 0.0)
-                for at in range(hosts)
-            ],
-        )
-    )
-    began = time.process_time()
+    network = SimulatedNetwork(controller, rng)
+    network.execute(controller.start(network.now))
+    endpoint_list = [
+        api.EndpointEvent(api.Endpoint(f"h{number}"), "", "", 0, api.READY, 1.0, 0.0)
+        for number in range(endpoint_count)
+    ]
+    network.execute(controller.on_endpoint_events(network.now, True, endpoint_list))
+    return network
+
+
+def measure_run(endpoint_count: int, rpcs: int, seed: int) -> float:
+    """Return the CPU microseconds per RPC of one run."""
+    rng = random.Random(seed)
+    settings = parse_settings(Section(SETTINGS, "settings"))
+    network = start_network(settings, seed, endpoint_count, rng)
+    customers = [
+        api.Customer(f"c{number}", settings.plans["plan"], 0, GATEWAYS_OF_A_CUSTOMER)
+        for number in range(CUSTOMERS)
+    ]
+    method = settings.methods["look"]
+    cpu_start = time.process_time()
     for _ in range(rpcs):
-        now += rng.expovariate(RATE)
-        while due and due[0][0] <= now:
-            at, _, what, about, took = heapq.heappop(due)
-            if what == "again":
-                carry(gateway.on_attempt_ended(at, about, api.OK, over=True, took=took))
-            elif what == "counted":
-                carry(gateway.on_counter_reply(at, about, api.OK, max(0.0, about.amount)))
-            else:
-                carry(gateway.on_timer(at, about))
-        rpc = api.Rpc(told.methods["look"], rng.choice(customers), 1.0, now + 4.0, now)
-        carry(gateway.admit(now, rpc))
-    return (time.process_time() - began) / rpcs * 1e6
+        network.advance(network.now + rng.expovariate(RATE))
+        now = network.now
+        rpc = api.Rpc(method, rng.choice(customers), 1.0, now + DEADLINE_S, now)
+        network.execute(network.controller.admit(now, rpc))
+    return (time.process_time() - cpu_start) / rpcs * 1e6
 
 
 def main(
     rpcs: Annotated[int, typer.Option(min=100, help="RPCs of a play.")] = 4000,
     plays: Annotated[int, typer.Option(min=1, help="Plays for each number of hosts.")] = 5,
-):
+) -> None:
     """Measure the module's CPU time per RPC by number of hosts."""
-    found = {hosts: sorted(play(hosts, rpcs, seed) for seed in range(plays)) for hosts in HOSTS}
+    costs_by_count = {
+        count: sorted(measure_run(count, rpcs, seed) for seed in range(plays))
+        for count in ENDPOINT_COUNTS
+    }
     print(f"{'hosts':>6} {'median us':>10} {'least':>8} {'most':>8}")
-    for hosts, costs in found.items():
-        print(f"{hosts:>6} {statistics.median(costs):>10.0f} {costs[0]:>8.0f} {costs[-1]:>8.0f}")
-    print(
-        json.dumps(
-            {
-                "rpcs": rpcs,
-                "plays": plays,
-                "us": {hosts: [round(cost, 1) for cost in costs] for hosts, costs in found.items()},
-            }
-        )
-    )
+    for count, costs in costs_by_count.items():
+        print(f"{count:>6} {statistics.median(costs):>10.0f} {costs[0]:>8.0f} {costs[-1]:>8.0f}")
+    rounded = {count: [round(cost, 1) for cost in costs] for count, costs in costs_by_count.items()}
+    print(json.dumps({"rpcs": rpcs, "plays": plays, "us": rounded}))
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_log_counts.py
+++ b/benchmarks/fleet_log_counts.py
@@ -1,24 +1,32 @@
-"""Count over a fleet from the logs of its gateways: `python benchmarks/fleet_log_counts.py FOLDER`.
+"""Counts events over a fleet from the logs of its gateways.
 
-FOLDER holds one log a gateway (*.log), one JSON line an event, with or without a word before it. The `figures` events
-are added up by second from the first event of all; what stands at one time (connections, pressure) is told as the mean
-and the most over gateways. Prints a table, then times from a start to the first ok, and one JSON line last.
+    python benchmarks/fleet_log_counts.py FOLDER
+
+Question: what did the fleet do in each second, and how long did its gateways take from a start to
+the first successful RPC?
+
+FOLDER holds one log per gateway (`*.log`) with one JSON event a line, with or without a word
+before it. The `figures` events are added up by second since the first event of all logs. Values
+that describe a state (connections, overload) are shown as their mean and maximum over gateways.
+
+Columns: one for each counter that was ever above zero, then one for each state. A line with the
+times from a start to the first figures with a successful RPC follows, and one JSON line is last.
+Exit codes: 0; 2 where the folder has no events or the arguments make no sense.
 """
 
 import json
 import pathlib
 import sys
 from collections import Counter, defaultdict
+from collections.abc import Iterable, Iterator
+from typing import Any, NamedTuple
 
-STANDING = (
-    "connections",
-    "busy",
-    "clients",
-    "pressure",
-    "crowded",
-    "turn",
-)  # read at one time; all else is counted
-LEFT_OUT = ("at", "gateway", "event", "cpu")
+Event = dict[str, Any]
+
+# Figures that describe a state at one time; all other figures are counts.
+STATE_FIGURES = ("connections", "busy", "clients", "pressure", "crowded", "turn")
+IGNORED_FIELDS = ("at", "gateway", "event", "cpu")
+REQUIRED_FIELDS = {"at", "gateway", "event"}
 COLUMNS = (
     "rpcs",
     "out ok",
@@ -43,71 +51,98 @@
 )
 
 
-def events(folder):
-    """Every event in the folder's logs; lines that are no event are passed over."""
+class FleetCounts(NamedTuple):
+    """What the logs of a fleet add up to."""
+
+    counts: dict[int, Counter[str]]  # by second
+    states: dict[int, dict[str, list[float]]]  # by second and figure, one value per gateway
+    first_ok_delays: list[float]  # sorted seconds from a start to the first successful RPC
+
+
+def events(folder: str | pathlib.Path) -> Iterator[Event]:
+    """Yield every event in the folder's logs; lines that hold no event are skipped."""
     for path in sorted(pathlib.Path(folder).glob("*.log")):
         for line in path.read_text(errors="replace").splitlines():
-            at = line.find("{")
-            try:
-                event = json.loads(line[at:]) if at >= 0 else None
-            except ValueError:
-                continue
-            if isinstance(event, dict) and {"at", "gateway", "event"} <= event.keys():
+            event = _parse_line(line)
+            if event.keys() >= REQUIRED_FIELDS:
                 yield event
 
 
-def count(told):
-    """Counts by second, what stands by second, and each start's seconds to the first ok."""
-    told = sorted(told, key=lambda event: event["at"])
-    counts, stands, waits, since = (
-        defaultdict(Counter),
-        defaultdict(lambda: defaultdict(list)),
-        [],
-        {},
-    )
-    for event in told:
-        second, kind = int(event["at"] - told[0]["at"]), event["event"]
+def _parse_line(line: str) -> Event:
+    """Return the JSON object of a log line; it is empty where the line has none."""
+    start = line.find("{")
+    if start < 0:
+        return {}
+    try:
+        value = json.loads(line[start:])
+    except ValueError:
+        return {}
+    return value if isinstance(value, dict) else {}
+
+
+def _add_figures(event: Event, counter: Counter[str], states: dict[str, list[float]]) -> None:
+    """Add one `figures` event to the counts and states of its second."""
+    for name, value in event.items():
+        if name in STATE_FIGURES:
+            states[name].append(value)
+        elif name not in IGNORED_FIELDS:
+            counter[name] += value
+            if name.startswith("add "):
+                counter["adds" if name == "add ok" else "adds failed"] += value
+
+
+def count(unsorted_events: Iterable[Event]) -> FleetCounts:
+    """Add events up by second since the first of them."""
+    ordered = sorted(unsorted_events, key=lambda event: event["at"])
+    counts: dict[int, Counter[str]] = defaultdict(Counter)
+    states: dict[int, dict[str, list[float]]] = defaultdict(lambda: defaultdict(list))
+    first_ok_delays: list[float] = []
+    started_at: dict[str, float] = {}
+    for event in ordered:
+        second = int(event["at"] - ordered[0]["at"])
+        kind = event["event"]
         if kind != "figures":
             counts[second][kind] += 1
             if kind == "started":
-                since[event["gateway"]] = event["at"]
+                started_at[event["gateway"]] = event["at"]
             continue
-        for name, value in event.items():
-            if name in STANDING:
-                stands[second][name].append(value)
-            elif name not in LEFT_OUT:
-                counts[second][name] += value
-                if name.startswith("add "):
-                    counts[second]["adds" if name == "add ok" else "adds failed"] += value
-        if event.get("out ok") and event["gateway"] in since:
-            waits.append(event["at"] - since.pop(event["gateway"]))
-    return counts, stands, sorted(waits)
-
-
-def main(folder):
-    counts, stands, waits = count(events(folder))
-    if not counts:
-        print(f"{folder}: expected logs (*.log) with events, found none", file=sys.stderr)
-        return 2
+        _add_figures(event, counts[second], states[second])
+        if event.get("out ok") and event["gateway"] in started_at:
+            first_ok_delays.append(event["at"] - started_at.pop(event["gateway"]))
+    return FleetCounts(counts, states, sorted(first_ok_delays))
+
+
+def print_table(fleet: FleetCounts) -> None:
+    """Print one row for each second."""
+    counts = fleet.counts
     shown = [name for name in COLUMNS if any(counts[second][name] for second in counts)]
-    print(
-        "second  "
-        + "  ".join(shown)
-        + "  "
-        + "  ".join(f"{name} (mean, most)" for name in STANDING)
-    )
+    state_titles = [f"{name} (mean, most)" for name in STATE_FIGURES]
+    print("second  " + "  ".join(shown) + "  " + "  ".join(state_titles))
     for second in sorted(counts):
         row = [f"{counts[second][name]:>{len(name)}}" for name in shown]
-        for name in STANDING:
-            values = stands[second][name] or [0.0]
-            row.append(f"{sum(values) / len(values):.2f}, {max(values):.2f}".rjust(len(name) + 13))
+        for name in STATE_FIGURES:
+            values = fleet.states[second][name] or [0.0]
+            mean_and_maximum = f"{sum(values) / len(values):.2f}, {max(values):.2f}"
+            row.append(mean_and_maximum.rjust(len(name) + 13))
         print(f"{second:>6}  " + "  ".join(row))
-    total = sum(counts.values(), Counter())
-    if waits:
+
+
+def main(folder: str) -> int:
+    """Print the counts of a folder of logs and return the exit code."""
+    fleet = count(events(folder))
+    if not fleet.counts:
+        print(f"{folder}: expected logs (*.log) with events, found none", file=sys.stderr)
+        return 2
+    print_table(fleet)
+    delays = fleet.first_ok_delays
+    if delays:
+        median = delays[len(delays) // 2]
         print(
-            f"start to the figures with the first ok: median {waits[len(waits) // 2]:.2f} s, most {waits[-1]:.2f} s"
+            "start to the figures with the first ok: "
+            f"median {median:.2f} s, most {delays[-1]:.2f} s"
         )
-    print(json.dumps({"totals": dict(sorted(total.items())), "starts": len(waits)}))
+    total = sum(fleet.counts.values(), Counter())
+    print(json.dumps({"totals": dict(sorted(total.items())), "starts": len(delays)}))
     return 0
 
 
