--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -1,306 +1,315 @@
-"""What cold hosts get from a whole fleet, against the operators' bound of N + 2 x root of N + 2 RPCs of mean work a span.
+"""Measures the load that endpoints get from a whole fleet while they warm up.
 
-    python benchmarks/slow_start.py model [--gateways 3,20,30,200] [--shapes even,skewed,restarted,burst] [--seeds 5]
+    python benchmarks/slow_start.py model [--gateways 3,20,30,200]
+        [--shapes even,skewed,restarted,burst] [--seeds 5]
     python benchmarks/slow_start.py processes [--gateways 20] [--shapes even] [--seeds 1]
 
-Both take [--load 0.7] [--rate 200]: a share of what all hosts can do, and RPCs a second. The work of an RPC is within
-half of its mean in the model; with [--exponential], and always with processes, it is drawn exponentially. Three tenths of
-the hosts start again together. `even`: all gateways get as much; `skewed`: a tenth of them gets half; `restarted`: a
-third of them starts again as the hosts come back, and knows nothing but the list; `burst`: twice the load for 4 s from
-then on. A row for each fleet and shape, over all seeds: the most that a cold host got in any span over the bound then,
-how long it was up and in how many RPCs of what work; spans of which the fullest moment was beyond it, of all; the same
-for what counts as broken, of which two thirds came from gateways told of the start. Beside these, whether warm hosts are
-pushed over instead: the most work that one got in a span over what it can do in it, the 99th percentile of times from a
-call-out's coming to its end there in mean works, and the shares of RPCs answered ok and pushed back while hosts are cold.
-`processes` plays one run with real gateways on loopback; its seed is the number told as `seeds`. One JSON line last.
+Question: do all gateways together keep to the operators' bound of N + 2 x root of N + 2 RPCs of
+mean work a span at each endpoint that warms up, and are warm endpoints overloaded instead?
+
+Both modes take [--load 0.7], a share of what all endpoints can do, and [--rate 200], RPCs a second.
+The work of an RPC is within half of its mean in the model; with [--exponential], and always with
+processes, it is drawn exponentially. Three tenths of the endpoints restart together.
+
+Shapes of load:
+    even       all gateways get as much
+    skewed     a tenth of the gateways gets half
+    restarted  a third of the gateways restarts as the endpoints return, with the list alone
+    burst      twice the load for 4 s from the return on
+
+Columns, for each fleet and shape over all seeds: the highest work that a warming-up endpoint got in
+any span over the bound then, its age at that time, and in how many RPCs of what work; spans beyond
+the bound at their fullest moment, of all spans; the same (blamed) for spans of which two thirds of
+the work came from gateways that were notified of the start; the mean over spans. For warm
+endpoints: the highest work in a span over what one can do in it, and the 99th percentile of the
+time from an attempt's arrival to its end, in mean works. At last the shares of RPCs that were
+answered ok or rejected while endpoints were warming up.
+
+`processes` plays one run with real gateways on loopback; `--seeds` is its seed then. The last line
+is a JSON object with the figures of every run.
 """
 
 import argparse
 import concurrent.futures
 import json
-import os
+import pathlib
 import sys
-from collections import Counter, defaultdict, deque
-
-sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-
-from petrellane import invariants  # noqa: E402
-from petrellane.simulation import VERSION  # noqa: E402
-from petrellane.simulation.fleet import Fleet  # noqa: E402
-from petrellane.simulation.scenario import Customer, Fault, Method, Plan, Scenario, World  # noqa: E402
-from petrellane.testbed.clients import Customer as Client  # noqa: E402
-from petrellane.testbed.clients import Method as Asked  # noqa: E402
-from petrellane.testbed.fleet import Lab, Shape, settings  # noqa: E402
-
-HOSTS, ZONES, SLOTS = 60, 10, 1
-COLD, COLD_FROM = 6.0, 0.2
-GONE, BACK, LENGTH = 4.0, 5.0, 11.0  # when hosts go and come back, and a run's end
-STARTED = (0, 1, 2)  # zones, a tenth of the hosts each, that start again
+from collections.abc import Sequence
+from typing import Any, NamedTuple
+
+sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent))
+
+from benchmarks.slow_start_spans import SpanTracker
+from petrellane.invariants import Record
+from petrellane.simulation import VERSION
+from petrellane.simulation.fleet import Fleet
+from petrellane.simulation.scenario import Customer, Fault, Method, Plan, Scenario, World
+from petrellane.testbed.clients import Customer as Client
+from petrellane.testbed.clients import Method as ClientMethod
+from petrellane.testbed.fleet import Lab, Shape, settings
+
+HOSTS = 60
+ZONES = 10
+SLOTS = 1  # RPCs that an endpoint works on at once
+QUEUE = 64
+WARM_UP_S = 6.0
+INITIAL_CAPACITY = 0.2  # the share of its capacity that an endpoint has at its start
+STOP_AT_S = 4.0
+RETURN_AT_S = 5.0
+BURST_S = 4.0
+END_AT_S = 11.0
+RESTARTED_ZONES = (0, 1, 2)  # each has a tenth of the endpoints
 SHAPES = ("even", "skewed", "restarted", "burst")
+LATENCY_OBJECTIVE_IN_WORKS = 20
+DEADLINE_IN_WORKS = 60
 
+Row = dict[str, Any]  # one run in the JSON line
 
-def parts(gateways, shape):
-    """The load's parts: (share, first gateway, number of gateways)."""
-    few = max(1, round(gateways / 10))
-    return (
-        ((0.5, 0, few), (0.5, few, gateways - few)) if shape == "skewed" else ((1.0, 0, gateways),)
-    )
 
+class LoadPart(NamedTuple):
+    """A share of the load, and the gateways that it comes in at."""
+
+    share: float
+    first_gateway: int
+    gateway_count: int
 
-class Spans:
-    """Follows what cold hosts get, and warm ones; `take` every record in the order of time."""
-
-    def __init__(self, terms, hosts, capacity):
-        self.terms, self.capacity, self.ups = terms, dict.fromkeys(hosts, capacity), {}
-        self.told, self.loads, self.begun = {}, defaultdict(deque), {}
-        self.most, self.blamed = {}, {}  # (host, its start, span) -> the most over the bound
-        self.when, self.calls = {}, {}  # and when that was, in how many RPCs of what work
-        self.warm, self.took, self.answers = 0.0, [], Counter()
-
-    def take(self, record):
-        kind = type(record)
-        if kind is invariants.EndpointStarted:
-            self.ups[record.host], self.capacity[record.host] = record.at, record.capacity
-            self.loads[record.host].clear()
-        elif kind is invariants.EndpointNotified:
-            self.told[record.gateway, record.host] = record.up_since
-        elif kind is invariants.GatewayLifecycle and record.event == "killed":
-            self.told = {
-                pair: since for pair, since in self.told.items() if pair[0] != record.gateway
-            }
-        elif kind is invariants.AttemptArrived:
-            self.received(record)
-        elif kind is invariants.RpcExecuted and (record.rpc, record.host) in self.begun:
-            self.took.append(record.at - self.begun.pop((record.rpc, record.host)))
-        elif kind is invariants.RpcAnswered and self.any_cold(record.at):
-            self.answers[record.answer] += 1
-
-    def any_cold(self, at):
-        return any(0 <= at - up < self.terms.cold for up in self.ups.values())
-
-    def received(self, record):
-        terms, up, loads = self.terms, self.ups.get(record.host), self.loads[record.host]
-        knows = self.told.get((record.gateway, record.host), 0.0) >= (up or 0.0) - 1e-3
-        loads.append((record.at, record.work, knows))
-        while loads[0][0] <= record.at - terms.overload_for:
-            loads.popleft()
-        work, told = sum(load[1] for load in loads), sum(load[1] for load in loads if load[2])
-        if up is None or record.at - up >= terms.cold:
-            if self.any_cold(record.at):
-                self.warm = max(self.warm, work / self.capacity[record.host] / terms.overload_for)
-                self.begun[record.rpc, record.host] = record.at
-            return
-        age = record.at - up
-        ratio = (
-            work
-            / terms.mean_work
-            / terms.cold_budget(age, self.capacity[record.host], terms.mean_work)
-        )
-        span = record.host, up, int(age / terms.overload_for)
-        if ratio > self.most.get(span, 0.0):
-            self.most[span], self.when[span], self.calls[span] = (
-                ratio,
-                age,
-                (len(loads), work / terms.mean_work),
-            )
-        self.blamed[span] = max(self.blamed.get(span, 0.0), ratio * (told * 3 >= work * 2))
-
-    def figures(self):
-        spans = len(self.ups) * round(self.terms.cold / self.terms.overload_for)
-        fullest = max(self.most, key=self.most.get, default=None)
-        took, answers = sorted(self.took) or [0.0], max(1, sum(self.answers.values()))
-        number, work = self.calls.get(fullest, (0, 0.0))
-        return {
-            "most": self.most.get(fullest, 0.0),
-            "age": self.when.get(fullest, 0.0),
-            "spans": spans,
-            "rpcs": number,
-            "works": work,
-            "beyond": sum(ratio > 1 for ratio in self.most.values()),
-            "blamed_most": max(self.blamed.values(), default=0.0),
-            "blamed_beyond": sum(ratio > 1 for ratio in self.blamed.values()),
-            "mean": sum(self.most.values()) / max(1, spans),
-            "warm": self.warm,
-            "warm_p99": took[int(len(took) * 0.99)] / self.terms.mean_work,
-            "ok": self.answers["ok"] / answers,
-            "pushed": self.answers["pushed back"] / answers,
-        }
 
+class RunOptions(NamedTuple):
+    """What one run is made of."""
+
+    gateways: int
+    shape: str
+    seed: int
+    load: float
+    rate: float
+    exponential: bool
+
+    @property
+    def mean_work(self) -> float:
+        """Core seconds of an RPC, so that the endpoints are loaded as `load` says."""
+        return self.load * HOSTS * SLOTS / self.rate
+
+
+def split_load(gateways: int, shape: str) -> tuple[LoadPart, ...]:
+    """Return the parts of the load of a shape."""
+    if shape != "skewed":
+        return (LoadPart(1.0, 0, gateways),)
+    few = max(1, round(gateways / 10))
+    return (LoadPart(0.5, 0, few), LoadPart(0.5, few, gateways - few))
 
-def scenario(gateways, shape, seed, load, rate, exponential):
-    work = load * HOSTS * SLOTS / rate
-    world = World(
+
+def build_world(options: RunOptions) -> World:
+    """Return the sizes of the simulated fleet."""
+    return World(
         VERSION,
-        seed,
-        LENGTH,
-        gateways,
+        options.seed,
+        END_AT_S,
+        options.gateways,
         HOSTS,
         ZONES,
         cores=float(SLOTS),
         slots=SLOTS,
-        queue=64,
+        queue=QUEUE,
         latency=0.0005,
         standing=1.0,
         retries=0,
-        cold=COLD,
-        cold_from=COLD_FROM,
+        cold=WARM_UP_S,
+        cold_from=INITIAL_CAPACITY,
         notice=0.3,
-        exponential=exponential,
+        exponential=options.exponential,
     )
-    methods = (Method("look", "idempotent", 1.0, work, 20 * work, 60 * work),)
+
+
+def build_scenario(options: RunOptions) -> Scenario:
+    """Return the simulated run: its world, load and faults."""
+    work = options.mean_work
+    objective = LATENCY_OBJECTIVE_IN_WORKS * work
+    methods = (Method("look", "idempotent", 1.0, work, objective, DEADLINE_IN_WORKS * work),)
+    load_parts = split_load(options.gateways, options.shape)
     customers = tuple(
-        Customer(f"c{number}", "open", rate * share, first, spread)
-        for number, (share, first, spread) in enumerate(parts(gateways, shape))
+        Customer(
+            f"c{number}", "open", options.rate * part.share, part.first_gateway, part.gateway_count
+        )
+        for number, part in enumerate(load_parts)
     )
-    faults = [Fault("zone restarts", GONE, BACK - GONE, zone) for zone in STARTED]
-    if shape == "restarted":
-        faults.append(Fault("gateways killed", BACK - 0.1, 0.2, 0, 1 / 3))
-    if shape == "burst":
-        faults.append(Fault("flood", BACK, 4.0, 0, 2.0))
-    return Scenario(world, (Plan("open", 0.0, 0.0),), methods, customers, tuple(faults))
-
-
-def play(gateways, shape, seed, load, rate, exponential):
-    """The figures of one run of the model."""
-    fleet = Fleet(scenario(gateways, shape, seed, load, rate, exponential))
-    spans = Spans(fleet.terms(), [one.name for one in fleet.machines], float(SLOTS))
+    outage_s = RETURN_AT_S - STOP_AT_S
+    faults = [Fault("zone restarts", STOP_AT_S, outage_s, zone) for zone in RESTARTED_ZONES]
+    if options.shape == "restarted":
+        faults.append(Fault("gateways killed", RETURN_AT_S - 0.1, 0.2, 0, 1 / 3))
+    if options.shape == "burst":
+        faults.append(Fault("flood", RETURN_AT_S, BURST_S, 0, 2.0))
+    plans = (Plan("open", 0.0, 0.0),)
+    return Scenario(build_world(options), plans, methods, customers, tuple(faults))
+
+
+def run_model(options: RunOptions) -> Row:
+    """Play one run of the model and return its figures."""
+    fleet = Fleet(build_scenario(options))
+    tracker = SpanTracker(fleet.terms(), [host.name for host in fleet.machines], float(SLOTS))
     note = fleet.note
 
-    def noted(record):
+    def note_and_track(record: Record) -> None:
         note(record)
-        spans.take(record)
+        tracker.take(record)
 
-    fleet.note = noted
+    fleet.note = note_and_track
     run = fleet.play()
     return {
-        "gateways": gateways,
-        "shape": shape,
-        "seed": seed,
+        "gateways": options.gateways,
+        "shape": options.shape,
+        "seed": options.seed,
         "broken": dict(run.verdict.counts),
-        **spans.figures(),
+        **tracker.figures().to_dict(),
     }
 
 
-def told_of(rows):
-    """One row over several runs."""
+def print_row(rows: Sequence[Row]) -> None:
+    """Print one row over several runs of one fleet and shape."""
     fullest = max(rows, key=lambda row: row["most"])
-    print(
-        f"{rows[0]['gateways']:>4} {rows[0]['shape']:10} most {fullest['most']:.2f} (up {fullest['age']:.1f} s: "
-        f"{fullest['rpcs']} RPCs of {fullest['works']:.1f} mean works) "
-        f"beyond {sum(row['beyond'] for row in rows)} of {sum(row['spans'] for row in rows)}, "
-        f"blamed {max(row['blamed_most'] for row in rows):.2f}, {sum(row['blamed_beyond'] for row in rows)}; "
-        f"mean {sum(row['mean'] for row in rows) / len(rows):.2f}; warm: most {max(row['warm'] for row in rows):.2f}, "
-        f"p99 {max(row['warm_p99'] for row in rows):.1f}; ok {sum(row['ok'] for row in rows) / len(rows):.3f}, "
+    parts = (
+        f"{rows[0]['gateways']:>4} {rows[0]['shape']:10} most {fullest['most']:.2f} ",
+        f"(up {fullest['age']:.1f} s: {fullest['rpcs']} RPCs of {fullest['works']:.1f} mean works)",
+        f" beyond {sum(row['beyond'] for row in rows)} of {sum(row['spans'] for row in rows)}, ",
+        f"blamed {max(row['blamed_most'] for row in rows):.2f}, ",
+        f"{sum(row['blamed_beyond'] for row in rows)}; ",
+        f"mean {sum(row['mean'] for row in rows) / len(rows):.2f}; ",
+        f"warm: most {max(row['warm'] for row in rows):.2f}, ",
+        f"p99 {max(row['warm_p99'] for row in rows):.1f}; ",
+        f"ok {sum(row['ok'] for row in rows) / len(rows):.3f}, ",
         f"pushed back {sum(row['pushed'] for row in rows) / len(rows):.3f}",
-        flush=True,
     )
+    print("".join(parts), flush=True)
 
 
-def model(told):
+def run_models(arguments: argparse.Namespace) -> list[Row]:
+    """Play all runs of the model, and print a row as soon as all its seeds have ended."""
     jobs = [
-        (int(gateways), shape, seed, told.load, told.rate, told.exponential)
-        for gateways in told.gateways.split(",")
-        for shape in told.shapes.split(",")
-        for seed in range(1, told.seeds + 1)
+        RunOptions(
+            int(gateways), shape, seed, arguments.load, arguments.rate, arguments.exponential
+        )
+        for gateways in arguments.gateways.split(",")
+        for shape in arguments.shapes.split(",")
+        for seed in range(1, arguments.seeds + 1)
     ]
-    with concurrent.futures.ProcessPoolExecutor(told.jobs or None) as pool:
-        rows = []
-        for row in pool.map(play, *zip(*jobs, strict=True)):
+    rows: list[Row] = []
+    with concurrent.futures.ProcessPoolExecutor(arguments.jobs or None) as pool:
+        for row in pool.map(run_model, jobs):
             rows.append(row)
-            if len(rows) % told.seeds == 0:
-                told_of(rows[-told.seeds :])
+            if len(rows) % arguments.seeds == 0:
+                print_row(rows[-arguments.seeds :])
     return rows
 
 
-def processes(told):
-    """The same with real gateways: one run, of one fleet and shape, with the seed that `seeds` names."""
-    gateways, rows = int(told.gateways.split(",")[0]), []
-    work = told.load * HOSTS * SLOTS / told.rate
+def build_shape(options: RunOptions) -> Shape:
+    """Return the same run for real gateways."""
+    work = options.mean_work
     customers = [
-        Client(number + 1, "free", share, first, spread)
-        for number, (share, first, spread) in enumerate(parts(gateways, told.shapes))
+        Client(number + 1, "free", part.share, part.first_gateway, part.gateway_count)
+        for number, part in enumerate(split_load(options.gateways, options.shape))
     ]
-    obliged = settings(gateways, cold=COLD, cold_from=COLD_FROM)
-    for row in obliged["classes"]:
-        row |= {"goalTime": int(20e6 * work), "giveUp": int(60e6 * work)}
-    shape = Shape(
-        gateways=gateways,
+    gateway_settings = settings(options.gateways, cold=WARM_UP_S, cold_from=INITIAL_CAPACITY)
+    for method in gateway_settings["classes"]:
+        method["goalTime"] = int(LATENCY_OBJECTIVE_IN_WORKS * 1e6 * work)
+        method["giveUp"] = int(DEADLINE_IN_WORKS * 1e6 * work)
+    return Shape(
+        gateways=options.gateways,
         hosts=HOSTS,
         relays=(),
-        rate=told.rate,
+        rate=options.rate,
         work=work,
         slots=SLOTS,
-        queue=64,
-        seed=told.seeds,
-        settings=obliged,
+        queue=QUEUE,
+        seed=options.seed,
+        settings=gateway_settings,
         customers=customers,
-        methods=[Asked("look", patience=60 * work)],
+        methods=[ClientMethod("look", patience=DEADLINE_IN_WORKS * work)],
     )
-    with Lab(shape) as lab:
-        spans = Spans(lab.terms(), [one.name for one in lab.hosts], float(SLOTS))
-        judge = lab.records.judge
-
-        def judged(record):
-            judge(record)
-            spans.take(record)
-
-        lab.records.judge = judged
-        lab.start()
-        lab.clients.start()
-        lab.play(GONE)
-        back = [host for number, host in enumerate(lab.hosts) if number % ZONES in STARTED]
-        for host in back:
-            host.down()
-            lab.discovery.put(host.name, host.text, "terminated")
-        lab.play(BACK - GONE - 0.2)
-        again = lab.gateways[::3] if told.shapes == "restarted" else []
-        for one in again:
-            one.kill()
-        lab.play(0.2)
-        for host in back:
-            host.start()
-            lab.discovery.put(host.name, host.text, since=host.started)
-        for one in again:
-            one.start()
-            lab.turn()  # a start takes some ten milliseconds of the rig, which else stands still for all of them together
-        lab.clients.rate = told.rate * (2 if told.shapes == "burst" else 1)
-        lab.play(4.0)
-        lab.clients.rate = told.rate
-        lab.play(LENGTH - BACK - 4.0)
-        lab.quiet(60 * work + 2.0)
-        verdict = lab.verdict()
-        rows.append(
-            {
-                "gateways": gateways,
-                "shape": told.shapes,
-                "seed": told.seeds,
-                "broken": verdict.counts,
-                "stood_still": lab.longest,
-                "void": lab.void,
-                "crashes": len(lab.crashes),
-                **spans.figures(),
-            }
-        )
-    told_of(rows)
-    print({name: rows[0][name] for name in ("broken", "stood_still", "void", "crashes")})
-    return rows
 
 
-def main():
-    words = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    words.add_argument("what", choices=("model", "processes"))
-    for name, value, kind in (
-        ("gateways", "3,20,30,200", str),
-        ("shapes", ",".join(SHAPES), str),
-        ("seeds", 5, int),
-        ("load", 0.7, float),
-        ("rate", 200.0, float),
-        ("jobs", 0, int),
-    ):
-        words.add_argument("--" + name, type=kind, default=value)
-    words.add_argument("--exponential", action="store_true")
-    told = words.parse_args()
-    print(json.dumps({"model": model, "processes": processes}[told.what](told)))
+def track_records(lab: Lab) -> SpanTracker:
+    """Return a tracker that takes every record of the testbed after the judge of invariants."""
+    tracker = SpanTracker(lab.terms(), [host.name for host in lab.hosts], float(SLOTS))
+    judge = lab.records.judge
+
+    def judge_and_track(record: Record) -> None:
+        judge(record)
+        tracker.take(record)
+
+    lab.records.judge = judge_and_track
+    return tracker
+
+
+def play_restart(lab: Lab, options: RunOptions) -> None:
+    """Play the load with the restart of endpoints, and of gateways where the shape says so."""
+    lab.start()
+    lab.clients.start()
+    lab.play(STOP_AT_S)
+    restarted = [host for number, host in enumerate(lab.hosts) if number % ZONES in RESTARTED_ZONES]
+    for host in restarted:
+        host.down()
+        lab.discovery.put(host.name, host.text, "terminated")
+    lab.play(RETURN_AT_S - STOP_AT_S - 0.2)
+    gateways = lab.gateways[::3] if options.shape == "restarted" else []
+    for gateway in gateways:
+        gateway.kill()
+    lab.play(0.2)
+    for host in restarted:
+        host.start()
+        lab.discovery.put(host.name, host.text, since=host.started)
+    for gateway in gateways:
+        gateway.start()
+        lab.turn()  # a start takes about ten milliseconds, in which the testbed would stand still
+    lab.clients.rate = options.rate * (2 if options.shape == "burst" else 1)
+    lab.play(BURST_S)
+    lab.clients.rate = options.rate
+    lab.play(END_AT_S - RETURN_AT_S - BURST_S)
+    lab.quiet(DEADLINE_IN_WORKS * options.mean_work + 2.0)
+
+
+def run_processes(arguments: argparse.Namespace) -> list[Row]:
+    """Play one run with real gateways, of one fleet and shape, and print its row."""
+    gateways = int(arguments.gateways.split(",")[0])
+    options = RunOptions(
+        gateways, arguments.shapes, arguments.seeds, arguments.load, arguments.rate, True
+    )
+    with Lab(build_shape(options)) as lab:
+        tracker = track_records(lab)
+        play_restart(lab, options)
+        row = {
+            "gateways": options.gateways,
+            "shape": options.shape,
+            "seed": options.seed,
+            "broken": lab.verdict().counts,
+            "stood_still": lab.longest,
+            "void": lab.void,
+            "crashes": len(lab.crashes),
+            **tracker.figures().to_dict(),
+        }
+    print_row([row])
+    print({name: row[name] for name in ("broken", "stood_still", "void", "crashes")})
+    return [row]
+
+
+def parse_arguments() -> argparse.Namespace:
+    """Read the command line."""
+    summary = (__doc__ or "").splitlines()[0]
+    parser = argparse.ArgumentParser(description=summary)
+    parser.add_argument("what", choices=("model", "processes"))
+    parser.add_argument("--gateways", default="3,20,30,200")
+    parser.add_argument("--shapes", default=",".join(SHAPES))
+    parser.add_argument("--seeds", type=int, default=5)
+    parser.add_argument("--load", type=float, default=0.7)
+    parser.add_argument("--rate", type=float, default=200.0)
+    parser.add_argument("--jobs", type=int, default=0)
+    parser.add_argument("--exponential", action="store_true")
+    return parser.parse_args()
+
+
+def main() -> None:
+    """Play what the command line asks for, and print the JSON line."""
+    arguments = parse_arguments()
+    run = run_models if arguments.what == "model" else run_processes
+    print(json.dumps(run(arguments)))
 
 
 if __name__ == "__main__":
