--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -34,7 +34,7 @@
 import json
 import pathlib
 import sys
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent))
@@ -146,13 +146,13 @@
     """Play one run of the model and return its figures."""
     fleet = Fleet(build_scenario(options))
     tracker = SpanTracker(fleet.terms(), [host.name for host in fleet.machines], float(SLOTS))
-    note = fleet.note
+    note: Callable[[Record], None] = fleet.note
 
     def note_and_track(record: Record) -> None:
         note(record)
         tracker.take(record)
 
-    fleet.note = note_and_track
+    fleet.note = note_and_track  # type: ignore[method-assign]  # the tracker sees what it sees
     run = fleet.play()
     return {
         "gateways": options.gateways,
@@ -229,13 +229,13 @@
 def track_records(lab: Lab) -> SpanTracker:
     """Return a tracker that takes every record of the testbed after the judge of invariants."""
     tracker = SpanTracker(lab.terms(), [host.name for host in lab.hosts], float(SLOTS))
-    judge = lab.records.judge
+    judge: Callable[[Record], None] = lab.records.judge
 
     def judge_and_track(record: Record) -> None:
         judge(record)
         tracker.take(record)
 
-    lab.records.judge = judge_and_track
+    lab.records.judge = judge_and_track  # type: ignore[method-assign]  # likewise
     return tracker
 
 
