--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -16,7 +16,9 @@
 import orjson
 import typer
 
-from petrellane.testbed import capacity
+from petrellane.testbed.capacity import page as capacity_page
+from petrellane.testbed.capacity import report
+from petrellane.testbed.capacity.figures import CapacityError
 
 HERE = pathlib.Path(__file__).parent
 RUN = HERE.parent / "docs" / "runs" / "scale-1200.txt"
@@ -24,17 +26,17 @@
 
 
 def read(path, parse):
-    """A file by its parser. Raises BadCapacity."""
+    """A file by its parser. Raises CapacityError."""
     try:
         told = parse(path.read_bytes())
     except OSError as error:
-        raise capacity.BadCapacity(
+        raise CapacityError(
             f"{path.name}: expected a file that can be read: {error.strerror}"
         ) from None
     except ValueError as error:
-        raise capacity.BadCapacity(f"{path.name}: {error}") from None
+        raise CapacityError(f"{path.name}: {error}") from None
     if not isinstance(told, dict):
-        raise capacity.BadCapacity(f"{path.name}: expected an object, found {str(told)[:40]}")
+        raise CapacityError(f"{path.name}: expected an object, found {str(told)[:40]}")
     return told
 
 
@@ -47,8 +49,8 @@
 
 
 def found(folder):
-    """The tables, from the files of a folder. Raises BadCapacity."""
-    return capacity.tables(
+    """The tables, from the files of a folder. Raises CapacityError."""
+    return report.build_tables(
         read(folder / "capacity.toml", lambda text: tomllib.loads(text.decode())),
         read(folder / "scale.json", orjson.loads),
         read(folder / "messages.json", orjson.loads),
@@ -63,15 +65,15 @@
     try:
         tables, page = found(HERE), PAGE.read_text()
         if check:
-            if wrong := capacity.differs(page, tables):
+            if wrong := capacity_page.first_difference(page, tables):
                 print(f"{PAGE.name}: {wrong}", file=sys.stderr)
                 raise SystemExit(1)
             print(f"{PAGE.name}: {len(tables)} tables are as worked out")
             return
-        PAGE.write_text(capacity.written(page, tables))
+        PAGE.write_text(capacity_page.write_tables(page, tables))
         print(f"{PAGE.name}: {len(tables)} tables written")
-    except capacity.BadCapacity as trouble:
-        print(trouble, file=sys.stderr)
+    except CapacityError as error:
+        print(error, file=sys.stderr)
         raise SystemExit(2) from None
 
 
--- a/petrellane/testbed/__init__.py
+++ b/petrellane/testbed/__init__.py
@@ -1,12 +1,17 @@
-"""A rig of many processes on loopback: real gateways, stand-ins for all that they talk to, relays that inject faults
-between any two, clients in an open loop, and the invariant checker over what everybody saw.
+"""Fleets of real and hollow gateways on loopback, and the page of capacity.
 
-    fleet (processes) -- relay -- standins (hosts, counter, discovery)
+A testbed of real gateways, fakes of all that they talk to, relays that inject faults between any
+two, clients in an open loop, and the invariant checker over what everybody saw:
+
+    fleet (processes) -- relay -- fakes (hosts, counter, discovery)
     clients -- relay -- fleet            records -- checker
 
-    hollow gateways, real ones (processes) -- services (a process each): `scale` plays it, `rig` holds the processes, each of
-    which tells through `metered` what it spends
+A scale run of hollow gateways beside some real ones, each process with a meter on its streams:
+
+    hollow gateways, real ones (processes) -- services (a process each)
 
-Of the first, everything but the gateways and control processes runs in one process, on one scheduler and one clock. `run`
-plays a file, `command` tells it; tests and benchmarks use `Lab` directly.
+In the first, everything but the gateways and control processes runs in one process, on one
+scheduler and one clock. `runner` plays a run file and `command` reports it; tests and benchmarks
+use `fleet` directly. A scale run is played by `scale`, and `testbed` holds its processes.
+`capacity` works out the page of capacity from measured slopes, which `slopes` fits.
 """
--- a/tests/unit/testbed/test_capacity.py
+++ b/tests/unit/testbed/test_capacity.py
@@ -15,8 +15,13 @@
 import pytest
 
 from benchmarks import capacity as carrier
-from petrellane.testbed import capacity
-from petrellane.testbed.capacity import Book, Figure, Row
+from petrellane.decisions.leases import HEADROOM, LEASE_AHEAD, WINDOW_FILLS
+from petrellane.testbed.capacity import page as capacity_page
+from petrellane.testbed.capacity import report, slope_tables, tables, workload
+from petrellane.testbed.capacity.costs import Cost
+from petrellane.testbed.capacity.figures import NOT_MEASURED, CapacityError, Figure, format_value
+from petrellane.testbed.capacity.measurements import Measurements
+from petrellane.testbed.capacity.tables import Table
 
 
 def almost(value: float) -> Any:
@@ -68,9 +73,9 @@
 }
 
 
-def book() -> Book:
+def inputs() -> Measurements:
     """Return the figures of the made-up files."""
-    return Book(PLAN, SCALE, MESSAGES)
+    return Measurements(PLAN, SCALE, MESSAGES)
 
 
 # The page as it stands, and its files.
@@ -85,13 +90,13 @@
     messages: dict[str, Any]
     run: dict[str, Any]
 
-    def tables(self) -> list[capacity.Table]:
+    def tables(self) -> list[Table]:
         """Work out the tables from the files."""
-        return capacity.tables(self.plan, self.scale, self.messages, self.run)
+        return report.build_tables(self.plan, self.scale, self.messages, self.run)
 
     def differs(self) -> str | None:
         """Return the page's first difference from the tables; None where there is none."""
-        return capacity.differs(self.page, self.tables())
+        return capacity_page.first_difference(self.page, self.tables())
 
 
 @pytest.fixture
@@ -150,7 +155,8 @@
         del less["figures"][figure]
         files._replace(messages=less).tables()
     none = {
-        table.name: table for table in capacity.tables(files.plan, {"slopes": {}}, {"figures": {}})
+        table.name: table
+        for table in report.build_tables(files.plan, {"slopes": {}}, {"figures": {}})
     }
     unmeasured = [
         row
@@ -158,7 +164,7 @@
         if any(word in row[4] for word in ("messages", "scale", "run"))
     ]
     assert len(unmeasured) > 10
-    assert {row[1] for row in unmeasured} == {capacity.ABSENT}
+    assert {row[1] for row in unmeasured} == {NOT_MEASURED}
 
 
 def test_every_table_has_its_markers_and_every_marker_a_table(files: Capacity) -> None:
@@ -170,13 +176,13 @@
     found = files.tables()
     empty = files.page
     for table in found:
-        start, end = capacity.span(empty, table.name)
+        start, end = capacity_page.table_span(empty, table.name)
         empty = empty[:start] + "\n" + empty[end:]
     assert re.search(
         "^table runs, line 1: expected .*, found nothing|found $",
         files._replace(page=empty).differs(),
     )
-    assert capacity.written(empty, found) == files.page
+    assert capacity_page.write_tables(empty, found) == files.page
 
 
 def test_rosters_that_the_tables_ask_for_were_measured(files: Capacity) -> None:
@@ -191,11 +197,11 @@
 
 # Markers that lack, come twice or the wrong way around.
 
-TABLE = capacity.Table("one", ("a", "b"), (("1", "2"),))
-FIRST, LAST = capacity.marks("one")
+TABLE = Table("one", ("a", "b"), (("1", "2"),))
+FIRST, LAST = capacity_page.markers("one")
 
 
-@pytest.mark.parametrize("work", [capacity.differs, capacity.written])
+@pytest.mark.parametrize("work", [capacity_page.first_difference, capacity_page.write_tables])
 @pytest.mark.parametrize(
     ("page", "message"),
     [
@@ -207,23 +213,23 @@
     ids=["none", "no-end", "twice", "wrong-order"],
 )
 def test_a_wrong_marker_is_refused_in_one_line(
-    page: str, message: str, work: Callable[[str, list[capacity.Table]], Any]
+    page: str, message: str, work: Callable[[str, list[Table]], Any]
 ) -> None:
-    with pytest.raises(capacity.BadCapacity) as raised:
+    with pytest.raises(CapacityError) as raised:
         work(page, [TABLE])
     assert str(raised.value) == message
 
 
 def test_text_between_markers_is_replaced_and_text_around_stays() -> None:
-    page = capacity.written(f"before {FIRST}old{LAST} after", [TABLE])
+    page = capacity_page.write_tables(f"before {FIRST}old{LAST} after", [TABLE])
     assert page == f"before {FIRST}\n| a | b |\n| --- | --- |\n| 1 | 2 |\n{LAST} after"
-    assert capacity.differs(page, [TABLE]) is None
+    assert capacity_page.first_difference(page, [TABLE]) is None
     assert (
-        capacity.differs(page.replace("| 2", "| 3"), [TABLE])
+        capacity_page.first_difference(page.replace("| 2", "| 3"), [TABLE])
         == "table one, line 3: expected | 1 | 2 |, found | 1 | 3 |"
     )
     assert (
-        capacity.differs(page.replace("| 1 | 2 |\n", ""), [TABLE])
+        capacity_page.first_difference(page.replace("| 1 | 2 |\n", ""), [TABLE])
         == "table one, line 3: expected | 1 | 2 |, found nothing"
     )
 
@@ -232,24 +238,26 @@
 
 
 def test_a_measured_point_is_preferred_to_the_line() -> None:
-    assert book().at("hosts", "decision_p99_ms", 400) == Figure(
+    assert inputs().figure_at("hosts", "decision_p99_ms", 400) == Figure(
         0.9, ("scale this/hosts decision_p99_ms",)
     )
-    assert book().at("hosts", "decision_p99_ms", 13_000) == Figure(
+    assert inputs().figure_at("hosts", "decision_p99_ms", 13_000) == Figure(
         13.5, ("scale this/hosts decision_p99_ms, by its slope",)
     )
-    assert book().at("hosts", "absent_ms", 400) == Figure(None, ("scale this/hosts absent_ms",))
-    assert book().at("unheard", "absent_ms", 400).value is None
+    assert inputs().figure_at("hosts", "absent_ms", 400) == Figure(
+        None, ("scale this/hosts absent_ms",)
+    )
+    assert inputs().figure_at("unheard", "absent_ms", 400).value is None
 
 
 def test_a_figure_that_is_no_line_says_so() -> None:
     scale = {"slopes": {"this": {"hosts": {"x": line(1.0, (1, 2), line=False)}}}}
-    found = Book(PLAN, scale, MESSAGES).at("hosts", "x", 9)
+    found = Measurements(PLAN, scale, MESSAGES).figure_at("hosts", "x", 9)
     assert found.sources == ("scale this/hosts x, by its slope (no line)",)
 
 
 def test_sizes_together_add_what_each_adds_to_its_smallest_point() -> None:
-    found = book().whole("decision_p99_ms", ("hosts", "customers"))
+    found = inputs().combined_figure("decision_p99_ms", ("hosts", "customers"))
     assert found.value == almost(13.5 + 0.01 * (400 - 100))
     assert len(found.sources) == 2
 
@@ -257,11 +265,18 @@
 def test_arithmetic_keeps_not_measured_and_lists_sources_once() -> None:
     one = Figure(2.0, ("a",))
     none = Figure(None, ("b",))
-    for found in (one + none, none - one, one * none, none / one, none.least(1.0), none.most(1.0)):
+    for found in (
+        one + none,
+        none - one,
+        one * none,
+        none / one,
+        none.with_minimum(1.0),
+        none.with_maximum(1.0),
+    ):
         assert found.value is None
         assert set(found.sources) == ({"a", "b"} if len(found.sources) == 2 else {"b"})
     assert (one + one * 3.0) / one == Figure(4.0, ("a",))
-    assert (one.least(5.0).value, one.most(1.0).value) == (5.0, 1.0)
+    assert (one.with_minimum(5.0).value, one.with_maximum(1.0).value) == (5.0, 1.0)
 
 
 @pytest.mark.parametrize(
@@ -275,48 +290,48 @@
     ],
 )
 def test_a_verdict_has_its_factor(value: float | None, verdict: str) -> None:
-    assert Row("r", "w", Figure(value), "ms", "fast").verdict(book()) == verdict
+    assert Cost("r", "w", Figure(value), "ms", "fast").verdict(inputs()) == verdict
 
 
 def test_a_row_without_a_budget_has_no_verdict() -> None:
-    assert Row("r", "w", Figure(1.0), "ms").verdict(book()) == ""
+    assert Cost("r", "w", Figure(1.0), "ms").verdict(inputs()) == ""
 
 
 def test_adds_an_rpc_fall_with_a_customers_demand_at_one_gateway() -> None:
     # 100 RPCs of 400 customers: 25 a second at each hundredth of a gateway
-    one = capacity.credit(book(), 0.01)
-    demand = 25.0 * 8.0 * capacity.WINDOW_FILLS * capacity.LEASE_AHEAD * capacity.HEADROOM
+    one = workload.counter_adds_per_rpc(inputs(), 0.01)
+    demand = 25.0 * 8.0 * WINDOW_FILLS * LEASE_AHEAD * HEADROOM
     assert one.value == almost(1 / demand)
-    assert capacity.credit(book(), 100.0).value == 1.0  # never more than one
+    assert workload.counter_adds_per_rpc(inputs(), 100.0).value == 1.0  # never more than one
 
 
 def test_a_figure_of_the_whole_run_is_taken_by_its_path_and_by_process() -> None:
     run = {"roles": {"real": {"number": 4, "cpu_s": 2.0}}, "list": {"last_s": None}}
-    with_run = Book(PLAN, SCALE, MESSAGES, run)
-    assert with_run.each("real", "cpu_s") == Figure(
+    with_run = Measurements(PLAN, SCALE, MESSAGES, run)
+    assert with_run.run_figure_per_process("real", "cpu_s") == Figure(
         0.5, ("run roles real cpu_s", "run roles real number")
     )
-    assert with_run.played("list", "last_s") == Figure(None, ("run list last_s",))
-    assert with_run.played("roles", "none", "x").value is None
-    assert book().played("list", "last_s").value is None
+    assert with_run.run_figure("list", "last_s") == Figure(None, ("run list last_s",))
+    assert with_run.run_figure("roles", "none", "x").value is None
+    assert inputs().run_figure("list", "last_s").value is None
 
 
 def test_changes_each_are_those_of_a_day() -> None:
-    assert capacity.changes_each(book()).value == almost(0.1)
+    assert workload.settings_changes_per_second(inputs()).value == almost(0.1)
 
 
 def test_missing_slopes_are_shown_as_such() -> None:
-    rows = capacity.slope_table(book()).rows
+    rows = slope_tables.slope_table(inputs()).rows
     assert [row[1] for row in rows] == ["decision_p99_ms", "absent_ms"]
-    assert rows[1][3:7] == (capacity.ABSENT,) * 4
+    assert rows[1][3:7] == (NOT_MEASURED,) * 4
 
 
 def test_missed_budgets_are_listed_worst_first_then_unmeasured_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def role(_: Book) -> list[Row]:
+    def role(_: Measurements) -> list[Cost]:
         return [
-            Row("r", name, Figure(value), "ms", budget)
+            Cost("r", name, Figure(value), "ms", budget)
             for name, value, budget in (
                 ("near", 2.5, "fast"),
                 ("open", None, "fast"),
@@ -326,8 +341,11 @@
             )
         ]
 
-    monkeypatch.setattr(capacity, "ROLES", (role,))
-    assert [(row[1], row[-2], row[-1]) for row in capacity.missed_table(book()).rows] == [
+    monkeypatch.setattr(report, "ROLES", {"r": role})
+    assert [
+        (row[1], row[-2], row[-1])
+        for row in tables.missed_budget_table(report.all_costs(inputs()), inputs()).rows
+    ] == [
         ("far", "operators", "10"),
         ("near", "operators", "1.25"),
         ("open", "operators", "not measured"),
@@ -349,11 +367,11 @@
     ],
 )
 def test_values_are_shown_with_three_digits(value: float | None, text: str) -> None:
-    assert capacity.plain(value) == text
+    assert format_value(value) == text
 
 
 def test_a_value_is_shown_with_its_unit() -> None:
-    assert capacity.plain(0.5, "ms") == "0.5 ms"
+    assert format_value(0.5, "ms") == "0.5 ms"
 
 
 # `benchmarks/capacity.py` on files of a folder of its own.
