--- a/benchmarks/scale_play.py
+++ b/benchmarks/scale_play.py
@@ -686,12 +686,15 @@
 
 def hollow(told):
     """Figures of hollow gateways beside the real roles; changes of settings are told as so many a second."""
-    from petrellane.testbed.scale import Scale, ScaleError, play
+    from petrellane.testbed.scale.config import ScaleConfig, ScaleError
+    from petrellane.testbed.scale.runner import play
 
     words = {key: value for key, value in told.items() if key not in ("kind", "settings_rate")}
     try:
         found = play(
-            Scale(**words, settings_changes=round(told.get("settings_rate", 0.0) * told["seconds"]))
+            ScaleConfig(
+                **words, settings_changes=round(told.get("settings_rate", 0.0) * told["seconds"])
+            )
         )
     except ScaleError as trouble:
         return {"void": str(trouble)}
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -327,9 +327,10 @@
     file: Annotated[str, typer.Argument(help="A scale file; docs/testbed.md has the notation.")],
 ) -> None:
     """Run many hollow gateways beside some real ones."""
-    from petrellane.testbed import scale
+    from petrellane.testbed.scale import runner
+    from petrellane.testbed.scale.config import ScaleError
 
     try:
-        raise typer.Exit(scale.play_file(file))
-    except scale.ScaleError as error:
+        raise typer.Exit(runner.play_file(file))
+    except ScaleError as error:
         _exit_with_error(error)
--- a/petrellane/testbed/hollow.py
+++ b/petrellane/testbed/hollow.py
@@ -344,7 +344,7 @@
     sys.setswitchinterval(SWITCH)
     scheduler = Scheduler()
     log = Logger(1, "hollow", scheduler.now, LINES)
-    log.event("empty", rss=meter.resident())
+    log.event("empty", rss=meter.resident_bytes())
     crowd = Crowd(told, scheduler, log)
     gc.collect()
     gc.freeze()
--- a/tests/integration/testbed/test_scale.py
+++ b/tests/integration/testbed/test_scale.py
@@ -19,8 +19,13 @@
 from petrellane.net import resp
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.testbed import hollow, scale, services, testbed
+from petrellane.testbed import hollow, services, testbed
 from petrellane.testbed.fakes import Counter, StandIn
+from petrellane.testbed.scale import config as scale_config
+from petrellane.testbed.scale import resources, runner
+from petrellane.testbed.scale.config import ScaleConfig, ScaleError
+from petrellane.testbed.scale.observations import USAGE_FIGURES
+from petrellane.testbed.scale.report import propagation_times
 
 WRONG = [  # (the section's text, what the one line names)
     ("hollow = 3\nwings = 2", "wings"),
@@ -61,20 +66,20 @@
 
     def test_what_is_out_of_form_is_told_in_one_line(self):
         for text, named in WRONG:
-            with self.assertRaises(scale.ScaleError, msg=text) as found:
-                scale.read("[scale]\n" + text, "x.toml")
+            with self.assertRaises(ScaleError, msg=text) as found:
+                scale_config.parse("[scale]\n" + text, "x.toml")
             self.assertIn(named, str(found.exception))
             self.assertRegex(str(found.exception), r"\Ax\.toml: [^\n]+\Z")
         for text in ("", "[lab]\n", "[scale]\n[more]\n"):
-            self.assertRaises(scale.ScaleError, scale.read, text)
+            self.assertRaises(ScaleError, scale_config.parse, text)
         self.assertRaisesRegex(
-            scale.ScaleError, "expected a readable file", scale.load, "/none/such.toml"
+            ScaleError, "expected a readable file", scale_config.load, "/none/such.toml"
         )
 
     def test_defaults_are_those_that_are_told(self):
-        self.assertEqual(scale.read("[scale]\n"), scale.Scale())
-        notation = scale.__doc__.split("\n\n")[1]
-        self.assertEqual(scale.read(notation), scale.Scale())
+        self.assertEqual(scale_config.parse("[scale]\n"), ScaleConfig())
+        notation = scale_config.__doc__.split("\n\n")[1]
+        self.assertEqual(scale_config.parse(notation), ScaleConfig())
 
     def test_the_command_ends_with_2_and_one_line(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -85,43 +90,51 @@
         self.assertRegex(error, r"\Apetrellane: run: expected at most [^\n]+\n\Z")
 
     def test_more_than_a_machines_share_is_refused(self):
-        told = scale.Scale(hollow=1200, real=30, hosts=13_000, agreement=True)
-        needed = scale.estimate(told)
-        scale.fits(told, memory=2 * needed + 1, descriptors=20_000)
+        told = ScaleConfig(hollow=1200, real=30, hosts=13_000, agreement=True)
+        needed = resources.estimate_memory_mb(told)
+        resources.check_resources(told, memory_mb=2 * needed + 1, descriptors=20_000)
         for words, named in (
-            ({"memory": 2 * needed - 1}, "MB, 0.5 of the memory"),
+            ({"memory_mb": 2 * needed - 1}, "MB, 0.5 of the memory"),
             ({"descriptors": 9000}, "RLIMIT_NOFILE"),
         ):
-            with self.assertRaises(scale.ScaleError) as found:
-                scale.fits(told, **{"memory": 1e9, "descriptors": 20_000} | words)
+            with self.assertRaises(ScaleError) as found:
+                resources.check_resources(told, **{"memory_mb": 1e9, "descriptors": 20_000} | words)
             self.assertIn(named, str(found.exception))
         for more in (
             {"list_changes": 1000.0, "seconds": 600.0},
             {"methods": 10_000},
             {"hosts": 50_000, "real": 200},
         ):
-            self.assertGreater(scale.estimate(msgspec.structs.replace(told, **more)), 10_000)
+            self.assertGreater(
+                resources.estimate_memory_mb(msgspec.structs.replace(told, **more)), 10_000
+            )
         self.assertRaisesRegex(
-            scale.ScaleError,
+            ScaleError,
             "at most 300 processes, found 304",
-            scale.fits,
-            scale.Scale(hollow=200, processes=200, real=100),
-            memory=1e9,
+            resources.check_resources,
+            ScaleConfig(hollow=200, processes=200, real=100),
+            memory_mb=1e9,
             descriptors=20_000,
         )
 
     def test_nothing_is_started_before_it_is_refused(self):
-        with unittest.mock.patch.object(scale, "Rig") as made:
-            for told in (scale.Scale(hollow=-1), scale.Scale(hollow=5000, real=190, hosts=50_000)):
-                self.assertRaises(scale.ScaleError, scale.play, told)
+        with unittest.mock.patch.object(runner, "Rig") as made:
+            for told in (ScaleConfig(hollow=-1), ScaleConfig(hollow=5000, real=190, hosts=50_000)):
+                self.assertRaises(ScaleError, runner.play, told)
         made.assert_not_called()
 
     def test_each_gateway_is_in_one_process(self):
         for number, processes in ((30, 0), (250, 0), (1200, 0), (7, 3), (0, 0)):
-            parts = scale.crowds(scale.Scale(hollow=number, processes=processes))
+            parts = scale_config.gateways_by_process(
+                ScaleConfig(hollow=number, processes=processes)
+            )
             self.assertEqual([one for part in parts for one in part], list(range(number)))
-            self.assertLessEqual(max(map(len, parts), default=0), max(scale.SIDE, 0))
-            self.assertEqual(len(parts), processes or -(-number // scale.SIDE))
+            self.assertLessEqual(
+                max(map(len, parts), default=0), max(scale_config.GATEWAYS_PER_PROCESS, 0)
+            )
+            self.assertEqual(
+                len(parts), processes or -(-number // scale_config.GATEWAYS_PER_PROCESS)
+            )
 
 
 class Figures(unittest.TestCase):
@@ -148,12 +161,14 @@
         self.assertAlmostEqual(party.spent(5.0, 15.0)[0][0], 0.5)
 
     def test_the_last_one_is_the_last_of_all(self):
-        told = scale.reach([(10.0, [10.1, 10.2, 10.6]), (20.0, [20.3, 20.4, 20.5]), (30.0, [])])
+        told = propagation_times(
+            [(10.0, [10.1, 10.2, 10.6]), (20.0, [20.3, 20.4, 20.5]), (30.0, [])]
+        )
         self.assertEqual(
             {key: round(value, 3) for key, value in told.items()},
             {"first_s": 0.2, "median_s": 0.3, "last_s": 0.6},
         )
-        self.assertEqual(scale.reach([]), {"first_s": None, "median_s": None, "last_s": None})
+        self.assertEqual(propagation_times([]), {"first_s": None, "median_s": None, "last_s": None})
 
 
 def body_of(answer):
@@ -230,7 +245,7 @@
         self.addCleanup(os.close, self.log)
 
     def config(self, discovery, counter):
-        settings = scale.settings(scale.Scale())
+        settings = runner.make_settings(ScaleConfig())
         row = {"name": "h0", "address": "127.0.0.1:1", "zone": "z0", "status": "in_service"}
         return {
             "name": "g0",
@@ -348,8 +363,8 @@
                 )
             )
         ]
-        cls.report = scale.play(
-            scale.Scale(
+        cls.report = runner.play(
+            ScaleConfig(
                 hollow=12,
                 processes=2,
                 real=1,
@@ -395,7 +410,7 @@
         )
         for name, role in roles.items():
             self.assertGreater(role["rss_mb"], 1, name)
-            for word in scale.WORDS:
+            for word in USAGE_FIGURES:
                 self.assertGreaterEqual(role[word], 0.0, name)
         self.assertGreater(roles["hollow"]["rss_mb_each"], 0)
         for word in ("messages_in", "bytes_out"):
