--- /dev/null
+++ b/petrellane/testbed/hollow/group.py
@@ -0,0 +1,189 @@
+"""All hollow gateways of one process: made, started, cut off, and reported for."""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+from collections.abc import Mapping
+from dataclasses import replace
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import orjson
+
+from petrellane.config import Config, EndpointListUpdate, parse_config
+from petrellane.net.limits import Limits
+from petrellane.net.log import Logger
+from petrellane.net.scheduler import Scheduler
+from petrellane.testbed.hollow.gateway import HollowGateway
+from petrellane.testbed.hollow.load import HollowLoad
+from petrellane.testbed.hollow.parameters import HollowParameters
+
+if TYPE_CHECKING:
+    from petrellane.config.endpoints import EndpointEntry
+
+START_INTERVAL_S = 0.005  # between starts: they are not to stand still meanwhile
+FLUSH_INTERVAL_S = 0.05
+REPORT_INTERVAL_S = 0.5  # between lines on which gateways have which lists since
+MAX_CHANGES_PER_LIST = 2000  # that one list may bring of which each is reported
+MAX_TIMES_PER_LINE = 300  # so that a line of the log is written in one piece
+SEED_STEP = 10_000  # between the seeds of runs, beyond any gateway's number
+TIME_DIGITS = 4
+
+
+class HollowGroup:
+    """The hollow gateways of one process; lives as long as the process.
+
+    Attributes:
+        gateways: The gateways, in order of their numbers.
+        tally: What all of them count.
+        answers: Requests that were answered.
+    """
+
+    def __init__(self, parameters: HollowParameters, scheduler: Scheduler, log: Logger) -> None:
+        """Make all gateways; none is started.
+
+        Args:
+            parameters: What the testbed has written for this process.
+            scheduler: Runs all gateways.
+            log: The log of the process.
+        """
+        self.parameters = parameters
+        self.scheduler = scheduler
+        self.log = log
+        self.host_count = parameters.host_count
+        self.has_module = parameters.has_module
+        self.random = random.Random(parameters.load.seed)
+        self.tally: Counter[str] = Counter()
+        self.answers = 0
+        self.is_counting = False
+        self.arrivals: dict[int, list[float]] = {}  # times at which gateways had a list, by index
+        self.first_arrivals: list[float] = []  # those of gateways that had none before
+        self.last_list: EndpointListUpdate | None = None
+        self.last_entries: dict[int, EndpointEntry] = {}
+        base = parse_config(orjson.loads(Path(parameters.config_path).read_bytes()))
+        self.limits = Limits.of(base)
+        self.gateways = [self._make_gateway(base, number) for number in parameters.numbers]
+        self.unreachable_gateways = [
+            gateway for gateway in self.gateways if gateway.number < parameters.unreachable_count
+        ]
+        self.load = HollowLoad(self, parameters.load, parameters.numbers)
+
+    def _make_gateway(self, base: Config, number: int) -> HollowGateway:
+        name = f"g{number}"
+        seed = self.parameters.load.seed * SEED_STEP + number
+        config = replace(base, name=name, seed=seed, management=None)
+        if base.consensus:
+            state = Path(self.parameters.state_folder, name)
+            state.mkdir(parents=True, exist_ok=True)
+            config = replace(
+                config,
+                management=base.consensus.members[name][0],
+                consensus=replace(base.consensus, state=str(state)),
+            )
+        return HollowGateway(self, config, number, is_at_rest=self.parameters.is_at_rest)
+
+    def start(self) -> None:
+        """Start all gateways, one after the other."""
+        for index, gateway in enumerate(self.gateways):
+            self.scheduler.after(index * START_INTERVAL_S, gateway.start)
+        self._flush_logs()
+        self._report_arrivals()
+
+    def _flush_logs(self) -> None:
+        """Write lines of logs that a full pipe has held back."""
+        self.scheduler.after(FLUSH_INTERVAL_S, self._flush_logs)
+        self.log.flush()
+        for gateway in self.gateways:
+            gateway.log.flush()
+
+    # What the testbed asks for.
+
+    def begin(self) -> None:
+        """Begin the steady phase: changes of the list are counted, and requests come."""
+        self.is_counting = True
+        self.load.begin()
+
+    def end_load(self) -> None:
+        """Send no more requests."""
+        self.load.end()
+
+    def cut_off(self) -> None:
+        """Leave connections to the management listeners of some gateways unaccepted."""
+        for gateway in self.unreachable_gateways:
+            gateway.management.pause_accepting()
+
+    def reconnect(self) -> None:
+        """Accept these connections again."""
+        for gateway in self.unreachable_gateways:
+            gateway.management.resume_accepting()
+
+    # What gateways and their requests call.
+
+    def entries_by_number(self, endpoint_list: EndpointListUpdate) -> Mapping[int, EndpointEntry]:
+        """Return a list's entries by the numbers of their hosts.
+
+        They are found once for all gateways that have the same list.
+        """
+        if self.last_list is not endpoint_list:
+            self.last_list = endpoint_list
+            self.last_entries = {int(entry.name[1:]): entry for entry in endpoint_list.entries}
+        return self.last_entries
+
+    def on_answered(self) -> None:
+        """Count an answer."""
+        self.answers += 1
+
+    def is_client_gone(self) -> bool:
+        """Return False: no client leaves."""
+        return False
+
+    def on_list_applied(self, previous_index: int | None, index: int) -> None:
+        """Note that a gateway has the list of an index now.
+
+        Args:
+            previous_index: The index of the list that it had; None where it had none.
+            index: The index of the list that it has.
+        """
+        now = round(self.scheduler.now(), TIME_DIGITS)
+        if previous_index is None:
+            self.first_arrivals.append(now)
+        elif self.is_counting:
+            first = max(previous_index, index - MAX_CHANGES_PER_LIST) + 1
+            for change in range(first, index + 1):
+                self.arrivals.setdefault(change, []).append(now)
+
+    # Reports.
+
+    def _report_arrivals(self) -> None:
+        """Log which gateways had which lists since the last time."""
+        self.scheduler.after(REPORT_INTERVAL_S, self._report_arrivals)
+        arrivals = self.arrivals
+        self.arrivals = {}
+        first_arrivals = self.first_arrivals
+        self.first_arrivals = []
+        for index, times in arrivals.items():
+            self._log_times("heard", times, index=index)
+        self._log_times("listed", first_arrivals)
+
+    def _log_times(self, event: str, times: list[float], **figures: object) -> None:
+        """Log times of many gateways, in lines of a bounded length."""
+        for start in range(0, len(times), MAX_TIMES_PER_LINE):
+            line_times = times[start : start + MAX_TIMES_PER_LINE]
+            self.log.event(
+                event,
+                **figures,
+                since=times[0],
+                times=[round(time - times[0], TIME_DIGITS) for time in line_times],
+            )
+
+    def figures(self) -> dict[str, Any]:
+        """Return sums since the start, and the longest turn since the last call."""
+        longest_turn = self.scheduler.longest
+        self.scheduler.longest = 0.0
+        return {
+            "rpcs": self.load.sent,
+            "answers": self.answers,
+            "tally": self.tally,
+            "turn": round(longest_turn, TIME_DIGITS),
+        }
--- /dev/null
+++ b/petrellane/testbed/hollow/load.py
@@ -0,0 +1,133 @@
+"""Requests at a steady rate over the hollow gateways of one process, in an open loop."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Sequence
+from typing import Protocol
+
+from petrellane.gateway.client_request import ClientRequest, Command, RequestOwner
+from petrellane.net import resp
+from petrellane.net.scheduler import Scheduler
+from petrellane.testbed.hollow.gateway import HollowGateway
+from petrellane.testbed.hollow.parameters import LoadMethod, LoadParameters
+
+WIDE_CUSTOMER_INTERVAL = 10  # one of so many customers comes to all gateways
+GATEWAYS_PER_CUSTOMER = 3  # that the other customers come to
+FIRST_GATEWAY_STEP = 7919  # a prime, so that neighbours come to other gateways
+MAX_REQUESTS_PER_TURN = 64
+QUERY_COMMAND = b"SVC.QUERY"
+SUBMIT_COMMAND = b"SVC.SUBMIT"
+
+
+class LoadTarget(RequestOwner, Protocol):
+    """What the load needs of the group whose gateways get it."""
+
+    scheduler: Scheduler
+    gateways: list[HollowGateway]
+
+
+class HollowLoad:
+    """The load of one process; owned by its group.
+
+    Attributes:
+        sent: Requests so far.
+        narrow: The customers that come to some gateways alone, by the gateway's number.
+    """
+
+    def __init__(
+        self, target: LoadTarget, parameters: LoadParameters, numbers: Sequence[int]
+    ) -> None:
+        """Assign customers to gateways; no request is sent before `begin`.
+
+        Args:
+            target: Whose gateways get the requests.
+            parameters: Rate, seed, customers and methods.
+            numbers: The numbers of the process's gateways.
+        """
+        self.target = target
+        self.rate = parameters.rate
+        self.gateway_count = parameters.gateway_count
+        self.methods = parameters.methods
+        self.random = random.Random(f"load {parameters.seed} {numbers[0]}")
+        self.is_active = False
+        self.sent = 0
+        self.next_at = 0.0
+        customers = range(parameters.customer_count)
+        self.wide = [customer for customer in customers if customer % WIDE_CUSTOMER_INTERVAL == 0]
+        self.narrow: dict[int, list[int]] = {number: [] for number in numbers}
+        for customer in customers:
+            if customer % WIDE_CUSTOMER_INTERVAL:
+                self._assign(customer)
+
+    def _assign(self, customer: int) -> None:
+        """Assign a customer to its gateways, as far as they are in this process."""
+        for step in range(min(GATEWAYS_PER_CUSTOMER, self.gateway_count)):
+            number = (self.first_gateway(customer) + step) % self.gateway_count
+            if number in self.narrow:
+                self.narrow[number].append(customer)
+
+    def first_gateway(self, customer: int) -> int:
+        """Return the number of the first gateway that a customer comes to."""
+        return customer * FIRST_GATEWAY_STEP % self.gateway_count
+
+    def begin(self) -> None:
+        """Send requests from now on."""
+        self.is_active = self.rate > 0
+        if self.is_active:
+            self.next_at = self.target.scheduler.now()
+            self._send_due()
+
+    def end(self) -> None:
+        """Send no more requests."""
+        self.is_active = False
+
+    def _send_due(self) -> None:
+        """Send those that are due by now, each at its own time of the schedule."""
+        now = self.target.scheduler.now()
+        sent = 0
+        while self.is_active and self.next_at <= now and sent < MAX_REQUESTS_PER_TURN:
+            self.next_at += self.random.expovariate(self.rate)
+            self._send()
+            sent += 1
+        if self.is_active:
+            delay = max(0.0, self.next_at - self.target.scheduler.now())
+            self.target.scheduler.after(delay, self._send_due)
+
+    def _send(self) -> None:
+        """Send one request of a random customer to a random gateway."""
+        gateway = self.random.choice(self.target.gateways)
+        narrow = self.narrow[gateway.number]
+        is_wide = not narrow or self.random.random() < 1 / WIDE_CUSTOMER_INTERVAL
+        customer = self.random.choice(self.wide if is_wide else narrow)
+        method = self.random.choice(self.methods)
+        self.sent += 1
+        words = self._command(customer, method, is_wide=is_wide)
+        parsed = resp.command(words, 0, gateway.limits)
+        if parsed is None:
+            raise ValueError("expected a complete command")
+        spans, end = parsed
+        command = Command(0, spans, end)
+        request = ClientRequest(words, command, self.target, is_query=method.is_query)
+        gateway.executor.on_request(request)
+
+    def _command(self, customer: int, method: LoadMethod, *, is_wide: bool) -> bytearray:
+        """Return the bytes that a client would send."""
+        first_gateway = 0
+        gateway_count = self.gateway_count
+        if not is_wide:
+            first_gateway = self.first_gateway(customer)
+            gateway_count = min(GATEWAYS_PER_CUSTOMER, self.gateway_count)
+        fields = (
+            f"c={method.name},t=sold,d={method.deadline_ms},"
+            f"first={first_gateway},spread={gateway_count}"
+        )
+        if not method.is_query:
+            fields += f",k=k{self.sent}"
+        words = resp.words(
+            QUERY_COMMAND if method.is_query else SUBMIT_COMMAND,
+            b"%016X" % (customer + 1),
+            b"r%d" % self.sent,
+            fields.encode(),
+        )
+        return bytearray(words)
--- /dev/null
+++ b/petrellane/testbed/hollow/process.py
@@ -0,0 +1,45 @@
+"""The process of hollow gateways: reads its parameters, and serves until the testbed ends it."""
+
+import gc
+import sys
+
+from petrellane.net.log import Logger
+from petrellane.net.scheduler import Scheduler
+from petrellane.testbed.hollow.group import HollowGroup
+from petrellane.testbed.hollow.parameters import HollowParameters
+from petrellane.testbed.metered import STANDARD_OUTPUT, Meter
+from petrellane.testbed.services import LINES, Words
+
+THREAD_SWITCH_S = 0.0005  # each agent has a thread that writes, and they wait for each other
+
+
+def run(path: str, meter: Meter) -> int:
+    """Run the hollow gateways of one process.
+
+    Args:
+        path: The file that the testbed has written.
+        meter: The meter of the process, which gets the group's figures.
+
+    Returns:
+        The exit code.
+    """
+    parameters = HollowParameters.read(path)
+    sys.setswitchinterval(THREAD_SWITCH_S)
+    scheduler = Scheduler()
+    log = Logger(STANDARD_OUTPUT, "hollow", scheduler.now, LINES)
+    log.event("empty", rss=meter.resident_bytes())
+    group = HollowGroup(parameters, scheduler, log)
+    gc.collect()
+    gc.freeze()
+    commands = {
+        "begin": group.begin,
+        "quiet": group.end_load,
+        "cut": group.cut_off,
+        "heal": group.reconnect,
+    }
+    if parameters.command_descriptor is not None:
+        Words(scheduler, parameters.command_descriptor, commands)
+    meter.more = group.figures
+    scheduler.soon(group.start)
+    scheduler.run()
+    return 0
--- a/petrellane/testbed/metered.py
+++ b/petrellane/testbed/metered.py
@@ -190,16 +190,14 @@
     meter = Meter(configuration.get("ports", {}), configuration.get("else", DEFAULT_KIND))
     meter.install()
     program, *arguments = sys.argv[1:]
-    exit_code: int
     if program == "hollow":
-        from petrellane.testbed import hollow
+        from petrellane.testbed.hollow import process as hollow_process
 
-        exit_code = hollow.run(arguments[0], meter)
-        return exit_code
+        return hollow_process.run(arguments[0], meter)
     if program in ("discovery", "counter"):
         from petrellane.testbed import services
 
-        exit_code = services.run(program, arguments[0], meter)
+        exit_code: int = services.run(program, arguments[0], meter)
         return exit_code
     if program == "serve":
         from petrellane.gateway import process
--- a/tests/integration/testbed/test_scale.py
+++ b/tests/integration/testbed/test_scale.py
@@ -19,8 +19,15 @@
 from petrellane.net import resp
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.testbed import hollow, services, testbed
+from petrellane.testbed import services, testbed
 from petrellane.testbed.fakes import Counter, StandIn
+from petrellane.testbed.hollow.group import HollowGroup
+from petrellane.testbed.hollow.load import (
+    GATEWAYS_PER_CUSTOMER,
+    WIDE_CUSTOMER_INTERVAL,
+    HollowLoad,
+)
+from petrellane.testbed.hollow.parameters import HollowParameters, LoadParameters
 from petrellane.testbed.scale import config as scale_config
 from petrellane.testbed.scale import resources, runner
 from petrellane.testbed.scale.config import ScaleConfig, ScaleError
@@ -261,26 +268,28 @@
         path = os.path.join(self.folder.name, "g0.json")
         with open(path, "wb") as file:
             file.write(orjson.dumps(told))
-        crowd = hollow.Crowd(
-            {
-                "file": path,
-                "numbers": [0],
-                "folder": self.folder.name,
-                "hosts": 1,
-                "module": True,
-                "fresh": True,
-                "cut": 0,
-                "customers": 5,
-                "rpcs": 0.0,
-                "seed": 7,
-                "gateways": 1,
-                "methods": told["settings"]["classes"],
-            },
+        group = HollowGroup(
+            HollowParameters.from_dict(
+                {
+                    "file": path,
+                    "numbers": [0],
+                    "folder": self.folder.name,
+                    "hosts": 1,
+                    "module": True,
+                    "fresh": True,
+                    "cut": 0,
+                    "customers": 5,
+                    "rpcs": 0.0,
+                    "seed": 7,
+                    "gateways": 1,
+                    "methods": told["settings"]["classes"],
+                }
+            ),
             self.scheduler,
             Logger(self.log, "x", lambda: 0.0, 9),
         )
-        crowd.nodes[0].log.descriptor = self.log
-        return crowd.nodes[0]
+        group.gateways[0].log.descriptor = self.log
+        return group.gateways[0]
 
     def real(self, told):
         node = GatewayProcess(parse_config(told), self.log, scheduler=self.scheduler)
@@ -328,21 +337,23 @@
         self.assertEqual([parts[0] for parts in of_hollow[1]], [b"CNT.ADD"] * 2)
 
     def test_a_customers_rpcs_come_through_its_own_gateways(self):
-        load = hollow.Load(
-            SimpleNamespace(nodes=[]),
-            {"rpcs": 0.0, "seed": 1, "gateways": 40, "methods": [], "customers": 300},
+        load = HollowLoad(
+            SimpleNamespace(gateways=[]),
+            LoadParameters(rate=0.0, seed=1, gateway_count=40, methods=[], customer_count=300),
             list(range(10, 20)),
         )
         for number, customers in load.narrow.items():
             for customer in customers:
-                self.assertIn((number - load.first(customer)) % 40, range(hollow.FEW))
+                self.assertIn(
+                    (number - load.first_gateway(customer)) % 40, range(GATEWAYS_PER_CUSTOMER)
+                )
         self.assertEqual(
             sum(map(len, load.narrow.values())),
             sum(
-                (number - load.first(customer)) % 40 < hollow.FEW
+                (number - load.first_gateway(customer)) % 40 < GATEWAYS_PER_CUSTOMER
                 for number in range(10, 20)
                 for customer in range(300)
-                if customer % hollow.WIDE
+                if customer % WIDE_CUSTOMER_INTERVAL
             ),
         )
 
