--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -172,7 +172,7 @@
                 for value in told.points[name]
                 for run in range(1, runs_of(told, name) + 1)
             ]
-    return slopes.interleaved(jobs, told.seed)
+    return slopes.shuffled(jobs, told.seed)
 
 
 def runs_of(told, name):
@@ -250,18 +250,18 @@
                     )
         lines = {}
         for (build, name, figure), runs in found.items():
-            if len({value for value, _, _ in runs}) < slopes.LEAST_POINTS:
+            if len({value for value, _, _ in runs}) < slopes.MINIMUM_POINTS:
                 continue  # what failed was told
             lines[build, name, figure] = line = slopes.fit(runs)
             self.body["slopes"].setdefault(build, {}).setdefault(name, {})[figure] = {
                 "unit": unit(figure),
-                "intercept": slopes.rounded(line.intercept),
-                "slope": slopes.rounded(line.slope),
-                "spread": [slopes.rounded(one) for one in line.spread],
-                "line": line.line,
+                "intercept": slopes.round_to_significant(line.intercept),
+                "slope": slopes.round_to_significant(line.slope),
+                "spread": [slopes.round_to_significant(one) for one in line.spread],
+                "line": line.is_line,
                 "note": line.note,
                 "points": [
-                    [point.value, *map(slopes.rounded, point[1:4]), point.runs]
+                    [point.value, *map(slopes.round_to_significant, point[1:4]), point.runs]
                     for point in line.points
                 ],
             }
@@ -271,9 +271,9 @@
         """State what the lines give at sizes that no run had; then run these, and say how far off that was."""
         for name, value in self.told.predict:
             stated = {
-                figure: slopes.rounded(line.at(value))
+                figure: slopes.round_to_significant(line.predict(value))
                 for (build, size, figure), line in lines.items()
-                if (build, size) == ("this", name) and line.line
+                if (build, size) == ("this", name) and line.is_line
             }
             rows = [
                 {
@@ -308,9 +308,9 @@
                     one["figures"][row["figure"]] for one in runs if row["figure"] in one["figures"]
                 ]
                 if row["found"]:
-                    off, row["within"] = slopes.judged(row["stated"], row["found"])
+                    off, row["within"] = slopes.prediction_error(row["stated"], row["found"])
                     row["off"] = (
-                        slopes.rounded(off) if abs(off) < float("inf") else 1.0
+                        slopes.round_to_significant(off) if abs(off) < float("inf") else 1.0
                     )  # what was not to be is there
                 print(
                     f"found:  {name} {value:g}: {row['figure']} {row['found']}: "
@@ -318,14 +318,14 @@
                         "not run"
                         if row["within"] is None
                         else f"off by {row['off']:.0%}, "
-                        f"{'within' if row['within'] else 'beyond'} {slopes.NEAR:.0%}"
+                        f"{'within' if row['within'] else 'beyond'} {slopes.TOLERANCE:.0%}"
                     ),
                     flush=True,
                 )
 
     def cases(self, which, cases):
         """Play cases of their own, each by all builds; their rows go under `which`, in place of those that are there."""
-        jobs = slopes.interleaved(
+        jobs = slopes.shuffled(
             [(build, case) for build in self.told.builds for case in cases], self.told.seed
         )
         rows = []
@@ -352,7 +352,7 @@
 
 
 def rounded(found):
-    return {figure: slopes.rounded(value) for figure, value in found.items()}
+    return {figure: slopes.round_to_significant(value) for figure, value in found.items()}
 
 
 def text_of(body):
@@ -490,9 +490,9 @@
         points[name] = tuple(
             sorted({number(value, f"--points {name}") for value in rest.split(",")})
         )
-        if len(points[name]) < slopes.LEAST_POINTS:
+        if len(points[name]) < slopes.MINIMUM_POINTS:
             raise ValueError(
-                f"--points {name}: expected {slopes.LEAST_POINTS} points or more, found {len(points[name])}"
+                f"--points {name}: expected {slopes.MINIMUM_POINTS} points or more, found {len(points[name])}"
             )
     told.points = points
     for at, text in enumerate(told.predict):
--- a/tests/unit/testbed/test_slopes.py
+++ b/tests/unit/testbed/test_slopes.py
@@ -44,8 +44,8 @@
     found = slopes.fit(runs(lambda value: 0.5 + 0.01 * value))
     assert found.intercept == almost(0.5)
     assert found.slope == almost(0.01)
-    assert found.at(9_000) == almost(90.5)
-    assert (found.line, found.note) == (True, "")
+    assert found.predict(9_000) == almost(90.5)
+    assert (found.is_line, found.note) == (True, "")
     assert [(point.value, point.runs) for point in found.points] == [
         (50, 5),
         (400, 5),
@@ -67,7 +67,7 @@
     for seed in range(20):
         found = slopes.fit(runs(lambda value: 2.0 + 0.004 * value, noise=0.08, seed=seed))
         least, most = found.spread
-        assert found.line, found.note
+        assert found.is_line, found.note
         assert least < most
         held += least <= 0.004 <= most
     assert held >= 17
@@ -83,7 +83,7 @@
 
 def test_growth_with_the_square_is_no_line_and_the_note_says_so() -> None:
     found = slopes.fit(runs(lambda value: 1e-5 * value**2, (40, 400, 1_600, 4_100), noise=0.02))
-    assert not found.line
+    assert not found.is_line
     assert re.search(
         r"^not a line: at \d+ found [\d.e-]+, the line has [\d.e-]+; grows as size\^2\.0\d, "
         r"between the last two points as size\^2\.0\d$",
@@ -92,16 +92,16 @@
 
 
 def test_a_figure_that_levels_off_is_no_line() -> None:
-    assert not slopes.fit(runs(lambda value: min(value, 1_600), noise=0.02)).line
+    assert not slopes.fit(runs(lambda value: min(value, 1_600), noise=0.02)).is_line
 
 
 def test_a_step_in_the_middle_is_no_line() -> None:
-    assert not slopes.fit(runs(lambda value: 1.0 if value < 1_000 else 2.0, noise=0.02)).line
+    assert not slopes.fit(runs(lambda value: 1.0 if value < 1_000 else 2.0, noise=0.02)).is_line
 
 
 def test_a_figure_that_does_not_grow_is_a_flat_line() -> None:
     found = slopes.fit(runs(lambda _: 3.0, noise=0.05))
-    assert (found.line, found.note) == (True, "flat")
+    assert (found.is_line, found.note) == (True, "flat")
     assert slopes.fit(runs(lambda _: 0.0))[:2] == (0.0, 0.0)
 
 
@@ -116,25 +116,25 @@
     with pytest.raises(ValueError, match="^expected 4 points or more, found 3$"):
         slopes.fit(runs(lambda value: value, (1, 2, 3)))
     with pytest.raises(ValueError, match="^expected two values"):
-        slopes.straight([(1.0, 2.0), (1.0, 3.0)])
+        slopes.fit_straight_line([(1.0, 2.0), (1.0, 3.0)])
 
 
 def test_a_prediction_is_judged_by_the_median_found() -> None:
-    off, within = slopes.judged(10.0, [11.0, 30.0, 11.9])
+    off, within = slopes.prediction_error(10.0, [11.0, 30.0, 11.9])
     assert off == almost(0.19)
     assert within
-    off, within = slopes.judged(10.0, [7.9])
+    off, within = slopes.prediction_error(10.0, [7.9])
     assert off == almost(-0.21)
     assert not within
-    assert slopes.judged(0.0, [0.0]) == (0.0, True)
-    assert not slopes.judged(0.0, [0.1])[1]
+    assert slopes.prediction_error(0.0, [0.0]) == (0.0, True)
+    assert not slopes.prediction_error(0.0, [0.1])[1]
 
 
 @pytest.mark.parametrize(
     ("value", "rounded"), [(123_456.0, 123_500.0), (0.00123456, 0.001235), (0.0, 0.0)]
 )
 def test_four_digits_are_kept(value: float, rounded: float) -> None:
-    assert slopes.rounded(value) == rounded
+    assert slopes.round_to_significant(value) == rounded
 
 
 # Runs come interleaved, and the same from a seed.
