--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -123,9 +123,9 @@
                 line
                 for one in verdict.violations[:2]
                 for rpc in one.rpcs
-                for line in lab.records.about(rpc)
+                for line in lab.records.describe(rpc)
             ],
-            "rig_stood_still": [line for _, line in lab.records.told if "stood still" in line][
+            "rig_stood_still": [line for _, line in lab.records.timeline if "stood still" in line][
                 -20:
             ],
             "crashes": len(lab.crashes),
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -238,13 +238,13 @@
     )
     with Lab(shape) as lab:
         spans = Spans(lab.terms(), [one.name for one in lab.hosts], float(SLOTS))
-        judge = lab.records.judge
+        judge = lab.records.observe
 
         def judged(record):
             judge(record)
             spans.take(record)
 
-        lab.records.judge = judged
+        lab.records.observe = judged
         lab.start()
         lab.clients.start()
         lab.play(GONE)
--- a/benchmarks/left.py
+++ b/benchmarks/left.py
@@ -28,7 +28,7 @@
 from petrellane.testbed.clients import Customer  # noqa: E402
 from petrellane.testbed.fakes import LIMITS  # noqa: E402
 from petrellane.testbed.fleet import Lab, Shape  # noqa: E402
-from petrellane.testbed.records import CROSSED  # noqa: E402
+from petrellane.testbed.records import CROSSING_S  # noqa: E402
 from petrellane.testbed.runner import Stage, read  # noqa: E402
 
 UP_LATE, UP_LATE_MOST = (
@@ -190,23 +190,23 @@
         lab.clients.stop()
         lab.quiet()
         verdict = lab.verdict()
-        after = lab.records.sent_after
-        late = [(rpc, number) for rpc, number, took in after if took > CROSSED]
+        after = lab.records.late_attempts
+        late = [(rpc, number) for rpc, number, took in after if took > CROSSING_S]
         for rpc in sorted(
             {rpc for rpc, _ in late} | {rpc for one in verdict.violations for rpc in one.rpcs}
         ):
             print(
                 rpc,
-                f"left={lab.records.gone.get(rpc, math.nan):.3f}",
-                *lab.records.about(rpc),
+                f"left={lab.records.disconnected_at.get(rpc, math.nan):.3f}",
+                *lab.records.describe(rpc),
                 sep="\n    ",
             )
         for one in verdict.violations:
             print(f"{one.at:8.3f} {one.rule}: {one.text}")
         return {
             "seed": seed,
-            "left": len(lab.records.gone),
-            "waited": len(cases(lab.records.kept, lab.records.gone)),
+            "left": len(lab.records.disconnected_at),
+            "waited": len(cases(lab.records.history, lab.records.disconnected_at)),
             "sent after": len(after),
             "late first": sum(not number for _, number in late),
             "late further": sum(bool(number) for _, number in late),
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -184,7 +184,7 @@
                 dict(lab.records.counts),
             )
             lab.play(seconds)
-            found = figures(sources.of_records(lab.records.kept, since, lab.records.now()))
+            found = figures(sources.of_records(lab.records.history, since, lab.records.now()))
             took = sorted(one for one, answer in lab.clients.waits[waits:] if answer == "ok")
             answers = {}
             for (_, answer), number in lab.records.counts.items():
@@ -254,10 +254,12 @@
         for broken in verdict.violations[:3]:
             print(
                 broken.text,
-                *(line for rpc in broken.rpcs for line in lab.records.about(rpc)),
+                *(line for rpc in broken.rpcs for line in lab.records.describe(rpc)),
                 sep="\n  ",
             )
-        print(*(f"{at:8.3f} {text}" for at, text in lab.records.told if "still" in text), sep="\n")
+        print(
+            *(f"{at:8.3f} {text}" for at, text in lab.records.timeline if "still" in text), sep="\n"
+        )
     return rows, machine
 
 
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -9,6 +9,7 @@
 from petrellane.net import resp
 from petrellane.net.stream import Closed, Stream
 from petrellane.testbed.fakes import LIMITS
+from petrellane.testbed.records import ReceivedRpc
 
 
 @dataclass
@@ -101,18 +102,20 @@
             for stream, kept in self.streams(front):
                 if not known:
                     known, until = True, self.scheduler.monotonic() + method.patience
-                    self.records.taken(
-                        rpc,
-                        front.name,
-                        "%016x" % customer.number,
-                        customer.plan,
-                        method.name,
-                        customer.units,
-                        method.patience,
+                    self.records.on_received(
+                        ReceivedRpc(
+                            rpc,
+                            front.name,
+                            "%016x" % customer.number,
+                            customer.plan,
+                            method.name,
+                            customer.units,
+                            method.patience,
+                        )
                     )
                 verdict = self.exchange(stream, method, customer, rpc, until, leave_at)
                 if (
-                    rpc not in self.records.open
+                    rpc not in self.records.open_rpcs
                 ):  # it died with its gateway: nobody may ask again in its name
                     stream.close()
                     return
@@ -159,7 +162,9 @@
         except TimeoutError:
             if not leaves:
                 return "late"
-            self.records.left(rpc)  # first: the close takes some time, within which it may be seen
+            self.records.on_client_disconnected(
+                rpc
+            )  # first: the close takes some time, within which it may be seen
             if self.halves and self.random.random() < self.halves:
                 stream.finish()
                 self.scheduler.wait(self.SLACK)
@@ -177,7 +182,7 @@
     def end(self, front, stream, method, rpc, verdict, intended):
         if verdict in (invariants.OK, invariants.REJECTED) or verdict.startswith("ERR"):
             front.idle.append(stream)
-            self.records.answered(
+            self.records.on_answered(
                 rpc, verdict if verdict[:3] != "ERR" else invariants.ABORTED, method.name
             )
             self.waits.append((self.scheduler.monotonic() - intended, verdict))
--- a/petrellane/testbed/command.py
+++ b/petrellane/testbed/command.py
@@ -104,7 +104,7 @@
         if records:
             lab.records.keep_all()
         lab.start()
-        lab.records.tell(f"load begins: {play.lab.rate:g} RPCs a second")
+        lab.records.note(f"load begins: {play.lab.rate:g} RPCs a second")
         Stage(lab, play).begin()
         lab.clients.start()
         with Watch(lab, play.lab.seconds):
@@ -112,7 +112,7 @@
             lab.quiet()
         verdict = lab.verdict()
         if records:
-            sources.write(records, lab.records.kept, lab.records.now())
+            sources.write(records, lab.records.history, lab.records.now())
         print(lab.timeline(200))
         return told(lab, verdict, play.expect.broken)
 
@@ -131,7 +131,7 @@
         )
     for broken in verdict.violations:
         print(f"{broken.at:8.3f} rule {broken.rule} is broken: {broken.text}")
-        for line in [line for rpc in broken.rpcs for line in lab.records.about(rpc)]:
+        for line in [line for rpc in broken.rpcs for line in lab.records.describe(rpc)]:
             print(f"      {line}")
     for name, code, said in lab.crashes:
         print(f"{name} crashed ({code}): {said}")
--- a/petrellane/testbed/fakes.py
+++ b/petrellane/testbed/fakes.py
@@ -12,6 +12,7 @@
 from petrellane.net import resp
 from petrellane.net.limits import Limits
 from petrellane.net.stream import Closed, Stream, accepted, listening
+from petrellane.testbed.records import ArrivedAttempt
 
 LIMITS = Limits(1 << 16, 1.0, 1.0, 64, 1.0)
 NULLS = b"$-1\r\n$-1\r\n"
@@ -155,11 +156,13 @@
         late = peer in self.given_up
         if len(self.carried) > KEYS:
             self.carried.clear()
-        call = self.records.sent(rpc, self.name, work, told.get("k"), late, self.carried.get(peer))
+        call = self.records.on_attempt_arrived(
+            ArrivedAttempt(rpc, self.name, work, told.get("k"), late, self.carried.get(peer))
+        )
         if self.silent:
             self.out.setdefault(stream, []).append(call)
         elif self.draining or len(self.waiting) >= self.queue:
-            self.records.ended(call, "full")
+            self.records.on_attempt_ended(call, "full")
             stream.write(b"-BUSY\r\n")
         else:
             self.out.setdefault(stream, []).append(call)
@@ -183,13 +186,13 @@
                 self.ran += 1
                 if call.key is None or call.key not in self.memory:
                     self.memory[call.key] = None
-                    self.records.ran(call)
+                    self.records.on_executed(call)
                 if len(self.memory) > KEYS:
                     for key in list(self.memory)[: KEYS // 2]:
                         del self.memory[key]
             if call in self.out.get(stream, ()) and not self.silent:
                 self.out[stream].remove(call)
-                self.records.ended(call, "error" if fails else "ok")
+                self.records.on_attempt_ended(call, "error" if fails else "ok")
                 value = call.rpc.encode()
                 stream.write(
                     b"-ERR failed\r\n"
@@ -201,7 +204,7 @@
     def gone(self, stream):
         """The gateway has given up what was out there."""
         for call in self.out.pop(stream, ()):
-            self.records.ended(call, "late")
+            self.records.on_attempt_ended(call, "late")
 
     def hung_up(self, peer):
         """A relay tells that the gateway has closed the connection that comes from `peer`, which may be heard here later
@@ -212,7 +215,7 @@
         for stream, calls in self.out.items():
             if self.streams.get(stream) == peer:
                 for call in calls:
-                    self.records.ended(call, "late")
+                    self.records.on_attempt_ended(call, "late")
 
     def down(self):
         super().down()
@@ -224,7 +227,7 @@
         self.waiting.clear()
         self.up()
         self.moved()
-        self.records.take(
+        self.records.add(
             invariants.EndpointStarted(self.records.now(), self.name, float(self.slots))
         )
 
@@ -418,7 +421,7 @@
                     invariants.READY if status == "in_service" else status,
                     since and since - self.records.began,
                 )
-                self.records.take(
+                self.records.add(
                     invariants.EndpointNotified(self.records.now(), gateway, host, state, since)
                 )
 
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -21,7 +21,7 @@
 from petrellane.testbed.clients import Clients, Customer, Front, Method
 from petrellane.testbed.fakes import Counter, Discovery, Host
 from petrellane.testbed.processes import Process
-from petrellane.testbed.records import SETTLE, Records
+from petrellane.testbed.records import SETTLE_S, Records
 from petrellane.testbed.relay import Relay
 
 MICRO = 1_000_000
@@ -170,7 +170,7 @@
         if self.process:
             self.process.close()
         self.ready = False
-        self.lab.records.tell(f"{self.name} starts")
+        self.lab.records.note(f"{self.name} starts")
         for relay in self.ways():
             relay.follow()
         self.process = self.run()
@@ -200,7 +200,7 @@
 
     def replace(self):
         """Start another process beside the one that runs, which follows it; the old one is told to end once it has."""
-        self.lab.records.tell(f"{self.name} is replaced")
+        self.lab.records.note(f"{self.name} is replaced")
         began = len(self.events)
         old, self.process = (
             self.process,
@@ -227,31 +227,31 @@
                 relay.follow()
         if not process.expected and process.process.returncode:
             self.lab.discovery.forget(self.name)
-            self.lab.records.forget(self.name)
+            self.lab.records.on_gateway_killed(self.name)
             self.lab.crashed(self.name, process)
 
     def kill(self):
         """Kill it outright: what it had taken is nobody's to answer."""
-        self.lab.records.tell(f"{self.name} is killed")
+        self.lab.records.note(f"{self.name} is killed")
         self.ready = False
         self.process.kill()
         self.process.process.wait()
         for relay in self.ways():
             relay.follow()
         self.lab.discovery.forget(self.name)
-        self.lab.records.forget(self.name)
+        self.lab.records.on_gateway_killed(self.name)
 
     def stop(self):
-        self.lab.records.tell(f"{self.name} is stopped")
+        self.lab.records.note(f"{self.name} is stopped")
         self.process.stop()
-        self.lab.records.take(
+        self.lab.records.add(
             invariants.GatewayLifecycle(self.lab.records.now(), self.name, "paused")
         )
 
     def go_on(self):
-        self.lab.records.tell(f"{self.name} goes on")
+        self.lab.records.note(f"{self.name} goes on")
         self.process.go_on()
-        self.lab.records.take(
+        self.lab.records.add(
             invariants.GatewayLifecycle(self.lab.records.now(), self.name, "resumed")
         )
 
@@ -287,7 +287,7 @@
         if self.process:
             self.process.close()
         self.write()
-        self.lab.records.tell(f"{self.name} starts")
+        self.lab.records.note(f"{self.name} starts")
         self.events.append({"event": "begins"})
         self.process = Process(
             self.lab.scheduler,
@@ -309,7 +309,7 @@
             self.lab.crashed(self.name, process)
 
     def kill(self):
-        self.lab.records.tell(f"{self.name} is killed")
+        self.lab.records.note(f"{self.name} is killed")
         self.process.kill()
         self.process.process.wait()
 
@@ -354,7 +354,7 @@
         self.faults, self.crashes, self.relays, self.gateways, self.controls = [], [], {}, [], {}
         self.settings = shape.settings or settings(shape.gateways)
         self.records = Records(self.terms(), self.scheduler.now, self.scheduler.after)
-        self.records.proves = shape.proves
+        self.records.generation_by_method = shape.proves
         self.key, self.key_file = b"key of one run only", os.path.join(self.folder, "key")
         with open(self.key_file, "wb") as file:
             file.write(self.key)
@@ -444,7 +444,7 @@
 
     def crashed(self, name, process):
         self.crashes.append((name, process.process.returncode, process.said()))
-        self.records.tell(
+        self.records.note(
             f"{name} crashed: exit code {process.process.returncode}: {process.said()[-200:]}"
         )
 
@@ -467,7 +467,7 @@
                 for key, value in event.items()
                 if key not in ("at", "gateway", "event", "trace", "digest")
             }
-            self.records.tell(f"{who.name}: {name} {orjson.dumps(figures).decode()[:160]}")
+            self.records.note(f"{who.name}: {name} {orjson.dumps(figures).decode()[:160]}")
         if name == "fault":
             self.crashes.append((who.name, "fault", event.get("trace", event.get("error"))))
 
@@ -542,13 +542,13 @@
 
     def cut(self, names):
         """Cut a set of gateways from the control processes and from the other gateways, both ways."""
-        self.records.tell(f"cut: {', '.join(names)} from the rest")
+        self.records.note(f"cut: {', '.join(names)} from the rest")
         for way, relay in self.relays.items():
             if way[0] == "agent" and (way[1] in names) != (way[2] in names):
                 relay.fault("cut")
 
     def heal(self):
-        self.records.tell("all relays healed")
+        self.records.note("all relays healed")
         for relay in self.relays.values():
             relay.heal()
 
@@ -558,8 +558,8 @@
         away = (
             time.monotonic() - self.turned
         )  # whoever plays the lab did something else: to start a process takes time
-        if away > SETTLE:
-            self.records.stood_still = self.records.turns
+        if away > SETTLE_S:
+            self.records.last_stall = self.records.turns
         self.scheduler.turn(
             min(10, self.scheduler.pause() or 0) if self.scheduler.pause() is not None else 10
         )
@@ -569,9 +569,9 @@
             0.0,
             time.monotonic(),
         )
-        if still > SETTLE and (self.clients.on or self.clients.out):
-            self.records.tell(f"the rig stood still for {still:.3f} s")
-            self.longest, self.records.stood_still = max(self.longest, still), self.records.turns
+        if still > SETTLE_S and (self.clients.on or self.clients.out):
+            self.records.note(f"the rig stood still for {still:.3f} s")
+            self.longest, self.records.last_stall = max(self.longest, still), self.records.turns
 
     def play(self, seconds):
         """Let so much time go by."""
@@ -668,7 +668,7 @@
         for control in self.controls.values():
             if control.process and control.process.up:
                 for one in control.ask("history").get("history", ()):
-                    self.records.take(
+                    self.records.add(
                         invariants.GenerationDecided(
                             self.records.now(), one["number"], one["outcome"] != "aborted"
                         )
@@ -677,7 +677,7 @@
 
     def timeline(self, most=60):
         """What happened, a line each."""
-        return "\n".join(f"{at:8.3f} {text}" for at, text in self.records.told[-most:])
+        return "\n".join(f"{at:8.3f} {text}" for at, text in self.records.timeline[-most:])
 
     def __enter__(self):
         return self
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -230,7 +230,7 @@
         if step.length and undo:
 
             def over():
-                self.lab.records.tell(f"{step.do} is over: {', '.join(step.who)}")
+                self.lab.records.note(f"{step.do} is over: {', '.join(step.who)}")
                 undo()
 
             self.lab.scheduler.after(step.length, lambda: self.lab.scheduler.spawn(over))
@@ -243,7 +243,7 @@
     def done(self, step):
         """Do one step; what undoes it, or None."""
         lab, parties = self.lab, self.parties(step)
-        lab.records.tell(
+        lab.records.note(
             " ".join([step.do, *step.who, *(step.between if step.do in RELAY else ())])
         )
         if step.do in RELAY:
--- a/tests/integration/testbed/test_testbed.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -20,7 +20,7 @@
 from petrellane.testbed.clients import Customer, Method
 from petrellane.testbed.fakes import StandIn
 from petrellane.testbed.fleet import Lab, Shape, settings
-from petrellane.testbed.records import Records
+from petrellane.testbed.records import ArrivedAttempt, ReceivedRpc, Records
 from petrellane.testbed.relay import Relay
 
 BEFORE, AFTER = ("before",), ("after",)
@@ -320,7 +320,7 @@
             self.assertEqual(told["outcome"], "aborted")
             self.assertIn("refused by g2", told["why"])
             os.rename(folder + ".away", folder)
-            lab.records.proves["after"] = 3
+            lab.records.generation_by_method["after"] = 3
             self.assertEqual(lab.change(second(lab))["reached"], 3)
             self.judge(lab)
 
@@ -394,7 +394,7 @@
             self.assertEqual(told["outcome"], "aborted")
             self.assertIn("g3 (no address in the roster)", told["why"])
             lab.gateways[3].kill()  # it is taken off for good, by staff's word
-            lab.records.proves["after"] = 3
+            lab.records.generation_by_method["after"] = 3
             told = lab.change(second(lab), without=["g3"])
             self.assertEqual((told["outcome"], told["absent"]), ("committed", ["ghost"]))
             lab.gateways[3].start()
@@ -468,7 +468,7 @@
             lab.quiet()
             committed = {1: True, 2: "after" in allowed}
             for number, decided in committed.items():
-                lab.records.take(invariants.GenerationDecided(lab.records.now(), number, decided))
+                lab.records.add(invariants.GenerationDecided(lab.records.now(), number, decided))
             verdict = lab.records.close()
             self.assertEqual(
                 verdict.counts, {}, f"{step}: {verdict.violations[:2]}\n{lab.timeline()}"
@@ -795,16 +795,16 @@
             {"a": (1, "z"), "b": (1, "z")},
         )
         records = Records(invariants.Terms(methods, {}, groups), lambda: clock[0])
-        records.taken("r", "g0", "c", "free", "post", 1.0, 2.0)
-        first = records.sent("r", "a", 0.1)
+        records.on_received(ReceivedRpc("r", "g0", "c", "free", "post", 1.0, 2.0))
+        first = records.on_attempt_arrived(ArrivedAttempt("r", "a", 0.1))
         for _ in range(5):
             records.turns, clock[0] = records.turns + 1, clock[0] + 0.1
-        records.sent("r", "b", 0.1)
+        records.on_attempt_arrived(ArrivedAttempt("r", "b", 0.1))
         for _ in range(turns):
             records.turns += 1
         clock[0] += 0.2  # the turn takes its time
-        records.forget("other")
-        records.ended(first, "late")
+        records.on_gateway_killed("other")
+        records.on_attempt_ended(first, "late")
         return records.close().counts
 
     def test_an_end_that_is_read_late_in_a_long_turn(self):
@@ -819,11 +819,11 @@
             lambda: clock[0],
         )
         records.turns = 10
-        records.taken("r", "g0", "c", "free", "look", 1.0, 2.0)
+        records.on_received(ReceivedRpc("r", "g0", "c", "free", "look", 1.0, 2.0))
         if stood_still:
-            records.stood_still = records.turns
-        records.answered("r", invariants.REJECTED, "look")
-        records.ended(records.sent("r", "a", 0.1), "late")
+            records.last_stall = records.turns
+        records.on_answered("r", invariants.REJECTED, "look")
+        records.on_attempt_ended(records.on_attempt_arrived(ArrivedAttempt("r", "a", 0.1)), "late")
         return records.close().counts
 
     def test_what_hosts_got_while_the_rig_stood_still_comes_before_the_answer(self):
@@ -845,16 +845,20 @@
             lambda: clock[0],
             lambda seconds, call: calls.append((clock[0] + seconds, call)),
         )
-        records.taken("r", "g0", "c", "free", "look", 1.0, 2.0)
+        records.on_received(ReceivedRpc("r", "g0", "c", "free", "look", 1.0, 2.0))
         clock[0] = at
-        records.left("r")
+        records.on_client_disconnected("r")
         (due, told), clock[0] = calls[0], at + sent
         if sent < due - at:
-            records.ended(records.sent("r", "a", 0.1, came=came), "late")
+            records.on_attempt_ended(
+                records.on_attempt_arrived(ArrivedAttempt("r", "a", 0.1, read_at=came)), "late"
+            )
         records.turns, clock[0] = 10, max(due, at + sent)
         told()
         if sent >= due - at:
-            records.ended(records.sent("r", "a", 0.1, came=came), "late")
+            records.on_attempt_ended(
+                records.on_attempt_arrived(ArrivedAttempt("r", "a", 0.1, read_at=came)), "late"
+            )
         return records.close().counts
 
     def test_what_crosses_a_client_that_leaves_in_its_last_moment_is_no_fault(self):
@@ -918,7 +922,7 @@
             lab.play(2.5)
             self.late = {
                 one.gateway
-                for one in lab.records.kept
+                for one in lab.records.history
                 if isinstance(one, invariants.AttemptSent)
                 and one.host == "h0"
                 and one.at > lab.records.now() - 0.8
@@ -978,7 +982,7 @@
 
         def do(lab):
             for name, size in faults:
-                lab.records.tell(f"{name} at h0 and h1")
+                lab.records.note(f"{name} at h0 and h1")
                 for relay in lab.between("host", to=["h0", "h1"]):
                     relay.fault(name, size)
                 lab.play(seconds)
--- a/tests/unit/load_distribution/test_load_distribution.py
+++ b/tests/unit/load_distribution/test_load_distribution.py
@@ -421,12 +421,12 @@
             lab.quiet()
             lab.play(1.5)  # each gateway tells its last second, which a line a second may still owe
             verdict = lab.verdict()
-            came = sum(type(one) is invariants.AttemptSent for one in lab.records.kept)
+            came = sum(type(one) is invariants.AttemptSent for one in lab.records.history)
             events = {
                 one.name: [event for event in one.events if event["event"] == "figures"]
                 for one in lab.gateways
             }
-            told = sources.of_records(lab.records.kept, 1.0, 7.0)
+            told = sources.of_records(lab.records.history, 1.0, 7.0)
         self.assertEqual((verdict.counts, lab.crashes), ({}, []))
         sent = sum(sum(event["to"].values()) for rows in events.values() for event in rows)
         self.assertEqual(sent, came)
