--- a/tests/compatibility/build/measured.py
+++ b/tests/compatibility/build/measured.py
@@ -7,7 +7,8 @@
 import orjson
 
 from benchmarks import capacity as capacity_page
-from petrellane.testbed import capacity, scale
+from petrellane.testbed.capacity import report
+from petrellane.testbed.scale import config
 from tests.compatibility.build.values import plain
 
 Json = Any
@@ -15,7 +16,7 @@
 
 def scale_run(path: pathlib.Path) -> Json:
     """A scale run as the reader of its file understands it."""
-    run = scale.load(str(path))
+    run = config.load(str(path))
     return {name: getattr(run, name) for name in run.__struct_fields__}
 
 
@@ -31,4 +32,4 @@
 
 def capacity_tables(folder: pathlib.Path) -> Json:
     """The tables of the capacity page, from the files of a folder: heading and cells."""
-    return plain(capacity.tables(*capacity_inputs(folder)))
+    return plain(report.build_tables(*capacity_inputs(folder)))
