--- a/petrellane/testbed/command.py
+++ b/petrellane/testbed/command.py
@@ -1,162 +1,126 @@
-"""What `petrellane lab run` and `petrellane lab demo` do: a live table, a time line, the verdict."""
+"""What `petrellane lab run` and `petrellane lab demo` do: a live table, a timeline, the verdict."""
 
-import time
+from __future__ import annotations
 
-from rich.console import Console
-from rich.live import Live
-from rich.table import Table
+from collections.abc import Sequence
 
-from petrellane.invariants import OK, REJECTED
+from petrellane.invariants import Verdict
 from petrellane.load_distribution import sources
 from petrellane.testbed.fleet import Lab, Shape
+from petrellane.testbed.run_display import RunDisplay, format_answers
 from petrellane.testbed.runner import Figures, Play, Stage, Step, load, shape_of
 
 DEMO = Play(
     lab=Figures(gateways=3, hosts=6, seconds=20.0, rate=120.0),
     step=[Step(at=10.0, do="kill", who=["h2"])],
 )
+MAX_TIMELINE = 200
+MAX_FAULTS = 3
+EXIT_OK = 0
+EXIT_FAILED = 1
 
 
-class Watch:
-    """A live table of what the gateways and hosts do; on no terminal, a line every five seconds."""
-
-    def __init__(self, lab, seconds):
-        self.lab, self.seconds, self.console = lab, seconds, Console()
-        self.began, self.before, self.next = time.monotonic(), {}, 5.0
-        self.live = (
-            Live(console=self.console, auto_refresh=False) if self.console.is_terminal else None
-        )
-
-    def __enter__(self):
-        if self.live:
-            self.live.start()
-        self.show()
-        return self
-
-    def __exit__(self, *error):
-        if self.live:
-            self.live.update(self.table(), refresh=True)
-            self.live.stop()
-
-    def show(self):
-        self.lab.scheduler.after(0.5, self.show)
-        passed = time.monotonic() - self.began
-        if self.live:
-            self.live.update(self.table(), refresh=True)
-        elif passed >= self.next:
-            self.next += 5.0
-            print(f"{passed:5.1f} s of {self.seconds:g}: {answers(self.lab)}", flush=True)
-
-    def table(self):
-        table = Table(
-            title=f"{time.monotonic() - self.began:.1f} s of {self.seconds:g}   {answers(self.lab)}"
-        )
-        for name in (
-            "gateway",
-            "state",
-            "RPCs/s",
-            "call-outs/s",
-            "clients",
-            "host",
-            "up",
-            "at work",
-            "RPCs run",
-        ):
-            table.add_column(name, justify="right")
-        rows = max(len(self.lab.gateways), len(self.lab.hosts))
-        for at in range(rows):
-            left = right = ["", "", "", "", ""]
-            if at < len(self.lab.gateways):
-                one = self.lab.gateways[at]
-                told = one.last("figures") or {}
-                state = (
-                    "serves"
-                    if one.ready
-                    else "starts"
-                    if one.process and one.process.up
-                    else "down"
-                )
-                left = [
-                    one.name,
-                    state,
-                    *(str(told.get(name, 0)) for name in ("rpcs", "call_outs", "clients")),
-                ]
-            if at < len(self.lab.hosts):
-                host = self.lab.hosts[at]
-                right = [host.name, "yes" if host.listener else "no", str(host.busy), str(host.ran)]
-            table.add_row(*left, *right[:4])
-        return table
-
-
-def answers(lab):
-    """What became of the RPCs so far, in a line."""
-    counts = {}
-    for (_, answer), number in lab.records.counts.items():
-        counts[answer] = counts.get(answer, 0) + number
-    total = sum(counts.values())
-    rest = total - counts.get(OK, 0) - counts.get(REJECTED, 0)
-    return f"{total} RPCs answered, {counts.get(OK, 0)} ok, {counts.get(REJECTED, 0)} pushed back, {rest} otherwise"
-
-
-def run(play, shape=None, records=""):
-    """Play a run and tell it, and write its records to a file where one is named; gives the exit code."""
-    with Lab(shape or shape_of(play)) as lab:
+def play_file(path: str, records: str = "") -> int:
+    """Play a run file.
+
+    Args:
+        path: The run file.
+        records: Where the records of the run are written; empty for nowhere.
+
+    Returns:
+        The exit code.
+
+    Raises:
+        PlayError: The file cannot be read or is malformed.
+    """
+    return play(load(path), records=records)
+
+
+def demo() -> int:
+    """Play three gateways and six hosts for 20 s, one host killed half way.
+
+    Returns:
+        The exit code.
+    """
+    print(
+        "three gateways, six hosts, a counter and discovery, on loopback; "
+        "host h2 is killed half way"
+    )
+    return play(DEMO, Shape(rate=DEMO.lab.rate))
+
+
+def play(run: Play, shape: Shape | None = None, records: str = "") -> int:
+    """Play a run, and print its timeline and its verdict.
+
+    Args:
+        run: The run.
+        shape: The fleet; None for the one that the run describes.
+        records: Where the records of the run are written; empty for nowhere.
+
+    Returns:
+        The exit code.
+    """
+    with Lab(shape or shape_of(run)) as lab:
         if records:
             lab.records.keep_all()
         lab.start()
-        lab.records.note(f"load begins: {play.lab.rate:g} RPCs a second")
-        Stage(lab, play).begin()
+        lab.records.note(f"load begins: {run.lab.rate:g} RPCs a second")
+        Stage(lab, run).begin()
         lab.clients.start()
-        with Watch(lab, play.lab.seconds):
-            lab.play(play.lab.seconds)
+        with RunDisplay(lab, run.lab.seconds):
+            lab.play(run.lab.seconds)
             lab.quiet()
         verdict = lab.verdict()
         if records:
             sources.write(records, lab.records.history, lab.records.now())
-        print(lab.timeline(200))
-        return told(lab, verdict, play.expect.broken)
-
-
-def told(lab, verdict, expected):
-    """The verdict in words; the exit code, 1 where a rule broke that was not to, or a process crashed."""
-    print(
-        answers(lab)
-        + (f", {lab.clients.turned_back} found no gateway" if lab.clients.turned_back else "")
-    )
+        print(lab.timeline(MAX_TIMELINE))
+        print_result(lab, verdict)
+        return exit_code_of(lab, verdict, run.expect.broken)
+
+
+def exit_code_of(lab: Lab, verdict: Verdict, expected: Sequence[str]) -> int:
+    """Print whether rules broke as expected, and return the exit code.
+
+    It is 1 where a rule broke that was not to, or one did not that was to, where a process crashed
+    or the testbed had a fault, or where the run proves nothing.
+    """
+    is_expected = sorted(verdict.counts) == sorted(expected)
+    text = "no rule broken"
+    if verdict.counts:
+        suffix = ", as expected" if is_expected else ""
+        text = f"broken: {', '.join(sorted(verdict.counts))}{suffix}"
+    print(text)
+    if is_expected and not lab.crashes and not lab.faults and not lab.void:
+        return EXIT_OK
+    return EXIT_FAILED
+
+
+def print_result(lab: Lab, verdict: Verdict) -> None:
+    """Print the answers, the violations, and what went wrong with the run itself."""
+    no_gateway = ""
+    if lab.clients.turned_back:
+        no_gateway = f", {lab.clients.turned_back} found no gateway"
+    print(format_answers(lab) + no_gateway)
     if lab.clients.waits:
-        waits = sorted(took for took, _ in lab.clients.waits)
-        p50, p99 = (waits[int(len(waits) * part)] for part in (0.5, 0.99))
-        print(
-            f"answers after {p50:.3f} s at the median, {p99:.3f} s for 99 of 100, from intended times"
-        )
-    for broken in verdict.violations:
-        print(f"{broken.at:8.3f} rule {broken.rule} is broken: {broken.text}")
-        for line in [line for rpc in broken.rpcs for line in lab.records.describe(rpc)]:
-            print(f"      {line}")
-    for name, code, said in lab.crashes:
-        print(f"{name} crashed ({code}): {said}")
-    for fault in lab.faults[:3]:
+        print(_latency_text(lab))
+    for violation in verdict.violations:
+        print(f"{violation.at:8.3f} rule {violation.rule} is broken: {violation.text}")
+        for rpc in violation.rpcs:
+            for line in lab.records.describe(rpc):
+                print(f"      {line}")
+    for name, code, output in lab.crashes:
+        print(f"{name} crashed ({code}): {output}")
+    for fault in lab.faults[:MAX_FAULTS]:
         print(f"a fault of the lab: {fault}")
     if lab.void:
         print(f"void: {lab.void}")
-    as_expected = sorted(verdict.counts) == sorted(expected)
-    print(
-        "no rule broken"
-        if not verdict.counts
-        else f"broken: {', '.join(sorted(verdict.counts))}"
-        + (", as expected" if as_expected else "")
-    )
-    return 0 if as_expected and not lab.crashes and not lab.faults and not lab.void else 1
-
 
-def play_file(path, records=""):
-    """Play a run file; gives the exit code. Raises play.PlayError."""
-    return run(load(path), records=records)
 
-
-def demo():
-    """Three gateways, six hosts, 20 s of load, one host killed half way; gives the exit code."""
-    print(
-        "three gateways, six hosts, a counter and discovery, on loopback; host h2 is killed half way"
+def _latency_text(lab: Lab) -> str:
+    latencies = sorted(seconds for seconds, _ in lab.clients.waits)
+    median = latencies[int(len(latencies) * 0.5)]
+    p99 = latencies[int(len(latencies) * 0.99)]
+    return (
+        f"answers after {median:.3f} s at the median, {p99:.3f} s for 99 of 100, "
+        "from intended times"
     )
-    return run(DEMO, Shape(rate=DEMO.lab.rate))
--- a/petrellane/testbed/records.py
+++ b/petrellane/testbed/records.py
@@ -15,7 +15,7 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Hashable
 from dataclasses import dataclass
 from functools import partial
 from typing import NamedTuple
@@ -277,7 +277,7 @@
 
     # Results.
 
-    def describe(self, rpc: str) -> list[str]:
+    def describe(self, rpc: Hashable) -> list[str]:
         """Return what was observed of an RPC, a line each."""
         lines = []
         for record in self.history:
