--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -229,13 +229,13 @@
 def track_records(lab: Lab) -> SpanTracker:
     """Return a tracker that takes every record of the testbed after the judge of invariants."""
     tracker = SpanTracker(lab.terms(), [host.name for host in lab.hosts], float(SLOTS))
-    judge: Callable[[Record], None] = lab.records.judge
+    judge: Callable[[Record], None] = lab.records.observe
 
     def judge_and_track(record: Record) -> None:
         judge(record)
         tracker.take(record)
 
-    lab.records.judge = judge_and_track  # type: ignore[method-assign]  # likewise
+    lab.records.observe = judge_and_track  # type: ignore[method-assign]  # likewise
     return tracker
 
 
