--- a/tests/unit/testbed/test_slopes.py
+++ b/tests/unit/testbed/test_slopes.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from benchmarks import scale
+from benchmarks import scale, scale_options, scale_runs, scale_sizes
 from petrellane.testbed import slopes
 
-SCRIPT = pathlib.Path(scale.ROOT) / "benchmarks" / "scale.py"
+SCRIPT = scale_sizes.ROOT / "benchmarks" / "scale.py"
 
 
 def runs(
@@ -142,9 +142,9 @@
 
 def jobs(seed: int = 1) -> list[tuple[Any, ...]]:
     """Return the runs of two sizes in the order in which the script plays them."""
-    options = scale.parser().parse_args(["--sizes", "hosts,methods", "--seed", str(seed)])
-    checked = scale.checked(options)
-    return scale.jobs_of(checked, checked.sizes, scale.MOST_JOBS)
+    words = ["--sizes", "hosts,methods", "--seed", str(seed)]
+    options = scale_options.check_arguments(scale_options.build_parser("").parse_args(words))
+    return list(scale_runs.jobs_of(options, options.sizes, scale_sizes.MAXIMUM_JOBS))
 
 
 def test_the_order_is_the_seeds() -> None:
@@ -280,7 +280,7 @@
 def test_a_run_that_fails_is_reported_and_the_rest_stands(main: Main) -> None:
     def play(shape: dict[str, Any], _: str) -> dict[str, float]:
         if shape["methods"] == 400 and shape["seed"] == 1_002:
-            raise scale.Failed("void: the machine stood still")
+            raise scale_runs.RunError("void: the machine stood still")
         return {"settings_read_ms": 0.1 * shape["methods"]}
 
     code, output, body = main("--sizes", "methods", play=play)
@@ -293,7 +293,7 @@
     before = main("--sizes", "methods", play=lambda *_: {"cores": 1.0}).body
     code, _, body = main("--sizes", "none", "--hard", "--sets", play=lambda *_: {"cores": 2.0})
     assert {key: body[key] for key in before} == before
-    assert [row["case"] for row in body["hard"]] == list(scale.CASES)
+    assert [row["case"] for row in body["hard"]] == list(scale_sizes.CASES)
     assert code == 0
     assert body["sets"][0]["figures"] == {"cores": 2.0}
     assert len(body["sets"]) == 1
@@ -318,7 +318,7 @@
     words = ["--sizes", "hosts,methods", "--runs", "1", "--seconds", "0.5"]
     for name, values in POINTS.items():
         words += ["--points", f"{name}={','.join(map(str, values))}"]
-    words += ["--out", str(out), "--base", str(scale.ROOT)]
+    words += ["--out", str(out), "--base", str(scale_sizes.ROOT)]
     ended = subprocess.run(
         [sys.executable, SCRIPT, *words], capture_output=True, text=True, timeout=60, check=False
     )
