--- a/tests/compatibility/build/simulation.py
+++ b/tests/compatibility/build/simulation.py
@@ -41,9 +41,9 @@
 def scenario(name: str) -> Any:
     """A scenario by its name: "draw 17", "followed 17" or "neighbour 17"."""
     kind, seed = name.split()
-    drawn = scenario_generation.draw(int(seed))
+    drawn = scenario_generation.generate_scenario(int(seed))
     if kind == "followed":
-        return scenario_generation.followed(drawn, int(seed))
+        return scenario_generation.with_hot_restarts(drawn, int(seed))
     if kind == "neighbour":
         return scenario_generation.mutate(drawn, int(seed))
     return drawn
@@ -100,7 +100,7 @@
         and all steps that were decided.
     """
     log: list[list[Any]] = []
-    run = fleet.Fleet(scenario(name), noted_decisions(log), keep=True).play()
+    run = fleet.FleetSimulation(scenario(name), noted_decisions(log), keep_records=True).play()
     records = [(RECORD_LABELS[type(one)], [plain(value) for value in one]) for one in run.records]
     verdict = [
         [run.verdict.counts.get(rule, 0), run.verdict.nearest[rule]] for rule in invariants.RULES
