--- a/benchmarks/quota_excess.py
+++ b/benchmarks/quota_excess.py
@@ -29,8 +29,9 @@
 
 from petrellane.decisions.controller import AdmissionController
 from petrellane.simulation import VERSION, quotas
-from petrellane.simulation.event_queue import chance
-from petrellane.simulation.fleet import Fleet
+from petrellane.simulation.controllers import ControllerFactory
+from petrellane.simulation.event_queue import seeded_random
+from petrellane.simulation.fleet import FleetSimulation
 from petrellane.simulation.scenario import Customer, Fault, Method, Plan, Scenario, World
 
 MODULE = "module"
@@ -56,14 +57,18 @@
 
 
 class RunResult(NamedTuple):
-    """Figures of one run; field names are those of the JSON line."""
+    """Figures of one run."""
 
     who: str
     gateways: int
     seed: int
     broken: list[str]
     ok: float
-    plans: dict[str, dict[str, float]]
+    plans: dict[str, quotas.QuotaUse]
+
+    def to_dict(self) -> dict[str, Any]:
+        """Return the figures by the names that the JSON line gives them."""
+        return self._asdict() | {"plans": {name: use._asdict() for name, use in self.plans.items()}}
 
 
 def draw_demand(rng: random.Random, draw: float) -> float:
@@ -112,8 +117,8 @@
         slots=8,
         queue=64,
         retries=1,
-        cold=0.0,
-        cold_from=1.0,
+        slow_start=0.0,
+        slow_start_minimum=1.0,
         counter_parts=3,
         counter_per_s=max(850.0, 5.0 * rate),
         counter_timeout=0.08,
@@ -122,7 +127,7 @@
 
 def build_quiet_day(gateways: int, seed: int, length: float) -> Scenario:
     """Return the scenario of one quiet day: customers up to the fleet's rate, and their floods."""
-    rng = chance("quiet", seed)
+    rng = seeded_random("quiet", seed)
     rate = FLEET_RATES.get(gateways, RATE_OF_A_GATEWAY * gateways)
     customers: list[Customer] = []
     faults: list[Fault] = []
@@ -144,15 +149,17 @@
 def run_day(policy: str, gateways: int, seed: int, length: float, delay: float) -> RunResult:
     """Play one quiet day with one policy."""
     scenario = build_quiet_day(gateways, seed, length)
-    module = quotas.late(delay) if policy == DELAYED else AdmissionController
-    run = Fleet(scenario, module, keep=True).play()
-    plans = quotas.spent(scenario, run.records or [])
-    return RunResult(policy, gateways, seed, run.broken, run.figures["ok share"], plans)
+    module: ControllerFactory = AdmissionController
+    if policy == DELAYED:
+        module = quotas.delayed_quota_controller(delay)
+    run = FleetSimulation(scenario, module, keep_records=True).play()
+    plans = quotas.measure_quota_use(scenario, run.records or [])
+    return RunResult(policy, gateways, seed, run.broken, run.figures.ok_share, plans)
 
 
-def format_excess(rows: Sequence[dict[str, float]]) -> str:
+def format_excess(rows: Sequence[quotas.QuotaUse]) -> str:
     """Return the shares beyond quotas as median (lowest-highest)."""
-    shares = [row["beyond"] / row["sent"] if row["sent"] else 0.0 for row in rows]
+    shares = [row.beyond / row.sent if row.sent else 0.0 for row in rows]
     return f"{statistics.median(shares):.2%} ({min(shares):.2%}-{max(shares):.2%})"
 
 
@@ -165,10 +172,10 @@
     """Print the row of one fleet and plan."""
     module = [run.plans[plan] for run in select(runs, MODULE, gateways)]
     delayed = [run.plans[plan] for run in select(runs, DELAYED, gateways)]
-    cost = [row["cost"] for row in module]
-    more = [ours["cost"] - other["cost"] for ours, other in zip(module, delayed, strict=True)]
+    cost = [row.cost for row in module]
+    more = [ours.cost - other.cost for ours, other in zip(module, delayed, strict=True)]
     print(
-        f"{gateways:>8} {plan:>7} {statistics.median(row['sent'] for row in module):>11.0f}"
+        f"{gateways:>8} {plan:>7} {statistics.median(row.sent for row in module):>11.0f}"
         f" {format_excess(module):>24} {format_excess(delayed):>24}"
         f" {statistics.median(cost):>8.4f}"
         f" {statistics.median(more):>8.4f} {max(more):>8.4f}"
@@ -223,7 +230,7 @@
     body = {
         "late": arguments.late,
         "seconds": arguments.seconds,
-        "runs": [run._asdict() for run in runs],
+        "runs": [run.to_dict() for run in runs],
     }
     print(json.dumps(body))
 
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -42,7 +42,7 @@
 from benchmarks.slow_start_spans import SpanTracker
 from petrellane.invariants import Record
 from petrellane.simulation import VERSION
-from petrellane.simulation.fleet import Fleet
+from petrellane.simulation.fleet import FleetSimulation
 from petrellane.simulation.scenario import Customer, Fault, Method, Plan, Scenario, World
 from petrellane.testbed.clients import Customer as Client
 from petrellane.testbed.clients import Method as ClientMethod
@@ -111,11 +111,11 @@
         slots=SLOTS,
         queue=QUEUE,
         latency=0.0005,
-        standing=1.0,
+        connection_reuse=1.0,
         retries=0,
-        cold=WARM_UP_S,
-        cold_from=INITIAL_CAPACITY,
-        notice=0.3,
+        slow_start=WARM_UP_S,
+        slow_start_minimum=INITIAL_CAPACITY,
+        detection_delay=0.3,
         exponential=options.exponential,
     )
 
@@ -144,15 +144,15 @@
 
 def run_model(options: RunOptions) -> Row:
     """Play one run of the model and return its figures."""
-    fleet = Fleet(build_scenario(options))
-    tracker = SpanTracker(fleet.terms(), [host.name for host in fleet.machines], float(SLOTS))
-    note: Callable[[Record], None] = fleet.note
+    fleet = FleetSimulation(build_scenario(options))
+    tracker = SpanTracker(fleet.terms(), [host.name for host in fleet.endpoints], float(SLOTS))
+    record_in_fleet: Callable[[Record], None] = fleet.record
 
-    def note_and_track(record: Record) -> None:
-        note(record)
+    def record_and_track(record: Record) -> None:
+        record_in_fleet(record)
         tracker.take(record)
 
-    fleet.note = note_and_track  # type: ignore[method-assign]  # the tracker sees what it sees
+    fleet.record = record_and_track  # type: ignore[method-assign]  # the tracker sees what it sees
     run = fleet.play()
     return {
         "gateways": options.gateways,
