--- a/petrellane/config/endpoints.py
+++ b/petrellane/config/endpoints.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from petrellane.config.section import Address, Section
-from petrellane.decisions.types import DRAINING, GONE, READY
+from petrellane.decisions.types import DRAINING, GONE, READY, EndpointState
 
 STATES = {
     "in_service": READY,
@@ -32,7 +32,7 @@
     zone: str
     kind: str
     pod: int
-    state: str
+    state: EndpointState
     weight: float
     started_at: float
 
--- a/petrellane/decisions/actions.py
+++ b/petrellane/decisions/actions.py
@@ -10,7 +10,7 @@
 from math import inf
 from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
-from petrellane.decisions.types import Endpoint, Rpc
+from petrellane.decisions.types import Endpoint, Outcome, Rpc
 
 if TYPE_CHECKING:
     from petrellane.decisions.leases import Lease
@@ -27,7 +27,7 @@
         sent_at: The time at which it was decided.
         timeout: Seconds after which the attempt has ended `LATE`.
         send_by: The time from which it may not be written any more.
-        outcome: How it ended; empty while it is in flight.
+        outcome: How it ended; None while it is in flight.
         is_cancelled: Whether it was asked to be cancelled.
     """
 
@@ -37,7 +37,7 @@
     sent_at: float
     timeout: float
     send_by: float = inf
-    outcome: str = ""
+    outcome: Outcome | None = None
     is_cancelled: bool = False
 
 
@@ -47,7 +47,7 @@
     Attributes:
         rpc: What ends.
         retry_after: Seconds that the client is asked to wait.
-        reason: Why, for counts and logs alone.
+        reason: Why, for counts and logs alone; a `RejectionReason` where the controller says it.
     """
 
     rpc: Rpc
--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -31,7 +31,7 @@
 from petrellane.decisions.lease_manager import Credit, LeaseManager
 from petrellane.decisions.load_balancing import SAME_ZONE_ODDS, LoadBalancer
 from petrellane.decisions.load_shedding import LoadShedder
-from petrellane.decisions.types import OK, EndpointEvent, RejectionReason, Rpc
+from petrellane.decisions.types import OK, EndpointEvent, Outcome, RejectionReason, Rpc
 
 CHECK_INTERVAL = 0.1  # seconds between periodic checks, while anything is in flight; ours
 
@@ -190,7 +190,7 @@
         self,
         now: float,
         attempt: SendAttempt,
-        outcome: str,
+        outcome: Outcome,
         *,
         over: bool,
         took: float = 0.0,
@@ -280,7 +280,7 @@
         return []
 
     def on_counter_reply(
-        self, now: float, add: CounterAdd, outcome: str, total: float
+        self, now: float, add: CounterAdd, outcome: Outcome, total: float
     ) -> list[Action]:
         """The counter has answered an add, or failed to."""
         return self.lease_manager.on_counter_reply(now, add, outcome, total)
--- a/petrellane/decisions/endpoint_health.py
+++ b/petrellane/decisions/endpoint_health.py
@@ -10,7 +10,7 @@
 
 from petrellane.decisions.actions import SendAttempt
 from petrellane.decisions.numeric import mean
-from petrellane.decisions.types import FULL, OK, UNREACHABLE
+from petrellane.decisions.types import FULL, OK, UNREACHABLE, Outcome
 
 SAMPLE_LIFETIME = 10.0  # seconds for which an endpoint's samples speak for it; ours
 SAMPLES_KEPT = 16  # the last samples of an endpoint that are kept; ours
@@ -32,7 +32,7 @@
 
     ended_at: float
     method_identity: object
-    outcome: str
+    outcome: Outcome
     relative_latency: float  # share of the latency objective
     in_flight: int  # how many of our attempts were in flight there when it was sent
 
--- a/petrellane/decisions/hard_limits.py
+++ b/petrellane/decisions/hard_limits.py
@@ -11,7 +11,7 @@
 from petrellane.decisions.leases import WORTHWHILE_SHARE, Lease
 from petrellane.decisions.numeric import stable_hash
 from petrellane.decisions.outcomes import PROVEN_NOT_RUN
-from petrellane.decisions.types import OK
+from petrellane.decisions.types import OK, Outcome
 
 ESCROW_TTL_WINDOWS = 2  # windows that an escrow's count is kept for; ours
 ESCROW_TTL_MAXIMUM = 60.0  # seconds that it is kept for at most; ours
@@ -49,7 +49,7 @@
         return [CounterAdd(name, piece, ttl, window=lease.window, escrow_lease=lease)]
 
     def on_reply(
-        self, now: float, lease: Lease, add: CounterAdd, outcome: str, total: float
+        self, now: float, lease: Lease, add: CounterAdd, outcome: Outcome, total: float
     ) -> list[Action]:
         """Take what the total proves was in escrow, and no more.
 
--- a/petrellane/decisions/lease_manager.py
+++ b/petrellane/decisions/lease_manager.py
@@ -18,7 +18,7 @@
 from petrellane.decisions.leases import WORTHWHILE_SHARE, Lease
 from petrellane.decisions.numeric import stable_hash
 from petrellane.decisions.outcomes import PROVEN_NOT_RUN
-from petrellane.decisions.types import ERROR, OK, Customer, Rpc
+from petrellane.decisions.types import ERROR, OK, Customer, Outcome, Rpc
 
 # This last part of an allowance goes only to RPCs that wait for it; from the decision package of
 # the design's source.
@@ -192,7 +192,7 @@
         return actions + self._decide_waiting(lease, now)
 
     def on_counter_reply(
-        self, now: float, add: CounterAdd, outcome: str, total: float
+        self, now: float, add: CounterAdd, outcome: Outcome, total: float
     ) -> list[Action]:
         """Take what an answer grants, ask on, or decide the RPCs that wait for it.
 
@@ -238,7 +238,7 @@
         return actions or self._decide_waiting(lease, now)
 
     def _on_failed_add(
-        self, now: float, lease: Lease, add: CounterAdd, outcome: str
+        self, now: float, lease: Lease, add: CounterAdd, outcome: Outcome
     ) -> list[Action]:
         """Book a top-up that failed, by what its outcome proves."""
         if lease.window == add.window:
@@ -288,7 +288,7 @@
         return actions
 
     def _on_escrow_reply(
-        self, now: float, lease: Lease, add: CounterAdd, outcome: str, total: float
+        self, now: float, lease: Lease, add: CounterAdd, outcome: Outcome, total: float
     ) -> list[Action]:
         """Take what came from escrow, and decide the RPCs that wait for it."""
         actions = self.escrow.on_reply(now, lease, add, outcome, total)
--- a/petrellane/decisions/load_balancing.py
+++ b/petrellane/decisions/load_balancing.py
@@ -36,6 +36,7 @@
     Endpoint,
     EndpointEvent,
     Method,
+    Outcome,
     Rpc,
 )
 
@@ -315,7 +316,9 @@
         self.in_flight[attempt] = len(self.in_flight)
         health.cached_until = -math.inf
 
-    def on_attempt_ended(self, attempt: SendAttempt, outcome: str, took: float, now: float) -> None:
+    def on_attempt_ended(
+        self, attempt: SendAttempt, outcome: Outcome, took: float, now: float
+    ) -> None:
         """Note what the end of an attempt says of its endpoint.
 
         Args:
--- a/petrellane/decisions/types.py
+++ b/petrellane/decisions/types.py
@@ -98,7 +98,7 @@
     name: str
     latency_objective: float
     deadline: float
-    effect: str = NON_IDEMPOTENT
+    effect: Effect = NON_IDEMPOTENT
     key_scope: str = ""
     key_window: float = 0.0
     priority_weight: float = 1.0
@@ -178,7 +178,7 @@
     zone: str = ""
     kind: str = ""
     pod: int = 0
-    state: str = READY
+    state: EndpointState = READY
     weight: float = 1.0
     started_at: float = 0.0
 
@@ -190,7 +190,7 @@
     zone: str
     kind: str
     pod: int
-    state: str
+    state: EndpointState
     weight: float
     started_at: float
 
