--- a/petrellane/simulation/endpoints.py
+++ b/petrellane/simulation/endpoints.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from petrellane.decisions.actions import SendAttempt
-from petrellane.decisions.types import DEDUPLICATED, ERROR, FULL, OK, RESET, UNREACHABLE
+from petrellane.decisions.types import DEDUPLICATED, ERROR, FULL, OK, RESET, UNREACHABLE, Outcome
 from petrellane.invariants import AttemptArrived, EndpointStarted, RpcExecuted
 from petrellane.simulation.event_queue import seeded_random
 
@@ -224,7 +224,7 @@
             self._reply(pending, RESET if is_lost else OK)
         self.start_waiting()
 
-    def _reply(self, pending: PendingAttempt, outcome: str) -> None:
+    def _reply(self, pending: PendingAttempt, outcome: Outcome) -> None:
         """Report an outcome to the gateway, unless a link is cut or the endpoint unreachable."""
         if self.is_unreachable:
             return
--- a/petrellane/simulation/fleet.py
+++ b/petrellane/simulation/fleet.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from petrellane.decisions.controller import AdmissionController
-from petrellane.decisions.types import Method, Plan, Rpc
+from petrellane.decisions.types import Effect, Method, Plan, Rpc
 from petrellane.invariants import (
     HardLimit,
     InvariantChecker,
@@ -78,7 +78,7 @@
         settings.name,
         settings.latency_objective,
         settings.deadline,
-        settings.effect,
+        Effect(settings.effect),
         settings.key_scope,
         settings.key_window,
         settings.priority_weight,
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -20,6 +20,8 @@
     Customer,
     Endpoint,
     EndpointEvent,
+    EndpointState,
+    Outcome,
     Rpc,
 )
 from petrellane.invariants import (
@@ -318,11 +320,11 @@
                 self._executor.execute(self.controller.on_client_disconnected(self.clock(), rpc))
                 return
 
-    def report_outcome(self, pending: PendingAttempt, outcome: str) -> None:
+    def report_outcome(self, pending: PendingAttempt, outcome: Outcome) -> None:
         """An attempt has ended, as far as the process can see."""
         self.deliver(pending.incarnation, self._on_attempt_ended, pending, outcome)
 
-    def _on_attempt_ended(self, pending: PendingAttempt, outcome: str) -> None:
+    def _on_attempt_ended(self, pending: PendingAttempt, outcome: Outcome) -> None:
         if pending.is_ended:
             return
         pending.is_ended = True
@@ -347,7 +349,7 @@
             )
         )
 
-    def on_counter_reply(self, add: CounterAdd, outcome: str, total: float) -> None:
+    def on_counter_reply(self, add: CounterAdd, outcome: Outcome, total: float) -> None:
         """The counter has answered an add, or its time limit has passed."""
         if add.lease is not None and self.simulation.keeps_records:
             result = f"a total of {total:g}" if outcome == OK else outcome
@@ -372,7 +374,7 @@
         zone=f"z{row.endpoint.zone}",
         kind="",
         pod=row.endpoint.pod,
-        state=row.state,
+        state=EndpointState(row.state),
         weight=1.0,
         started_at=started_at,
     )
