--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,7 @@
 	$(PYTHON) -m pytest -n 4
 
 hunt: .venv/ready
-	$(PYTHON) -m petrellane hunt
+	$(PYTHON) -m petrellane property-search
 
 demo: .venv/ready
-	$(PYTHON) -m petrellane lab demo
+	$(PYTHON) -m petrellane testbed demo
--- a/petrellane/simulation/baseline_controller.py
+++ b/petrellane/simulation/baseline_controller.py
@@ -19,6 +19,7 @@
     UNREACHABLE,
     Endpoint,
     EndpointEvent,
+    Outcome,
     RejectionReason,
     Rpc,
 )
@@ -54,7 +55,7 @@
     def on_list_changed(self) -> None:
         """The ready endpoints have changed."""
 
-    def on_outcome(self, endpoint: Endpoint, outcome: str, now: float) -> None:
+    def on_outcome(self, endpoint: Endpoint, outcome: Outcome, now: float) -> None:
         """An attempt has ended."""
 
     def candidates(self, rpc: Rpc) -> list[Endpoint]:
@@ -97,7 +98,7 @@
         return [attempt]
 
     def on_attempt_ended(
-        self, now: float, attempt: SendAttempt, outcome: str, *, over: bool, **_details: object
+        self, now: float, attempt: SendAttempt, outcome: Outcome, *, over: bool, **_details: object
     ) -> list[Action]:
         """Retry where the attempt is proven not to have run, or end the RPC."""
         rpc = attempt.rpc
@@ -122,7 +123,7 @@
         return []
 
     def on_counter_reply(
-        self, _now: float, _add: CounterAdd, _outcome: str, _total: float
+        self, _now: float, _add: CounterAdd, _outcome: Outcome, _total: float
     ) -> list[Action]:
         """Do nothing."""
         return []
--- a/petrellane/simulation/counter.py
+++ b/petrellane/simulation/counter.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from petrellane.decisions.actions import CounterAdd
-from petrellane.decisions.types import FULL, LATE, OK
+from petrellane.decisions.types import FULL, LATE, OK, Outcome
 from petrellane.simulation.event_queue import seeded_random
 from petrellane.simulation.network import Network
 
@@ -78,7 +78,7 @@
         self._incarnation = gateway.incarnation
         self._is_settled = False
 
-    def settle(self, outcome: str, total: float) -> None:
+    def settle(self, outcome: Outcome, total: float) -> None:
         """Report the outcome, unless another one was reported."""
         if not self._is_settled:
             self._is_settled = True
@@ -143,7 +143,7 @@
         if not self.silent_faults:
             self._reply(pending, OK, total)
 
-    def _reply(self, pending: PendingAdd, outcome: str, total: float) -> None:
+    def _reply(self, pending: PendingAdd, outcome: Outcome, total: float) -> None:
         delay = self._simulation.network.delay(Network.COUNTER, pending.gateway.zone, self._rng)
         if delay is not None:
             self._simulation.events.schedule_after(delay, pending.settle, outcome, total)
--- a/tests/integration/testbed/test_scale.py
+++ b/tests/integration/testbed/test_scale.py
@@ -54,7 +54,7 @@
 
 def command(path):
     return subprocess.Popen(
-        [sys.executable, "-m", "petrellane", "lab", "scale", path],
+        [sys.executable, "-m", "petrellane", "testbed", "scale", path],
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
