--- a/benchmarks/load_balancing_processes.py
+++ b/benchmarks/load_balancing_processes.py
@@ -38,7 +38,8 @@
 
 def read_usages(lab: Lab) -> list[ProcessUsage]:
     """Return what each gateway's process uses."""
-    return [read_usage(gateway.process.process.pid) for gateway in lab.gateways]
+    processes = [gateway.process for gateway in lab.gateways]
+    return [read_usage(process.process.pid) for process in processes if process is not None]
 
 
 def count_answers(lab: Lab) -> Counter[str]:
