--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -23,7 +23,7 @@
 from benchmarks.agreement import memory  # noqa: E402
 from petrellane.decisions.controller import AdmissionController  # noqa: E402
 from petrellane.load_distribution import sources  # noqa: E402
-from petrellane.load_distribution.figures import figures  # noqa: E402
+from petrellane.load_distribution.figures import compute_figures  # noqa: E402
 from petrellane.simulation import shrinking  # noqa: E402
 from petrellane.simulation.baselines import BASELINES  # noqa: E402
 from petrellane.simulation.fleet import Fleet  # noqa: E402
@@ -39,7 +39,7 @@
     scenario = shrinking.thin(gateways, hosts, load, seed, rate, length, patience)
     run = Fleet(scenario, BASELINES.get(who, AdmissionController), keep=True).play()
     served, work = shrinking.served(run, WARM), scenario.methods[0].work
-    found = figures(sources.of_records(run.records, WARM, length))
+    found = compute_figures(sources.trace_from_records(run.records, WARM, length))
     five = next(one for one in found.spans if one.seconds == 5.0)
     return {
         "who": who,
@@ -79,10 +79,13 @@
     """The figures of one fault; what the first host gets by second after it is back, over its part."""
     scenario = shrinking.thin(gateways, hosts, load, 1, rate, 20.0, patience, faults=HARD[case])
     run = Fleet(scenario, BASELINES.get(who, AdmissionController), keep=True).play()
-    served, found = shrinking.served(run, WARM), figures(sources.of_records(run.records, 8.0, 20.0))
+    served, found = (
+        shrinking.served(run, WARM),
+        compute_figures(sources.trace_from_records(run.records, 8.0, 20.0)),
+    )
     sent = [
         int(at)
-        for at, _, host, _ in sources.of_records(run.records, 10.0, 20.0).sent
+        for at, _, host, _ in sources.trace_from_records(run.records, 10.0, 20.0).sent
         if host == "h0"
     ]
     back = (
@@ -184,7 +187,9 @@
                 dict(lab.records.counts),
             )
             lab.play(seconds)
-            found = figures(sources.of_records(lab.records.kept, since, lab.records.now()))
+            found = compute_figures(
+                sources.trace_from_records(lab.records.kept, since, lab.records.now())
+            )
             took = sorted(one for one, answer in lab.clients.waits[waits:] if answer == "ok")
             answers = {}
             for (_, answer), number in lab.records.counts.items():
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -142,11 +142,11 @@
 ) -> None:
     """Print how evenly load is distributed over endpoints."""
     from petrellane.load_distribution import commands
-    from petrellane.load_distribution.sources import SpreadError
+    from petrellane.load_distribution.sources import LoadSourceError
 
     try:
-        commands.tell(path, since, until or None, json, svg, seed)
-    except SpreadError as error:
+        commands.print_figures(commands.SpreadOptions(path, since, until or None, json, svg, seed))
+    except LoadSourceError as error:
         _exit_with_error(error)
 
 
--- a/petrellane/load_distribution/commands.py
+++ b/petrellane/load_distribution/commands.py
@@ -1,75 +1,187 @@
-"""What `petrellane spread` prints: a table, one JSON object, or a plot."""
+"""What `petrellane spread` prints: a table, one JSON object, or a plot.
+
+The words of the output and the keys of the JSON object are those that its readers know; the names
+of the figures are translated here.
+"""
 
 import sys
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
 
 import orjson
 
 from petrellane.load_distribution import sources
-from petrellane.load_distribution.figures import Figures, Told, figures, windows
+from petrellane.load_distribution.figures import Figures, IdlePeriod, Span, compute_figures
+from petrellane.load_distribution.trace import Id, LoadTrace, windows
+
+if TYPE_CHECKING:
+    from matplotlib.axes import Axes
+    from matplotlib.image import AxesImage
+
+MAXIMUM_IDLE_ROWS = 10  # idle periods of the table; the rest is counted
+MAXIMUM_LABELS = 60  # hosts that a plot still has room to name
+
+
+@dataclass(frozen=True)
+class SpreadOptions:
+    """The options of `petrellane spread`.
+
+    Times are in seconds from the begin of the run; `until` is None for its end, `svg` is "" for
+    no plot.
+    """
+
+    path: str
+    since: float = 0.0
+    until: float | None = None
+    as_json: bool = False
+    svg: str = ""
+    seed: int = 0
+
+
+def print_figures(options: SpreadOptions) -> None:
+    """Read a source, and print its figures.
+
+    Raises:
+        sources.LoadSourceError: Nothing can be computed from the path, or no plot be written.
+    """
+    reading = sources.read(options.path, options.since, options.until)
+    trace = reading.trace
+    if trace.until <= trace.since or not trace.sent:
+        raise sources.LoadSourceError(
+            f"{options.path}: expected call-outs between {options.since:g} s and "
+            f"{trace.until:g} s, found none"
+        )
+    figures = compute_figures(trace, options.seed)
+    if options.svg:
+        _write_plot(trace, options.svg)
+    for note in reading.notes:
+        print(note, file=sys.stderr)
+    if reading.left_out:
+        print(
+            f"{reading.left_out} of {reading.lines + reading.left_out} lines were left out",
+            file=sys.stderr,
+        )
+    print(format_json(figures, reading).decode() if options.as_json else format_table(figures))
 
 
-def table(found: Figures) -> str:
-    """The figures as lines for a person."""
+def format_table(figures: Figures) -> str:
+    """Return the figures as lines for a person."""
     lines = [
-        f"{found.call_outs} call-outs of {found.gateways} gateways at {found.hosts} hosts",
-        f"{'over':>6} {'peak':>6} {'by chance':>9} {'excess':>6} {'worst':>6} {'trough':>6} {'by chance':>9} "
-        f"{'worst':>6}   of what was due, the mean of windows",
+        f"{figures.attempts} call-outs of {figures.gateways} gateways at {figures.hosts} hosts",
+        f"{'over':>6} {'peak':>6} {'by chance':>9} {'excess':>6} {'worst':>6} {'trough':>6} "
+        f"{'by chance':>9} {'worst':>6}   of what was due, the mean of windows",
     ]
-    for one in found.spans:
-        lines.append(
-            f"{one.seconds:4g} s {one.peak:6.2f} {one.chance_peak:9.2f} {one.excess:6.2f} {one.worst_peak:6.2f} "
-            f"{one.trough:6.2f} {one.chance_trough:9.2f} {one.worst_trough:6.2f}   {one.windows} windows"
-        )
+    lines += map(_format_span, figures.spans)
+    lines.append(f"idle: {len(figures.idle) or 'none'}")
+    lines += map(_format_idle, figures.idle[:MAXIMUM_IDLE_ROWS])
+    if figures.herd > figures.herd_by_chance:
+        movement = "gateways move together"
+    else:
+        movement = "gateways move by themselves"
     lines.append(
-        f"idle: {len(found.idle) or 'none'}"
-        + "".join(
-            f"\n  {one.host} got nothing for {one.seconds:.1f} s from {one.since:.1f} s, {one.due:.1f} were due"
-            for one in found.idle[:10]
-        )
+        f"herd: {figures.herd:.2f}, up to {figures.herd_by_chance:.2f} by chance: {movement}"
     )
-    told = (
-        "gateways move together"
-        if found.herd > found.herd_by_chance
-        else "gateways move by themselves"
+    if figures.period is None:
+        lines.append("swing: none")
+    else:
+        lines.append(
+            f"swing: a period of {figures.period:g} s, {figures.amplitude:.2f} of what is due up "
+            "and down"
+        )
+    return "\n".join(lines)
+
+
+def _format_span(span: Span) -> str:
+    return (
+        f"{span.seconds:4g} s {span.peak:6.2f} {span.chance_peak:9.2f} {span.excess:6.2f} "
+        f"{span.worst_peak:6.2f} {span.trough:6.2f} {span.chance_trough:9.2f} "
+        f"{span.worst_trough:6.2f}   {span.windows} windows"
     )
-    lines.append(f"herd: {found.herd:.2f}, up to {found.herd_by_chance:.2f} by chance: {told}")
-    lines.append(
-        "swing: none"
-        if found.period is None
-        else f"swing: a period of {found.period:g} s, {found.amplitude:.2f} of what is due up and down"
+
+
+def _format_idle(period: IdlePeriod) -> str:
+    return (
+        f"  {period.host} got nothing for {period.seconds:.1f} s from {period.since:.1f} s, "
+        f"{period.due:.1f} were due"
     )
-    return "\n".join(lines)
 
 
-def as_json(found: Figures, read: sources.Read) -> bytes:
-    """The same as one JSON object, with what could not be read."""
-    told = found._asdict() | {
-        "spans": [one._asdict() | {"excess": one.excess} for one in found.spans],
-        "idle": [one._asdict() for one in found.idle],
-        "lines": read.lines,
-        "left_out": read.left_out,
-        "notes": read.notes,
+def format_json(figures: Figures, reading: sources.Reading) -> bytes:
+    """Return the figures as one JSON object, with what could not be read."""
+    row: dict[str, Any] = {
+        "call_outs": figures.attempts,
+        "gateways": figures.gateways,
+        "hosts": figures.hosts,
+        "spans": [span._asdict() | {"excess": span.excess} for span in figures.spans],
+        "idle": [period._asdict() for period in figures.idle],
+        "herd": figures.herd,
+        "herd_by_chance": figures.herd_by_chance,
+        "period": figures.period,
+        "amplitude": figures.amplitude,
+        "lines": reading.lines,
+        "left_out": reading.left_out,
+        "notes": reading.notes,
     }
-    return orjson.dumps(told)
+    return orjson.dumps(row)
 
 
-def plot(told: Told, path: str, seconds: float = 1.0) -> None:
-    """A heat map of hosts over time, each second's call-outs over what was due, as an SVG file."""
+def _write_plot(trace: LoadTrace, path: str) -> None:
+    try:
+        write_plot(trace, path)
+    except ImportError:
+        raise sources.LoadSourceError(
+            "--svg: expected matplotlib (pip install petrellane[plot]), found none"
+        ) from None
+    except OSError as error:
+        raise sources.LoadSourceError(
+            f"--svg: expected a file that can be written at {path}: {error.strerror}"
+        ) from None
+
+
+def write_plot(trace: LoadTrace, path: str, seconds: float = 1.0) -> None:
+    """Write a heat map of hosts over time as an SVG file.
+
+    A cell is what a host got in a window of so many seconds, over what was due to it.
+
+    Raises:
+        ImportError: matplotlib is not installed.
+        OSError: The file can't be written.
+    """
     import matplotlib
 
     matplotlib.use("svg")
-    matplotlib.rcParams["svg.hashsalt"] = "petrellane"  # the same picture, the same file
+    matplotlib.rcParams["svg.hashsalt"] = "petrellane"  # the same trace gives the same bytes
     from matplotlib import pyplot
 
-    rows = list(windows(told, seconds))
-    hosts = sorted(told.ready, key=str)
+    hosts = sorted(trace.ready, key=str)
+    height = max(2.5, min(12.0, 0.16 * len(hosts) + 1.5))
+    figure, axes = pyplot.subplots(figsize=(10, height))
+    image = _draw_cells(axes, trace, hosts, seconds)
+    axes.set_xlabel("seconds")
+    axes.set_ylabel("hosts")
+    if len(hosts) <= MAXIMUM_LABELS:
+        ticks = [index + 0.5 for index in range(len(hosts))]
+        axes.set_yticks(ticks, [str(host) for host in hosts], fontsize=6)
+    figure.colorbar(image, label="call-outs over due")
+    axes.set_title(f"call-outs by host and {seconds:g} s")
+    figure.tight_layout()
+    figure.savefig(path, format="svg", metadata={"Date": None})
+    pyplot.close(figure)
+
+
+def _draw_cells(axes: "Axes", trace: LoadTrace, hosts: list[Id], seconds: float) -> "AxesImage":
+    """Draw the heat map's cells, and return their image."""
+    rows = list(windows(trace, seconds))
     cells = [
-        [row[host][0] / row[host][1] if host in row else float("nan") for _, row in rows]
+        [load[host].sent / load[host].due if host in load else float("nan") for _, load in rows]
         for host in hosts
     ]
-    figure, axes = pyplot.subplots(figsize=(10, max(2.5, min(12.0, 0.16 * len(hosts) + 1.5))))
-    first, last = (rows[0][0], rows[-1][0] + seconds) if rows else (0.0, 1.0)
-    shown = axes.imshow(
+    first = 0.0
+    last = 1.0
+    if rows:
+        first = rows[0][0]
+        last = rows[-1][0] + seconds
+    image: AxesImage = axes.imshow(
         cells or [[0.0]],
         aspect="auto",
         interpolation="nearest",
@@ -78,42 +190,4 @@
         vmax=2.0,
         extent=(first, last, len(hosts) or 1, 0),
     )
-    axes.set_xlabel("seconds")
-    axes.set_ylabel("hosts")
-    if len(hosts) <= 60:
-        axes.set_yticks(
-            [at + 0.5 for at in range(len(hosts))], [str(host) for host in hosts], fontsize=6
-        )
-    figure.colorbar(shown, label="call-outs over due")
-    axes.set_title(f"call-outs by host and {seconds:g} s")
-    figure.tight_layout()
-    figure.savefig(path, format="svg", metadata={"Date": None})
-    pyplot.close(figure)
-
-
-def tell(path: str, since: float, until: float | None, json: bool, svg: str, seed: int) -> None:
-    """Read, and print what was found. Raises sources.SpreadError."""
-    read = sources.read(path, since, until)
-    if read.told.until <= read.told.since or not read.told.sent:
-        raise sources.SpreadError(
-            f"{path}: expected call-outs between {since:g} s and {read.told.until:g} s, found none"
-        )
-    found = figures(read.told, seed)
-    if svg:
-        try:
-            plot(read.told, svg)
-        except ImportError:
-            raise sources.SpreadError(
-                "--svg: expected matplotlib (pip install petrellane[plot]), found none"
-            ) from None
-        except OSError as error:
-            raise sources.SpreadError(
-                f"--svg: expected a file that can be written at {svg}: {error.strerror}"
-            ) from None
-    for note in read.notes:
-        print(note, file=sys.stderr)
-    if read.left_out:
-        print(
-            f"{read.left_out} of {read.lines + read.left_out} lines were left out", file=sys.stderr
-        )
-    print(as_json(found, read).decode() if json else table(found))
+    return image
--- a/tests/unit/load_distribution/test_load_distribution.py
+++ b/tests/unit/load_distribution/test_load_distribution.py
@@ -17,7 +17,14 @@
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 from petrellane.load_distribution import commands, sources
-from petrellane.load_distribution.figures import Told, figures, herd, idle, span, swing, windows
+from petrellane.load_distribution.figures import (
+    compute_figures,
+    find_idle_periods,
+    measure_herd,
+    measure_span,
+    measure_swing,
+)
+from petrellane.load_distribution.trace import LoadTrace, windows
 from petrellane.simulation import shrinking
 from petrellane.simulation.baselines import BASELINES, place_of
 from petrellane.simulation.fleet import Fleet
@@ -27,7 +34,7 @@
 
 def drawn(seed=1, gateways=20, hosts=10, rate=200.0, length=30.0, pick=None, sizes=None):
     """A run in which each gateway draws by `pick(chance, gateway, at)`, or evenly."""
-    chance, at, told = random.Random(seed), 0.0, Told(0.0, length)
+    chance, at, told = random.Random(seed), 0.0, LoadTrace(0.0, length)
     names = [f"h{number}" for number in range(hosts)]
     told.ready = {name: [(0.0, length, (sizes or {}).get(name, 1.0))] for name in names}
     while (at := at + chance.expovariate(rate)) < length:
@@ -44,7 +51,7 @@
     def test_even_draws_show_no_herd_no_swing_no_excess(self):
         above = 0
         for seed in range(12):
-            found = figures(drawn(seed))
+            found = compute_figures(drawn(seed))
             for one in found.spans[:2]:
                 self.assertAlmostEqual(one.excess, 1.0, delta=0.12)
             above += found.herd > found.herd_by_chance
@@ -56,14 +63,16 @@
         names = [f"h{number}" for number in range(10)]
         weights = [sizes.get(name, 1.0) for name in names]
         told = drawn(pick=lambda chance, *_: chance.choices(names, weights)[0], sizes=sizes)
-        self.assertAlmostEqual(span(told, 30.0).peak, span(told, 30.0).chance_peak, delta=0.12)
+        self.assertAlmostEqual(
+            measure_span(told, 30.0).peak, measure_span(told, 30.0).chance_peak, delta=0.12
+        )
         self.assertGreater(
-            span(drawn(sizes=sizes), 30.0).peak, 3.0
+            measure_span(drawn(sizes=sizes), 30.0).peak, 3.0
         )  # even draws are not: 0.5 gets as much as 1
 
     def test_round_robin_is_more_even_than_chance(self):
         count = iter(range(10**6))
-        found = span(drawn(pick=lambda *_: f"h{next(count) % 10}"), 5.0)
+        found = measure_span(drawn(pick=lambda *_: f"h{next(count) % 10}"), 5.0)
         self.assertLess(found.excess, 0.9)
         self.assertGreater(found.trough, 0.95)
 
@@ -76,7 +85,7 @@
             return f"h{int(at) % 10}" if chance.random() < 0.3 else f"h{chance.randrange(10)}"
 
         told = drawn(pick=pick)
-        found, by_chance = herd(told)
+        found, by_chance = measure_herd(told)
         self.assertGreater(found, 5 * max(by_chance, 0.1))
 
     def test_gateways_that_each_move_by_themselves_are_none(self):
@@ -87,7 +96,7 @@
                 else f"h{chance.randrange(10)}"
             )
 
-        found, _ = herd(drawn(pick=pick))
+        found, _ = measure_herd(drawn(pick=pick))
         self.assertLess(found, 0.6)
 
     def test_a_load_that_goes_up_and_down_is_no_herd(self):
@@ -95,7 +104,7 @@
         told.sent = [
             one for one in told.sent if int(one[0]) % 4 < 2 or random.Random(one[0]).random() < 0.2
         ]
-        found, by_chance = herd(told)
+        found, by_chance = measure_herd(told)
         self.assertLess(found, by_chance + 0.05)
 
     def test_a_swing_has_its_period_and_amplitude(self):
@@ -103,7 +112,7 @@
             first = chance.random() < 0.5 + (0.3 if at % 6 < 3 else -0.3)
             return f"h{chance.randrange(5) + 5 * (not first)}"
 
-        period, amplitude = swing(drawn(rate=1000.0, pick=pick))
+        period, amplitude = measure_swing(drawn(rate=1000.0, pick=pick))
         self.assertEqual(period, 6.0)
         self.assertAlmostEqual(amplitude, 0.6 * 1.4, delta=0.4)
 
@@ -111,7 +120,7 @@
         def pick(chance, gateway, at):
             return f"h{chance.randrange(10 if at < 10 or at > 22 else 9)}"
 
-        found = idle(drawn(pick=pick))
+        found = find_idle_periods(drawn(pick=pick))
         self.assertEqual([one.host for one in found], ["h9"])
         self.assertAlmostEqual(found[0].since, 10.0, delta=0.5)
         self.assertAlmostEqual(found[0].seconds, 12.0, delta=0.5)
@@ -120,9 +129,10 @@
     def test_a_host_that_is_not_ready_or_owes_little_is_not_idle(self):
         told = drawn(pick=lambda chance, *_: f"h{chance.randrange(9)}")
         told.ready["h9"] = [(0.0, 4.0, 1.0), (27.0, 30.0, 1.0)]
-        self.assertEqual(idle(told), [])
+        self.assertEqual(find_idle_periods(told), [])
         self.assertEqual(
-            idle(drawn(rate=5.0, pick=lambda chance, *_: f"h{chance.randrange(9)}")), []
+            find_idle_periods(drawn(rate=5.0, pick=lambda chance, *_: f"h{chance.randrange(9)}")),
+            [],
         )
 
     def test_windows_hold_hosts_that_were_ready_in_all_of_them(self):
@@ -148,7 +158,9 @@
         ),
     )
     def test_no_run_is_too_odd_to_be_told(self, sent, ready):
-        found = figures(Told(0.0, 20.0, sent, {host: [one] for host, one in ready.items()}))
+        found = compute_figures(
+            LoadTrace(0.0, 20.0, sent, {host: [one] for host, one in ready.items()})
+        )
         self.assertGreaterEqual(found.amplitude, 0.0)
         for one in found.spans:
             self.assertGreaterEqual(one.peak, 1.0 - 1e-9)
@@ -181,13 +193,11 @@
         path = os.path.join(self.folder, "run")
         sources.write(path, run.records, 6.0, {"h0": 2.0})
         read = sources.read(path, 1.0)
-        straight = sources.of_records(
-            run.records, 1.0, 6.0, lambda host: 2.0 if host == "h0" else 1.0
-        )
-        self.assertEqual(len(read.told.sent), len(straight.sent))
-        self.assertEqual(read.told.ready.keys(), straight.ready.keys())
-        self.assertEqual((read.notes, read.left_out, read.told.ready["h0"][0][2]), ([], 0, 2.0))
-        self.assertEqual(figures(read.told).spans, figures(straight).spans)
+        straight = sources.trace_from_records(run.records, 1.0, 6.0, {"h0": 2.0})
+        self.assertEqual(len(read.trace.sent), len(straight.sent))
+        self.assertEqual(read.trace.ready.keys(), straight.ready.keys())
+        self.assertEqual((read.notes, read.left_out, read.trace.ready["h0"][0][2]), ([], 0, 2.0))
+        self.assertEqual(compute_figures(read.trace).spans, compute_figures(straight).spans)
 
     def test_lines_that_can_not_be_read_are_told_by_number_and_the_rest_is_used(self):
         path = self.file(
@@ -202,7 +212,7 @@
         )
         read = sources.read(path)
         self.assertEqual(
-            (len(read.told.sent), read.left_out), (2, 4)
+            (len(read.trace.sent), read.left_out), (2, 4)
         )  # the one at the very end of time is not within
         for number, text in (
             (3, "expected a JSON object, found nonsense"),
@@ -226,12 +236,12 @@
             (os.path.join(self.folder, "none"), "expected a file of records or a folder of logs"),
             (os.path.join(self.folder, "logs"), "expected logs (*.log) with events, found none"),
         ):
-            with self.subTest(text), self.assertRaises(sources.SpreadError) as found:
+            with self.subTest(text), self.assertRaises(sources.LoadSourceError) as found:
                 sources.read(path)
             self.assertIn(text, str(found.exception))
             self.assertNotIn("\n", str(found.exception))
         self.file({"at": 1.0, "gateway": "g0", "event": "figures", "rpcs": 3}, name="logs/g0.log")
-        with self.assertRaisesRegex(sources.SpreadError, "expected `figures` events with `to`"):
+        with self.assertRaisesRegex(sources.LoadSourceError, "expected `figures` events with `to`"):
             sources.read(os.path.join(self.folder, "logs"))
 
     def test_logs_of_a_fleet(self):
@@ -250,7 +260,7 @@
             read.notes,
         )
         self.assertEqual(read.left_out, 2)
-        self.assertAlmostEqual(span(read.told, 5.0).peak, 1.2)
+        self.assertAlmostEqual(measure_span(read.trace, 5.0).peak, 1.2)
 
     def test_a_host_is_ready_while_all_that_heard_of_it_have_it_so(self):
         def told(at, gateway, state):
@@ -266,7 +276,8 @@
             told(8.0, "b", "ready"),
         ]
         self.assertEqual(
-            sources.of_records(rows, 0.0, 9.0).ready["h0"], [(0.0, 4.0, 1.0), (8.0, 9.0, 1.0)]
+            sources.trace_from_records(rows, 0.0, 9.0).ready["h0"],
+            [(0.0, 4.0, 1.0), (8.0, 9.0, 1.0)],
         )
 
     def test_words_json_and_plot(self):
@@ -278,8 +289,8 @@
         )
         svg, said = os.path.join(self.folder, "run.svg"), io.StringIO()
         with contextlib.redirect_stdout(said):
-            commands.tell(path, 0.0, None, False, svg, 0)
-            commands.tell(path, 0.0, None, True, "", 0)
+            commands.print_figures(commands.SpreadOptions(path, svg=svg))
+            commands.print_figures(commands.SpreadOptions(path, as_json=True))
         *lines, last = said.getvalue().splitlines()
         self.assertTrue(lines[0].startswith("400 call-outs of 1 gateways at 3 hosts"), lines[0])
         told = json.loads(last)
@@ -289,8 +300,8 @@
         )
         with open(svg) as file:
             self.assertIn("<svg", file.read(2000))
-        with self.assertRaisesRegex(sources.SpreadError, "expected call-outs between 30 s"):
-            commands.tell(path, 30.0, None, False, "", 0)
+        with self.assertRaisesRegex(sources.LoadSourceError, "expected call-outs between 30 s"):
+            commands.print_figures(commands.SpreadOptions(path, 30.0))
 
 
 class Thin(unittest.TestCase):
@@ -301,7 +312,7 @@
             **{"gateways": 40, "hosts": 20, "rate": 300.0, "length": 8.0, **more}
         )
         run = Fleet(scenario, BASELINES[who], keep=True).play()
-        return shrinking.served(run, 2.0), sources.of_records(run.records, 2.0, 8.0), run
+        return shrinking.served(run, 2.0), sources.trace_from_records(run.records, 2.0, 8.0), run
 
     def test_all_of_them_serve_and_break_no_rule(self):
         for who in BASELINES:
@@ -317,7 +328,7 @@
 
     def test_round_robin_is_as_even_as_it_is_here(self):
         self.assertLess(
-            span(self.play("round robin", gateways=2)[1], 5.0).peak, 1.08
+            measure_span(self.play("round robin", gateways=2)[1], 5.0).peak, 1.08
         )  # of a few that have much each
 
     def test_faults_at_hosts_and_gateways_leave_none_idle_and_break_no_rule(self):
@@ -332,16 +343,16 @@
                     shrinking.thin(40, 20, 0.5, rate=300.0, length=10.0, faults=(fault,)), keep=True
                 ).play()
                 self.assertEqual(run.broken, [])
-                told = sources.of_records(run.records, 2.0, 10.0)
+                told = sources.trace_from_records(run.records, 2.0, 10.0)
                 self.assertEqual(
                     [
                         one
-                        for one in idle(told)
+                        for one in find_idle_periods(told)
                         if one.host != "h0" or fault.what == "gateways killed"
                     ],
                     [],
                 )
-                self.assertLess(span(told, 5.0).excess, 1.45)
+                self.assertLess(measure_span(told, 5.0).excess, 1.45)
 
     def test_a_host_that_is_back_gets_no_more_than_its_part(self):
         fault = Fault("host killed", 3.0, 2.0)
@@ -350,7 +361,9 @@
         ).play()
         self.assertEqual(run.broken, [])
         sent = [
-            at for at, _, host, _ in sources.of_records(run.records, 5.0, 12.0).sent if host == "h0"
+            at
+            for at, _, host, _ in sources.trace_from_records(run.records, 5.0, 12.0).sent
+            if host == "h0"
         ]
         for since in (5.0, 7.0, 9.0):
             self.assertLess(sum(since <= at < since + 2 for at in sent), 1.5 * 2 * 300.0 / 20)
@@ -426,13 +439,13 @@
                 one.name: [event for event in one.events if event["event"] == "figures"]
                 for one in lab.gateways
             }
-            told = sources.of_records(lab.records.kept, 1.0, 7.0)
+            told = sources.trace_from_records(lab.records.kept, 1.0, 7.0)
         self.assertEqual((verdict.counts, lab.crashes), ({}, []))
         sent = sum(sum(event["to"].values()) for rows in events.values() for event in rows)
         self.assertEqual(sent, came)
         self.assertAlmostEqual(
             sent, sum(host.ran for host in lab.hosts), delta=60
         )  # what was turned away did not run
-        found = figures(told)
+        found = compute_figures(told)
         self.assertEqual((found.gateways, found.hosts, found.idle), (12, 8, ()))
         self.assertLess(found.spans[1].excess, 1.4)
