--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -250,8 +250,8 @@
         lab.play(GONE)
         back = [host for number, host in enumerate(lab.hosts) if number % ZONES in STARTED]
         for host in back:
-            host.down()
-            lab.discovery.put(host.name, host.text, "terminated")
+            host.crash()
+            lab.discovery.put(host.name, host.host_port, "terminated")
         lab.play(BACK - GONE - 0.2)
         again = lab.gateways[::3] if told.shapes == "restarted" else []
         for one in again:
@@ -259,7 +259,7 @@
         lab.play(0.2)
         for host in back:
             host.start()
-            lab.discovery.put(host.name, host.text, since=host.started)
+            lab.discovery.put(host.name, host.host_port, since=host.started_at)
         for one in again:
             one.start()
             lab.turn()  # a start takes some ten milliseconds of the rig, which else stands still for all of them together
--- a/benchmarks/left.py
+++ b/benchmarks/left.py
@@ -26,7 +26,7 @@
 from petrellane.net import resp  # noqa: E402
 from petrellane.net.stream import Closed, Stream  # noqa: E402
 from petrellane.testbed.clients import Customer  # noqa: E402
-from petrellane.testbed.fakes import LIMITS  # noqa: E402
+from petrellane.testbed.fake_server import LIMITS  # noqa: E402
 from petrellane.testbed.fleet import Lab, Shape  # noqa: E402
 from petrellane.testbed.records import CROSSED  # noqa: E402
 from petrellane.testbed.runner import Stage, read  # noqa: E402
@@ -101,15 +101,15 @@
 
 def come_up_late(host, chance):
     """Some connections to this host come up late: nothing is read from them before."""
-    held, now = host.held, host.scheduler.monotonic
+    held, now = host.handle_connection, host.scheduler.monotonic
 
     def later(stream):
         if chance.random() < UP_LATE:
             host.scheduler.wait(chance.random() * UP_LATE_MOST)
-            host.carried[host.streams.get(stream)] = now()
+            host.relayed_at[host.streams.get(stream)] = now()
         held(stream)
 
-    host.held = later
+    host.handle_connection = later
 
 
 def turn_away(lab, chance, seconds):
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -65,7 +65,7 @@
 from petrellane.net import resp  # noqa: E402
 from petrellane.net.stream import Closed, Stream  # noqa: E402
 from petrellane.testbed.clients import Customer, Method  # noqa: E402
-from petrellane.testbed.fakes import LIMITS  # noqa: E402
+from petrellane.testbed.fake_server import LIMITS  # noqa: E402
 from petrellane.testbed.fleet import Control, Lab, Shape, settings  # noqa: E402
 
 BOUND, PATIENCE = 10.0, 60.0
@@ -208,14 +208,14 @@
                 stream.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
         lab.discovery.serve = turned_away
-    for door in lab.discovery.doors.values():
+    for door in lab.discovery.listeners.values():
         if discovery == "refuses":
-            door.down()
+            door.crash()
         else:
             if discovery == "503":
                 for stream in list(door.streams):
                     stream.close()
-            door.up()
+            door.listen_again()
 
 
 def kill(lab, cores):
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -221,11 +221,11 @@
 
         measure("no fault", part)
         back, slow, failing, silent = lab.hosts[:4]
-        back.down()
-        lab.discovery.put(back.name, back.text, "terminated")
+        back.crash()
+        lab.discovery.put(back.name, back.host_port, "terminated")
         lab.play(1.0)
         back.start()
-        lab.discovery.put(back.name, back.text, since=back.started)
+        lab.discovery.put(back.name, back.host_port, since=back.started_at)
         before, all_before = back.ran, sum(host.ran for host in lab.hosts)
         measure("one comes back", part)
         rows[-1]["back_over_its_part"] = (
@@ -233,15 +233,15 @@
             * told.hosts
             / max(1, sum(host.ran for host in lab.hosts) - all_before)
         )
-        slow.slow = 10.0
+        slow.slowdown = 10.0
         measure("one ten times as slow", part)
-        slow.slow, failing.share = 1.0, 1.0
-        failing.slow = 0.1
+        slow.slowdown, failing.error_rate = 1.0, 1.0
+        failing.slowdown = 0.1
         measure("one answers errors at once", part)
-        failing.share, failing.slow, silent.silent = 0.0, 1.0, True
+        failing.error_rate, failing.slowdown, silent.silent = 0.0, 1.0, True
         measure("one is silent", part)
         silent.silent = False
-        silent.work()
+        silent.run_waiting()
         told_of = [memory(one.process) for one in lab.gateways]
         lab.quiet(10.0)
         verdict = lab.verdict()
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -5,7 +5,7 @@
     python benchmarks/told.py --model [--gateways 200] [--seeds 5] [--rate 80]
 
 Processes on loopback, without load. Each gateway has a discovery of its own, which is in trouble for 3 to 25 s
-(`--longest`), again and again, each time by one of the kinds of `petrellane/testbed/fakes.py`. A host's state changes
+(`--longest`), again and again, each time by one of the kinds of `petrellane/testbed/fake_discovery.py`. A host's state changes
 meanwhile, and what is timed is from the return of discovery to the gateway's line `hosts` with that change. An `open watch`
 falls silent as it begins, and the change comes at once: there a new call would have reached discovery all the time, so the
 time counts from the change. With `--together` all gateways have one discovery: it has the trouble for 8 s, and serves
@@ -25,7 +25,7 @@
 from petrellane.invariants import EndpointNotified  # noqa: E402
 from petrellane.simulation.fleet import Fleet  # noqa: E402
 from petrellane.simulation.scenario import read  # noqa: E402
-from petrellane.testbed.fakes import Discovery  # noqa: E402
+from petrellane.testbed.fake_discovery import DiscoveryFault, FakeDiscovery  # noqa: E402
 from petrellane.testbed.fleet import Lab, Shape  # noqa: E402
 
 BOUND = 6.0
@@ -44,16 +44,16 @@
     def __init__(self, lab, one, told):
         self.lab, self.one, self.told, self.took = lab, one, told, []
         self.random = random.Random(f"{told.seed} {one.name}")
-        self.discovery = Discovery(lab.scheduler, lab.records)
+        self.discovery = FakeDiscovery(lab.scheduler, lab.records)
         for host in lab.hosts:
-            self.discovery.put(host.name, host.text)
-        self.door = self.discovery.door(one.name, lab.place())
-        one.write({**one.told(), "discovery": self.door.text})
+            self.discovery.put(host.name, host.host_port)
+        self.door = self.discovery.listener_for(one.name, lab.place())
+        one.write({**one.told(), "discovery": self.door.host_port})
         self.state, self.over, self.kinds = "in_service", False, told.kinds
 
     def change(self):
         self.state = "terminating" if self.state == "in_service" else "in_service"
-        self.discovery.put("h0", self.lab.hosts[0].text, self.state)
+        self.discovery.put("h0", self.lab.hosts[0].host_port, self.state)
         return self.discovery.index
 
     def heard(self, index, since):
@@ -75,10 +75,10 @@
                 took = self.open_watch()
             else:
                 length = self.random.uniform(3.0, self.told.longest)
-                self.door.begin(kind)
+                self.door.inject(DiscoveryFault(kind))
                 scheduler.wait(length)
                 index = self.change()
-                self.door.end()
+                self.door.heal()
                 took = self.heard(index, self.lab.scheduler.now())
             self.took.append((kind, took))
 
@@ -135,15 +135,15 @@
             one.build = {"cwd": os.path.abspath(told.build)} if told.build else {}
         lab.start()
         lab.play(10.0)
-        doors, began = list(lab.discovery.doors.values()), lab.scheduler.now()
+        doors, began = list(lab.discovery.listeners.values()), lab.scheduler.now()
         for door in doors:
-            door.begin(told.together)
+            door.inject(DiscoveryFault(told.together))
         lab.play(TOGETHER)
-        lab.discovery.put("h0", lab.hosts[0].text, "terminating")
+        lab.discovery.put("h0", lab.hosts[0].host_port, "terminating")
         index, back, seconds = lab.discovery.index, lab.scheduler.now(), []
         lab.discovery.rate = told.rate
         for door in doors:
-            door.end()
+            door.heal()
         for _ in range(30):
             before = lab.discovery.calls, lab.discovery.refused
             lab.play(1.0)
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -8,7 +8,7 @@
 from petrellane import invariants
 from petrellane.net import resp
 from petrellane.net.stream import Closed, Stream
-from petrellane.testbed.fakes import LIMITS
+from petrellane.testbed.fake_server import LIMITS
 
 
 @dataclass
--- /dev/null
+++ b/petrellane/testbed/fake_counter.py
@@ -0,0 +1,58 @@
+"""A test double of the counter: totals by name that expire."""
+
+from petrellane.net.scheduler import Scheduler
+from petrellane.net.stream import Address, Stream
+from petrellane.testbed.addresses import ANY_PORT
+from petrellane.testbed.fake_server import FakeServer
+
+MAXIMUM_LIFETIME_S = 60.0
+EXPIRY_THRESHOLD = 100_000  # totals held before those that are over are dropped
+
+
+class FakeCounter(FakeServer):
+    """The counter of a run.
+
+    Attributes:
+        quiet: Whether nobody is answered; what is asked is added all the same.
+        refuses: Whether all are answered with -BUSY.
+        adds: How many additions were asked for.
+    """
+
+    def __init__(self, scheduler: Scheduler, address: Address = ANY_PORT) -> None:
+        """Listen at an address."""
+        super().__init__(scheduler, address)
+        self.quiet = False
+        self.refuses = False
+        self.adds = 0
+        self._totals: dict[bytes, tuple[float, float]] = {}  # by name: expiry time, total
+
+    def serve(self, stream: Stream) -> None:
+        """Answer CNT.ADD and PING."""
+        for parts in self.commands(stream):
+            if parts[0] == b"CNT.ADD" and len(parts) == 4:
+                self._add(stream, parts)
+            else:
+                stream.write(b"+PONG\r\n" if parts[0] == b"PING" else b"-ERR no such call\r\n")
+
+    def forget(self) -> None:
+        """Lose all totals at once."""
+        self._totals.clear()
+
+    def _add(self, stream: Stream, parts: list[bytes]) -> None:
+        self.adds += 1
+        if self.refuses:
+            stream.write(b"-BUSY\r\n")
+            return
+        _, name, amount, lifetime_ms = parts
+        expires_at, total = self._totals.get(name, (0.0, 0.0))
+        now = self.scheduler.now()
+        if expires_at <= now:
+            expires_at = now + min(MAXIMUM_LIFETIME_S, int(lifetime_ms) / 1e3)
+            total = 0.0
+        total += float(amount)
+        self._totals[name] = (expires_at, total)
+        if not self.quiet:
+            text = b"%.7g" % total
+            stream.write(b"$%d\r\n%b\r\n" % (len(text), text))
+        if len(self._totals) > EXPIRY_THRESHOLD:
+            self._totals = {name: entry for name, entry in self._totals.items() if entry[0] > now}
--- /dev/null
+++ b/petrellane/testbed/fake_discovery.py
@@ -0,0 +1,312 @@
+"""A test double of discovery: the endpoint list, and watches that are answered when it changes.
+
+Each gateway has a listener of its own, so that faults can be injected for one of them. Which
+changes a gateway was notified of is known when it polls on from there: an answer may be lost on
+its way.
+"""
+
+import enum
+import socket
+from collections import deque
+from collections.abc import Callable, Iterable
+from typing import Any, NamedTuple
+
+import orjson
+
+from petrellane import invariants
+from petrellane.net.scheduler import Scheduler
+from petrellane.net.stream import Address, Stream, accepted, listening
+from petrellane.testbed.addresses import ANY_PORT
+from petrellane.testbed.fake_server import BACKLOG, FakeServer, ignore_exhaustion
+from petrellane.testbed.records import Records
+
+Row = dict[str, Any]  # a host as the endpoint list has it on the wire
+
+MAXIMUM_CHANGES = 1000  # changes remembered for gateways that have not polled on
+MAXIMUM_HOLD_S = 60.0  # for which a watch is held
+WATCH_CHECK_S = 0.02  # between two looks at a watch
+CROWD = 2  # connections that fill a queue of length 0
+END_OF_HEAD = b"\r\n\r\n"
+BUSY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+HALF_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{"index":'
+
+
+class DiscoveryFault(enum.Enum):
+    """What is wrong with discovery for one gateway."""
+
+    NONE = ""
+    REFUSED = "refused"  # nobody listens
+    REJECTED = "turned away"  # status 503
+    SILENT = "silent"  # requests are taken and never answered
+    UNACCEPTED = "unaccepted"  # connections come up, and nobody takes them
+    FULL = "full"  # no connection comes up
+    CUT = "cut"  # half an answer, then the end
+
+
+class Watch(NamedTuple):
+    """A gateway waits for changes that are newer than an index of the list."""
+
+    list_index: int
+    gateway: str
+
+
+class Change(NamedTuple):
+    """A host's status changed; `since` is the Unix time of its start, 0 for long ago."""
+
+    list_index: int
+    host: str
+    status: str
+    since: float
+
+
+def read_request(stream: Stream) -> dict[str, str]:
+    """Wait for a request; return the fields of its query."""
+    while (end := stream.buffer.find(END_OF_HEAD)) < 0:
+        stream.fill()
+    target = bytes(stream.buffer[:end]).split(b" ")[1].decode()
+    del stream.buffer[: end + len(END_OF_HEAD)]
+    query = target.partition("?")[2]
+    return dict(part.split("=", 1) for part in query.split("&") if "=" in part)
+
+
+class DiscoveryListener(FakeServer):
+    """Where one gateway reaches discovery, which owns it."""
+
+    def __init__(self, discovery: "FakeDiscovery", gateway: str, address: Address) -> None:
+        """Listen at an address."""
+        super().__init__(discovery.scheduler, address)
+        self.gateway = gateway
+        self.fault = DiscoveryFault.NONE
+        self._discovery = discovery
+        self._crowd: list[socket.socket] = []
+
+    def serve(self, stream: Stream) -> None:
+        """Answer polls and watches from discovery's list."""
+        self._discovery.serve(stream, self)
+
+    def inject(self, fault: DiscoveryFault) -> None:
+        """Have a fault from now on; watches that are held are never answered."""
+        self.fault = fault
+        watches = self._discovery.watches
+        for stream in [stream for stream in self.streams if stream in watches]:
+            del watches[stream]
+            if fault in (DiscoveryFault.REJECTED, DiscoveryFault.CUT):
+                stream.close()
+        if fault in (DiscoveryFault.REFUSED, DiscoveryFault.FULL):
+            self.crash()
+        if fault is DiscoveryFault.UNACCEPTED and self.listener is not None:
+            self.scheduler.unregister(self.listener.fileno())
+        if fault is DiscoveryFault.FULL:
+            self._fill_queue()
+
+    def heal(self) -> None:
+        """End the fault; what was asked meanwhile stays without an answer."""
+        for sock in self._crowd:
+            sock.close()
+        if self._is_unwatched() and self.listener is not None:
+            # Kept open and silent, as those who dialed found them.
+            self._crowd += accepted(self.listener, BACKLOG, ignore_exhaustion)
+            if self.fault is DiscoveryFault.FULL:
+                self.listener.listen(BACKLOG)
+            self._watch_listener(self.listener)
+        self.fault = DiscoveryFault.NONE
+        self.listen_again()
+
+    def close(self) -> None:
+        """End for good."""
+        for sock in self._crowd:
+            sock.close()
+        if self._is_unwatched() and self.listener is not None:
+            self.listener.close()
+            self.listener = None
+        super().close()
+
+    def on_disconnected(self, stream: Stream) -> None:
+        """Drop the watch of a connection that has ended."""
+        self._discovery.watches.pop(stream, None)
+
+    def _is_unwatched(self) -> bool:
+        """Return whether the fault has taken the listener off the scheduler."""
+        return self.fault in (DiscoveryFault.UNACCEPTED, DiscoveryFault.FULL)
+
+    def _fill_queue(self) -> None:
+        """Listen with a queue that is full, so that nobody's connection comes up."""
+        self.listener = listening(self.address, 0)
+        for _ in range(CROWD):
+            sock = socket.socket()
+            self._crowd.append(sock)
+            sock.setblocking(False)
+            sock.connect_ex(self.address)
+
+
+def _same_row(_: str, row: Row) -> Row:
+    """Show a host to all gateways alike."""
+    return row
+
+
+class FakeDiscovery:
+    """Discovery of a run.
+
+    Attributes:
+        index: The version of the list.
+        rows: The list, by host name.
+        watches: The watches that are held.
+        listeners: Where each gateway reaches it.
+        notice_delay_s: Seconds between a change and its notification.
+        away: Whether nobody is answered.
+        rate: Requests that are served in any one second; further ones are rejected.
+        calls: Requests so far.
+        refused: Requests that were rejected so far.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        records: Records | None,
+        row_seen_by: Callable[[str, Row], Row] = _same_row,
+    ) -> None:
+        """Make an empty list.
+
+        Args:
+            scheduler: The scheduler of the run.
+            records: Where notifications go; None where nobody reads them.
+            row_seen_by: Gives a row as a gateway is to see it.
+        """
+        self.scheduler = scheduler
+        self.index = 1
+        self.rows: dict[str, Row] = {}
+        self.watches: dict[Stream, Watch] = {}
+        self.listeners: dict[str, DiscoveryListener] = {}
+        self.notice_delay_s = 0.0
+        self.away = False
+        self.rate = float("inf")
+        self.calls = 0
+        self.refused = 0
+        self._records = records
+        self._row_seen_by = row_seen_by
+        self._changed_at: dict[str, int] = {}  # by host: the index of its last change
+        self._changes: deque[Change] = deque(maxlen=MAXIMUM_CHANGES)
+        self._notified: dict[str, int] = {}  # by gateway: the index that it knows
+        self._served_at: deque[float] = deque()  # requests of the last second
+
+    def listener_for(self, gateway: str, address: Address = ANY_PORT) -> DiscoveryListener:
+        """Return where a gateway reaches discovery; made at the address when it is new."""
+        if gateway not in self.listeners:
+            self.listeners[gateway] = DiscoveryListener(self, gateway, address)
+        return self.listeners[gateway]
+
+    def put(self, name: str, address: str, state: str = "in_service", since: float = 0.0) -> None:
+        """Add a host to the list, or change it.
+
+        Args:
+            name: The host's name.
+            address: Its address as host:port.
+            state: Its status, in the words of the wire.
+            since: The Unix time of its start; 0 for long ago.
+        """
+        self.index += 1
+        self.rows[name] = {
+            "name": name,
+            "address": address,
+            "zone": "z",
+            "type": "k",
+            "group": 1,
+            "status": state,
+            "weight": 1.0,
+            "since_ms": int(since * 1e3),
+        }
+        self._changed_at[name] = self.index
+        self._changes.append(Change(self.index, name, state, since))
+        self.scheduler.after(self.notice_delay_s, self.notify)
+
+    def serve(self, stream: Stream, listener: DiscoveryListener) -> None:
+        """Answer the requests of one connection until it ends."""
+        while True:
+            query = read_request(stream)
+            self.calls += 1
+            if listener.fault is DiscoveryFault.SILENT:
+                continue
+            if listener.fault is DiscoveryFault.CUT:
+                stream.write(HALF_RESPONSE)
+                return
+            if listener.fault is DiscoveryFault.REJECTED or self.is_overloaded():
+                self.refused += 1
+                stream.write(BUSY_RESPONSE)
+                return
+            if "from" not in query:
+                self._answer(stream, listener.gateway, True, self.rows.values())
+                continue
+            hold_s = min(MAXIMUM_HOLD_S, int(query.get("hold_ms", 0)) / 1e3)
+            self._hold_watch(stream, Watch(int(query["from"]), listener.gateway), hold_s)
+
+    def is_overloaded(self) -> bool:
+        """Return whether the last second has as many requests as may be; else count this one."""
+        now = self.scheduler.monotonic()
+        while self._served_at and self._served_at[0] <= now - 1.0:
+            self._served_at.popleft()
+        if len(self._served_at) >= self.rate:
+            return True
+        if self.rate < float("inf"):
+            self._served_at.append(now)
+        return False
+
+    def notify(self) -> None:
+        """Answer all watches for which there is news."""
+        if self.away:
+            return
+        for stream, (index, gateway) in list(self.watches.items()):
+            rows = [row for name, row in self.rows.items() if self._changed_at[name] > index]
+            if rows:
+                del self.watches[stream]
+                self._answer(stream, gateway, False, rows)
+
+    def forget(self, gateway: str) -> None:
+        """Forget what a gateway was notified of: its next process knows nothing."""
+        self._notified.pop(gateway, None)
+
+    def rows_seen_by(self, gateway: str) -> list[Row]:
+        """Return the list as a gateway sees it."""
+        return [self._row_seen_by(gateway, row) for row in self.rows.values()]
+
+    def close(self) -> None:
+        """Close all listeners."""
+        for listener in self.listeners.values():
+            listener.close()
+
+    def _hold_watch(self, stream: Stream, watch: Watch, hold_s: float) -> None:
+        """Hold a watch until there is news, or answer it with none after some seconds."""
+        self._on_polled_from(watch.gateway, watch.list_index)
+        self.watches[stream] = watch
+        until = self.scheduler.monotonic() + hold_s
+        self.notify()
+        while stream in self.watches and self.scheduler.monotonic() < until:
+            self.scheduler.wait(WATCH_CHECK_S)
+        if self.watches.pop(stream, None) is not None:
+            self._answer(stream, watch.gateway, False, ())
+
+    def _on_polled_from(self, gateway: str, index: int) -> None:
+        """Record the changes up to an index: a gateway that polls on from there knows them."""
+        before = self._notified.get(gateway, 0)
+        self._notified[gateway] = max(index, before)
+        if self._records is None:
+            return
+        for change in self._changes:
+            if before < change.list_index <= index:
+                state = invariants.READY if change.status == "in_service" else change.status
+                since = change.since and change.since - self._records.began
+                self._records.take(
+                    invariants.EndpointNotified(
+                        self._records.now(), gateway, change.host, state, since
+                    )
+                )
+
+    def _answer(self, stream: Stream, gateway: str, is_snapshot: bool, rows: Iterable[Row]) -> None:
+        if self.away:
+            return
+        seen = [self._row_seen_by(gateway, row) for row in rows]
+        body = orjson.dumps({"index": self.index, "snapshot": is_snapshot, "endpoints": seen})
+        stream.write(
+            b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
+            % len(body),
+            body,
+        )
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -19,7 +19,9 @@
 from petrellane import invariants
 from petrellane.net.scheduler import Scheduler
 from petrellane.testbed.clients import Clients, Customer, Front, Method
-from petrellane.testbed.fakes import Counter, Discovery, Host
+from petrellane.testbed.fake_counter import FakeCounter
+from petrellane.testbed.fake_discovery import FakeDiscovery
+from petrellane.testbed.fake_host import FakeHost, HostSpec
 from petrellane.testbed.processes import Process
 from petrellane.testbed.records import SETTLE, Records
 from petrellane.testbed.relay import Relay
@@ -142,7 +144,11 @@
             "counter": lab.way(("counter", self.name)),
             "seed": "%016x" % (lab.shape.seed * 1000 + self.number),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"index": 1, "snapshot": True, "endpoints": lab.discovery.seen(self.name)},
+            "known": {
+                "index": 1,
+                "snapshot": True,
+                "endpoints": lab.discovery.rows_seen_by(self.name),
+            },
             "figures": {"hosts": True},
             "settings": {**lab.settings, "locality": "z"},
         }
@@ -316,7 +322,7 @@
     def ask(self, do, **words):
         """Ask it something as staff would; the answer, {} where there is none."""
         from petrellane.config_consensus import message_authentication, rpc_client
-        from petrellane.testbed.fakes import LIMITS
+        from petrellane.testbed.fake_server import LIMITS
 
         client, found = rpc_client.RpcClient(self.lab.scheduler, LIMITS, self.lab.key), []
 
@@ -359,32 +365,34 @@
         with open(self.key_file, "wb") as file:
             file.write(self.key)
         self.counter, self.discovery = (
-            Counter(self.scheduler, self.place()),
-            Discovery(self.scheduler, self.records, self.row),
+            FakeCounter(self.scheduler, self.place()),
+            FakeDiscovery(self.scheduler, self.records, self.row),
         )
         memory, obliged = {}, self.settings["obligations"]
         works = dict.fromkeys([one.name for one in shape.methods], shape.work)
         self.hosts = [
-            Host(
+            FakeHost(
                 self.scheduler,
-                f"h{number}",
-                works,
                 self.records,
-                shape.seed,
+                HostSpec(
+                    f"h{number}",
+                    works,
+                    shape.slots,
+                    shape.queue,
+                    obliged["cold"] / MICRO,
+                    obliged["coldFrom"],
+                    shape.seed,
+                ),
                 memory,
-                slots=shape.slots,
-                queue=shape.queue,
-                cold=obliged["cold"] / MICRO,
-                cold_from=obliged["coldFrom"],
-                address=self.place(),
+                self.place(),
             )
             for number in range(shape.hosts)
         ]
         for host in self.hosts:
-            host.moved = lambda host=host: [
+            host.on_restart = lambda host=host: [
                 relay.follow() for relay in self.between("host", to=[host.name])
             ]
-            self.discovery.put(host.name, host.text)
+            self.discovery.put(host.name, host.host_port)
             self.records.checker.terms.groups[host.name] = 1, "z"
         for number in range(shape.gateways):
             self.gateways.append(Gateway(self, number))
@@ -489,7 +497,7 @@
         if kind == "counter":
             return self.counter.address
         if kind == "discovery":
-            return self.discovery.door(names[0], self.place()).address
+            return self.discovery.listener_for(names[0], self.place()).address
         if kind == "host":
             return next(one.address for one in self.hosts if one.name == names[-1])
         one = next(one for one in self.gateways if one.name == names[-1])
@@ -516,8 +524,8 @@
             if way[0] == "host":
                 host = next(one for one in self.hosts if one.name == way[-1])
                 self.relays[way].hung_up, self.relays[way].carried = (
-                    host.hung_up,
-                    host.carried.__setitem__,
+                    host.on_peer_closed,
+                    host.relayed_at.__setitem__,
                 )
         return self.relays[way].address
 
@@ -694,7 +702,7 @@
             if one.listener:
                 one.listener.close()
         for host in self.hosts:
-            host.moved = lambda: None
+            host.on_restart = lambda: None
         for party in (*self.relays.values(), *self.hosts, self.counter, self.discovery):
             party.close()
         shutil.rmtree(self.folder, ignore_errors=True)
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -291,7 +291,7 @@
         def undo():
             setattr(party, flag, False)
             if party is lab.discovery:
-                lab.discovery.tell()
+                lab.discovery.notify()
 
         return undo
 
@@ -320,26 +320,27 @@
     def host(self, step, one):
         lab = self.lab
         if step.do == "kill":
-            one.down()
+            one.crash()
             lab.scheduler.after(
-                lab.discovery.notice, lambda: lab.discovery.put(one.name, one.text, "terminated")
+                lab.discovery.notice_delay_s,
+                lambda: lab.discovery.put(one.name, one.host_port, "terminated"),
             )
 
             def again():
                 one.start()
-                lab.discovery.put(one.name, one.text, since=one.started)
+                lab.discovery.put(one.name, one.host_port, since=one.started_at)
 
             return again
         if step.do == "start":
             one.start()
-            lab.discovery.put(one.name, one.text, since=one.started)
+            lab.discovery.put(one.name, one.host_port, since=one.started_at)
             return None
         if step.do == "drain":
-            lab.discovery.put(one.name, one.text, "terminating")
-            return lambda: lab.discovery.put(one.name, one.text)
+            lab.discovery.put(one.name, one.host_port, "terminating")
+            return lambda: lab.discovery.put(one.name, one.host_port)
         field, value = {
-            "slow": ("slow", step.size),
-            "fail": ("share", step.size),
+            "slow": ("slowdown", step.size),
+            "fail": ("error_rate", step.size),
             "silent": ("silent", True),
         }[step.do]
         before = getattr(one, field)
@@ -347,6 +348,6 @@
 
         def undo():
             setattr(one, field, before)
-            one.work()
+            one.run_waiting()
 
         return undo
--- a/petrellane/testbed/services.py
+++ b/petrellane/testbed/services.py
@@ -11,7 +11,8 @@
 
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.testbed.fakes import Counter, Discovery
+from petrellane.testbed.fake_counter import FakeCounter
+from petrellane.testbed.fake_discovery import FakeDiscovery
 
 KEPT = 20_000  # changes remembered; whoever asks from before gets the list whole
 BACKLOG = 4096
@@ -36,7 +37,7 @@
                 call()
 
 
-class Registry(Discovery):
+class Registry(FakeDiscovery):
     """Discovery before thousands: all ask at one door, those who ask alike get one answer made once, and a watch sleeps
     until there is news. Nobody's records are kept."""
 
@@ -88,7 +89,7 @@
             words = bytes(stream.buffer[:end]).split(b" ")[1].decode()
             del stream.buffer[: end + 4]
             self.calls += 1
-            if self.overbooked():
+            if self.is_overloaded():
                 self.refused += 1
                 stream.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                 return
@@ -149,12 +150,12 @@
     scheduler.fault = log.fault
     heard, address = {}, (told["ip"], told["port"])
     if what == "counter":
-        counter = Counter(scheduler, address)
+        counter = FakeCounter(scheduler, address)
         listener = counter.listener
         meter.more = lambda: {"adds": counter.adds, "connections": len(counter.streams)}
     else:
         registry = Registry(scheduler, told["rows"], told["rate"])
-        listener = registry.door("all", address).listener
+        listener = registry.listener_for("all", address).listener
         changes = Changes(scheduler, log, registry, told["changes"], told["seed"])
         heard = {"begin": changes.begin, "quiet": changes.quiet}
         meter.more = lambda: {
--- a/petrellane/testbed/testbed.py
+++ b/petrellane/testbed/testbed.py
@@ -13,7 +13,7 @@
 
 from petrellane.config_consensus import message_authentication, rpc_client
 from petrellane.net.scheduler import Scheduler
-from petrellane.testbed.fakes import LIMITS
+from petrellane.testbed.fake_server import LIMITS
 from petrellane.testbed.processes import Process
 
 WAIT = 120.0  # seconds for all to be ready
--- a/tests/integration/testbed/test_scale.py
+++ b/tests/integration/testbed/test_scale.py
@@ -20,7 +20,8 @@
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
 from petrellane.testbed import hollow, scale, services, testbed
-from petrellane.testbed.fakes import Counter, StandIn
+from petrellane.testbed.fake_counter import FakeCounter
+from petrellane.testbed.fake_server import FakeServer
 
 WRONG = [  # (the section's text, what the one line names)
     ("hollow = 3\nwings = 2", "wings"),
@@ -188,7 +189,7 @@
             self.assertEqual(self.names(since), (4, True, ["h0", "h1", "h2", "h3"]))
 
 
-class Recorder(StandIn):
+class Recorder(FakeServer):
     """Discovery that tells of nothing new, and keeps the head of each question."""
 
     def __init__(self, scheduler):
@@ -205,7 +206,7 @@
             del stream.buffer[: end + 4]
 
 
-class Adds(Counter):
+class Adds(FakeCounter):
     """The counter, which keeps what it is asked."""
 
     def __init__(self, scheduler):
--- a/tests/integration/testbed/test_testbed.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -18,7 +18,7 @@
 from petrellane.net.stream import Stream
 from petrellane.testbed import runner
 from petrellane.testbed.clients import Customer, Method
-from petrellane.testbed.fakes import StandIn
+from petrellane.testbed.fake_server import FakeServer
 from petrellane.testbed.fleet import Lab, Shape, settings
 from petrellane.testbed.records import Records
 from petrellane.testbed.relay import Relay
@@ -128,7 +128,7 @@
     def test_open_rpcs_keep_the_method_that_is_dropped(self):
         with fleet(rate=120.0) as lab:
             for host in lab.hosts:
-                host.slow = 40.0
+                host.slowdown = 40.0
             lab.until(
                 lambda: (
                     sum(
@@ -682,7 +682,7 @@
     assert status_of(gateway, gateway.lab, f"POST /-/{call} HTTP/1.1\r\n\r\n".encode()) == 200
 
 
-class Echo(StandIn):
+class Echo(FakeServer):
     def serve(self, stream):
         while True:
             stream.fill()
@@ -714,7 +714,7 @@
         return told[0]
 
     def dial(self):
-        from petrellane.testbed.fakes import LIMITS
+        from petrellane.testbed.fake_server import LIMITS
 
         return Stream.dial(self.scheduler, LIMITS, self.relay.address, 0.3)
 
@@ -891,7 +891,7 @@
     def drains(self, plant=None):
         def do(lab):
             for host in lab.hosts[:2]:
-                lab.discovery.put(host.name, host.text, "terminating")
+                lab.discovery.put(host.name, host.host_port, "terminating")
             lab.play(1.7)  # the grace of the lab, and what is out
             self.before = [host.ran for host in lab.hosts]
 
@@ -914,7 +914,7 @@
         def do(lab):
             for relay in lab.between("discovery", to=["g0"]):
                 relay.fault("cut")
-            lab.discovery.put("h0", lab.hosts[0].text, "terminating")
+            lab.discovery.put("h0", lab.hosts[0].host_port, "terminating")
             lab.play(2.5)
             self.late = {
                 one.gateway
@@ -934,11 +934,11 @@
 
         def do(lab):
             host = lab.hosts[0]
-            host.down()
-            lab.discovery.put(host.name, host.text, "terminated")
+            host.crash()
+            lab.discovery.put(host.name, host.host_port, "terminated")
             lab.play(0.3)
             host.start()
-            lab.discovery.put(host.name, host.text, since=host.started)
+            lab.discovery.put(host.name, host.host_port, since=host.started_at)
             self.before = host.ran
 
         self.do = do
@@ -1022,7 +1022,7 @@
             lab.counter.quiet, lab.discovery.away = True, trouble == "silent"
             for one in lab.gateways:
                 if trouble == "refuses":
-                    lab.discovery.doors[one.name].down()
+                    lab.discovery.listeners[one.name].crash()
                 if plant:
                     plant_in(one, plant)
             until = time.monotonic() + patience
