--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -16,7 +16,8 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from petrellane.testbed.fleet import Lab, Shape, settings  # noqa: E402
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec, SettingsSpec, build_settings  # noqa: E402
 
 
 def at(values, part):
@@ -27,9 +28,9 @@
 
 def memory(process):
     """Resident bytes, and seconds of CPU used, of a process."""
-    with open(f"/proc/{process.process.pid}/statm") as file:
+    with open(f"/proc/{process.popen.pid}/statm") as file:
         pages = int(file.read().split()[1])
-    with open(f"/proc/{process.process.pid}/stat") as file:
+    with open(f"/proc/{process.popen.pid}/stat") as file:
         words = file.read().rsplit(")", 1)[1].split()
     return pages * os.sysconf("SC_PAGE_SIZE"), (int(words[11]) + int(words[12])) / os.sysconf(
         "SC_CLK_TCK"
@@ -38,11 +39,13 @@
 
 def idle(gateways, agreement, seconds=5.0):
     """Memory in MB and CPU in ms a second of a gateway that has nothing to do, at the median."""
-    with Lab(Shape(gateways=gateways, agreement=agreement, relays=(), hosts=1)) as lab:
+    with LoopbackFleet(
+        FleetSpec(gateways=gateways, agreement=agreement, relays=(), hosts=1)
+    ) as lab:
         lab.start()
-        lab.play(1.0)
+        lab.run_for(1.0)
         before = [memory(one.process)[1] for one in lab.gateways]
-        lab.play(seconds)
+        lab.run_for(seconds)
         told = [memory(one.process) for one in lab.gateways]
         spent = [(now[1] - then) / seconds * 1e3 for now, then in zip(told, before, strict=True)]
         return at([size / 2**20 for size, _ in told], 0.5), at(spent, 0.5)
@@ -51,7 +54,7 @@
 def measure(gateways, changes, rate, faults):
     """Figures of so many changes at a fleet of a size."""
     chance = random.Random(gateways)
-    shape = Shape(
+    shape = FleetSpec(
         gateways=gateways,
         agreement=True,
         relays=("agents-of-control",) if faults else (),
@@ -59,13 +62,13 @@
         work=0.002,
         hosts=4,
     )
-    with Lab(shape) as lab:
+    with LoopbackFleet(shape) as lab:
         began = time.monotonic()
         lab.start()
         up = time.monotonic() - began
         control = lab.controls["control"]
         lab.clients.start()
-        lab.play(1.0)
+        lab.run_for(1.0)
         if faults:
             for one in chance.sample(lab.gateways, gateways // 10):
                 one.kill()
@@ -73,9 +76,11 @@
                 relay.fault("lossy", 0.05)
         times, outcomes, before = [], {}, sum(control.ask("status")["calls"].values())
         for number in range(changes):
-            wanted = settings(gateways, attempts=2 + number % 2, quota=float(number + 1))
+            wanted = build_settings(
+                SettingsSpec(gateways, attempts=2 + number % 2, quota=float(number + 1))
+            )
             began = time.time()
-            told = lab.change(wanted, patience=60)
+            told = lab.change_settings(wanted, patience=60)
             outcomes[told["outcome"]] = outcomes.get(told["outcome"], 0) + 1
             if told["outcome"] == "committed":
                 last = max(
@@ -85,12 +90,12 @@
                     if event["event"] == "generation" and event["number"] == told["number"]
                 )
                 times.append(last - began)
-            lab.play(0.1)
+            lab.run_for(0.1)
         calls = control.ask("status")["calls"]
         restarted = restart(lab, control, chance) if faults else None
         looks = calls.get("promise", 0)
         asked = sum(calls.values()) - before
-        lab.quiet()
+        lab.finish_load()
         verdict = lab.verdict()
         pushed = sum(
             event.get("pushed generation", 0)
@@ -136,17 +141,19 @@
 def restart(lab, control, chance):
     """One more change, in which a third of the gateways that run are killed and started again: its outcome, and the seconds
     until all that run serve under one generation."""
-    running = [one for one in lab.gateways if one.process.up]
+    running = [one for one in lab.gateways if one.process.is_running]
     began = time.monotonic()
-    number = control.ask("propose", settings=settings(len(lab.gateways), attempts=9))["number"]
+    number = control.ask(
+        "propose", settings=build_settings(SettingsSpec(len(lab.gateways), attempts=9))
+    )["number"]
     for one in chance.sample(running, len(running) // 3):
         one.kill()
         one.start()
-        lab.turn()  # the rig must not stand still: it is the clients as well
-    told = lab.until(lambda: lab.ended(control, number), "an end", 60)
+        lab.run_turn()  # the rig must not stand still: it is the clients as well
+    told = lab.run_until(lambda: control.ended_change(number), "an end", 60)
     names = [one.name for one in running]
-    lab.until(
-        lambda: all(one.ready for one in running) and lab.agreed(names) is not None,
+    lab.run_until(
+        lambda: all(one.ready for one in running) and lab.agreed_generation(names) is not None,
         "one generation",
         60,
     )
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -30,7 +30,8 @@
 from petrellane.simulation.scenario import Customer, Fault, Method, Plan, Scenario, World  # noqa: E402
 from petrellane.testbed.clients import Customer as Client  # noqa: E402
 from petrellane.testbed.clients import Method as Asked  # noqa: E402
-from petrellane.testbed.fleet import Lab, Shape, settings  # noqa: E402
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec, SettingsSpec, build_settings, build_terms  # noqa: E402
 
 HOSTS, ZONES, SLOTS = 60, 10, 1
 COLD, COLD_FROM = 6.0, 0.2
@@ -220,10 +221,12 @@
         Client(number + 1, "free", share, first, spread)
         for number, (share, first, spread) in enumerate(parts(gateways, told.shapes))
     ]
-    obliged = settings(gateways, cold=COLD, cold_from=COLD_FROM)
+    obliged = build_settings(
+        SettingsSpec(gateways, slow_start_s=COLD, slow_start_minimum=COLD_FROM)
+    )
     for row in obliged["classes"]:
         row |= {"goalTime": int(20e6 * work), "giveUp": int(60e6 * work)}
-    shape = Shape(
+    shape = FleetSpec(
         gateways=gateways,
         hosts=HOSTS,
         relays=(),
@@ -236,8 +239,10 @@
         customers=customers,
         methods=[Asked("look", patience=60 * work)],
     )
-    with Lab(shape) as lab:
-        spans = Spans(lab.terms(), [one.name for one in lab.hosts], float(SLOTS))
+    with LoopbackFleet(shape) as lab:
+        spans = Spans(
+            build_terms(lab.spec, lab.settings), [one.name for one in lab.hosts], float(SLOTS)
+        )
         judge = lab.records.judge
 
         def judged(record):
@@ -247,27 +252,27 @@
         lab.records.judge = judged
         lab.start()
         lab.clients.start()
-        lab.play(GONE)
+        lab.run_for(GONE)
         back = [host for number, host in enumerate(lab.hosts) if number % ZONES in STARTED]
         for host in back:
             host.crash()
             lab.discovery.put(host.name, host.host_port, "terminated")
-        lab.play(BACK - GONE - 0.2)
+        lab.run_for(BACK - GONE - 0.2)
         again = lab.gateways[::3] if told.shapes == "restarted" else []
         for one in again:
             one.kill()
-        lab.play(0.2)
+        lab.run_for(0.2)
         for host in back:
             host.start()
             lab.discovery.put(host.name, host.host_port, since=host.started_at)
         for one in again:
             one.start()
-            lab.turn()  # a start takes some ten milliseconds of the rig, which else stands still for all of them together
+            lab.run_turn()  # a start takes some ten milliseconds of the rig, which else stands still for all of them together
         lab.clients.rate = told.rate * (2 if told.shapes == "burst" else 1)
-        lab.play(4.0)
+        lab.run_for(4.0)
         lab.clients.rate = told.rate
-        lab.play(LENGTH - BACK - 4.0)
-        lab.quiet(60 * work + 2.0)
+        lab.run_for(LENGTH - BACK - 4.0)
+        lab.finish_load(60 * work + 2.0)
         verdict = lab.verdict()
         rows.append(
             {
@@ -275,7 +280,7 @@
                 "shape": told.shapes,
                 "seed": told.seeds,
                 "broken": verdict.counts,
-                "stood_still": lab.longest,
+                "stood_still": lab.longest_stall_s,
                 "void": lab.void,
                 "crashes": len(lab.crashes),
                 **spans.figures(),
--- a/benchmarks/left.py
+++ b/benchmarks/left.py
@@ -25,11 +25,14 @@
 from petrellane import invariants  # noqa: E402
 from petrellane.net import resp  # noqa: E402
 from petrellane.net.stream import Closed, Stream  # noqa: E402
-from petrellane.testbed.clients import Customer  # noqa: E402
+from petrellane.testbed.clients import ClientRpc, Customer  # noqa: E402
 from petrellane.testbed.fake_server import LIMITS  # noqa: E402
-from petrellane.testbed.fleet import Lab, Shape  # noqa: E402
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec  # noqa: E402
+from petrellane.testbed.processes import Build  # noqa: E402
 from petrellane.testbed.records import CROSSED  # noqa: E402
-from petrellane.testbed.runner import Stage, read  # noqa: E402
+from petrellane.testbed.run_file import parse_run_file  # noqa: E402
+from petrellane.testbed.runner import StepRunner  # noqa: E402
 
 UP_LATE, UP_LATE_MOST = (
     1 / 3,
@@ -78,7 +81,7 @@
             f"for = {length * seconds:.3f}\nsize = {size:g}\n"
             + (f'between = ["{between}"]\n' if between else "")
         )
-    return read("\n".join(rows))
+    return parse_run_file("\n".join(rows))
 
 
 def cases(records, gone):
@@ -125,7 +128,7 @@
     front, clients, scheduler = chance.choice(lab.fronts), lab.clients, lab.scheduler
     stays, customer = (
         0.02 + 0.4 * chance.random(),
-        Customer(9, "free", first=lab.fronts.index(front), spread=1),
+        Customer(9, "free", first_gateway=lab.fronts.index(front), gateway_count=1),
     )
     leave_at = scheduler.monotonic() + stays
 
@@ -133,11 +136,13 @@
         clients.out += 1
         try:
             clients.send(
-                chance.choice(clients.methods),
-                customer,
-                f"{clients.seed}-{number}",
-                scheduler.monotonic(),
-                leave_at,
+                ClientRpc(
+                    f"{clients.seed}-{number}",
+                    chance.choice(clients.load.methods),
+                    customer,
+                    scheduler.monotonic(),
+                    leave_at,
+                )
             )
         finally:
             clients.out -= 1
@@ -165,16 +170,16 @@
 
 def play(seed, told):
     run = file(seed, told.seconds, told.rate)
-    shape = Shape(
+    shape = FleetSpec(
         gateways=4, hosts=4, seed=seed, relays=("counter", "hosts"), rate=told.rate, work=0.1
     )
-    with Lab(shape) as lab:
+    with LoopbackFleet(shape) as lab:
         lab.records.keep_all()
         for one in lab.gateways:
-            one.build = {"cwd": os.path.abspath(told.build)} if told.build else {}
+            one.build = Build(cwd=os.path.abspath(told.build)) if told.build else Build()
         lab.start()
         lab.clients.leaving = told.leaving
-        lab.clients.halves = 0.3
+        lab.clients.half_closing = 0.3
         chance = random.Random(f"{seed} left")
         for host in lab.hosts:
             come_up_late(host, chance)
@@ -184,11 +189,11 @@
             )
         for share in BURSTS:
             lab.scheduler.after(share * told.seconds, lambda: burst(lab, chance, told.quiet))
-        Stage(lab, run).begin()
+        StepRunner(lab, run).begin()
         lab.clients.start()
-        lab.play(told.seconds)
+        lab.run_for(told.seconds)
         lab.clients.stop()
-        lab.quiet()
+        lab.finish_load()
         verdict = lab.verdict()
         after = lab.records.sent_after
         late = [(rpc, number) for rpc, number, took in after if took > CROSSED]
@@ -222,7 +227,7 @@
                 ),
                 default=0.0,
             ),
-            "rig ms": 1e3 * lab.longest,
+            "rig ms": 1e3 * lab.longest_stall_s,
             "crashes": len(lab.crashes),
             "faults": len(lab.faults),
         }
--- a/benchmarks/messages.py
+++ b/benchmarks/messages.py
@@ -33,7 +33,7 @@
 )
 from petrellane.config_consensus import messages as protocol
 from petrellane.net import http, resp
-from petrellane.testbed import fleet
+from petrellane.testbed import fleet, fleet_spec
 
 VERSION = 1
 METHODS, PLANS, MEMBERS, HOSTS = 4100, 300, 1200, 13_000
@@ -464,12 +464,14 @@
 def control(told, numbers, changes=10, seconds=5.0):
     """Calls of a control process on sockets."""
     for number in numbers:
-        with fleet.Lab(fleet.Shape(gateways=number, agreement=True, relays=(), hosts=2)) as lab:
+        with fleet.LoopbackFleet(
+            fleet_spec.FleetSpec(gateways=number, agreement=True, relays=(), hosts=2)
+        ) as lab:
             lab.start()
             desk = lab.controls["control"]
-            lab.play(1.0)
+            lab.run_for(1.0)
             calls = desk.ask("status")["calls"]
-            lab.play(seconds)
+            lab.run_for(seconds)
             idle = desk.ask("status")["calls"]
             looks = sum(idle.values()) - sum(calls.values())
             told.add(
@@ -479,8 +481,12 @@
                 f"looks a second and gateway, {number} gateways",
             )
             for turn in range(changes):
-                outcome = lab.change(
-                    fleet.settings(number, attempts=2 + turn % 2, quota=float(turn + 1)),
+                outcome = lab.change_settings(
+                    fleet_spec.build_settings(
+                        fleet_spec.SettingsSpec(
+                            number, attempts=2 + turn % 2, quota=float(turn + 1)
+                        )
+                    ),
                     patience=30,
                 )
                 assert outcome["outcome"] == "committed", outcome
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -54,6 +54,7 @@
     raise SystemExit(0)
 
 import argparse  # noqa: E402
+import dataclasses  # noqa: E402
 import json  # noqa: E402
 import signal  # noqa: E402
 import subprocess  # noqa: E402
@@ -66,7 +67,10 @@
 from petrellane.net.stream import Closed, Stream  # noqa: E402
 from petrellane.testbed.clients import Customer, Method  # noqa: E402
 from petrellane.testbed.fake_server import LIMITS  # noqa: E402
-from petrellane.testbed.fleet import Control, Lab, Shape, settings  # noqa: E402
+from petrellane.testbed.fleet import LoopbackFleet  # noqa: E402
+from petrellane.testbed.fleet_control import FleetControl  # noqa: E402
+from petrellane.testbed.fleet_spec import FleetSpec, SettingsSpec, build_settings  # noqa: E402
+from petrellane.testbed.processes import Build  # noqa: E402
 
 BOUND, PATIENCE = 10.0, 60.0
 MEMORY = 40 * 2**20  # bytes of one gateway, about
@@ -88,22 +92,22 @@
     """One start of a gateway: seconds from its begin to each stage; `cpu` and `waited` are those up to `listening`."""
 
     def __init__(self, gateway, cores):
-        self.gateway, self.lab, self.at = gateway, gateway.lab, {}
+        self.gateway, self.lab, self.at = gateway, gateway.fleet, {}
         self.began, self.heard = time.time(), len(gateway.events)
         gateway.start()
         if cores:
-            os.sched_setaffinity(gateway.process.process.pid, cores)
+            os.sched_setaffinity(gateway.process.popen.pid, cores)
 
     def watch(self, began):
         """Look at it from now on; it began then."""
         self.began = began
         self.lab.scheduler.spawn(
-            self.ask, "PING", self.gateway.listen, b"*1\r\n$4\r\nPING\r\n", b"+PONG"
+            self.ask, "PING", self.gateway.port, b"*1\r\n$4\r\nPING\r\n", b"+PONG"
         )
         self.lab.scheduler.spawn(
             self.ask,
             "/-/ready",
-            self.gateway.management,
+            self.gateway.management_port,
             b"GET /-/ready HTTP/1.1\r\n\r\n",
             b"HTTP/1.1 200",
         )
@@ -118,7 +122,7 @@
         self.listens()
         while stage not in self.at and time.time() < self.began + PATIENCE:
             try:
-                stream = Stream.dial(self.lab.scheduler, LIMITS, (self.lab.ip, port), 1.0)
+                stream = Stream.dial(self.lab.scheduler, LIMITS, (self.lab.addresses.ip, port), 1.0)
             except OSError:
                 self.lab.scheduler.wait(0.02)
                 continue
@@ -139,7 +143,7 @@
         while "ok" not in self.at and time.time() < self.began + PATIENCE:
             try:
                 stream = Stream.dial(
-                    self.lab.scheduler, LIMITS, (self.lab.ip, self.gateway.listen), 1.0
+                    self.lab.scheduler, LIMITS, (self.lab.addresses.ip, self.gateway.port), 1.0
                 )
             except OSError:
                 self.lab.scheduler.wait(0.02)
@@ -223,7 +227,7 @@
     lost = [one for one in lab.gateways if one.number % 10 < 7]
     for one in lost:
         one.process.expected = True
-        one.process.process.kill()
+        one.process.popen.kill()
     for one in lost:
         one.kill()
     gate, script = os.path.join(lab.folder, "gate"), os.path.join(lab.folder, "gated")
@@ -237,16 +241,16 @@
     held = os.open(gate, os.O_RDWR)
     starts = []
     for one in lost:
-        plain, one.build = one.build, {**one.build, "python": script}
+        plain, one.build = one.build, dataclasses.replace(one.build, python=script)
         starts.append(Start(one, cores))
         one.build = plain
-        lab.turn()
-    lab.play(1.0)
+        lab.run_turn()
+    lab.run_for(1.0)
     began = time.time()
     os.write(held, b"\n" * len(starts))
     for start in starts:
         start.watch(began)
-    lab.until(lambda: all(start.over for start in starts), "all ready", 2 * PATIENCE)
+    lab.run_until(lambda: all(start.over for start in starts), "all ready", 2 * PATIENCE)
     os.close(held)
     return starts
 
@@ -262,13 +266,13 @@
         begun = []
 
         def again(left=left, begun=begun):
-            for one in [one for one in left if not one.process.up]:
+            for one in [one for one in left if not one.process.is_running]:
                 left.remove(one)
                 begun.append(Start(one, cores))
                 begun[-1].watch(begun[-1].began)
             return not left and all(start.over for start in begun)
 
-        lab.until(again, "a tenth ready", 2 * PATIENCE)
+        lab.run_until(again, "a tenth ready", 2 * PATIENCE)
         starts += begun
     return starts
 
@@ -306,35 +310,35 @@
 
 
 def play(gateways, rows, cores, agreement):
-    shape = Shape(
+    shape = FleetSpec(
         gateways=gateways,
         hosts=20,
         relays=(),
         rate=60.0,
         work=0.01,
         agreement=agreement,
-        settings=settings(gateways, quota=500.0),
+        settings=build_settings(SettingsSpec(gateways, quota=500.0)),
         methods=[Method("look")],
-        customers=[Customer(number + 1, "sold", spread=gateways) for number in range(20)],
+        customers=[Customer(number + 1, "sold", gateway_count=gateways) for number in range(20)],
     )
-    with Lab(shape) as lab:
+    with LoopbackFleet(shape) as lab:
         for one in lab.gateways:
-            one.build = {"module": "benchmarks.ready", "cwd": ROOT}
-            one.environ = {"READY_LISTENS": str(one.listen)}
+            one.build = Build(module="benchmarks.ready", cwd=ROOT)
+            one.environ = {"READY_LISTENS": str(one.port)}
             one.start()
             if cores:
-                os.sched_setaffinity(one.process.process.pid, cores)
-            lab.turn()
+                os.sched_setaffinity(one.process.popen.pid, cores)
+            lab.run_turn()
         if agreement:
-            lab.controls["control"] = Control(lab, "control")
+            lab.controls["control"] = FleetControl(lab, "control")
             lab.controls["control"].start()
-        lab.until(lambda: all(one.ready for one in lab.gateways), "all gateways ready", 120.0)
+        lab.run_until(lambda: all(one.ready for one in lab.gateways), "all gateways ready", 120.0)
         lab.clients.start()
-        lab.play(3.0)
+        lab.run_for(3.0)
         for what, discovery, counter in rows:
             put(lab, discovery, counter == "silent")
-            lab.play(1.0)
-            lab.longest = 0.0
+            lab.run_for(1.0)
+            lab.longest_stall_s = 0.0
             starts = (kill if what == "kill" else roll)(lab, cores)
             name = f"{what}, discovery {discovery}, counter {counter}" + (
                 ", agreed" if agreement else ""
@@ -343,10 +347,10 @@
                 **summed(name, starts),
                 "gateways": gateways,
                 "crashes": len(lab.crashes),
-                "rig": round(lab.longest, 2),
+                "rig": round(lab.longest_stall_s, 2),
             }
             put(lab, "up", False)
-            lab.play(3.0)
+            lab.run_for(3.0)
 
 
 def alone(times):
@@ -376,7 +380,9 @@
                 "counter": "127.99.0.1:2002",
                 "seed": "1",
                 "known": {"index": 1, "snapshot": True, "endpoints": rows},
-                "settings": settings(200, more=[f"m{number}" for number in range(more or 0)]),
+                "settings": build_settings(
+                    SettingsSpec(200, extra_methods=[f"m{number}" for number in range(more or 0)])
+                ),
             }
             with open(file, "w") as out:
                 json.dump(told, out)
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -28,7 +28,8 @@
 from petrellane.simulation.baselines import BASELINES  # noqa: E402
 from petrellane.simulation.fleet import Fleet  # noqa: E402
 from petrellane.simulation.scenario import Fault  # noqa: E402
-from petrellane.testbed.fleet import Lab, Shape  # noqa: E402
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec  # noqa: E402
 
 WARM = 5.0  # seconds of a run that are left out
 WAYS = ("module", *BASELINES)
@@ -161,7 +162,7 @@
     """Real gateways, with faults at hosts in turn; a row for each part of the run."""
     slots = 2
     work = told.load * told.hosts * slots / told.rate
-    shape = Shape(
+    shape = FleetSpec(
         gateways=told.gateways,
         hosts=told.hosts,
         relays=(),
@@ -171,13 +172,13 @@
         queue=64,
     )
     rows, part = [], told.seconds / 5
-    with Lab(shape) as lab:
+    with LoopbackFleet(shape) as lab:
         began = time.monotonic()
         lab.records.keep_all()
         lab.start()
         up = time.monotonic() - began
         lab.clients.start()
-        lab.play(WARM)
+        lab.run_for(WARM)
         spent = sum(memory(one.process)[1] for one in lab.gateways)
 
         def measure(name, seconds):
@@ -186,7 +187,7 @@
                 len(lab.clients.waits),
                 dict(lab.records.counts),
             )
-            lab.play(seconds)
+            lab.run_for(seconds)
             found = compute_figures(
                 sources.trace_from_records(lab.records.kept, since, lab.records.now())
             )
@@ -223,7 +224,7 @@
         back, slow, failing, silent = lab.hosts[:4]
         back.crash()
         lab.discovery.put(back.name, back.host_port, "terminated")
-        lab.play(1.0)
+        lab.run_for(1.0)
         back.start()
         lab.discovery.put(back.name, back.host_port, since=back.started_at)
         before, all_before = back.ran, sum(host.ran for host in lab.hosts)
@@ -243,14 +244,14 @@
         silent.silent = False
         silent.run_waiting()
         told_of = [memory(one.process) for one in lab.gateways]
-        lab.quiet(10.0)
+        lab.finish_load(10.0)
         verdict = lab.verdict()
         machine = {
             "up_s": round(up, 1),
             "mb_each": round(statistics.median(size for size, _ in told_of) / 2**20, 1),
             "mb_all": round(sum(size for size, _ in told_of) / 2**20),
             "cores": round((sum(cpu for _, cpu in told_of) - spent) / told.seconds, 2),
-            "rig_stood_still_s": round(lab.longest, 3),
+            "rig_stood_still_s": round(lab.longest_stall_s, 3),
             "broken": verdict.counts,
             "crashes": len(lab.crashes),
             "void": lab.void,
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -26,7 +26,9 @@
 from petrellane.simulation.fleet import Fleet  # noqa: E402
 from petrellane.simulation.scenario import read  # noqa: E402
 from petrellane.testbed.fake_discovery import DiscoveryFault, FakeDiscovery  # noqa: E402
-from petrellane.testbed.fleet import Lab, Shape  # noqa: E402
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec  # noqa: E402
+from petrellane.testbed.processes import Build  # noqa: E402
 
 BOUND = 6.0
 PATIENCE = 20.0  # seconds after which a change counts as not told
@@ -47,8 +49,8 @@
         self.discovery = FakeDiscovery(lab.scheduler, lab.records)
         for host in lab.hosts:
             self.discovery.put(host.name, host.host_port)
-        self.door = self.discovery.listener_for(one.name, lab.place())
-        one.write({**one.told(), "discovery": self.door.host_port})
+        self.door = self.discovery.listener_for(one.name, lab.addresses.next_address())
+        one.write_config({**one.config(), "discovery": self.door.host_port})
         self.state, self.over, self.kinds = "in_service", False, told.kinds
 
     def change(self):
@@ -93,22 +95,22 @@
 
 
 def apart(told):
-    shape = Shape(gateways=told.gateways, hosts=2, seed=told.seed, relays=())
-    with Lab(shape) as lab:
+    shape = FleetSpec(gateways=told.gateways, hosts=2, seed=told.seed, relays=())
+    with LoopbackFleet(shape) as lab:
         trials = [Trials(lab, one, told) for one in lab.gateways]
         for one in lab.gateways:
-            one.build = {"cwd": os.path.abspath(told.build)} if told.build else {}
+            one.build = Build(cwd=os.path.abspath(told.build)) if told.build else Build()
         lab.start()
         for trial in trials:
             lab.scheduler.spawn(trial.run)
-        lab.play(told.seconds)
+        lab.run_for(told.seconds)
         calls = sum(trial.discovery.calls for trial in trials)
         for trial in trials:
             trial.over = True
             trial.discovery.close()
         found = [one for trial in trials for one in trial.took]
         rows = {kind: [took for of, took in found if of == kind] for kind in told.kinds}
-        rig = lab.longest
+        rig = lab.longest_stall_s
     print(
         f"{'trouble':12} {'trials':>6} {'p50':>6} {'p90':>6} {'most':>6} {'over 6 s':>8} {'never':>6}"
     )
@@ -129,16 +131,16 @@
 
 def together(told):
     """One discovery for all: what each gateway has been told, and how many calls come in each second."""
-    shape = Shape(gateways=told.gateways, hosts=2, seed=told.seed, relays=())
-    with Lab(shape) as lab:
+    shape = FleetSpec(gateways=told.gateways, hosts=2, seed=told.seed, relays=())
+    with LoopbackFleet(shape) as lab:
         for one in lab.gateways:
-            one.build = {"cwd": os.path.abspath(told.build)} if told.build else {}
+            one.build = Build(cwd=os.path.abspath(told.build)) if told.build else Build()
         lab.start()
-        lab.play(10.0)
+        lab.run_for(10.0)
         doors, began = list(lab.discovery.listeners.values()), lab.scheduler.now()
         for door in doors:
             door.inject(DiscoveryFault(told.together))
-        lab.play(TOGETHER)
+        lab.run_for(TOGETHER)
         lab.discovery.put("h0", lab.hosts[0].host_port, "terminating")
         index, back, seconds = lab.discovery.index, lab.scheduler.now(), []
         lab.discovery.rate = told.rate
@@ -146,7 +148,7 @@
             door.heal()
         for _ in range(30):
             before = lab.discovery.calls, lab.discovery.refused
-            lab.play(1.0)
+            lab.run_for(1.0)
             seconds.append((lab.discovery.calls - before[0], lab.discovery.refused - before[1]))
         took = []
         for one in lab.gateways:
@@ -156,7 +158,7 @@
                 if event["event"] == "hosts" and event["index"] >= index
             ]
             took.append(min(times, default=None))
-        rig = lab.longest
+        rig = lab.longest_stall_s
     known, late = (
         [one for one in took if one is not None],
         sum(one is None or one > BOUND for one in took),
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -302,11 +302,11 @@
 ) -> None:
     """Play a run file and tell what happened."""
     from petrellane.testbed import command
-    from petrellane.testbed.runner import PlayError
+    from petrellane.testbed.run_file import RunFileError
 
     try:
         raise typer.Exit(command.play_file(file, records))
-    except PlayError as error:
+    except RunFileError as error:
         _exit_with_error(error)
 
 
--- a/petrellane/testbed/__init__.py
+++ b/petrellane/testbed/__init__.py
@@ -1,12 +1,14 @@
-"""A rig of many processes on loopback: real gateways, stand-ins for all that they talk to, relays that inject faults
-between any two, clients in an open loop, and the invariant checker over what everybody saw.
+"""Fleets on loopback: real gateways, test doubles of all that they talk to, and the invariants.
 
-    fleet (processes) -- relay -- standins (hosts, counter, discovery)
-    clients -- relay -- fleet            records -- checker
+A fleet (`fleet`) has gateways and control processes as processes of their own; the rest runs in
+one process, on one scheduler and one clock:
 
-    hollow gateways, real ones (processes) -- services (a process each): `scale` plays it, `rig` holds the processes, each of
-    which tells through `metered` what it spends
+    clients -- relay -- gateways -- relay -- test doubles (hosts, counter, discovery)
+    what every party saw -- `records` -- invariants
 
-Of the first, everything but the gateways and control processes runs in one process, on one scheduler and one clock. `run`
-plays a file, `command` tells it; tests and benchmarks use `Lab` directly.
+`run_file` reads a run, `runner` carries out its steps, `command` shows it; tests and benchmarks use
+`fleet.LoopbackFleet` directly.
+
+A scale run has hollow gateways, real ones and the test doubles in processes of their own: `scale`
+says what is run, `testbed` holds the processes, and each reports through `metered` what it spends.
 """
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -1,19 +1,37 @@
-"""Clients in an open loop: RPCs come at intended times, whatever became of those before, through a front that deals a
-customer's RPCs out among the gateways of its set. They keep to the protocol: one RPC at a time on a connection, a new one
-where all are busy, and once more on a new one where a kept connection was closed under a command."""
+"""Clients in an open loop: RPCs come at intended times, whatever became of those before.
+
+A front deals a customer's RPCs out among the gateways of its set. Clients keep to the protocol:
+one RPC at a time on a connection, a new connection where all are busy, and a second attempt on a
+new one where a kept connection was closed under a command.
+"""
 
 import random
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
 from petrellane import invariants
 from petrellane.net import resp
-from petrellane.net.stream import Closed, Stream
+from petrellane.net.scheduler import Scheduler
+from petrellane.net.stream import Address, Closed, Stream
 from petrellane.testbed.fake_server import LIMITS
+from petrellane.testbed.records import Records
+
+DIAL_TIMEOUT_S = 0.5
+GRACE_S = 0.3  # past its patience, after which a client stops listening
+SUSPECT_S = 0.25  # before a gateway that could not be reached is tried again
+MINIMUM_PATIENCE_S = 0.001  # of a second attempt
+BULK_STRING = 0x24
+
+# What an exchange may end with beside the answers that the invariants know and errors of a host.
+AGAIN = "again"  # the connection ended without an answer
+LATE = "late"  # no answer came in time
+GONE = "gone"  # the client closed its connection
+SPOILT = "spoilt"  # an answer to another RPC
 
 
-@dataclass
+@dataclass(frozen=True)
 class Method:
-    """What clients ask: `share` of the RPCs, by the command that its effect wants."""
+    """What clients ask: `share` of the RPCs, with `patience` in seconds."""
 
     name: str
     share: float = 1.0
@@ -21,110 +39,187 @@
     patience: float = 2.0
 
 
-@dataclass
+@dataclass(frozen=True)
 class Customer:
-    """Who asks: a part of the RPCs, through `spread` gateways from number `first`."""
+    """Who asks: `share` of the RPCs, through `gateway_count` gateways from `first_gateway` on."""
 
     number: int
     plan: str
     share: float = 1.0
-    first: int = 0
-    spread: int = 1
+    first_gateway: int = 0
+    gateway_count: int = 1
     units: float = 1.0
 
+    @property
+    def key(self) -> str:
+        """The customer's id on the wire."""
+        return f"{self.number:016x}"
+
+
+@dataclass(frozen=True)
+class ClientRpc:
+    """One RPC of a client.
+
+    Attributes:
+        name: Its id.
+        method: What is asked.
+        customer: Who asks.
+        intended: The scheduler's time at which it was due to be sent.
+        leave_at: The scheduler's time at which its client leaves; None where that is drawn.
+    """
+
+    name: str
+    method: Method
+    customer: Customer
+    intended: float
+    leave_at: float | None = None
+
+
+@dataclass(frozen=True)
+class Load:
+    """What clients send: `rate` RPCs a second of these methods and customers."""
+
+    rate: float
+    methods: Sequence[Method]
+    customers: Sequence[Customer]
+
 
 class Front:
-    """What clients know of one gateway: where it is, whether it is taken in, and connections that stand."""
+    """What clients know of one gateway.
 
-    SUSPECT = 0.25  # seconds before a gateway that could not be reached is tried again
+    Attributes:
+        name: The gateway's name.
+        address: Where it is reached.
+        idle: Connections that stand and are not in use.
+        avoided_until: The scheduler's time until which others are tried first.
+        taken_in: Whether RPCs go there at all.
+    """
 
-    def __init__(self, name, address):
-        self.name, self.address = name, address
-        self.idle, self.avoid, self.taken_in = [], 0.0, True
+    def __init__(self, name: str, address: Address) -> None:
+        """Make a front without connections."""
+        self.name = name
+        self.address = address
+        self.idle: list[Stream] = []
+        self.avoided_until = 0.0
+        self.taken_in = True
 
 
 class Clients:
-    """The load of a run; `rate` RPCs a second. A share of them, `leaving`, is left by its client: it closes its connection
-    some time within its patience."""
-
-    DIAL = 0.5
-    SLACK = 0.3  # seconds past its patience after which a client stops listening
-
-    def __init__(self, scheduler, records, fronts, methods, customers, rate, seed=0):
-        self.scheduler, self.records, self.fronts = scheduler, records, fronts
-        self.methods, self.customers, self.rate = methods, customers, rate
-        self.random = random.Random(f"{seed} clients")
-        self.on, self.number, self.out, self.turned_back, self.seed = False, 0, 0, 0, seed
-        self.leaving, self.halves = (
-            0.0,
-            0.0,
-        )  # the share; and of these, who end their sending and close later
-        self.waits = []  # seconds that answers took, from the intended time
-
-    def start(self):
-        self.on, self.next = True, self.scheduler.monotonic()
-        self.arrive()
-
-    def stop(self):
+    """The load of a run, owned by its fleet.
+
+    Attributes:
+        rate: RPCs a second.
+        on: Whether RPCs are sent.
+        out: RPCs in flight.
+        leaving: The share of RPCs whose client closes its connection within its patience.
+        half_closing: The share of these that end their sending first and close later.
+        turned_back: RPCs that found no gateway.
+        load: What is sent; its rate is that of the start.
+        seed: The begin of the RPCs' ids.
+        waits: For each answer the seconds since the intended time, and its kind.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        records: Records,
+        fronts: Sequence[Front],
+        load: Load,
+        seed: int = 0,
+    ) -> None:
+        """Make clients that send nothing yet; `seed` is of all their draws."""
+        self.rate = load.rate
         self.on = False
+        self.out = 0
+        self.leaving = 0.0
+        self.half_closing = 0.0
+        self.turned_back = 0
+        self.waits: list[tuple[float, str]] = []
+        self._scheduler = scheduler
+        self._records = records
+        self._fronts = fronts
+        self.load = load
+        self.seed = seed
+        self._random = random.Random(f"{seed} clients")
+        self._number = 0
+        self._next_at = 0.0
 
-    def arrive(self):
-        """Send what is due, and ring again at the next intended time."""
-        while self.on and self.next <= self.scheduler.monotonic():
-            self.scheduler.spawn(self.ask, self.next)
-            self.next += self.random.expovariate(self.rate)
-        if self.on:
-            self.scheduler.after(max(0.0, self.next - self.scheduler.monotonic()), self.arrive)
+    def start(self) -> None:
+        """Send from now on."""
+        self.on = True
+        self._next_at = self._scheduler.monotonic()
+        self._arrive()
 
-    def ask(self, intended):
-        """One RPC, to its end."""
-        method = self.random.choices(self.methods, [one.share for one in self.methods])[0]
-        customer = self.random.choices(self.customers, [one.share for one in self.customers])[0]
-        self.number += 1
-        self.out += 1
-        try:
-            self.send(method, customer, "%s-%08x" % (self.seed, self.number), intended)
-        finally:
-            self.out -= 1
+    def stop(self) -> None:
+        """Send no more; what is in flight goes on."""
+        self.on = False
 
-    def send(self, method, customer, rpc, intended, leave_at=None):
-        """One RPC; `leave_at`: when its client leaves for sure, by the scheduler's clock."""
-        names = [(customer.first + step) % len(self.fronts) for step in range(customer.spread)]
-        self.random.shuffle(names)
-        now, known, until = self.scheduler.monotonic(), False, 0.0
-        for front in sorted(
-            (self.fronts[name] for name in names),
-            key=lambda one: not one.taken_in or one.avoid > now,
-        ):
+    def send(self, rpc: ClientRpc) -> None:
+        """Send one RPC, and wait for its end; in a greenlet."""
+        customer = rpc.customer
+        numbers = [
+            (customer.first_gateway + step) % len(self._fronts)
+            for step in range(customer.gateway_count)
+        ]
+        self._random.shuffle(numbers)
+        now = self._scheduler.monotonic()
+        fronts = [self._fronts[number] for number in numbers]
+        fronts.sort(key=lambda front: not front.taken_in or front.avoided_until > now)
+        deadline = None
+        for front in fronts:
             if not front.taken_in:
                 continue
-            for stream, kept in self.streams(front):
-                if not known:
-                    known, until = True, self.scheduler.monotonic() + method.patience
-                    self.records.taken(
-                        rpc,
-                        front.name,
-                        "%016x" % customer.number,
-                        customer.plan,
-                        method.name,
-                        customer.units,
-                        method.patience,
-                    )
-                verdict = self.exchange(stream, method, customer, rpc, until, leave_at)
-                if (
-                    rpc not in self.records.open
-                ):  # it died with its gateway: nobody may ask again in its name
+            for stream, was_idle in self._connections(front):
+                if deadline is None:
+                    deadline = self._scheduler.monotonic() + rpc.method.patience
+                    self._record_received(rpc, front)
+                verdict = self._exchange(stream, rpc, deadline)
+                if rpc.name not in self._records.open:
+                    # It died with its gateway: nobody may send it again.
                     stream.close()
                     return
-                if verdict == "again" and kept:
-                    continue  # it was closed under our command
-                self.end(front, stream, method, rpc, verdict, intended)
+                if verdict == AGAIN and was_idle:
+                    continue  # the connection was closed under our command
+                self._finish(front, stream, rpc, verdict)
                 return
-            front.avoid = self.scheduler.monotonic() + front.SUSPECT
+            front.avoided_until = self._scheduler.monotonic() + SUSPECT_S
         self.turned_back += 1
 
-    def streams(self, front):
-        """Connections to try: one that stands, then a new one. Each with whether it stood before."""
+    def _arrive(self) -> None:
+        """Send what is due, and come back at the next intended time."""
+        while self.on and self._next_at <= self._scheduler.monotonic():
+            self._scheduler.spawn(self._send_drawn, self._next_at)
+            self._next_at += self._random.expovariate(self.rate)
+        if self.on:
+            delay = max(0.0, self._next_at - self._scheduler.monotonic())
+            self._scheduler.after(delay, self._arrive)
+
+    def _send_drawn(self, intended: float) -> None:
+        """Draw one RPC, and send it."""
+        methods = self.load.methods
+        method = self._random.choices(methods, [method.share for method in methods])[0]
+        customers = self.load.customers
+        customer = self._random.choices(customers, [customer.share for customer in customers])[0]
+        self._number += 1
+        self.out += 1
+        try:
+            self.send(ClientRpc(f"{self.seed}-{self._number:08x}", method, customer, intended))
+        finally:
+            self.out -= 1
+
+    def _record_received(self, rpc: ClientRpc, front: Front) -> None:
+        self._records.taken(
+            rpc.name,
+            front.name,
+            rpc.customer.key,
+            rpc.customer.plan,
+            rpc.method.name,
+            rpc.customer.units,
+            rpc.method.patience,
+        )
+
+    def _connections(self, front: Front) -> Iterator[tuple[Stream, bool]]:
+        """Yield an idle connection where one stands, then a new one; with whether it was idle."""
         while front.idle:
             stream = front.idle.pop()
             if stream.quiet() and not stream.buffer:
@@ -132,57 +227,80 @@
                 break
             stream.close()
         try:
-            yield Stream.dial(self.scheduler, LIMITS, front.address, self.DIAL), False
+            yield Stream.dial(self._scheduler, LIMITS, front.address, DIAL_TIMEOUT_S), False
         except OSError:
             return
 
-    def exchange(self, stream, method, customer, rpc, until, leave_at=None):
-        """Ask on a connection, with patience until some time; the answer's kind, "again" where it ended with none, "late"
-        where none came in time."""
-        left = max(
-            0.001, until - self.scheduler.monotonic()
-        )  # a first try may have taken some of it
-        fields = (
-            f"c={method.name},t={customer.plan},d={int(left * 1e3)},units={customer.units:g},"
-            f"spread={customer.spread},first={customer.first}"
-        )
-        if method.effect == invariants.DEDUPLICATED:
-            fields += f",k={rpc[-8:]}"
-        verb = b"SVC.QUERY" if method.effect == invariants.IDEMPOTENT else b"SVC.SUBMIT"
-        stream.write(resp.words(verb, b"%016x" % customer.number, rpc.encode(), fields.encode()))
-        leaves = leave_at is not None or self.leaving and self.random.random() < self.leaving
-        wait = self.random.random() * left if leaves else left + self.SLACK
-        until = self.scheduler.monotonic() + wait if leave_at is None else min(until, leave_at)
+    def _exchange(self, stream: Stream, rpc: ClientRpc, deadline: float) -> str:
+        """Send an RPC on a connection; return the kind of its answer, or AGAIN, LATE or GONE."""
+        # A first attempt may have taken some of the patience.
+        left = max(MINIMUM_PATIENCE_S, deadline - self._scheduler.monotonic())
+        stream.write(_command(rpc, left))
+        leaves = rpc.leave_at is not None
+        if not leaves and self.leaving:
+            leaves = self._random.random() < self.leaving
+        wait = self._random.random() * left if leaves else left + GRACE_S
+        if rpc.leave_at is None:
+            until = self._scheduler.monotonic() + wait
+        else:
+            until = min(deadline, rpc.leave_at)
         try:
-            while not (found := resp.answer(stream.buffer, 0, LIMITS)):
-                stream.fill(max(0.0, until - self.scheduler.monotonic()))
+            while (reply := resp.answer(stream.buffer, 0, LIMITS)) is None:
+                stream.fill(max(0.0, until - self._scheduler.monotonic()))
         except TimeoutError:
             if not leaves:
-                return "late"
-            self.records.left(rpc)  # first: the close takes some time, within which it may be seen
-            if self.halves and self.random.random() < self.halves:
-                stream.finish()
-                self.scheduler.wait(self.SLACK)
-            stream.close()
-            return "gone"
+                return LATE
+            self._leave(stream, rpc)
+            return GONE
         except (Closed, resp.Malformed):
-            return "again"
-        kind, content, end = found
-        text = bytes(stream.buffer[slice(*content)]) if content else b""
-        del stream.buffer[:end]
-        if kind == 0x24:
-            return invariants.OK if text == rpc.encode() else "spoilt"
-        return invariants.REJECTED if text.startswith(b"BUSY") else text.decode("latin-1")
-
-    def end(self, front, stream, method, rpc, verdict, intended):
-        if verdict in (invariants.OK, invariants.REJECTED) or verdict.startswith("ERR"):
+            return AGAIN
+        return _take_answer(stream, rpc, reply)
+
+    def _leave(self, stream: Stream, rpc: ClientRpc) -> None:
+        """Close a connection before its answer."""
+        # Recorded first: the close takes some time, within which it may be seen.
+        self._records.left(rpc.name)
+        if self.half_closing and self._random.random() < self.half_closing:
+            stream.finish()
+            self._scheduler.wait(GRACE_S)
+        stream.close()
+
+    def _finish(self, front: Front, stream: Stream, rpc: ClientRpc, verdict: str) -> None:
+        """Record the end of an RPC; keep its connection where it may be used again."""
+        method = rpc.method.name
+        is_host_error = verdict.startswith("ERR")
+        if verdict in (invariants.OK, invariants.REJECTED) or is_host_error:
             front.idle.append(stream)
-            self.records.answered(
-                rpc, verdict if verdict[:3] != "ERR" else invariants.ABORTED, method.name
-            )
-            self.waits.append((self.scheduler.monotonic() - intended, verdict))
-        else:  # nothing, or nothing that a host made: it is lost, unless its gateway was killed
-            stream.close()
-            self.records.counts[method.name, verdict] = (
-                self.records.counts.get((method.name, verdict), 0) + 1
-            )
+            answer = invariants.ABORTED if is_host_error else verdict
+            self._records.answered(rpc.name, answer, method)
+            self.waits.append((self._scheduler.monotonic() - rpc.intended, verdict))
+            return
+        # No answer, or none that a host made: it is lost, unless its gateway was killed.
+        stream.close()
+        counts = self._records.counts
+        counts[method, verdict] = counts.get((method, verdict), 0) + 1
+
+
+def _command(rpc: ClientRpc, patience_s: float) -> bytes:
+    """Return the bytes that ask for an RPC."""
+    customer = rpc.customer
+    fields = (
+        f"c={rpc.method.name},t={customer.plan},d={int(patience_s * 1e3)},"
+        f"units={customer.units:g},spread={customer.gateway_count},first={customer.first_gateway}"
+    )
+    if rpc.method.effect == invariants.DEDUPLICATED:
+        fields += f",k={rpc.name[-8:]}"
+    verb = b"SVC.QUERY" if rpc.method.effect == invariants.IDEMPOTENT else b"SVC.SUBMIT"
+    return resp.words(verb, customer.key.encode(), rpc.name.encode(), fields.encode())
+
+
+def _take_answer(stream: Stream, rpc: ClientRpc, reply: resp.Reply) -> str:
+    """Remove an answer from the buffer; return its kind."""
+    text = b""
+    if isinstance(reply.content, tuple):
+        start, end = reply.content
+        text = bytes(stream.buffer[start:end])
+    del stream.buffer[: reply.end]
+    if reply.kind == BULK_STRING:
+        return invariants.OK if text == rpc.name.encode() else SPOILT
+    return invariants.REJECTED if text.startswith(b"BUSY") else text.decode("latin-1")
--- a/petrellane/testbed/clock_skew.py
+++ b/petrellane/testbed/clock_skew.py
@@ -1,15 +1,27 @@
-"""Runs the command line with a system clock that is off by LAB_SKEW seconds: `python -m petrellane.testbed.clock_skew serve`."""
+"""Runs the program with a system clock that is off by LAB_SKEW seconds.
+
+    LAB_SKEW=2.5 python -m petrellane.testbed.clock_skew serve
+
+The program starts as by `python -m petrellane`, by its name: nothing of it is imported here.
+"""
 
 import os
+import runpy
 import time
 
+SKEW_VARIABLE = "LAB_SKEW"
+
+
+def main() -> None:
+    """Set the clock off, and run the program."""
+    true_time = time.time
+    skew_s = float(os.environ.get(SKEW_VARIABLE, "0"))
 
-def main():
-    true, off = time.time, float(os.environ.get("LAB_SKEW", "0"))
-    time.time = lambda: true() + off
-    from petrellane.cli import app
+    def time_with_offset() -> float:
+        return true_time() + skew_s
 
-    app()
+    time.time = time_with_offset
+    runpy.run_module("petrellane", run_name="__main__", alter_sys=True)
 
 
 if __name__ == "__main__":
--- a/petrellane/testbed/command.py
+++ b/petrellane/testbed/command.py
@@ -8,11 +8,13 @@
 
 from petrellane.invariants import OK, REJECTED
 from petrellane.load_distribution import sources
-from petrellane.testbed.fleet import Lab, Shape
-from petrellane.testbed.runner import Figures, Play, Stage, Step, load, shape_of
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec
+from petrellane.testbed.run_file import LabSection, RunFile, Step, fleet_spec_of, load_run_file
+from petrellane.testbed.runner import StepRunner
 
-DEMO = Play(
-    lab=Figures(gateways=3, hosts=6, seconds=20.0, rate=120.0),
+DEMO = RunFile(
+    lab=LabSection(gateways=3, hosts=6, seconds=20.0, rate=120.0),
     step=[Step(at=10.0, do="kill", who=["h2"])],
 )
 
@@ -68,12 +70,12 @@
             left = right = ["", "", "", "", ""]
             if at < len(self.lab.gateways):
                 one = self.lab.gateways[at]
-                told = one.last("figures") or {}
+                told = one.last_event("figures") or {}
                 state = (
                     "serves"
                     if one.ready
                     else "starts"
-                    if one.process and one.process.up
+                    if one.process and one.process.is_running
                     else "down"
                 )
                 left = [
@@ -100,16 +102,16 @@
 
 def run(play, shape=None, records=""):
     """Play a run and tell it, and write its records to a file where one is named; gives the exit code."""
-    with Lab(shape or shape_of(play)) as lab:
+    with LoopbackFleet(shape or fleet_spec_of(play)) as lab:
         if records:
             lab.records.keep_all()
         lab.start()
         lab.records.tell(f"load begins: {play.lab.rate:g} RPCs a second")
-        Stage(lab, play).begin()
+        StepRunner(lab, play).begin()
         lab.clients.start()
         with Watch(lab, play.lab.seconds):
-            lab.play(play.lab.seconds)
-            lab.quiet()
+            lab.run_for(play.lab.seconds)
+            lab.finish_load()
         verdict = lab.verdict()
         if records:
             sources.write(records, lab.records.kept, lab.records.now())
@@ -150,8 +152,8 @@
 
 
 def play_file(path, records=""):
-    """Play a run file; gives the exit code. Raises play.PlayError."""
-    return run(load(path), records=records)
+    """Play a run file; gives the exit code. Raises RunFileError."""
+    return run(load_run_file(path), records=records)
 
 
 def demo():
@@ -159,4 +161,4 @@
     print(
         "three gateways, six hosts, a counter and discovery, on loopback; host h2 is killed half way"
     )
-    return run(DEMO, Shape(rate=DEMO.lab.rate))
+    return run(DEMO, FleetSpec(rate=DEMO.lab.rate))
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -1,708 +1,392 @@
-"""A fleet on loopback: gateways, a control process where it is asked for, stand-ins and relays, put together.
+"""A fleet on loopback: gateways, control processes, test doubles, relays and clients.
 
-`Lab` is a context: whatever happens within, all its processes have ended after it. Work with it from the outside through
-`until` and `play`, which run the scheduler; or as greenlets of its scheduler.
+`LoopbackFleet` is a context: whatever happens within, all its processes have ended after it. Work
+with it from the outside through `run_until` and `run_for`, which run the scheduler, or in greenlets
+of its scheduler. Gateways and control processes are processes of their own; all else runs in this
+process, on one scheduler and one clock.
 """
 
-import contextlib
-import os
-import random
 import shutil
-import signal
-import socket
 import tempfile
 import time
-from dataclasses import dataclass, field
+import traceback
+from collections.abc import Callable, Collection, Sequence
+from functools import partial
+from pathlib import Path
+from typing import Any, Self, TypeVar
 
 import orjson
 
 from petrellane import invariants
 from petrellane.net.scheduler import Scheduler
-from petrellane.testbed.clients import Clients, Customer, Front, Method
+from petrellane.net.stream import Address
+from petrellane.testbed.addresses import AddressPool, format_address
+from petrellane.testbed.clients import Clients, Front, Load
 from petrellane.testbed.fake_counter import FakeCounter
-from petrellane.testbed.fake_discovery import FakeDiscovery
-from petrellane.testbed.fake_host import FakeHost, HostSpec
-from petrellane.testbed.processes import Process
+from petrellane.testbed.fake_discovery import FakeDiscovery, Row
+from petrellane.testbed.fake_host import FakeHost
+from petrellane.testbed.fleet_control import FleetControl
+from petrellane.testbed.fleet_gateway import FleetGateway
+from petrellane.testbed.fleet_hosts import make_hosts
+from petrellane.testbed.fleet_relays import FleetRelays, Route, RouteKind
+from petrellane.testbed.fleet_spec import (
+    FleetSpec,
+    Settings,
+    SettingsSpec,
+    build_settings,
+    build_terms,
+)
+from petrellane.testbed.processes import Crash, LogEvent, Process
 from petrellane.testbed.records import SETTLE, Records
 from petrellane.testbed.relay import Relay
 
-MICRO = 1_000_000
-EFFECTS = {"idempotent": "pure", "deduplicated": "token", "non-idempotent": "side_effect"}
-
-
-def settings(
-    gateways, more=(), without=(), attempts=4, quota=0.0, ceiling=0.0, cold=0.0, cold_from=1.0
-):
-    """Settings of a run: three methods, and those of `more` (idempotent); two plans, of which `sold` has the quota and the
-    ceiling, in units a second; a host is `cold` for so many seconds, and has the share `cold_from` when it starts."""
-    methods = [
-        {
-            "name": "look",
-            "effect": "pure",
-            "goalTime": MICRO,
-            "giveUp": 2 * MICRO,
-            "worth": 1,
-            "lateWorth": 0.5,
-        },
-        {
-            "name": "lodge",
-            "effect": "token",
-            "keyScope": "all",
-            "window": 4 * MICRO,
-            "goalTime": MICRO,
-            "giveUp": 2 * MICRO,
-            "worth": 2,
-            "lateWorth": 0.5,
-        },
-        {
-            "name": "post",
-            "effect": "side_effect",
-            "goalTime": MICRO,
-            "giveUp": 2 * MICRO,
-            "worth": 3,
-        },
-    ]
-    methods += [
-        {"name": name, "effect": "pure", "goalTime": MICRO, "giveUp": 2 * MICRO, "worth": 1}
-        for name in more
-    ]
-    sold = {"name": "sold", "quotaRate": quota, "storeSize": 2 * quota, "pays": 1}
-    if ceiling:
-        sold |= {"ceilingRate": ceiling, "ceilingBurst": ceiling, "ceilingSlack": ceiling / 10}
-    return {
-        "classes": [row for row in methods if row["name"] not in without],
-        "contracts": [{"name": "free", "pays": 1}, sold],
-        "familyInfo": {"mayCount": True, "counterTimeout": 80_000},
-        "limits": {
-            "connIdle": 30 * MICRO,
-            "dialTimeout": 250_000,
-            "maxAttempts": attempts,
-            "mayCancel": True,
-            "retryAfter": True,
-            "maxRetryAfter": 500_000,
-            "streamsPerConn": 4,
-        },
-        "obligations": {"cold": int(cold * MICRO), "coldFrom": cold_from},
-        "discovery": "push",
-        "replicasOfMe": gateways,
+Found = TypeVar("Found")
+
+LAST_PORT = 2000  # ports are given away from the next on
+# A flush to a shared disk takes any time, which is not what a run is about.
+MEMORY_DISK = Path("/dev/shm")
+TURN_MS = 10  # of one turn of the scheduler at most
+VOID_STALL_S = 0.5  # after a longer stall, what was seen came in no sure order: the run is void
+READY_PATIENCE_S = 20.0
+READY_PATIENCE_PER_GATEWAY_S = 0.2
+KEY = b"key of one run only"
+MAXIMUM_LINE = 160  # characters of an event in the timeline
+MAXIMUM_STDERR = 200  # characters of standard error in the timeline
+TIMELINE_EVENTS = frozenset(
+    {
+        "fault",
+        "generation",
+        "stood_still",
+        "agreement_refused",
+        "drift",
+        "not_on_roster",
+        "leading",
+        "deposed",
+        "reload_refused",
+        "agreed",
     }
-
-
-@dataclass
-class Shape:
-    """What a lab is made of. `relays`: between which kinds of party faults can be put, of "clients", "counter",
-    "discovery", "hosts" (one for each gateway and host), "agents" (control processes and gateways to gateways),
-    "agents-of-control" (control processes alone)."""
-
-    gateways: int = 3
-    hosts: int = 6
-    seed: int = 1
-    agreement: bool = False
-    relays: tuple = ("clients", "counter", "discovery", "agents")
-    settings: dict | None = None
-    work: float = 0.02
-    slots: int = 8
-    queue: int = 32
-    rate: float = 100.0
-    methods: list = field(
-        default_factory=lambda: [
-            Method("look", 0.6),
-            Method("lodge", 0.25, "deduplicated"),
-            Method("post", 0.15, "non-idempotent"),
-        ]
-    )
-    customers: list | None = None
-    proves: dict = field(default_factory=dict)
-    follow: bool = False  # the lab holds the clients' listening sockets, so that processes can follow each other
-
-
-class Gateway:
-    """One gateway of the fleet: its addresses, its file, its process."""
-
-    def __init__(self, lab, number):
-        self.name, self.lab, self.number = f"g{number}", lab, number
-        self.listen, self.management = lab.port(), lab.port()
-        self.folder = os.path.join(lab.folder, self.name)
-        os.makedirs(os.path.join(self.folder, "state"))
-        self.file = os.path.join(self.folder, "config.json")
-        self.events, self.process, self.ready, self.skew = [], None, False, 0.0
-        self.build = {}  # what is run in place of this build: python, cwd, module
-        self.environ, self.before = {}, []  # of the next process; processes that were followed
-        self.listener = None
-        if lab.shape.follow:
-            self.listener = socket.create_server((lab.ip, self.listen), backlog=256)
-            self.other = lab.port()  # where the process that follows has its management
-
-    def told(self):
-        """Its configuration."""
-        lab = self.lab
-        told = {
-            "name": self.name,
-            "listen": "%s:%d" % (lab.ip, self.listen),
-            "management": "%s:%d" % (lab.ip, self.management),
-            "discovery": lab.way(("discovery", self.name)),
-            "counter": lab.way(("counter", self.name)),
-            "seed": "%016x" % (lab.shape.seed * 1000 + self.number),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {
-                "index": 1,
-                "snapshot": True,
-                "endpoints": lab.discovery.rows_seen_by(self.name),
-            },
-            "figures": {"hosts": True},
-            "settings": {**lab.settings, "locality": "z"},
-        }
-        if lab.shape.agreement:
-            told["agreement"] = {
-                "key_file": lab.key_file,
-                "state": os.path.join(self.folder, "state"),
-                "members": {other.name: other.managed(self.name) for other in lab.gateways},
-            }
-        return told
-
-    def managed(self, of):
-        """Where another party reaches its management: an address, or those of two processes that follow each other."""
-        way = self.lab.way(("agent", of, self.name))
-        return [way, "%s:%d" % (self.lab.ip, self.other)] if self.listener else way
-
-    def write(self, told=None):
-        beside = self.file + ".new"
-        with open(beside, "wb") as file:
-            file.write(orjson.dumps(told or self.told()))
-        os.rename(beside, self.file)
-
-    def start(self):
-        assert not (self.process and self.process.up), f"{self.name} runs"
-        if self.process:
-            self.process.close()
-        self.ready = False
-        self.lab.records.tell(f"{self.name} starts")
-        for relay in self.ways():
-            relay.follow()
-        self.process = self.run()
-
-    def ways(self):
-        """The relays that lead to it."""
-        return self.lab.between("client", "agent", to=[self.name])
-
-    def run(self, **environ):
-        environ = {"PROXY_CONFIG": self.file, "TMPDIR": self.folder, **self.environ, **environ}
-        descriptors = ()
-        if self.listener:
-            descriptors = (self.listener.fileno(),)
-            environ["PROXY_LISTEN_FD"] = str(self.listener.fileno())
-        return Process(
-            self.lab.scheduler,
-            self.name,
-            ["serve"],
-            environ,
-            self.heard,
-            self.ended,
-            self.lab.folder,
-            self.skew,
-            descriptors=descriptors,
-            **self.build,
-        )
-
-    def replace(self):
-        """Start another process beside the one that runs, which follows it; the old one is told to end once it has."""
-        self.lab.records.tell(f"{self.name} is replaced")
-        began = len(self.events)
-        old, self.process = (
-            self.process,
-            self.run(PROXY_MANAGEMENT="%s:%d" % (self.lab.ip, self.other)),
-        )
-        self.before.append(old)
-        self.lab.until(
-            lambda: any(one["event"] == "started" for one in self.events[began:]),
-            f"{self.name} follows itself",
-        )
-        old.expected = True
-        old.signal(signal.SIGTERM)
-
-    def heard(self, process, event):
-        self.events.append(event)
-        self.lab.heard(self, event)
-        if event["event"] == "started":
-            self.ready = True
-
-    def ended(self, process):
-        self.ready = self.ready and process is not self.process
-        if process is self.process:
-            for relay in self.ways():
-                relay.follow()
-        if not process.expected and process.process.returncode:
-            self.lab.discovery.forget(self.name)
-            self.lab.records.forget(self.name)
-            self.lab.crashed(self.name, process)
-
-    def kill(self):
-        """Kill it outright: what it had taken is nobody's to answer."""
-        self.lab.records.tell(f"{self.name} is killed")
-        self.ready = False
-        self.process.kill()
-        self.process.process.wait()
-        for relay in self.ways():
-            relay.follow()
-        self.lab.discovery.forget(self.name)
-        self.lab.records.forget(self.name)
-
-    def stop(self):
-        self.lab.records.tell(f"{self.name} is stopped")
-        self.process.stop()
-        self.lab.records.take(
-            invariants.GatewayLifecycle(self.lab.records.now(), self.name, "paused")
-        )
-
-    def go_on(self):
-        self.lab.records.tell(f"{self.name} goes on")
-        self.process.go_on()
-        self.lab.records.take(
-            invariants.GatewayLifecycle(self.lab.records.now(), self.name, "resumed")
-        )
-
-    def last(self, name):
-        """The last event of this name, or None."""
-        return next((event for event in reversed(self.events) if event["event"] == name), None)
-
-
-class Control:
-    """A control process: its file, and its process."""
-
-    def __init__(self, lab, name, journal=None, listen=None):
-        self.name, self.lab, self.listen = name, lab, listen or lab.port()
-        self.folder = os.path.join(lab.folder, name)
-        os.makedirs(self.folder, exist_ok=True)
-        self.file = os.path.join(self.folder, "control.toml")
-        self.journal = journal or os.path.join(self.folder, "journal.db")
-        self.events, self.process, self.roster = [], None, None
-        self.environ, self.build, self.before = {}, {}, ()
-
-    def write(self):
-        roster = self.roster or {one.name: one.managed(self.name) for one in self.lab.gateways}
-        with open(self.file, "w") as file:
-            file.write(
-                f'name = "{self.name}"\nlisten = "{self.lab.ip}:{self.listen}"\njournal = "{self.journal}"\n'
-                f'key_file = "{self.lab.key_file}"\n\n[gateways]\n'
-            )
-            file.writelines(
-                f"{name} = {orjson.dumps(address).decode()}\n" for name, address in roster.items()
-            )
-
-    def start(self):
-        if self.process:
-            self.process.close()
-        self.write()
-        self.lab.records.tell(f"{self.name} starts")
-        self.events.append({"event": "begins"})
-        self.process = Process(
-            self.lab.scheduler,
-            self.name,
-            ["control", self.file],
-            self.environ,
-            self.heard,
-            self.ended,
-            self.lab.folder,
-            **self.build,
-        )
-
-    def heard(self, process, event):
-        self.events.append(event)
-        self.lab.heard(self, event)
-
-    def ended(self, process):
-        if not process.expected and process.process.returncode:
-            self.lab.crashed(self.name, process)
-
-    def kill(self):
-        self.lab.records.tell(f"{self.name} is killed")
-        self.process.kill()
-        self.process.process.wait()
-
-    def ask(self, do, **words):
-        """Ask it something as staff would; the answer, {} where there is none."""
-        from petrellane.config_consensus import message_authentication, rpc_client
-        from petrellane.testbed.fake_server import LIMITS
-
-        client, found = rpc_client.RpcClient(self.lab.scheduler, LIMITS, self.lab.key), []
-
-        def call():
-            try:
-                found.append(
-                    client.call(
-                        (self.lab.ip, self.listen),
-                        message_authentication.STAFF_PATH,
-                        {"do": do, "to": "control", **words},
-                        3.0,
-                    )
-                )
-            except rpc_client.RpcError as error:
-                found.append({"none": str(error)})
-
-        self.lab.scheduler.spawn(call)
-        self.lab.until(lambda: found, "an answer of the control process", 6.0)
-        return found[0]
-
-
-class Lab:
-    """A fleet of a shape."""
-
-    def __init__(self, shape):
-        self.shape, self.scheduler = shape, Scheduler()
-        self.scheduler.fault = self.fault
-        self.last_port, self.turned = 2000, time.monotonic()
-        self.longest = 0.0  # seconds that the rig stood still at most, under load
-        self.ip = "127.%d.%d.%d" % tuple(random.SystemRandom().randint(1, 250) for _ in range(3))
-        memory_disk = "/dev/shm"  # a flush to a shared disk takes as long as it likes, which is not what is played
+)
+HIDDEN_FIELDS = frozenset({"at", "gateway", "event", "trace", "digest"})
+
+
+class LoopbackFleet:
+    """A fleet of a spec, from its making until `close`.
+
+    Attributes:
+        spec: What it is made of.
+        settings: The settings that its gateways start with.
+        scheduler: Runs all that is in this process.
+        addresses: Gives away the ports of its own loopback address.
+        folder: Holds all its files.
+        key: The key of calls between its processes; `key_file` is its path.
+        records: What every party saw.
+        counter: The counter.
+        discovery: Discovery.
+        hosts: The hosts.
+        gateways: The gateways.
+        controls: The control processes by name.
+        relays: The relays between them.
+        fronts: What clients know of each gateway.
+        clients: The load.
+        crashes: Processes that ended in an unexpected way.
+        faults: Exceptions in this process.
+        longest_stall_s: The longest time for which this process did not run its scheduler while
+            there was load.
+    """
+
+    def __init__(self, spec: FleetSpec) -> None:
+        """Make all parties, and write the gateways' files; no process is started."""
+        self.spec = spec
+        self.settings: Settings = spec.settings or build_settings(SettingsSpec(spec.gateways))
+        self.scheduler = Scheduler()
+        self.scheduler.fault = self._on_exception
+        self.addresses = AddressPool(LAST_PORT)
         self.folder = tempfile.mkdtemp(
-            prefix="petrellane-lab-", dir=memory_disk if os.path.isdir(memory_disk) else None
+            prefix="petrellane-lab-", dir=MEMORY_DISK if MEMORY_DISK.is_dir() else None
         )
-        self.faults, self.crashes, self.relays, self.gateways, self.controls = [], [], {}, [], {}
-        self.settings = shape.settings or settings(shape.gateways)
-        self.records = Records(self.terms(), self.scheduler.now, self.scheduler.after)
-        self.records.proves = shape.proves
-        self.key, self.key_file = b"key of one run only", os.path.join(self.folder, "key")
-        with open(self.key_file, "wb") as file:
-            file.write(self.key)
-        self.counter, self.discovery = (
-            FakeCounter(self.scheduler, self.place()),
-            FakeDiscovery(self.scheduler, self.records, self.row),
+        self.key = KEY
+        self.key_file = str(Path(self.folder) / "key")
+        Path(self.key_file).write_bytes(self.key)
+        self.faults: list[str] = []
+        self.crashes: list[Crash] = []
+        self.longest_stall_s = 0.0
+        self._turned_at = time.monotonic()
+        terms = build_terms(spec, self.settings)
+        self.records = Records(terms, self.scheduler.now, self.scheduler.after)
+        self.records.proves = spec.proves
+        self.relays = FleetRelays(
+            self.scheduler, spec.relays, spec.seed, self.addresses, self._is_gateway
         )
-        memory, obliged = {}, self.settings["obligations"]
-        works = dict.fromkeys([one.name for one in shape.methods], shape.work)
-        self.hosts = [
-            FakeHost(
-                self.scheduler,
-                self.records,
-                HostSpec(
-                    f"h{number}",
-                    works,
-                    shape.slots,
-                    shape.queue,
-                    obliged["cold"] / MICRO,
-                    obliged["coldFrom"],
-                    shape.seed,
-                ),
-                memory,
-                self.place(),
-            )
-            for number in range(shape.hosts)
-        ]
-        for host in self.hosts:
-            host.on_restart = lambda host=host: [
-                relay.follow() for relay in self.between("host", to=[host.name])
-            ]
-            self.discovery.put(host.name, host.host_port)
-            self.records.checker.terms.groups[host.name] = 1, "z"
-        for number in range(shape.gateways):
-            self.gateways.append(Gateway(self, number))
-        self.fronts = []
-        for one in self.gateways:
-            one.write()
-            self.fronts.append(Front(one.name, self.address(("client", one.name))))
-        customers = shape.customers or [
-            Customer(number + 1, "free", first=number % shape.gateways, spread=shape.gateways)
-            for number in range(8)
-        ]
-        self.clients = Clients(
-            self.scheduler,
-            self.records,
-            self.fronts,
-            shape.methods,
-            customers,
-            shape.rate,
-            shape.seed,
-        )
-
-    def terms(self):
-        rules = {row["name"]: row for row in self.settings["classes"]}
-        back = {word: effect for effect, word in EFFECTS.items()}
-        methods = {one.name: invariants.MethodRule(one.effect) for one in self.shape.methods}
-        methods |= {
-            name: invariants.MethodRule(
-                back[row["effect"]], row.get("keyScope", ""), row.get("window", 0) / MICRO
-            )
-            for name, row in rules.items()
-        }
-        ceilings = {
-            row["name"]: invariants.HardLimit(
-                row["ceilingRate"],
-                row["ceilingBurst"],
-                row["ceilingSlack"] + 0.15 * row["ceilingRate"],
-            )
-            for row in self.settings["contracts"]
-            if row.get("ceilingRate")
-        }
-        return invariants.Terms(
-            methods,
-            ceilings,
-            {},
-            answer_slack=0.15,
-            drain_grace=1.5,
-            cold=self.settings["obligations"]["cold"] / MICRO,
-            cold_from=self.settings["obligations"]["coldFrom"],
-            mean_work=self.shape.work,
-        )
-
-    def fault(self, error):
-        """An exception in a stand-in is a fault of the lab's, told at its end."""
-        import traceback
-
-        self.faults.append("".join(traceback.format_exception(error)[-3:]))
-
-    def crashed(self, name, process):
-        self.crashes.append((name, process.process.returncode, process.said()))
-        self.records.tell(
-            f"{name} crashed: exit code {process.process.returncode}: {process.said()[-200:]}"
-        )
-
-    def heard(self, who, event):
-        name = event["event"]
-        if name in (
-            "fault",
-            "generation",
-            "stood_still",
-            "agreement_refused",
-            "drift",
-            "not_on_roster",
-            "leading",
-            "deposed",
-            "reload_refused",
-            "agreed",
-        ):
-            figures = {
-                key: value
-                for key, value in event.items()
-                if key not in ("at", "gateway", "event", "trace", "digest")
-            }
-            self.records.tell(f"{who.name}: {name} {orjson.dumps(figures).decode()[:160]}")
-        if name == "fault":
-            self.crashes.append((who.name, "fault", event.get("trace", event.get("error"))))
-
-    # Addresses.
-
-    def port(self):
-        """A port of our own loopback address that the kernel gives to nobody: one of those could meet itself, when it is
-        dialed while nobody listens there, and then is in use."""
-        while True:
-            self.last_port += 1
-            with contextlib.suppress(OSError), socket.create_server((self.ip, self.last_port)):
-                return self.last_port
-
-    def place(self):
-        return self.ip, self.port()
-
-    def target(self, way):
-        kind, *names = way
-        if kind == "counter":
-            return self.counter.address
-        if kind == "discovery":
-            return self.discovery.listener_for(names[0], self.place()).address
-        if kind == "host":
-            return next(one.address for one in self.hosts if one.name == names[-1])
-        one = next(one for one in self.gateways if one.name == names[-1])
-        return self.ip, one.listen if kind == "client" else one.management
-
-    def address(self, way):
-        """Where a party reaches another: through a relay of its own, where the shape asks for these."""
-        kinds = {
-            "client": "clients",
-            "agent": "agents",
-            "counter": "counter",
-            "discovery": "discovery",
-            "host": "hosts",
-        }
-        of_control = way[0] == "agent" and way[1] not in {one.name for one in self.gateways}
-        if kinds[way[0]] not in self.shape.relays and not (
-            of_control and "agents-of-control" in self.shape.relays
-        ):
-            return self.target(way)
-        if way not in self.relays:
-            self.relays[way] = Relay(
-                self.scheduler, self.target(way), self.shape.seed, " ".join(way), self.place()
-            )
-            if way[0] == "host":
-                host = next(one for one in self.hosts if one.name == way[-1])
-                self.relays[way].hung_up, self.relays[way].carried = (
-                    host.on_peer_closed,
-                    host.relayed_at.__setitem__,
-                )
-        return self.relays[way].address
-
-    def row(self, gateway, row):
-        """A host of the list as a gateway is to see it: behind the relay between the two, where there is one."""
-        return (
-            {**row, "address": self.way(("host", gateway, row["name"]))}
-            if "hosts" in self.shape.relays
-            else row
-        )
-
-    def way(self, way):
-        return "%s:%d" % self.address(way)
-
-    def between(self, *kinds, to=None, of=None):
-        """Relays of these kinds, to these gateways, of these parties."""
-        return [
-            relay
-            for way, relay in self.relays.items()
-            if way[0] in kinds and (to is None or way[-1] in to) and (of is None or way[1] in of)
-        ]
-
-    def cut(self, names):
-        """Cut a set of gateways from the control processes and from the other gateways, both ways."""
-        self.records.tell(f"cut: {', '.join(names)} from the rest")
-        for way, relay in self.relays.items():
-            if way[0] == "agent" and (way[1] in names) != (way[2] in names):
-                relay.fault("cut")
+        self.counter = FakeCounter(self.scheduler, self.addresses.next_address())
+        self.discovery = FakeDiscovery(self.scheduler, self.records, self._row_seen_by)
+        self.gateways: list[FleetGateway] = []
+        self.controls: dict[str, FleetControl] = {}
+        self.hosts = make_hosts(self.scheduler, self.records, self.addresses, spec, self.settings)
+        self._list_hosts()
+        for number in range(spec.gateways):
+            self.gateways.append(FleetGateway(self, number))
+        self.fronts: list[Front] = []
+        for gateway in self.gateways:
+            gateway.write_config()
+            route = Route(RouteKind.CLIENT, gateway.name, gateway.name)
+            self.fronts.append(Front(gateway.name, self._address(route)))
+        load = Load(spec.rate, spec.methods, spec.customers_or_default())
+        self.clients = Clients(self.scheduler, self.records, self.fronts, load, spec.seed)
+
+    def __enter__(self) -> Self:
+        return self
 
-    def heal(self):
-        self.records.tell("all relays healed")
-        for relay in self.relays.values():
-            relay.heal()
+    def __exit__(self, *_: object) -> None:
+        self.close()
 
-    # Running.
+    @property
+    def void(self) -> str:
+        """Why the run proves nothing; "" where it does."""
+        if self.longest_stall_s > VOID_STALL_S:
+            return f"the rig stood still for {self.longest_stall_s:.2f} s: this machine is too busy"
+        return ""
+
+    def start(self, controls: Sequence[str] = ("control",), ready: bool = True) -> None:
+        """Start the gateways, and control processes where settings change through them.
+
+        Args:
+            controls: Names of the control processes.
+            ready: Whether to wait until all are ready and lead.
+
+        Raises:
+            AssertionError: They are not ready in time.
+        """
+        for gateway in self.gateways:
+            gateway.start()
+        for name in controls if self.spec.agreement else ():
+            self.controls[name] = FleetControl(self, name)
+            self.controls[name].start()
+        if not ready:
+            return
+        patience = READY_PATIENCE_S + len(self.gateways) * READY_PATIENCE_PER_GATEWAY_S
+        self.run_until(self._are_ready, "all gateways ready", patience)
+        for control in self.controls.values():
+            self.run_until(control.is_leading, f"{control.name} leads", patience)
 
-    def turn(self):
-        away = (
-            time.monotonic() - self.turned
-        )  # whoever plays the lab did something else: to start a process takes time
+    def run_turn(self) -> None:
+        """Run the scheduler for one turn, and note stalls."""
+        # Whoever drives the fleet did something else meanwhile: to start a process takes time.
+        away = time.monotonic() - self._turned_at
         if away > SETTLE:
             self.records.stood_still = self.records.turns
-        self.scheduler.turn(
-            min(10, self.scheduler.pause() or 0) if self.scheduler.pause() is not None else 10
-        )
+        pause = self.scheduler.pause()
+        self.scheduler.turn(TURN_MS if pause is None else min(TURN_MS, pause))
         self.records.turns += 1
-        still, self.scheduler.longest, self.turned = (
-            away + self.scheduler.longest,
-            0.0,
-            time.monotonic(),
-        )
-        if still > SETTLE and (self.clients.on or self.clients.out):
-            self.records.tell(f"the rig stood still for {still:.3f} s")
-            self.longest, self.records.stood_still = max(self.longest, still), self.records.turns
+        stall = away + self.scheduler.longest
+        self.scheduler.longest = 0.0
+        self._turned_at = time.monotonic()
+        if stall > SETTLE and (self.clients.on or self.clients.out):
+            self.records.tell(f"the rig stood still for {stall:.3f} s")
+            self.longest_stall_s = max(self.longest_stall_s, stall)
+            self.records.stood_still = self.records.turns
 
-    def play(self, seconds):
+    def run_for(self, seconds: float) -> None:
         """Let so much time go by."""
         until = time.monotonic() + seconds
         while time.monotonic() < until:
-            self.turn()
+            self.run_turn()
+
+    def run_until(
+        self, condition: Callable[[], Found], description: str, patience: float = 20.0
+    ) -> Found:
+        """Run until a condition gives something true; return that.
+
+        Args:
+            condition: Called after each turn.
+            description: What is awaited, for the error.
+            patience: Seconds to wait at most.
 
-    def until(self, holds, what, patience=20.0):
-        """Run until something holds; AssertionError where it does not in time."""
+        Raises:
+            AssertionError: It does not hold in time.
+        """
         limit = time.monotonic() + patience
-        while not (found := holds()):
-            assert time.monotonic() < limit, f"never came: {what}\n" + self.timeline()
-            self.turn()
+        while not (found := condition()):
+            if time.monotonic() >= limit:
+                raise AssertionError(f"never came: {description}\n{self.timeline()}")
+            self.run_turn()
         return found
 
-    def start(self, controls=("control",), ready=True):
-        """Start the gateways, and control processes, and wait until all are ready."""
-        for one in self.gateways:
-            one.start()
-        for name in controls if self.shape.agreement else ():
-            self.controls[name] = Control(self, name)
-            self.controls[name].start()
-        if ready:
-            self.until(
-                lambda: (
-                    all(one.ready for one in self.gateways)
-                    and all(relay.listener for relay in self.relays.values())
-                ),
-                "all gateways ready",
-                20 + len(self.gateways) / 5,
-            )
-            for control in self.controls.values():
-                self.until(
-                    lambda control=control: any(
-                        one["event"] == "leading" for one in control.events
-                    ),
-                    f"{control.name} leads",
-                    20 + len(self.gateways) / 5,
-                )
-
-    def change(self, told, patience=15.0, **words):
-        """Propose settings to the first control process; the change at its end, everywhere where it can be."""
-        control = next(iter(self.controls.values()))
-        change = control.ask("propose", settings=told, **words)
-        if "refused" in change:
-            return change
-        return self.until(
-            lambda: self.ended(control, change["number"]),
-            f"an end of change {change['number']}",
-            patience,
-        )
+    def finish_load(self, patience: float = 5.0) -> None:
+        """End the load, and wait for the end of what is in flight.
 
-    @staticmethod
-    def ended(control, number):
-        """A change as it stands, once it has ended and is told to all that serve; None before."""
-        told = control.ask("change", number=number)
-        over = (
-            told.get("outcome") in ("aborted", "superseded")
-            or told.get("outcome") == "committed"
-            and not told["owed"]
-        )
-        return told if over else None
-
-    def agreed(self, names=None):
-        """The number that these gateways, or all, have in force without a doubt; None where they differ."""
-        found = set()
-        for one in self.gateways:
-            if names is None or one.name in names:
-                told = one.last("generation")
-                found.add(None if told is None or told["possible"] else told["number"])
-        return found.pop() if len(found) == 1 else None
-
-    def quiet(self, patience=5.0):
-        """End the load, and wait for what is out."""
+        Raises:
+            AssertionError: It does not end in time.
+        """
         self.clients.stop()
-        self.until(lambda: not self.clients.out, "all answers", patience)
+        self.run_until(lambda: not self.clients.out, "all answers", patience)
 
-    STOOD_STILL = (
-        0.5  # seconds after which what the rig saw came in no sure order, and the run is void
-    )
+    def change_settings(
+        self, settings: Settings, patience: float = 15.0, **arguments: object
+    ) -> dict[str, Any]:
+        """Propose settings to the first control process, and follow the change to its end.
 
-    @property
-    def void(self):
-        """Why the run proves nothing, or ""."""
-        longest = self.longest
-        return (
-            f"the rig stood still for {longest:.2f} s: this machine is too busy"
-            if longest > self.STOOD_STILL
-            else ""
+        Returns:
+            The change at its end, everywhere where it can be; or the refusal.
+
+        Raises:
+            AssertionError: It does not end in time.
+        """
+        control = next(iter(self.controls.values()))
+        change = control.ask("propose", settings=settings, **arguments)
+        if "refused" in change:
+            return change
+        number = change["number"]
+        ended = self.run_until(
+            lambda: control.ended_change(number), f"an end of change {number}", patience
         )
+        return ended or {}
+
+    def agreed_generation(self, names: Collection[str] | None = None) -> int | None:
+        """Return the generation that gateways have in force without a doubt.
+
+        Args:
+            names: The gateways that are asked; None for all.
+
+        Returns:
+            Its number; None where they differ.
+        """
+        numbers = set()
+        for gateway in self.gateways:
+            if names is None or gateway.name in names:
+                event = gateway.last_event("generation")
+                in_doubt = event is None or event["possible"]
+                numbers.add(None if event is None or in_doubt else event["number"])
+        return numbers.pop() if len(numbers) == 1 else None
+
+    def reach(self, route: Route) -> str:
+        """Return where a party reaches another as host:port, through a relay where one is due."""
+        return format_address(self._address(route))
+
+    def between(
+        self,
+        *kinds: str,
+        to: Collection[str] | None = None,
+        of: Collection[str] | None = None,
+    ) -> list[Relay]:
+        """Return the relays of these kinds of route, to these parties, of these parties."""
+        return self.relays.between(kinds, to, of)
+
+    def partition(self, names: Collection[str]) -> None:
+        """Cut a set of gateways from control processes and the other gateways, both ways."""
+        self.records.tell(f"cut: {', '.join(names)} from the rest")
+        self.relays.partition(names)
+
+    def heal(self) -> None:
+        """End all faults of relays."""
+        self.records.tell("all relays healed")
+        self.relays.heal()
 
-    def verdict(self):
-        """The invariant checker's verdict; crashes and faults of the rig itself are told with it."""
+    def verdict(self) -> invariants.Verdict:
+        """Return what the invariants say of the run, generations of settings included."""
         for control in self.controls.values():
-            if control.process and control.process.up:
-                for one in control.ask("history").get("history", ()):
+            if control.process is not None and control.process.is_running:
+                for generation in control.ask("history").get("history", ()):
                     self.records.take(
                         invariants.GenerationDecided(
-                            self.records.now(), one["number"], one["outcome"] != "aborted"
+                            self.records.now(),
+                            generation["number"],
+                            generation["outcome"] != "aborted",
                         )
                     )
-        return self.records.close()
+        verdict: invariants.Verdict = self.records.close()
+        return verdict
+
+    def timeline(self, maximum: int = 60) -> str:
+        """Return what happened last, a line each."""
+        return "\n".join(f"{at:8.3f} {text}" for at, text in self.records.told[-maximum:])
+
+    def on_event(self, name: str, event: LogEvent) -> None:
+        """Take what a process has logged."""
+        kind = event["event"]
+        if kind in TIMELINE_EVENTS:
+            shown = {key: value for key, value in event.items() if key not in HIDDEN_FIELDS}
+            self.records.tell(f"{name}: {kind} {orjson.dumps(shown).decode()[:MAXIMUM_LINE]}")
+        if kind == "fault":
+            self.crashes.append(Crash(name, "fault", event.get("trace", event.get("error"))))
+
+    def on_crash(self, process: Process) -> None:
+        """Take note that a process ended in an unexpected way."""
+        code = process.popen.returncode
+        text = process.stderr_tail()
+        self.crashes.append(Crash(process.name, code, text))
+        self.records.tell(f"{process.name} crashed: exit code {code}: {text[-MAXIMUM_STDERR:]}")
+
+    def close(self) -> None:
+        """End all processes by their ids, and remove all files."""
+        for gateway in self.gateways:
+            gateway.close()
+        for control in self.controls.values():
+            control.close()
+        for host in self.hosts:
+            host.on_restart = _ignore
+        for relay in self.relays.all():
+            relay.close()
+        for host in self.hosts:
+            host.close()
+        self.counter.close()
+        self.discovery.close()
+        shutil.rmtree(self.folder, ignore_errors=True)
 
-    def timeline(self, most=60):
-        """What happened, a line each."""
-        return "\n".join(f"{at:8.3f} {text}" for at, text in self.records.told[-most:])
+    def _list_hosts(self) -> None:
+        for host in self.hosts:
+            host.on_restart = partial(self._follow_host, host.name)
+            self.discovery.put(host.name, host.host_port)
+            self.records.checker.terms.groups[host.name] = 1, "z"
 
-    def __enter__(self):
-        return self
+    def _follow_host(self, name: str) -> None:
+        """Let the relays to a host refuse connections until it listens again."""
+        for relay in self.between(RouteKind.HOST, to=[name]):
+            relay.follow_target()
+
+    def _is_gateway(self, name: str) -> bool:
+        return any(gateway.name == name for gateway in self.gateways)
+
+    def _are_ready(self) -> bool:
+        return all(gateway.ready for gateway in self.gateways) and self.relays.are_listening()
+
+    def _address(self, route: Route) -> Address:
+        """Return where a route begins: at its relay, or at its target."""
+        if not self.relays.has_relay(route):
+            return self._target(route)
+        relay = self.relays.by_route.get(route)
+        if relay is None:
+            relay = self.relays.make(route, self._target(route))
+            if route.kind is RouteKind.HOST:
+                host = self._host(route.target)
+                relay.on_client_closed = host.on_peer_closed
+                relay.on_forwarded = host.relayed_at.__setitem__
+        return relay.address
+
+    def _target(self, route: Route) -> Address:
+        """Return where a route ends."""
+        if route.kind is RouteKind.COUNTER:
+            return self.counter.address
+        if route.kind is RouteKind.DISCOVERY:
+            address = self.addresses.next_address()
+            return self.discovery.listener_for(route.source, address).address
+        if route.kind is RouteKind.HOST:
+            return self._host(route.target).address
+        gateway = next(gateway for gateway in self.gateways if gateway.name == route.target)
+        is_client = route.kind is RouteKind.CLIENT
+        return self.addresses.ip, gateway.port if is_client else gateway.management_port
+
+    def _host(self, name: str) -> FakeHost:
+        return next(host for host in self.hosts if host.name == name)
+
+    def _row_seen_by(self, gateway: str, row: Row) -> Row:
+        """Return a host of the list with the address at which a gateway is to reach it."""
+        route = Route(RouteKind.HOST, gateway, row["name"])
+        return {**row, "address": self.reach(route)} if self.relays.has_relay(route) else row
+
+    def _on_exception(self, error: Exception) -> None:
+        """Keep an exception of this process: it is a fault of the testbed."""
+        self.faults.append("".join(traceback.format_exception(error)[-3:]))
 
-    def __exit__(self, *error):
-        self.close()
 
-    def close(self):
-        """End all, by id; nothing of the run is left."""
-        for one in (*self.gateways, *self.controls.values()):
-            for process in filter(None, (one.process, *one.before)):
-                process.close()
-        for one in self.gateways:
-            if one.listener:
-                one.listener.close()
-        for host in self.hosts:
-            host.on_restart = lambda: None
-        for party in (*self.relays.values(), *self.hosts, self.counter, self.discovery):
-            party.close()
-        shutil.rmtree(self.folder, ignore_errors=True)
+def _ignore() -> None:
+    """Do nothing when a host crashes or starts."""
--- /dev/null
+++ b/petrellane/testbed/run_file.py
@@ -0,0 +1,242 @@
+"""A run as a file, in TOML: what the fleet is made of, what happens when, and what is expected.
+
+    [lab]                      # sizes and figures; all have defaults
+    gateways = 3
+    hosts = 6
+    seconds = 10.0
+    rate = 100.0               # RPCs a second
+    seed = 1
+    agreement = false          # a control process, and agents at the gateways
+    quota = 0.0                # units a second of plan `sold`; 0: none
+    ceiling = 0.0              # its hard limit; 0: none
+    cold = 0.0                 # seconds for which a host that has started is cold
+    cold_from = 1.0            # the share of its speed that it begins with
+    relays = ["clients", "counter", "discovery", "agents"]    # where faults can be put; "hosts" too
+
+    [[step]]
+    at = 4.0                   # seconds after the load began
+    do = "kill"                # one of STEPS
+    who = ["h1"]               # gateways g0.., hosts h0.., control; none where the step needs none
+    for = 2.0                  # undone after so long; 0: never
+    size = 1.0                 # its meaning is beside each step
+    between = ["agents"]       # of relays: clients, counter, discovery, agents, hosts
+
+    [expect]
+    broken = []                # rules of the invariants
+
+The same file and seed bring the same faults at the same times; processes are real, so which RPC
+meets which fault may differ.
+"""
+
+import tomllib
+from collections.abc import Sequence
+from pathlib import Path
+
+import msgspec
+
+from petrellane.invariants import RULES
+from petrellane.testbed.clients import Customer
+from petrellane.testbed.fleet_relays import RELAY_NAMES
+from petrellane.testbed.fleet_spec import (
+    DEFAULT_ATTEMPTS,
+    DEFAULT_CUSTOMERS,
+    FleetSpec,
+    Settings,
+    SettingsSpec,
+    build_settings,
+)
+
+RELAY_FAULTS = ("cut", "mute", "deaf", "late", "lossy", "half", "hang", "refuse", "reset")
+STEPS = (
+    "kill",  # gateways, hosts, control processes
+    "start",  # gateways, hosts, control processes
+    "stop",  # gateways
+    "old file",  # gateways
+    "term",  # gateways
+    "slow",  # hosts; size: times
+    "fail",  # hosts; size: the share of what it takes
+    "silent",  # hosts
+    "drain",  # hosts
+    "counter quiet",
+    "counter refuses",
+    "counter forgets",
+    "discovery away",
+    "rate",  # size: RPCs a second
+    "propose",  # size: attempts that the new settings give
+    "split",  # gateways
+    *RELAY_FAULTS,  # gateways, hosts; size: late in seconds, lossy a share, half in bytes
+)
+ROUTE_KINDS = {name: kind for kind, name in RELAY_NAMES.items()}
+EXTRA_RULES = ("agreed", "forgotten")
+RANGES = (
+    ("gateways", 1, 300),
+    ("hosts", 1, 400),
+    ("seconds", 0.1, 3600),
+    ("rate", 0.1, 20000),
+)
+
+
+class RunFileError(Exception):
+    """A run file that is out of form; the text is one line with the file and the key."""
+
+
+class LabSection(msgspec.Struct, forbid_unknown_fields=True):
+    """The section `lab`."""
+
+    gateways: int = 3
+    hosts: int = 6
+    seconds: float = 10.0
+    rate: float = 100.0
+    seed: int = 1
+    agreement: bool = False
+    quota: float = 0.0
+    ceiling: float = 0.0
+    cold: float = 0.0
+    cold_from: float = 1.0
+    work: float = 0.02
+    relays: tuple[str, ...] = ("clients", "counter", "discovery", "agents")
+
+
+class Step(msgspec.Struct, forbid_unknown_fields=True, rename={"length": "for"}):
+    """Something that is done; `length` is the key `for`."""
+
+    at: float
+    do: str
+    who: list[str] = []
+    length: float = 0.0
+    size: float = 1.0
+    between: tuple[str, ...] = ("agents",)
+
+
+class Expectation(msgspec.Struct, forbid_unknown_fields=True):
+    """The section `expect`: names of the rules that the run is to break."""
+
+    broken: list[str] = []
+
+
+class RunFile(msgspec.Struct, forbid_unknown_fields=True):
+    """A complete run."""
+
+    lab: LabSection = msgspec.field(default_factory=LabSection)
+    step: list[Step] = []
+    expect: Expectation = msgspec.field(default_factory=Expectation)
+
+
+def load_run_file(path: str) -> RunFile:
+    """Read a run file.
+
+    Raises:
+        RunFileError: It can't be read, or is out of form.
+    """
+    try:
+        return parse_run_file(Path(path).read_text(encoding="utf-8"), path)
+    except (OSError, UnicodeDecodeError) as error:
+        raise RunFileError(f"{path}: expected a readable file: {error}") from None
+
+
+def parse_run_file(text: str, name: str = "run") -> RunFile:
+    """Parse the text of a run file; `name` begins the errors.
+
+    Raises:
+        RunFileError: It is out of form.
+    """
+    try:
+        run = msgspec.convert(tomllib.loads(text), RunFile)
+    except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
+        raise RunFileError(f"{name}: {error}") from None
+    _check_lab(run.lab, name)
+    for rule in run.expect.broken:
+        if rule not in (*RULES, *EXTRA_RULES):
+            raise RunFileError(
+                f"{name}: expect.broken: expected rules of the referee, found {rule}"
+            )
+    for index, step in enumerate(run.step):
+        _check_step(run.lab, step, f"{name}: step[{index}]")
+    return run
+
+
+def _check_lab(lab: LabSection, name: str) -> None:
+    for key, minimum, maximum in RANGES:
+        value = getattr(lab, key)
+        if not minimum <= value <= maximum:
+            raise RunFileError(f"{name}: lab.{key}: expected {minimum} to {maximum}, found {value}")
+    if lab.cold < 0 or not 0 < lab.cold_from <= 1:
+        raise RunFileError(
+            f"{name}: lab.cold: expected seconds from 0 and a share over 0 up to 1, "
+            f"found {lab.cold:g}, {lab.cold_from:g}"
+        )
+    _check_names(lab.relays, tuple(ROUTE_KINDS), f"{name}: lab.relays: expected some of")
+
+
+def _check_step(lab: LabSection, step: Step, path: str) -> None:
+    if step.do not in STEPS:
+        raise RunFileError(f"{path}.do: expected one of {', '.join(STEPS)}, found {step.do}")
+    if not 0 <= step.at <= lab.seconds or step.length < 0:
+        raise RunFileError(
+            f"{path}.at: expected 0 to {lab.seconds:g} and a length from 0, "
+            f"found {step.at:g}, {step.length:g}"
+        )
+    parties = {f"g{number}" for number in range(lab.gateways)}
+    parties |= {f"h{number}" for number in range(lab.hosts)}
+    if lab.agreement:
+        parties.add("control")
+    for party in step.who:
+        if party not in parties:
+            raise RunFileError(
+                f"{path}.who: expected g0 to g{lab.gateways - 1}, h0 to h{lab.hosts - 1} or "
+                f"control, found {party}"
+            )
+    _check_names(step.between, tuple(ROUTE_KINDS), f"{path}.between: expected some of")
+    if step.do in RELAY_FAULTS:
+        for kind in step.between:
+            if kind not in lab.relays:
+                raise RunFileError(
+                    f"{path}.between: expected some of lab.relays ({', '.join(lab.relays)}), "
+                    f"found {kind}"
+                )
+
+
+def _check_names(names: Sequence[str], known: Sequence[str], expected: str) -> None:
+    for name in names:
+        if name not in known:
+            raise RunFileError(f"{expected} {', '.join(known)}, found {name}")
+
+
+def settings_of(lab: LabSection, attempts: int = DEFAULT_ATTEMPTS) -> Settings:
+    """Return the settings of a run, with so many attempts of an RPC at most."""
+    return build_settings(
+        SettingsSpec(
+            lab.gateways,
+            attempts=attempts,
+            quota=lab.quota,
+            hard_limit=lab.ceiling,
+            slow_start_s=lab.cold,
+            slow_start_minimum=lab.cold_from,
+        )
+    )
+
+
+def fleet_spec_of(run: RunFile) -> FleetSpec:
+    """Return what the fleet of a run is made of."""
+    lab = run.lab
+    is_sold = bool(lab.quota or lab.ceiling)
+    customers = [
+        Customer(
+            number + 1,
+            "sold" if number % 2 and is_sold else "free",
+            first_gateway=number % lab.gateways,
+            gateway_count=lab.gateways,
+        )
+        for number in range(DEFAULT_CUSTOMERS)
+    ]
+    return FleetSpec(
+        gateways=lab.gateways,
+        hosts=lab.hosts,
+        seed=lab.seed,
+        agreement=lab.agreement,
+        relays=lab.relays,
+        settings=settings_of(lab),
+        rate=lab.rate,
+        work=lab.work,
+        customers=customers,
+    )
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -1,353 +1,188 @@
-"""A run as a file, in TOML: what the lab is made of, what happens when, and what is expected.
+"""Carries out the steps of a run in a fleet, each at its time, and undoes those that end.
 
-    [lab]                      # sizes and figures; all have defaults
-    gateways = 3
-    hosts = 6
-    seconds = 10.0
-    rate = 100.0               # RPCs a second
-    seed = 1
-    agreement = false          # a control process, and agents at the gateways
-    quota = 0.0                # units a second of plan `sold`, and its ceiling; 0: none
-    ceiling = 0.0
-    cold = 0.0                 # seconds for which a host that has started is cold, and the share it begins with
-    cold_from = 1.0
-    relays = ["clients", "counter", "discovery", "agents"]    # where faults can be put; "hosts" too
-
-    [[step]]
-    at = 4.0                   # seconds after the load began
-    do = "kill"                # one of STEPS
-    who = ["h1"]               # gateways g0.., hosts h0.., control processes, or none where the step needs none
-    for = 2.0                  # undone after so long; 0: never
-    size = 1.0                 # what it means is told beside each step
-    between = ["agents"]       # of relays: clients, counter, discovery, agents, hosts (those to `who`, or of it)
-
-    [expect]
-    broken = []                # rules of the invariant checker
-
-What is out of form raises PlayError, one line with the file and the key. The same file and seed bring the same faults at the
-same times; processes are real, so which RPC meets which fault may differ.
+A step that can be undone gives a call for it. Faults of relays end all at once: where two overlap
+at a relay, the end of the first heals both.
 """
 
-import tomllib
-
-import msgspec
-
-from petrellane.invariants import RULES
-from petrellane.testbed.clients import Customer
-from petrellane.testbed.fleet import Lab, Shape, settings
-
-RELAY = ("cut", "mute", "deaf", "late", "lossy", "half", "hang", "refuse", "reset")
-STEPS = {  # name: (whom it is done to, what `size` is)
-    "kill": ("gateways, hosts, controls", ""),
-    "start": ("gateways, hosts, controls", ""),
-    "stop": ("gateways", ""),
-    "old file": ("gateways", ""),
-    "term": ("gateways", ""),
-    "slow": ("hosts", "times"),
-    "fail": ("hosts", "share of what it takes"),
-    "silent": ("hosts", ""),
-    "drain": ("hosts", ""),
-    "counter quiet": ("", ""),
-    "counter refuses": ("", ""),
-    "counter forgets": ("", ""),
-    "discovery away": ("", ""),
-    "rate": ("", "RPCs a second"),
-    "propose": ("", "attempts that the new settings give"),
-    "split": ("gateways", ""),
-    **{
-        name: (
-            "gateways, hosts",
-            {"late": "seconds", "lossy": "share", "half": "bytes"}.get(name, ""),
-        )
-        for name in RELAY
-    },
-}
-BETWEEN = {
-    "clients": "client",
-    "counter": "counter",
-    "discovery": "discovery",
-    "agents": "agent",
-    "hosts": "host",
-}
-
-
-class PlayError(Exception):
-    """A run file that will not do; the text is one line."""
-
-
-class Figures(msgspec.Struct, forbid_unknown_fields=True):
-    """The section `lab`."""
-
-    gateways: int = 3
-    hosts: int = 6
-    seconds: float = 10.0
-    rate: float = 100.0
-    seed: int = 1
-    agreement: bool = False
-    quota: float = 0.0
-    ceiling: float = 0.0
-    cold: float = 0.0
-    cold_from: float = 1.0
-    work: float = 0.02
-    relays: tuple[str, ...] = ("clients", "counter", "discovery", "agents")
-
-
-class Step(msgspec.Struct, forbid_unknown_fields=True, rename={"length": "for"}):
-    """Something that is done."""
-
-    at: float
-    do: str
-    who: list[str] = []
-    length: float = 0.0
-    size: float = 1.0
-    between: tuple[str, ...] = ("agents",)
-
-
-class Expect(msgspec.Struct, forbid_unknown_fields=True):
-    broken: list[str] = []
-
-
-class Play(msgspec.Struct, forbid_unknown_fields=True):
-    """A whole run."""
-
-    lab: Figures = msgspec.field(default_factory=Figures)
-    step: list[Step] = []
-    expect: Expect = msgspec.field(default_factory=Expect)
-
-
-def read(text: str, name: str = "run") -> Play:
-    """The run that a file's text holds. Raises PlayError."""
-    try:
-        play = msgspec.convert(tomllib.loads(text), Play)
-    except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
-        raise PlayError(f"{name}: {error}") from None
-    lab = play.lab
-    for key, least, most in (
-        ("gateways", 1, 300),
-        ("hosts", 1, 400),
-        ("seconds", 0.1, 3600),
-        ("rate", 0.1, 20000),
-    ):
-        if not least <= getattr(lab, key) <= most:
-            raise PlayError(
-                f"{name}: lab.{key}: expected {least} to {most}, found {getattr(lab, key)}"
-            )
-    if lab.cold < 0 or not 0 < lab.cold_from <= 1:
-        raise PlayError(
-            f"{name}: lab.cold: expected seconds from 0 and a share over 0 up to 1, "
-            f"found {lab.cold:g}, {lab.cold_from:g}"
-        )
-    if wrong := [kind for kind in lab.relays if kind not in BETWEEN]:
-        raise PlayError(
-            f"{name}: lab.relays: expected some of {', '.join(BETWEEN)}, found {wrong[0]}"
-        )
-    if unknown := [
-        rule for rule in play.expect.broken if rule not in (*RULES, "agreed", "forgotten")
-    ]:
-        raise PlayError(f"{name}: expect.broken: expected rules of the referee, found {unknown[0]}")
-    for at, step in enumerate(play.step):
-        path = f"{name}: step[{at}]"
-        if step.do not in STEPS:
-            raise PlayError(f"{path}.do: expected one of {', '.join(STEPS)}, found {step.do}")
-        if not 0 <= step.at <= lab.seconds or step.length < 0:
-            raise PlayError(
-                f"{path}.at: expected 0 to {lab.seconds:g} and a length from 0, "
-                f"found {step.at:g}, {step.length:g}"
-            )
-        known = {f"g{number}" for number in range(lab.gateways)} | {
-            f"h{number}" for number in range(lab.hosts)
-        }
-        known |= {"control"} if lab.agreement else set()
-        if wrong := [who for who in step.who if who not in known]:
-            raise PlayError(
-                f"{path}.who: expected g0 to g{lab.gateways - 1}, h0 to h{lab.hosts - 1} or control, "
-                f"found {wrong[0]}"
-            )
-        if wrong := [kind for kind in step.between if kind not in BETWEEN]:
-            raise PlayError(
-                f"{path}.between: expected some of {', '.join(BETWEEN)}, found {wrong[0]}"
-            )
-        if step.do in RELAY and (
-            wrong := [kind for kind in step.between if kind not in lab.relays]
-        ):
-            raise PlayError(
-                f"{path}.between: expected some of lab.relays ({', '.join(lab.relays)}), found {wrong[0]}"
-            )
-    return play
-
-
-def load(path: str) -> Play:
-    """The run of a file. Raises PlayError."""
-    try:
-        with open(path, encoding="utf-8") as file:
-            return read(file.read(), path)
-    except (OSError, UnicodeDecodeError) as error:
-        raise PlayError(f"{path}: expected a readable file: {error}") from None
+import signal
+from collections.abc import Callable
+from functools import partial
 
+from petrellane.testbed.fake_discovery import FakeDiscovery
+from petrellane.testbed.fake_host import FakeHost
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_control import FleetControl
+from petrellane.testbed.fleet_gateway import FleetGateway
+from petrellane.testbed.fleet_relays import RouteKind
+from petrellane.testbed.run_file import RELAY_FAULTS, ROUTE_KINDS, RunFile, Step, settings_of
 
-def shape_of(play: Play) -> Shape:
-    lab = play.lab
-    told = settings(
-        lab.gateways, quota=lab.quota, ceiling=lab.ceiling, cold=lab.cold, cold_from=lab.cold_from
-    )
-    customers = [
-        Customer(
-            number + 1,
-            "sold" if number % 2 and (lab.quota or lab.ceiling) else "free",
-            first=number % lab.gateways,
-            spread=lab.gateways,
-        )
-        for number in range(8)
-    ]
-    return Shape(
-        gateways=lab.gateways,
-        hosts=lab.hosts,
-        seed=lab.seed,
-        agreement=lab.agreement,
-        relays=lab.relays,
-        settings=told,
-        rate=lab.rate,
-        work=lab.work,
-        customers=customers,
-    )
+Undo = Callable[[], object]
+Party = FleetGateway | FakeHost | FleetControl
 
 
-class Stage:
-    """Carries out the steps of a run in a lab."""
+class StepRunner:
+    """Carries out the steps of one run; lives as long as its fleet."""
 
-    def __init__(self, lab: Lab, play: Play):
-        self.lab, self.play = lab, play
+    def __init__(self, fleet: LoopbackFleet, run: RunFile) -> None:
+        """Plan nothing yet."""
+        self._fleet = fleet
+        self._run = run
 
     def begin(self) -> None:
-        """Set every step for its time."""
-        for step in self.play.step:
-            self.lab.scheduler.after(
-                step.at, lambda step=step: self.lab.scheduler.spawn(self.take, step)
-            )
-
-    def take(self, step: Step) -> None:
-        undo = self.done(step)
-        if step.length and undo:
-
-            def over():
-                self.lab.records.tell(f"{step.do} is over: {', '.join(step.who)}")
-                undo()
-
-            self.lab.scheduler.after(step.length, lambda: self.lab.scheduler.spawn(over))
-
-    def parties(self, step):
-        lab = self.lab
-        named = {one.name: one for one in (*lab.gateways, *lab.hosts)} | lab.controls
-        return [named[name] for name in step.who if name in named]
-
-    def done(self, step):
-        """Do one step; what undoes it, or None."""
-        lab, parties = self.lab, self.parties(step)
-        lab.records.tell(
-            " ".join([step.do, *step.who, *(step.between if step.do in RELAY else ())])
-        )
-        if step.do in RELAY:
-            kinds = [BETWEEN[kind] for kind in step.between]
-            relays = lab.between(*kinds, to=step.who or None)
-            relays += lab.between(*({"host"} & set(kinds)), of=step.who) if step.who else []
-            for relay in relays:
-                relay.fault(step.do, step.size)
-            return lambda: [relay.heal() for relay in relays]
+        """Set a timer for each step; its time counts from now."""
+        for step in self._run.step:
+            self._after(step.at, partial(self._take, step))
+
+    def _after(self, seconds: float, call: Undo) -> None:
+        """Make a call in a greenlet of its own after some seconds."""
+        scheduler = self._fleet.scheduler
+        scheduler.after(seconds, partial(scheduler.spawn, call))
+
+    def _take(self, step: Step) -> None:
+        """Do a step, and set a timer for its end."""
+        undo = self._execute(step)
+        if step.length and undo is not None:
+            self._after(step.length, partial(self._end, step, undo))
+
+    def _end(self, step: Step, undo: Undo) -> None:
+        self._fleet.records.tell(f"{step.do} is over: {', '.join(step.who)}")
+        undo()
+
+    def _execute(self, step: Step) -> Undo | None:
+        """Do one step; return what undoes it."""
+        fleet = self._fleet
+        routes = step.between if step.do in RELAY_FAULTS else ()
+        fleet.records.tell(" ".join([step.do, *step.who, *routes]))
+        if step.do in RELAY_FAULTS:
+            return self._inject_relay_fault(step)
         if step.do == "split":
-            lab.cut(step.who)
-            return lab.heal
+            fleet.partition(step.who)
+            return fleet.heal
         if step.do == "rate":
-            before, lab.clients.rate = lab.clients.rate, step.size
-            return lambda: setattr(lab.clients, "rate", before)
+            undo = partial(setattr, fleet.clients, "rate", fleet.clients.rate)
+            fleet.clients.rate = step.size
+            return undo
         if step.do == "propose":
-            figures = self.play.lab
-            told = settings(
-                figures.gateways,
-                attempts=int(step.size),
-                quota=figures.quota,
-                ceiling=figures.ceiling,
-                cold=figures.cold,
-                cold_from=figures.cold_from,
-            )
-            lab.controls["control"].ask("propose", settings=told)
+            settings = settings_of(self._run.lab, attempts=int(step.size))
+            fleet.controls["control"].ask("propose", settings=settings)
             return None
         if step.do.startswith(("counter", "discovery")):
-            return self.service(step.do)
-        undone = [self.party(step, one) for one in parties]
-        return lambda: [undo() for undo in undone if undo]
-
-    def service(self, what):
-        lab = self.lab
-        if what == "counter forgets":
-            lab.counter.forget()
+            return self._execute_at_service(step.do)
+        undos = [self._execute_at_party(step, party) for party in self._parties(step)]
+        return partial(_call_all, [undo for undo in undos if undo is not None])
+
+    def _parties(self, step: Step) -> list[Party]:
+        fleet = self._fleet
+        by_name: dict[str, Party] = {gateway.name: gateway for gateway in fleet.gateways}
+        by_name |= {host.name: host for host in fleet.hosts}
+        by_name |= fleet.controls
+        return [by_name[name] for name in step.who if name in by_name]
+
+    def _inject_relay_fault(self, step: Step) -> Undo:
+        """Inject a fault between parties: those that lead to them, and to hosts also from them."""
+        kinds = [ROUTE_KINDS[name] for name in step.between]
+        relays = self._fleet.between(*kinds, to=step.who or None)
+        if step.who and RouteKind.HOST in kinds:
+            relays += self._fleet.between(RouteKind.HOST, of=step.who)
+        for relay in relays:
+            relay.fault(step.do, step.size)
+        return partial(_call_all, [relay.heal for relay in relays])
+
+    def _execute_at_service(self, name: str) -> Undo | None:
+        """Do a step at the counter or discovery; return what undoes it."""
+        counter = self._fleet.counter
+        discovery = self._fleet.discovery
+        if name == "counter forgets":
+            counter.forget()
             return None
-        party, flag = {
-            "counter quiet": (lab.counter, "quiet"),
-            "counter refuses": (lab.counter, "refuses"),
-            "discovery away": (lab.discovery, "away"),
-        }[what]
-        setattr(party, flag, True)
-
-        def undo():
-            setattr(party, flag, False)
-            if party is lab.discovery:
-                lab.discovery.notify()
-
-        return undo
-
-    def party(self, step, one):
-        """One step at one gateway, host or control process; what undoes it."""
-        lab = self.lab
-        if one in lab.hosts:
-            return self.host(step, one)
+        if name == "counter quiet":
+            counter.quiet = True
+            return partial(setattr, counter, "quiet", False)
+        if name == "counter refuses":
+            counter.refuses = True
+            return partial(setattr, counter, "refuses", False)
+        discovery.away = True
+        return partial(_bring_back, discovery)
+
+    def _execute_at_party(self, step: Step, party: Party) -> Undo | None:
+        """Do a step at one gateway, host or control process; return what undoes it."""
+        if isinstance(party, FakeHost):
+            return self._execute_at_host(step, party)
         if step.do == "kill":
-            one.kill()
-            return one.start
-        if step.do == "term":
-            one.process.signal(15)
-            return lambda: one.start() if not one.process.up else None
-        if step.do == "stop":
-            one.stop()
-            return one.go_on
-        if step.do == "old file":  # as at the first start of the run, whatever was agreed since
-            one.kill()
-            one.write()
-            one.start()
-        elif step.do == "start" and not one.process.up:
-            one.start()
+            party.kill()
+            return party.start
+        if isinstance(party, FleetGateway):
+            if step.do == "term":
+                party.running_process().signal(signal.SIGTERM)
+                return partial(_start_if_ended, party)
+            if step.do == "stop":
+                party.pause()
+                return party.resume
+            if step.do == "old file":
+                # As at the first start of the run, whatever settings were agreed on since.
+                party.kill()
+                party.write_config()
+                party.start()
+                return None
+        if step.do == "start":
+            _start_if_ended(party)
         return None
 
-    def host(self, step, one):
-        lab = self.lab
+    def _execute_at_host(self, step: Step, host: FakeHost) -> Undo | None:
+        """Do a step at one host; return what undoes it."""
+        discovery = self._fleet.discovery
         if step.do == "kill":
-            one.crash()
-            lab.scheduler.after(
-                lab.discovery.notice_delay_s,
-                lambda: lab.discovery.put(one.name, one.host_port, "terminated"),
+            host.crash()
+            self._fleet.scheduler.after(
+                discovery.notice_delay_s,
+                partial(discovery.put, host.name, host.host_port, "terminated"),
             )
-
-            def again():
-                one.start()
-                lab.discovery.put(one.name, one.host_port, since=one.started_at)
-
-            return again
+            return partial(_start_host, host, discovery)
         if step.do == "start":
-            one.start()
-            lab.discovery.put(one.name, one.host_port, since=one.started_at)
+            _start_host(host, discovery)
             return None
         if step.do == "drain":
-            lab.discovery.put(one.name, one.host_port, "terminating")
-            return lambda: lab.discovery.put(one.name, one.host_port)
-        field, value = {
-            "slow": ("slowdown", step.size),
-            "fail": ("error_rate", step.size),
-            "silent": ("silent", True),
-        }[step.do]
-        before = getattr(one, field)
-        setattr(one, field, value)
-
-        def undo():
-            setattr(one, field, before)
-            one.run_waiting()
-
-        return undo
+            discovery.put(host.name, host.host_port, "terminating")
+            return partial(discovery.put, host.name, host.host_port)
+        before = (host.slowdown, host.error_rate, host.silent)
+        if step.do == "slow":
+            host.slowdown = step.size
+        elif step.do == "fail":
+            host.error_rate = step.size
+        else:
+            host.silent = True
+        return partial(_restore_host, step.do, host, before)
+
+
+def _call_all(undos: list[Undo]) -> None:
+    for undo in undos:
+        undo()
+
+
+def _bring_back(discovery: FakeDiscovery) -> None:
+    """Let discovery answer again, watches that are held included."""
+    discovery.away = False
+    discovery.notify()
+
+
+def _start_if_ended(party: FleetGateway | FleetControl) -> None:
+    if party.process is not None and not party.process.is_running:
+        party.start()
+
+
+def _start_host(host: FakeHost, discovery: FakeDiscovery) -> None:
+    """Start a host again, and put it on the list with its start."""
+    host.start()
+    discovery.put(host.name, host.host_port, since=host.started_at)
+
+
+def _restore_host(step: str, host: FakeHost, before: tuple[float, float, bool]) -> None:
+    """Undo a step, to what the host was like before it."""
+    slowdown, error_rate, silent = before
+    if step == "slow":
+        host.slowdown = slowdown
+    elif step == "fail":
+        host.error_rate = error_rate
+    else:
+        host.silent = silent
+    host.run_waiting()
--- a/petrellane/testbed/scale.py
+++ b/petrellane/testbed/scale.py
@@ -35,7 +35,7 @@
 import msgspec
 import orjson
 
-from petrellane.testbed import fleet
+from petrellane.testbed.fleet_spec import SettingsSpec, build_settings
 from petrellane.testbed.testbed import Rig, RigError
 
 SHARE = 0.5  # of the machine's memory that a run may take
@@ -197,10 +197,12 @@
 
 def settings(told: Scale, change: int = 0) -> dict:
     """The settings of a run, after so many changes: customers' plan has a quota that they stay below, and the counter."""
-    made = fleet.settings(
-        max(1, told.hollow + told.real),
-        more=[f"m{at}" for at in range(told.methods - 3)],
-        quota=1000.0,
+    made = build_settings(
+        SettingsSpec(
+            max(1, told.hollow + told.real),
+            extra_methods=[f"m{at}" for at in range(told.methods - 3)],
+            quota=1000.0,
+        )
     )
     made["classes"][0]["giveUp"] += change * 1000
     return made
@@ -209,7 +211,7 @@
 def summed(parties, begin, end):
     """A role's figures over its processes."""
     rows = [one.spent(begin, end) for one in parties]
-    up = [one for one in parties if one.meters and one.process.up]
+    up = [one for one in parties if one.meters and one.process.is_running]
     role = {
         "number": sum(one.number for one in up),
         "rss_mb": sum(one.meters[-1]["rss"] for one in up) / 2**20,
@@ -261,7 +263,7 @@
     """The report of a run."""
     told, names = rig.told, rig.known_names
     roles = {role: summed(rig.of(role), begin, end) for role in ROLES}
-    up = [one for one in rig.of("hollow") if one.process.up and one.meters]
+    up = [one for one in rig.of("hollow") if one.process.is_running and one.meters]
     if up:
         roles["hollow"]["rss_mb_each"] = (
             sum(one.meters[-1]["rss"] - one.empty for one in up) / 2**20 / told.hollow
--- a/petrellane/testbed/testbed.py
+++ b/petrellane/testbed/testbed.py
@@ -14,7 +14,7 @@
 from petrellane.config_consensus import message_authentication, rpc_client
 from petrellane.net.scheduler import Scheduler
 from petrellane.testbed.fake_server import LIMITS
-from petrellane.testbed.processes import Process
+from petrellane.testbed.processes import Build, Process, ProcessSpec
 
 WAIT = 120.0  # seconds for all to be ready
 ANSWER = 30.0  # and for the control process to answer staff
@@ -45,21 +45,23 @@
             words = [*words, path]
         self.process = Process(
             rig.scheduler,
-            name,
-            words,
-            {"LAB_METER": orjson.dumps(ours).decode(), **(environ or {})},
+            ProcessSpec(
+                name,
+                words,
+                rig.folder,
+                {"LAB_METER": orjson.dumps(ours).decode(), **(environ or {})},
+                Build(module="petrellane.testbed.metered"),
+                descriptors=descriptors,
+            ),
             lambda process, event: rig.heard(self, event),
             lambda process: rig.ended(self),
-            rig.folder,
-            module="petrellane.testbed.metered",
-            descriptors=descriptors,
         )
         if descriptors:
             os.close(theirs)
         rig.parties.append(self)
 
     def say(self, word):
-        if self.words is not None and self.process.up:
+        if self.words is not None and self.process.is_running:
             with contextlib.suppress(BrokenPipeError):
                 os.write(self.words, word.encode() + b"\n")
 
@@ -313,7 +315,7 @@
     def ended(self, party):
         if not party.process.expected:
             self.troubles.append(
-                f"{party.name} ended: exit code {party.process.process.returncode}: {party.process.said()}"
+                f"{party.name} ended: exit code {party.process.popen.returncode}: {party.process.stderr_tail()}"
             )
 
     # Running.
--- a/tests/integration/testbed/test_scale.py
+++ b/tests/integration/testbed/test_scale.py
@@ -236,8 +236,8 @@
         return {
             "name": "g0",
             "listen": "127.0.0.1:0",
-            "discovery": discovery.text,
-            "counter": counter.text,
+            "discovery": discovery.host_port,
+            "counter": counter.host_port,
             "seed": "7",
             "known": {"index": 9, "snapshot": True, "endpoints": [row]},
             "settings": {**settings, "locality": "z0"},
@@ -297,7 +297,7 @@
         for one in (discovery, counter):
             one.close()
         node.endpoint_watch.end()
-        return [head.replace(discovery.text, "there") for head in discovery.heads[:1]], [
+        return [head.replace(discovery.host_port, "there") for head in discovery.heads[:1]], [
             (parts[0], parts[1], float(parts[2])) for parts in counter.asked[:2]
         ]
 
--- a/tests/integration/testbed/test_testbed.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -16,12 +16,14 @@
 from petrellane.config_consensus import message_authentication
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Stream
-from petrellane.testbed import runner
 from petrellane.testbed.clients import Customer, Method
 from petrellane.testbed.fake_server import FakeServer
-from petrellane.testbed.fleet import Lab, Shape, settings
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec, SettingsSpec, build_settings
+from petrellane.testbed.processes import Build
 from petrellane.testbed.records import Records
 from petrellane.testbed.relay import Relay
+from petrellane.testbed.run_file import RunFileError, parse_run_file
 
 BEFORE, AFTER = ("before",), ("after",)
 LOAD = [
@@ -36,44 +38,44 @@
 @contextlib.contextmanager
 def fleet(gateways=3, rate=150.0, plants=None, control_plant=None, **more):
     """A fleet under load that has generation 1 in force; `plants` maps a gateway's number to a plant."""
-    shape = Shape(
+    shape = FleetSpec(
         gateways=gateways,
         agreement=True,
         rate=rate,
         methods=LOAD,
         proves={"before": 1, "after": 2},
-        settings=settings(gateways),
+        settings=build_settings(SettingsSpec(gateways)),
         work=0.004,
         **more,
     )
-    with Lab(shape) as lab:
+    with LoopbackFleet(shape) as lab:
         for number, plant in (plants or {}).items():
             plant_in(lab.gateways[number], plant)
         lab.start(controls=())
         lab.controls["control"] = control = control_of(lab, "control", control_plant)
         control.start()
-        lab.until(
+        lab.run_until(
             lambda: control.ask("status").get("state") == "leading", "a control process that leads"
         )
-        told = lab.change(first(lab))
+        told = lab.change_settings(first(lab))
         assert told["outcome"] == "committed", told
         lab.clients.start()
-        lab.play(0.3)
+        lab.run_for(0.3)
         yield lab
 
 
 def first(lab):
-    return settings(lab.shape.gateways, more=BEFORE)
+    return build_settings(SettingsSpec(lab.spec.gateways, extra_methods=BEFORE))
 
 
 def second(lab):
-    return settings(lab.shape.gateways, more=AFTER)
+    return build_settings(SettingsSpec(lab.spec.gateways, extra_methods=AFTER))
 
 
 def control_of(lab, name, plant=None, step="", **more):
-    from petrellane.testbed.fleet import Control
+    from petrellane.testbed.fleet_control import FleetControl
 
-    control = Control(lab, name, **more)
+    control = FleetControl(lab, name, **more)
     if plant:
         plant_in(control, plant, step)
     return control
@@ -81,7 +83,7 @@
 
 def plant_in(party, plant, step=""):
     party.build, party.environ = (
-        {"module": "tests.integration.testbed.planted"},
+        Build(module="tests.integration.testbed.planted"),
         {"LAB_PLANT": plant, "LAB_STEP": step},
     )
 
@@ -90,7 +92,7 @@
     """What every run is asked at its end."""
 
     def judge(self, lab, broken=(), crashes=0):
-        lab.quiet()
+        lab.finish_load()
         verdict = lab.verdict()
         self.assertEqual(
             sorted(verdict.counts), sorted(broken), f"{verdict.violations[:3]}\n{lab.timeline()}"
@@ -100,13 +102,15 @@
         return verdict
 
     def settles(self, lab, number, patience=10.0):
-        lab.until(lambda: lab.agreed() == number, f"generation {number} everywhere", patience)
+        lab.run_until(
+            lambda: lab.agreed_generation() == number, f"generation {number} everywhere", patience
+        )
 
     def admits(self, lab, seconds=0.5):
         """The probing methods that gateways let through from now on, once what is out is answered."""
-        lab.play(0.3)
+        lab.run_for(0.3)
         before = dict(lab.records.counts)
-        lab.play(seconds)
+        lab.run_for(seconds)
         return {
             name
             for name in ("before", "after")
@@ -118,7 +122,7 @@
     def test_a_change_without_a_fault_pushes_nothing_back(self):
         with fleet() as lab:
             self.assertEqual(self.admits(lab), {"before"})
-            self.assertEqual(lab.change(second(lab))["reached"], 3)
+            self.assertEqual(lab.change_settings(second(lab))["reached"], 3)
             self.assertEqual(self.admits(lab), {"after"})
             self.judge(lab)
             self.assertFalse(
@@ -129,7 +133,7 @@
         with fleet(rate=120.0) as lab:
             for host in lab.hosts:
                 host.slowdown = 40.0
-            lab.until(
+            lab.run_until(
                 lambda: (
                     sum(
                         one.received.method == "before"
@@ -140,9 +144,9 @@
                 "RPCs out",
             )
             lab.clients.stop()
-            lab.play(0.03)  # the last of them are taken by now
+            lab.run_for(0.03)  # the last of them are taken by now
             before = dict(lab.records.counts)
-            self.assertEqual(lab.change(second(lab))["reached"], 3)
+            self.assertEqual(lab.change_settings(second(lab))["reached"], 3)
             self.judge(lab)
             after = {
                 kind: number - before.get(kind, 0) for kind, number in lab.records.counts.items()
@@ -164,16 +168,17 @@
             for relay in lab.between("agent", to=names, of=["control"]):
                 relay.fault("late", 0.15)
             number = control.ask("propose", settings=second(lab))["number"]
-            lab.until(lambda: control.events[-1].get("number") == number, "a decision")
-            lab.cut(names)
-            self.settled = lab.until(
-                lambda: lab.agreed(["g0", "g1", "g2", "g3"]) == number, "a majority in force"
+            lab.run_until(lambda: control.events[-1].get("number") == number, "a decision")
+            lab.partition(names)
+            self.settled = lab.run_until(
+                lambda: lab.agreed_generation(["g0", "g1", "g2", "g3"]) == number,
+                "a majority in force",
             )
             allowed = self.admits(lab, 1.0)
-            in_doubt = [one.last("generation")["possible"] for one in lab.gateways[4:]]
+            in_doubt = [one.last_event("generation")["possible"] for one in lab.gateways[4:]]
             lab.heal()
             self.settles(lab, number, 4.0)
-            lab.quiet()
+            lab.finish_load()
             verdict = lab.verdict()
             return verdict.counts, allowed, in_doubt
 
@@ -189,22 +194,22 @@
         with fleet(4, plants={3: plant} if plant else None) as lab:
             late = lab.gateways[3]
             late.kill()
-            told = lab.change(second(lab))
+            told = lab.change_settings(second(lab))
             self.assertEqual(
                 (told["outcome"], told["absent"], told["owed"]), ("committed", ["g3"], [])
             )
-            lab.play(0.7)
+            lab.run_for(0.7)
             for relay in lab.between("agent", to=["g3"], of=["control"]):
                 relay.fault("cut")
             if old:  # a new machine: not even its memory is left
                 for name in os.listdir(os.path.join(late.folder, "state")):
                     os.unlink(os.path.join(late.folder, "state", name))
             late.start()
-            lab.until(lambda: late.ready, "g3 serves")
-            lab.play(1.0)
-            found = lab.agreed(["g3"])
+            lab.run_until(lambda: late.ready, "g3 serves")
+            lab.run_for(1.0)
+            found = lab.agreed_generation(["g3"])
             lab.heal()
-            lab.quiet()
+            lab.finish_load()
             return lab.verdict().counts, found
 
     def test_who_was_down_asks_before_it_serves(self):
@@ -217,26 +222,26 @@
         with fleet(5) as lab:
             late = lab.gateways[4]
             late.kill()
-            lab.cut(["g4"])
+            lab.partition(["g4"])
             late.start()
-            lab.play(2.0)
+            lab.run_for(2.0)
             self.assertFalse(late.ready)
             lab.heal()
-            lab.until(lambda: late.ready, "g4 serves")
+            lab.run_until(lambda: late.ready, "g4 serves")
             self.judge(lab)
 
     def stopped(self, plant=None):
         """One is stopped from before the prepare to after the decision, and goes on with RPCs in its socket buffers; staff
         vouched that it had ended."""
         with fleet(4, plants={3: plant} if plant else None, rate=300.0) as lab:
-            lab.cut(["g3"])  # or it would be told within a second
-            lab.gateways[3].stop()
-            lab.play(0.3)
-            told = lab.change(second(lab), without=["g3"])
+            lab.partition(["g3"])  # or it would be told within a second
+            lab.gateways[3].pause()
+            lab.run_for(0.3)
+            told = lab.change_settings(second(lab), without=["g3"])
             self.assertEqual(told["outcome"], "committed", told)
-            lab.play(0.8)
-            lab.gateways[3].go_on()
-            lab.play(1.0)
+            lab.run_for(0.8)
+            lab.gateways[3].resume()
+            lab.run_for(1.0)
             pushed = sum(
                 number
                 for (_, answer), number in lab.records.counts.items()
@@ -244,7 +249,7 @@
             )
             lab.heal()
             self.settles(lab, 2)
-            lab.quiet()
+            lab.finish_load()
             return lab.verdict().counts, pushed
 
     def test_who_was_stopped_meanwhile_admits_nothing_before_it_knows(self):
@@ -258,7 +263,7 @@
     def silent(self, plant=None):
         """One says nothing all along: it may be serving."""
         with fleet(4, control_plant=plant) as lab:
-            lab.cut(["g3"])
+            lab.partition(["g3"])
             control = lab.controls["control"]
             number = control.ask("propose", settings=second(lab))["number"]
 
@@ -266,13 +271,19 @@
                 told = control.ask("change", number=number)
                 return told if told["outcome"] != "preparing" else None
 
-            told = lab.until(over, "an end")
-            lab.play(1.2)
+            told = lab.run_until(over, "an end")
+            lab.run_for(1.2)
             allowed = self.admits(lab, 0.8)
             lab.heal()
-            lab.play(1.5)
-            lab.quiet()
-            return told["outcome"], told["why"], allowed, lab.agreed(), lab.verdict().counts
+            lab.run_for(1.5)
+            lab.finish_load()
+            return (
+                told["outcome"],
+                told["why"],
+                allowed,
+                lab.agreed_generation(),
+                lab.verdict().counts,
+            )
 
     def test_a_silent_gateway_ends_the_change(self):
         outcome, why, allowed, number, counts = self.silent()
@@ -290,7 +301,7 @@
             relays = lab.between("agent", of=["control"])
             for relay in relays:
                 relay.fault("mute")
-            told = lab.change(second(lab))
+            told = lab.change_settings(second(lab))
             self.assertEqual(told["outcome"], "aborted")
             self.assertEqual(self.admits(lab, 0.4), set())  # all in doubt: what both allow
             lab.heal()
@@ -300,7 +311,9 @@
 
     def test_a_refusal_by_an_older_build(self):
         with fleet(plants={1: "refuses"}) as lab:
-            told = lab.change(settings(3, more=("before", "x", "y")))
+            told = lab.change_settings(
+                build_settings(SettingsSpec(3, extra_methods=("before", "x", "y")))
+            )
             self.assertEqual(
                 (told["outcome"], told["why"]),
                 ("aborted", "refused by g1: settings.classes: expected three at most"),
@@ -311,17 +324,17 @@
     def test_clocks_and_memory_that_can_not_be_written(self):
         with fleet() as lab:
             lab.gateways[1].kill()
-            lab.gateways[1].skew = 2.0
+            lab.gateways[1].skew_s = 2.0
             lab.gateways[1].start()
-            lab.until(lambda: lab.gateways[1].ready, "g1 serves with its clock off")
+            lab.run_until(lambda: lab.gateways[1].ready, "g1 serves with its clock off")
             folder = os.path.join(lab.gateways[2].folder, "state")
             os.rename(folder, folder + ".away")
-            told = lab.change(second(lab))
+            told = lab.change_settings(second(lab))
             self.assertEqual(told["outcome"], "aborted")
             self.assertIn("refused by g2", told["why"])
             os.rename(folder + ".away", folder)
             lab.records.proves["after"] = 3
-            self.assertEqual(lab.change(second(lab))["reached"], 3)
+            self.assertEqual(lab.change_settings(second(lab))["reached"], 3)
             self.judge(lab)
 
     def test_what_was_learnt_without_a_folder_is_kept(self):
@@ -329,14 +342,14 @@
         with fleet() as lab:
             one = lab.gateways[2]
             one.kill()
-            self.assertEqual(lab.change(second(lab))["absent"], ["g2"])
+            self.assertEqual(lab.change_settings(second(lab))["absent"], ["g2"])
             plant_in(one, "unwritable")
             one.start()
-            lab.until(lambda: one.ready, "g2 serves")
-            self.assertEqual(lab.agreed(["g2"]), 2)
-            one.stop()
-            lab.play(1.3)
-            one.go_on()
+            lab.run_until(lambda: one.ready, "g2 serves")
+            self.assertEqual(lab.agreed_generation(["g2"]), 2)
+            one.pause()
+            lab.run_for(1.3)
+            one.resume()
             self.assertEqual(self.admits(lab, 1.0), {"after"})
             numbers = [event["number"] for event in one.events if event["event"] == "generation"]
             self.assertEqual(numbers[numbers.index(2) :], [2])  # never back to the first
@@ -345,13 +358,21 @@
     def by_hand(self, plant=None):
         with fleet(plants=dict.fromkeys(range(3), plant) if plant else None) as lab:
             one = lab.gateways[0]
-            one.write({**one.told(), "settings": {**settings(3, more=AFTER), "locality": "z"}})
+            one.write_config(
+                {
+                    **one.config(),
+                    "settings": {
+                        **build_settings(SettingsSpec(3, extra_methods=AFTER)),
+                        "locality": "z",
+                    },
+                }
+            )
             one.process.signal(signal.SIGHUP)
-            lab.until(lambda: one.last("reloaded"), "the file is read")
+            lab.run_until(lambda: one.last_event("reloaded"), "the file is read")
             allowed = self.admits(lab)
-            lab.quiet()
+            lab.finish_load()
             lab.verdict()
-            return allowed, one.last("drift")
+            return allowed, one.last_event("drift")
 
     def test_a_file_by_hand_is_told_as_drift(self):
         allowed, drift = self.by_hand()
@@ -364,8 +385,8 @@
     def test_a_process_that_follows_has_the_generation(self):
         with fleet(follow=True) as lab:
             lab.gateways[0].replace()
-            self.assertEqual(lab.change(second(lab))["reached"], 3)
-            lab.play(0.5)
+            self.assertEqual(lab.change_settings(second(lab))["reached"], 3)
+            lab.run_for(0.5)
             self.assertEqual(self.admits(lab), {"after"})
             self.judge(lab)
 
@@ -374,7 +395,7 @@
             one = lab.gateways[1]
             lab.fronts[1].taken_in = False
             staff(one, "drain")
-            self.assertEqual(lab.change(second(lab))["reached"], 3)
+            self.assertEqual(lab.change_settings(second(lab))["reached"], 3)
             staff(one, "resume")
             lab.fronts[1].taken_in = True
             self.assertEqual(self.admits(lab), {"after"})
@@ -384,22 +405,25 @@
         with fleet(4) as lab:
             control = lab.controls["control"]
             control.kill()
-            ways = {one.name: one.managed("control") for one in lab.gateways[:3]}
-            control.roster = ways | {"ghost": "%s:%d" % (lab.ip, lab.port())}
+            ways = {one.name: one.management_addresses("control") for one in lab.gateways[:3]}
+            control.roster = ways | {
+                "ghost": "%s:%d" % (lab.addresses.ip, lab.addresses.next_port())
+            }
             control.start()
-            lab.until(lambda: control.ask("status").get("state") == "leading", "it leads again")
-            told = lab.change(
+            lab.run_until(lambda: control.ask("status").get("state") == "leading", "it leads again")
+            told = lab.change_settings(
                 second(lab)
             )  # g3 is a member of what is in force: it is asked all the same
             self.assertEqual(told["outcome"], "aborted")
             self.assertIn("g3 (no address in the roster)", told["why"])
             lab.gateways[3].kill()  # it is taken off for good, by staff's word
             lab.records.proves["after"] = 3
-            told = lab.change(second(lab), without=["g3"])
+            told = lab.change_settings(second(lab), without=["g3"])
             self.assertEqual((told["outcome"], told["absent"]), ("committed", ["ghost"]))
             lab.gateways[3].start()
-            lab.until(
-                lambda: lab.gateways[3].last("not_on_roster"), "g3 is told that it is no member"
+            lab.run_until(
+                lambda: lab.gateways[3].last_event("not_on_roster"),
+                "g3 is told that it is no member",
             )
             self.assertFalse(lab.gateways[3].ready)
             self.judge(lab)
@@ -407,30 +431,33 @@
 
 class Ceilings(Judged):
     def test_a_ceiling_is_lowered_everywhere_with_the_counter_down(self):
-        old, new = (settings(3, quota=400.0, ceiling=ceiling) for ceiling in (60.0, 20.0))
-        shape = Shape(
+        old, new = (
+            build_settings(SettingsSpec(3, quota=400.0, hard_limit=ceiling))
+            for ceiling in (60.0, 20.0)
+        )
+        shape = FleetSpec(
             gateways=3,
             agreement=True,
             rate=150.0,
             settings=old,
             work=0.002,
-            customers=[Customer(7, "sold", spread=3)],
+            customers=[Customer(7, "sold", gateway_count=3)],
         )
-        with Lab(shape) as lab:
+        with LoopbackFleet(shape) as lab:
             lab.start()
             lab.clients.start()
-            lab.play(1.5)
+            lab.run_for(1.5)
             lab.counter.quiet = True
-            lab.play(0.5)
-            self.assertEqual(lab.change(new)["outcome"], "committed")
-            lab.play(1.0)
+            lab.run_for(0.5)
+            self.assertEqual(lab.change_settings(new)["outcome"], "committed")
+            lab.run_for(1.0)
             lab.records.checker.terms.hard_limits["sold"] = invariants.HardLimit(
                 20.0, 20.0, 2.0 + 0.15 * 20
             )
             level, at = lab.records.checker.hard_limits.buckets["%016x" % 7]
             lab.records.checker.hard_limits.buckets["%016x" % 7] = min(level, 20.0), at
             began, ok = lab.records.now(), self.ok(lab)
-            lab.play(3.0)
+            lab.run_for(3.0)
             served = (self.ok(lab) - ok) / (lab.records.now() - began)
             self.judge(lab)
             self.assertLess(served, 22.0)
@@ -452,20 +479,20 @@
             )
             dying.start()
             if not step.startswith("epoch"):
-                lab.until(lambda: dying.ask("status").get("state") == "leading", "it leads")
+                lab.run_until(lambda: dying.ask("status").get("state") == "leading", "it leads")
                 dying.ask("propose", settings=second(lab))
-            lab.until(lambda: not dying.process.up, "it ends at its step")
+            lab.run_until(lambda: not dying.process.is_running, "it ends at its step")
             lab.crashes.clear()  # that one was meant
-            lab.play(0.7)
+            lab.run_for(0.7)
             serving = self.admits(lab, 0.6)
             journal = {"journal": os.path.join(lab.folder, "empty.db") if empty else old.journal}
             heir = lab.controls["control"] = control_of(lab, "heir", **journal)
             heir.start()
-            lab.until(lambda: heir.ask("status").get("settled"), "the next one leads", 15)
+            lab.run_until(lambda: heir.ask("status").get("settled"), "the next one leads", 15)
             status = heir.ask("status")
             self.settles(lab, status["in_force"]["number"])
             allowed = self.admits(lab)
-            lab.quiet()
+            lab.finish_load()
             committed = {1: True, 2: "after" in allowed}
             for number, decided in committed.items():
                 lab.records.take(invariants.GenerationDecided(lab.records.now(), number, decided))
@@ -507,16 +534,16 @@
                 one.kill()
                 plant_in(one, "saved", step)
                 one.start()
-                lab.until(lambda one=one: one.ready, "g2 serves")
-                lab.play(1.2)  # its memory was written at the start, and the epoch is an old one
+                lab.run_until(lambda one=one: one.ready, "g2 serves")
+                lab.run_for(1.2)  # its memory was written at the start, and the epoch is an old one
                 number = lab.controls["control"].ask("propose", settings=second(lab))["number"]
-                lab.until(lambda one=one: not one.process.up, "it ends at its write")
+                lab.run_until(lambda one=one: not one.process.is_running, "it ends at its write")
                 lab.crashes.clear()
-                one.build, one.environ = {}, {}
+                one.build, one.environ = Build(), {}
                 one.start()
                 control = lab.controls["control"]
-                told = lab.until(
-                    lambda number=number, control=control: lab.ended(control, number),
+                told = lab.run_until(
+                    lambda number=number, control=control: control.ended_change(number),
                     "an end of the change",
                 )
                 self.assertIn(told["outcome"], ("committed", "aborted"))
@@ -527,14 +554,14 @@
         with fleet() as lab:
             control, one = lab.controls["control"], lab.gateways[2]
             number = control.ask("propose", settings=second(lab))["number"]
-            lab.until(lambda: control.events[-1].get("number") == number, "a decision")
+            lab.run_until(lambda: control.events[-1].get("number") == number, "a decision")
             control.kill()
             one.kill()
             one.start()  # it asks the other two, of which each may be in doubt or not
-            lab.until(lambda: one.ready, "g2 serves without a control process")
-            lab.play(0.5)
+            lab.run_until(lambda: one.ready, "g2 serves without a control process")
+            lab.run_for(0.5)
             control.start()
-            lab.until(lambda: control.ask("status").get("settled"), "it leads again")
+            lab.run_until(lambda: control.ask("status").get("settled"), "it leads again")
             self.settles(lab, number)
             self.judge(lab)
 
@@ -542,15 +569,16 @@
         with fleet() as lab:
             other = lab.controls["other"] = control_of(lab, "other")
             other.start()
-            lab.until(lambda: other.ask("status").get("state") == "leading", "the other leads")
-            lab.until(
+            lab.run_until(lambda: other.ask("status").get("state") == "leading", "the other leads")
+            lab.run_until(
                 lambda: lab.controls["control"].ask("status").get("state") == "deposed",
                 "the first is deposed",
             )
             self.assertIn("refused", lab.controls["control"].ask("propose", settings=first(lab)))
             number = other.ask("propose", settings=second(lab))["number"]
             self.assertEqual(
-                lab.until(lambda: lab.ended(other, number), "an end")["outcome"], "committed"
+                lab.run_until(lambda: other.ended_change(number), "an end")["outcome"],
+                "committed",
             )
             self.judge(lab)
 
@@ -567,7 +595,7 @@
             env={**os.environ, **environ},
             text=True,
         )
-        lab.until(lambda: process.poll() is not None, f"settings {words[0]} ends", 20)
+        lab.run_until(lambda: process.poll() is not None, f"settings {words[0]} ends", 20)
         ended.append(process.stdout.read())
         process.stdout.close()
         return process.returncode, ended[0].strip()
@@ -608,11 +636,11 @@
             self.assertEqual(len(self.called(lab, "history", *control)[1].splitlines()), 3)
             self.assertIn("generation 3", self.called(lab, "status", *control)[1])
             self.assertEqual(self.called(lab, "show", "9", *control)[0], 2)
-            lab.gateways[1].stop()
+            lab.gateways[1].pause()
             write(second(lab))
             code, said = self.called(lab, "propose", file, *control)
             self.assertEqual((code, said[:44]), (4, "generation 4: aborted: no word from g1 (noth"))
-            lab.gateways[1].go_on()
+            lab.gateways[1].resume()
             lab.controls["control"].kill()
             self.assertEqual(self.called(lab, "propose", file, *control)[0], 5)
             with open(os.path.join(lab.folder, "bad.toml"), "w") as out:
@@ -663,8 +691,8 @@
 
 def status_of(party, lab, data):
     """The status that a gateway's management, or a control process, answers some bytes with."""
-    port = party.management if party in lab.gateways else party.listen
-    with socket.create_connection((lab.ip, port), 2) as sock:
+    port = party.management_port if party in lab.gateways else party.port
+    with socket.create_connection((lab.addresses.ip, port), 2) as sock:
         sock.sendall(data)
         sock.setblocking(False)
         found = []
@@ -674,12 +702,12 @@
                 found.append(sock.recv(4096))
             return found
 
-        lab.until(answered, "an answer of staff's listener")
+        lab.run_until(answered, "an answer of staff's listener")
     return int(found[0].split(b" ")[1])
 
 
 def staff(gateway, call):
-    assert status_of(gateway, gateway.lab, f"POST /-/{call} HTTP/1.1\r\n\r\n".encode()) == 200
+    assert status_of(gateway, gateway.fleet, f"POST /-/{call} HTTP/1.1\r\n\r\n".encode()) == 200
 
 
 class Echo(FakeServer):
@@ -875,24 +903,30 @@
 
     def played(self, plant=None, work=0.01, seconds=2.0, rate=150.0, hosts=6, slots=8, **shape):
         """A fleet with relays to hosts in the midst of its load; gives the lab, and its verdict after `do`."""
-        shape = {"relays": ("discovery", "hosts"), "settings": settings(3), **shape}
-        with Lab(Shape(gateways=3, hosts=hosts, rate=rate, work=work, slots=slots, **shape)) as lab:
+        shape = {
+            "relays": ("discovery", "hosts"),
+            "settings": build_settings(SettingsSpec(3)),
+            **shape,
+        }
+        with LoopbackFleet(
+            FleetSpec(gateways=3, hosts=hosts, rate=rate, work=work, slots=slots, **shape)
+        ) as lab:
             for one in lab.gateways:
                 if plant:
                     plant_in(one, plant)
             lab.start()
             lab.clients.start()
-            lab.play(0.5)
+            lab.run_for(0.5)
             self.do(lab)
-            lab.play(seconds)
-            lab.quiet()
+            lab.run_for(seconds)
+            lab.finish_load()
             return lab, lab.verdict()
 
     def drains(self, plant=None):
         def do(lab):
             for host in lab.hosts[:2]:
                 lab.discovery.put(host.name, host.host_port, "terminating")
-            lab.play(1.7)  # the grace of the lab, and what is out
+            lab.run_for(1.7)  # the grace of the lab, and what is out
             self.before = [host.ran for host in lab.hosts]
 
         self.do = do
@@ -915,7 +949,7 @@
             for relay in lab.between("discovery", to=["g0"]):
                 relay.fault("cut")
             lab.discovery.put("h0", lab.hosts[0].host_port, "terminating")
-            lab.play(2.5)
+            lab.run_for(2.5)
             self.late = {
                 one.gateway
                 for one in lab.records.kept
@@ -936,7 +970,7 @@
             host = lab.hosts[0]
             host.crash()
             lab.discovery.put(host.name, host.host_port, "terminated")
-            lab.play(0.3)
+            lab.run_for(0.3)
             host.start()
             lab.discovery.put(host.name, host.host_port, since=host.started_at)
             self.before = host.ran
@@ -949,7 +983,7 @@
             work=0.01,
             rate=220.0,
             seconds=4.0,
-            settings=settings(3, cold=8.0, cold_from=0.05),
+            settings=build_settings(SettingsSpec(3, slow_start_s=8.0, slow_start_minimum=0.05)),
         )
         return lab.hosts[0].ran - self.before, verdict
 
@@ -981,9 +1015,9 @@
                 lab.records.tell(f"{name} at h0 and h1")
                 for relay in lab.between("host", to=["h0", "h1"]):
                     relay.fault(name, size)
-                lab.play(seconds)
+                lab.run_for(seconds)
                 lab.heal()
-                lab.play(0.2)
+                lab.run_for(0.2)
 
         self.do = do
         return self.played(plant, seconds=0.5, **shape)
@@ -1009,16 +1043,16 @@
 
     def alone(self, trouble, patience, plant=None):
         """Two start while discovery is of no use and the counter is silent: what has come within so many seconds."""
-        shape = Shape(
+        shape = FleetSpec(
             gateways=2,
             hosts=2,
             relays=(),
             rate=50.0,
-            settings=settings(2, quota=200.0),
+            settings=build_settings(SettingsSpec(2, quota=200.0)),
             methods=[Method("look")],
-            customers=[Customer(1, "sold", spread=2)],
+            customers=[Customer(1, "sold", gateway_count=2)],
         )
-        with Lab(shape) as lab:
+        with LoopbackFleet(shape) as lab:
             lab.counter.quiet, lab.discovery.away = True, trouble == "silent"
             for one in lab.gateways:
                 if trouble == "refuses":
@@ -1028,12 +1062,12 @@
             until = time.monotonic() + patience
             lab.start(ready=False)
             while time.monotonic() < until and not all(one.ready for one in lab.gateways):
-                lab.turn()
+                lab.run_turn()
             if not all(one.ready for one in lab.gateways):
                 return "not ready"
             lab.clients.start()
             while time.monotonic() < until and not lab.records.counts.get(("look", invariants.OK)):
-                lab.turn()
+                lab.run_turn()
             self.assertEqual(
                 [status_of(one, lab, b"GET /-/ready HTTP/1.1\r\n\r\n") for one in lab.gateways],
                 [200, 200],
@@ -1090,8 +1124,8 @@
             ("[lab", "Expected ']'"),
             ('[expect]\nbroken = ["x"]', "expect.broken: expected rules"),
         ):
-            with self.subTest(text), self.assertRaises(runner.PlayError) as found:
-                runner.read(text, "run.toml")
+            with self.subTest(text), self.assertRaises(RunFileError) as found:
+                parse_run_file(text, "run.toml")
             self.assertIn(words, str(found.exception))
             self.assertNotIn("\n", str(found.exception))
 
@@ -1109,8 +1143,9 @@
 
     def test_nothing_is_left_of_a_lab_that_is_killed(self):
         code = (
-            "import os\nfrom petrellane.testbed.fleet import Lab, Shape\nlab = Lab(Shape(gateways=2, hosts=1))\n"
-            "lab.start()\nprint(*[one.process.process.pid for one in lab.gateways], flush=True)\n"
+            "import os\nfrom petrellane.testbed.fleet import LoopbackFleet\n"
+            "from petrellane.testbed.fleet_spec import FleetSpec\nlab = LoopbackFleet(FleetSpec(gateways=2, hosts=1))\n"
+            "lab.start()\nprint(*[one.process.popen.pid for one in lab.gateways], flush=True)\n"
             "os.kill(os.getpid(), 9)\n"
         )
         ended = subprocess.run(
--- a/tests/unit/load_distribution/test_load_distribution.py
+++ b/tests/unit/load_distribution/test_load_distribution.py
@@ -29,7 +29,8 @@
 from petrellane.simulation.baselines import BASELINES, place_of
 from petrellane.simulation.fleet import Fleet
 from petrellane.simulation.scenario import Fault
-from petrellane.testbed.fleet import Lab, Shape
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec
 
 
 def drawn(seed=1, gateways=20, hosts=10, rate=200.0, length=30.0, pick=None, sizes=None):
@@ -427,12 +428,16 @@
 
 class Processes(unittest.TestCase):
     def test_figures_of_real_gateways_by_log_and_by_record(self):
-        with Lab(Shape(gateways=12, hosts=8, rate=240.0, work=0.01, relays=())) as lab:
+        with LoopbackFleet(
+            FleetSpec(gateways=12, hosts=8, rate=240.0, work=0.01, relays=())
+        ) as lab:
             lab.start()
             lab.clients.start()
-            lab.play(7.0)
-            lab.quiet()
-            lab.play(1.5)  # each gateway tells its last second, which a line a second may still owe
+            lab.run_for(7.0)
+            lab.finish_load()
+            lab.run_for(
+                1.5
+            )  # each gateway tells its last second, which a line a second may still owe
             verdict = lab.verdict()
             came = sum(type(one) is invariants.AttemptSent for one in lab.records.kept)
             events = {
