--- a/petrellane/testbed/fake_discovery.py
+++ b/petrellane/testbed/fake_discovery.py
@@ -123,7 +123,7 @@
 
     def on_disconnected(self, stream: Stream) -> None:
         """Drop the watch of a connection that has ended."""
-        self._discovery.watches.pop(stream, None)
+        self._discovery.forget_connection(stream)
 
     def _is_unwatched(self) -> bool:
         """Return whether the fault has taken the listener off the scheduler."""
@@ -264,6 +264,10 @@
         """Forget what a gateway was notified of: its next process knows nothing."""
         self._notified.pop(gateway, None)
 
+    def forget_connection(self, stream: Stream) -> None:
+        """Drop the watch of a connection that has ended."""
+        self.watches.pop(stream, None)
+
     def rows_seen_by(self, gateway: str) -> list[Row]:
         """Return the list as a gateway sees it."""
         return [self._row_seen_by(gateway, row) for row in self.rows.values()]
--- a/petrellane/testbed/fake_server.py
+++ b/petrellane/testbed/fake_server.py
@@ -107,6 +107,11 @@
             self.listener = listening(self.address, BACKLOG)
             self._watch_listener(self.listener)
 
+    def widen_queue(self, backlog: int) -> None:
+        """Let so many connections wait to be accepted."""
+        if self.listener is not None:
+            self.listener.listen(backlog)
+
     def close(self) -> None:
         """End for good."""
         self.crash()
--- a/petrellane/testbed/hollow.py
+++ b/petrellane/testbed/hollow.py
@@ -28,7 +28,8 @@
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.testbed.services import LINES, Words
+from petrellane.testbed.command_pipe import CommandPipe
+from petrellane.testbed.services import MAXIMUM_LOG_LINES
 
 SEEN = 52  # hosts that a module knows
 WORK = 0.02  # mean seconds of a call-out
@@ -343,12 +344,12 @@
         told = orjson.loads(file.read())
     sys.setswitchinterval(SWITCH)
     scheduler = Scheduler()
-    log = Logger(1, "hollow", scheduler.now, LINES)
+    log = Logger(1, "hollow", scheduler.now, MAXIMUM_LOG_LINES)
     log.event("empty", rss=meter.resident())
     crowd = Crowd(told, scheduler, log)
     gc.collect()
     gc.freeze()
-    Words(
+    CommandPipe(
         scheduler,
         told["words"],
         {
--- a/tests/integration/testbed/test_scale.py
+++ b/tests/integration/testbed/test_scale.py
@@ -19,9 +19,10 @@
 from petrellane.net import resp
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.testbed import hollow, scale, services, testbed
+from petrellane.testbed import hollow, scale, testbed
 from petrellane.testbed.fake_counter import FakeCounter
 from petrellane.testbed.fake_server import FakeServer
+from petrellane.testbed.scale_discovery import ScaleDiscovery
 
 WRONG = [  # (the section's text, what the one line names)
     ("hollow = 3\nwings = 2", "wings"),
@@ -168,10 +169,10 @@
         rows = [
             {"name": f"h{at}", "address": "10.0.0.1:1", "status": "in_service"} for at in range(4)
         ]
-        self.registry = services.Registry(Scheduler(), rows, 0.0)
+        self.registry = ScaleDiscovery(Scheduler(), rows, 0.0)
 
     def names(self, since):
-        told = body_of(self.registry.body(since))
+        told = body_of(self.registry.response(since))
         return told["index"], told["snapshot"], [row["name"] for row in told["endpoints"]]
 
     def test_what_is_newer_is_told_once(self):
@@ -181,8 +182,8 @@
             self.registry.change(name, state)
         self.assertEqual(self.names(4), (7, False, ["h2", "h0"]))
         self.assertEqual(self.names(6), (7, False, ["h2"]))
-        self.assertEqual(body_of(self.registry.body(4))["endpoints"][0]["status"], "in_service")
-        self.assertIs(self.registry.body(4), self.registry.body(4))
+        self.assertEqual(body_of(self.registry.response(4))["endpoints"][0]["status"], "in_service")
+        self.assertIs(self.registry.response(4), self.registry.response(4))
 
     def test_one_that_is_too_far_behind_or_ahead_gets_the_list_whole(self):
         for since in (3, 5, -1):
