--- a/petrellane/testbed/scale.py
+++ b/petrellane/testbed/scale.py
@@ -36,7 +36,7 @@
 import orjson
 
 from petrellane.testbed.fleet_spec import SettingsSpec, build_settings
-from petrellane.testbed.testbed import Rig, RigError
+from petrellane.testbed.testbed import ScaleRunError, ScaleTestbed
 
 SHARE = 0.5  # of the machine's memory that a run may take
 PROCESSES = 300  # and processes
@@ -210,11 +210,11 @@
 
 def summed(parties, begin, end):
     """A role's figures over its processes."""
-    rows = [one.spent(begin, end) for one in parties]
-    up = [one for one in parties if one.meters and one.process.is_running]
+    rows = [one.usage(begin, end) for one in parties]
+    up = [one for one in parties if one.meter_lines and one.process.is_running]
     role = {
-        "number": sum(one.number for one in up),
-        "rss_mb": sum(one.meters[-1]["rss"] for one in up) / 2**20,
+        "number": sum(one.gateway_count for one in up),
+        "rss_mb": sum(one.meter_lines[-1]["rss"] for one in up) / 2**20,
     }
     role |= {word: sum(row[0][at] for row in rows) for at, word in enumerate(WORDS)}
     kinds = sorted({kind for row in rows for kind in row[1]})
@@ -230,7 +230,7 @@
 
 def spent_so_far(parties):
     """What a role's processes spent since they began, in all."""
-    lines = [one.meters[-1] for one in parties if one.meters]
+    lines = [one.meter_lines[-1] for one in parties if one.meter_lines]
     rows = [row for line in lines for row in line["by"].values()]
     return dict(
         zip(
@@ -261,20 +261,29 @@
 
 def told_of(rig, begin, end):
     """The report of a run."""
-    told, names = rig.told, rig.known_names
-    roles = {role: summed(rig.of(role), begin, end) for role in ROLES}
-    up = [one for one in rig.of("hollow") if one.process.is_running and one.meters]
+    told, names = rig.parameters, rig.names
+    roles = {role: summed(rig.of_role(role), begin, end) for role in ROLES}
+    up = [one for one in rig.of_role("hollow") if one.process.is_running and one.meter_lines]
     if up:
         roles["hollow"]["rss_mb_each"] = (
-            sum(one.meters[-1]["rss"] - one.empty for one in up) / 2**20 / told.hollow
+            sum(one.meter_lines[-1]["rss"] - one.empty_rss for one in up) / 2**20 / told.hollow
         )
         roles["hollow"]["turn_s"] = max(
-            line.get("turn", 0.0) for one in up for line in one.meters if line["at"] >= begin
+            line.get("turn", 0.0) for one in up for line in one.meter_lines if line["at"] >= begin
         )
-    lists = [(at, rig.arrivals.get(index, [])) for index, at in sorted(rig.changed.items())]
-    done = [one for one in rig.proposed if one["outcome"] == "committed"]
-    forces = [(one["since"], list(rig.generations.get(one["number"], {}).values())) for one in done]
-    lasts = {role: [one.meters[-1] for one in rig.of(role) if one.meters] for role in roles}
+    lists = [
+        (at, rig.reports.list_arrivals.get(index, []))
+        for index, at in sorted(rig.reports.list_changes.items())
+    ]
+    done = [one for one in rig.changes.proposed if one["outcome"] == "committed"]
+    forces = [
+        (one["since"], list(rig.reports.generations.get(one["number"], {}).values()))
+        for one in done
+    ]
+    lasts = {
+        role: [one.meter_lines[-1] for one in rig.of_role(role) if one.meter_lines]
+        for role in roles
+    }
     gateways = lasts["hollow"] + lasts["real"]
 
     def total(lines, kind, at):
@@ -303,14 +312,16 @@
             ],
         },
     }
-    troubles = list(rig.troubles)
-    if rig.longest > STOOD_STILL:
-        troubles.append(f"the rig stood still for {rig.longest:.2f} s: this machine is too busy")
+    troubles = list(rig.reports.faults)
+    if rig.longest_turn_s > STOOD_STILL:
+        troubles.append(
+            f"the rig stood still for {rig.longest_turn_s:.2f} s: this machine is too busy"
+        )
     if (turn := roles["hollow"].get("turn_s", 0.0)) > FENCE:
         troubles.append(
             f"a process of hollow gateways stood still for {turn:.2f} s: fewer in one would do"
         )
-    ready = sorted(rig.ready.values())
+    ready = sorted(rig.reports.ready_after.values())
     report = {
         "scale": msgspec.to_builtins(told),
         "seconds": end - begin,
@@ -321,41 +332,41 @@
             **reach(lists),
         },
         "settings": {
-            "changes": len(rig.proposed),
+            "changes": len(rig.changes.proposed),
             "committed": len(done),
             "reached": sum(len(times) >= len(names) for _, times in forces),
             **reach(forces),
-            "outcomes": [f"{one['outcome']}: {one['why']}"[:200] for one in rig.proposed],
+            "outcomes": [f"{one['outcome']}: {one['why']}"[:200] for one in rig.changes.proposed],
         },
         "ready_s": {"median": median(ready), "last": ready[-1] if ready else None},
         "sums": sums,
         "start": rig.started,
         "stood_still": sum(
-            event["event"] == "stood_still" for one in rig.parties for event in one.events
+            event["event"] == "stood_still" for one in rig.processes for event in one.events
         ),
         "void": "; ".join(troubles),
     }
     if told.restart_at:
         report["restart"] = {
-            "listed": len(rig.firsts),
+            "listed": len(rig.reports.first_lists),
             "ready": len(ready),
-            "list_median_s": median(rig.firsts),
-            "list_last_s": max(rig.firsts, default=None),
+            "list_median_s": median(rig.reports.first_lists),
+            "list_last_s": max(rig.reports.first_lists, default=None),
         }
     return report
 
 
 def play(told: Scale) -> dict:
     """Play a run, and tell its figures: a second, all processes of a role together, of the steady part. Raises ScaleError
-    where it will not do, before anything is started, and RigError where it did not come about."""
+    where it will not do, before anything is started, and ScaleRunError where it did not come about."""
     check(told)
     fits(told)
-    rig, began = Rig(told, crowds(told), partial(settings, told)), time.time()
+    rig, began = ScaleTestbed(told, crowds(told), partial(settings, told)), time.time()
     try:
         rig.start()
         rig.started = {
             "seconds": time.time() - began,
-            **{role: spent_so_far(rig.of(role)) for role in ROLES},
+            **{role: spent_so_far(rig.of_role(role)) for role in ROLES},
         }
         begin, end = rig.run()
         rig.rest()
@@ -369,7 +380,7 @@
     ScaleError."""
     try:
         report = play(load(path))
-    except RigError as error:
+    except ScaleRunError as error:
         print(error)
         return 1
     show(report)
--- a/tests/integration/testbed/test_scale.py
+++ b/tests/integration/testbed/test_scale.py
@@ -19,10 +19,11 @@
 from petrellane.net import resp
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.testbed import hollow, scale, testbed
+from petrellane.testbed import hollow, scale
 from petrellane.testbed.fake_counter import FakeCounter
 from petrellane.testbed.fake_server import FakeServer
 from petrellane.testbed.scale_discovery import ScaleDiscovery
+from petrellane.testbed.scale_process import ScaleProcess
 
 WRONG = [  # (the section's text, what the one line names)
     ("hollow = 3\nwings = 2", "wings"),
@@ -113,7 +114,7 @@
         )
 
     def test_nothing_is_started_before_it_is_refused(self):
-        with unittest.mock.patch.object(scale, "Rig") as made:
+        with unittest.mock.patch.object(scale, "ScaleTestbed") as made:
             for told in (scale.Scale(hollow=-1), scale.Scale(hollow=5000, real=190, hosts=50_000)):
                 self.assertRaises(scale.ScaleError, scale.play, told)
         made.assert_not_called()
@@ -130,24 +131,24 @@
     """What is made of what processes tell."""
 
     def test_what_a_process_spent_is_that_of_the_steady_part(self):
-        party = testbed.Party.__new__(testbed.Party)
-        party.meters = [
+        party = ScaleProcess.__new__(ScaleProcess)
+        party.meter_lines = [
             {"at": at, "cpu": at * 0.1, "by": {"counter": [2 * at, at, 20 * at, 10 * at]}}
             for at in range(20)
         ]
-        total, by = party.spent(5.0, 15.0)
+        total, by = party.usage(5.0, 15.0)
         for found, expected in zip(
             (*total, *by["counter"]), (0.1, 2, 1, 20, 10, 2, 1, 20, 10), strict=True
         ):
             self.assertAlmostEqual(found, expected)
-        self.assertEqual(party.spent(30.0, 40.0), ([0.0] * 5, {}))
+        self.assertEqual(party.usage(30.0, 40.0), ([0.0] * 5, {}))
 
     def test_one_that_ends_or_begins_within_counts_for_its_part(self):
-        party = testbed.Party.__new__(testbed.Party)
-        party.meters = [{"at": 10.0 + at, "cpu": float(at), "by": {}} for at in range(1, 6)]
-        self.assertAlmostEqual(party.spent(5.0, 15.0)[0][0], 0.5)  # 5 s of CPU in 10
-        party.meters = [{"at": float(at), "cpu": float(at), "by": {}} for at in range(0, 11)]
-        self.assertAlmostEqual(party.spent(5.0, 15.0)[0][0], 0.5)
+        party = ScaleProcess.__new__(ScaleProcess)
+        party.meter_lines = [{"at": 10.0 + at, "cpu": float(at), "by": {}} for at in range(1, 6)]
+        self.assertAlmostEqual(party.usage(5.0, 15.0)[0][0], 0.5)  # 5 s of CPU in 10
+        party.meter_lines = [{"at": float(at), "cpu": float(at), "by": {}} for at in range(0, 11)]
+        self.assertAlmostEqual(party.usage(5.0, 15.0)[0][0], 0.5)
 
     def test_the_last_one_is_the_last_of_all(self):
         told = scale.reach([(10.0, [10.1, 10.2, 10.6]), (20.0, [20.3, 20.4, 20.5]), (30.0, [])])
