--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -243,13 +243,13 @@
         spans = Spans(
             build_terms(lab.spec, lab.settings), [one.name for one in lab.hosts], float(SLOTS)
         )
-        judge = lab.records.judge
+        judge = lab.records.observe
 
         def judged(record):
             judge(record)
             spans.take(record)
 
-        lab.records.judge = judged
+        lab.records.observe = judged
         lab.start()
         lab.clients.start()
         lab.run_for(GONE)
--- a/benchmarks/left.py
+++ b/benchmarks/left.py
@@ -30,7 +30,7 @@
 from petrellane.testbed.fleet import LoopbackFleet
 from petrellane.testbed.fleet_spec import FleetSpec  # noqa: E402
 from petrellane.testbed.processes import Build  # noqa: E402
-from petrellane.testbed.records import CROSSED  # noqa: E402
+from petrellane.testbed.records import CROSSING_S  # noqa: E402
 from petrellane.testbed.run_file import parse_run_file  # noqa: E402
 from petrellane.testbed.runner import StepRunner  # noqa: E402
 
@@ -195,23 +195,23 @@
         lab.clients.stop()
         lab.finish_load()
         verdict = lab.verdict()
-        after = lab.records.sent_after
-        late = [(rpc, number) for rpc, number, took in after if took > CROSSED]
+        after = lab.records.late_attempts
+        late = [(rpc, number) for rpc, number, took in after if took > CROSSING_S]
         for rpc in sorted(
             {rpc for rpc, _ in late} | {rpc for one in verdict.violations for rpc in one.rpcs}
         ):
             print(
                 rpc,
-                f"left={lab.records.gone.get(rpc, math.nan):.3f}",
-                *lab.records.about(rpc),
+                f"left={lab.records.disconnected_at.get(rpc, math.nan):.3f}",
+                *lab.records.describe(rpc),
                 sep="\n    ",
             )
         for one in verdict.violations:
             print(f"{one.at:8.3f} {one.rule}: {one.text}")
         return {
             "seed": seed,
-            "left": len(lab.records.gone),
-            "waited": len(cases(lab.records.kept, lab.records.gone)),
+            "left": len(lab.records.disconnected_at),
+            "waited": len(cases(lab.records.history, lab.records.disconnected_at)),
             "sent after": len(after),
             "late first": sum(not number for _, number in late),
             "late further": sum(bool(number) for _, number in late),
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -189,7 +189,7 @@
             )
             lab.run_for(seconds)
             found = compute_figures(
-                sources.trace_from_records(lab.records.kept, since, lab.records.now())
+                sources.trace_from_records(lab.records.history, since, lab.records.now())
             )
             took = sorted(one for one, answer in lab.clients.waits[waits:] if answer == "ok")
             answers = {}
@@ -260,10 +260,12 @@
         for broken in verdict.violations[:3]:
             print(
                 broken.text,
-                *(line for rpc in broken.rpcs for line in lab.records.about(rpc)),
+                *(line for rpc in broken.rpcs for line in lab.records.describe(rpc)),
                 sep="\n  ",
             )
-        print(*(f"{at:8.3f} {text}" for at, text in lab.records.told if "still" in text), sep="\n")
+        print(
+            *(f"{at:8.3f} {text}" for at, text in lab.records.timeline if "still" in text), sep="\n"
+        )
     return rows, machine
 
 
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -176,7 +176,8 @@
     ],
 ) -> None:
     """Run the control process that staff propose settings to, until SIGTERM."""
-    from petrellane.config import ConfigError, load_control_config
+    from petrellane.config import ConfigError
+    from petrellane.config.consensus import load_control_config
     from petrellane.config_consensus.control_service import ControlService
     from petrellane.config_consensus.journal import JournalError
 
@@ -202,7 +203,8 @@
         as_json: Print JSON in place of words.
         call: Runs one command; its ConfigError and CommandFailedError end the command line.
     """
-    from petrellane.config import ConfigError, load_control_config
+    from petrellane.config import ConfigError
+    from petrellane.config.consensus import load_control_config
     from petrellane.config_consensus.commands import (
         CommandFailedError,
         ControlClient,
@@ -327,9 +329,10 @@
     file: Annotated[str, typer.Argument(help="A scale file; docs/testbed.md has the notation.")],
 ) -> None:
     """Run many hollow gateways beside some real ones."""
-    from petrellane.testbed import scale
+    from petrellane.testbed.scale import runner
+    from petrellane.testbed.scale.config import ScaleError
 
     try:
-        raise typer.Exit(scale.play_file(file))
-    except scale.ScaleError as error:
+        raise typer.Exit(runner.play_file(file))
+    except ScaleError as error:
         _exit_with_error(error)
--- a/petrellane/testbed/__init__.py
+++ b/petrellane/testbed/__init__.py
@@ -11,4 +11,5 @@
 
 A scale run has hollow gateways, real ones and the test doubles in processes of their own: `scale`
 says what is run, `testbed` holds the processes, and each reports through `metered` what it spends.
+`slopes` fits lines to such runs, and `capacity` works out the page of capacity from them.
 """
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -14,7 +14,7 @@
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Address, Closed, Stream
 from petrellane.testbed.fake_server import LIMITS
-from petrellane.testbed.records import Records
+from petrellane.testbed.records import ReceivedRpc, Records
 
 DIAL_TIMEOUT_S = 0.5
 GRACE_S = 0.3  # past its patience, after which a client stops listening
@@ -174,7 +174,7 @@
                     deadline = self._scheduler.monotonic() + rpc.method.patience
                     self._record_received(rpc, front)
                 verdict = self._exchange(stream, rpc, deadline)
-                if rpc.name not in self._records.open:
+                if rpc.name not in self._records.open_rpcs:
                     # It died with its gateway: nobody may send it again.
                     stream.close()
                     return
@@ -208,14 +208,16 @@
             self.out -= 1
 
     def _record_received(self, rpc: ClientRpc, front: Front) -> None:
-        self._records.taken(
-            rpc.name,
-            front.name,
-            rpc.customer.key,
-            rpc.customer.plan,
-            rpc.method.name,
-            rpc.customer.units,
-            rpc.method.patience,
+        self._records.on_received(
+            ReceivedRpc(
+                rpc.name,
+                front.name,
+                rpc.customer.key,
+                rpc.customer.plan,
+                rpc.method.name,
+                rpc.customer.units,
+                rpc.method.patience,
+            )
         )
 
     def _connections(self, front: Front) -> Iterator[tuple[Stream, bool]]:
@@ -259,7 +261,7 @@
     def _leave(self, stream: Stream, rpc: ClientRpc) -> None:
         """Close a connection before its answer."""
         # Recorded first: the close takes some time, within which it may be seen.
-        self._records.left(rpc.name)
+        self._records.on_client_disconnected(rpc.name)
         if self.half_closing and self._random.random() < self.half_closing:
             stream.finish()
             self._scheduler.wait(GRACE_S)
@@ -272,7 +274,7 @@
         if verdict in (invariants.OK, invariants.REJECTED) or is_host_error:
             front.idle.append(stream)
             answer = invariants.ABORTED if is_host_error else verdict
-            self._records.answered(rpc.name, answer, method)
+            self._records.on_answered(rpc.name, answer, method)
             self.waits.append((self._scheduler.monotonic() - rpc.intended, verdict))
             return
         # No answer, or none that a host made: it is lost, unless its gateway was killed.
--- a/petrellane/testbed/fake_discovery.py
+++ b/petrellane/testbed/fake_discovery.py
@@ -298,7 +298,7 @@
             if before < change.list_index <= index:
                 state = invariants.READY if change.status == "in_service" else change.status
                 since = change.since and change.since - self._records.began
-                self._records.take(
+                self._records.add(
                     invariants.EndpointNotified(
                         self._records.now(), gateway, change.host, state, since
                     )
--- a/petrellane/testbed/fake_host.py
+++ b/petrellane/testbed/fake_host.py
@@ -15,7 +15,7 @@
 from petrellane.net.stream import Address, Stream
 from petrellane.testbed.addresses import ANY_PORT
 from petrellane.testbed.fake_server import FakeServer
-from petrellane.testbed.records import Call, Records
+from petrellane.testbed.records import ArrivedAttempt, HostAttempt, Records
 
 TWO_NULLS = b"$-1\r\n$-1\r\n"
 MAXIMUM_REMEMBERED = 20_000  # idempotency keys and peers
@@ -47,9 +47,9 @@
 
 
 @dataclass(frozen=True)
-class _WaitingCall:
+class _WaitingAttempt:
     stream: Stream
-    call: Call
+    attempt: HostAttempt
     work_s: float
 
 
@@ -102,8 +102,8 @@
         self._records = records
         self._executed_keys = executed_keys
         self._random = random.Random(f"{spec.seed} {spec.name}")
-        self._waiting: deque[_WaitingCall] = deque()
-        self._in_flight: dict[Stream, list[Call]] = {}
+        self._waiting: deque[_WaitingAttempt] = deque()
+        self._in_flight: dict[Stream, list[HostAttempt]] = {}
         self._closed_peers: set[Address] = set()  # whose gateway has closed the connection
 
     def serve(self, stream: Stream) -> None:
@@ -122,12 +122,12 @@
             waiting = self._waiting.popleft()
             self.busy += 1
             seconds = waiting.work_s * self.slowdown / self._speed()
-            self.scheduler.after(seconds, partial(self._complete, waiting.stream, waiting.call))
+            self.scheduler.after(seconds, partial(self._complete, waiting.stream, waiting.attempt))
 
     def on_disconnected(self, stream: Stream) -> None:
-        """End the calls of a connection: the gateway has given them up."""
-        for call in self._in_flight.pop(stream, ()):
-            self._records.ended(call, "late")
+        """End the attempts of a connection: the gateway has given them up."""
+        for attempt in self._in_flight.pop(stream, ()):
+            self._records.on_attempt_ended(attempt, "late")
 
     def on_peer_closed(self, peer: Address) -> None:
         """Take note from a relay that a gateway has closed its connection.
@@ -138,10 +138,10 @@
         self._closed_peers.add(peer)
         if len(self._closed_peers) > MAXIMUM_REMEMBERED:
             self._closed_peers.clear()
-        for stream, calls in self._in_flight.items():
+        for stream, attempts in self._in_flight.items():
             if self.streams.get(stream) == peer:
-                for call in calls:
-                    self._records.ended(call, "late")
+                for attempt in attempts:
+                    self._records.on_attempt_ended(attempt, "late")
 
     def crash(self) -> None:
         """Stop listening, and reset all connections, as when its process dies."""
@@ -156,7 +156,7 @@
         self._waiting.clear()
         self.listen_again()
         self.on_restart()
-        self._records.take(
+        self._records.add(
             invariants.EndpointStarted(self._records.now(), self.name, float(self._spec.slots))
         )
 
@@ -175,24 +175,26 @@
         mean_work_s = self._spec.mean_work_s.get(fields.get("c", ""), DEFAULT_WORK_S)
         work_s = mean_work_s * self._random.expovariate(1.0)
         peer = self.streams.get(stream)
-        late = peer in self._closed_peers
+        is_late = peer in self._closed_peers
         if len(self.relayed_at) > MAXIMUM_REMEMBERED:
             self.relayed_at.clear()
-        call = self._records.sent(
-            rpc, self.name, work_s, fields.get("k"), late, self.relayed_at.get(peer)
+        attempt = self._records.on_attempt_arrived(
+            ArrivedAttempt(
+                rpc, self.name, work_s, fields.get("k"), is_late, self.relayed_at.get(peer)
+            )
         )
         if self.silent:
-            self._in_flight.setdefault(stream, []).append(call)
+            self._in_flight.setdefault(stream, []).append(attempt)
         elif self.draining or len(self._waiting) >= self._spec.queue:
-            self._records.ended(call, "full")
+            self._records.on_attempt_ended(attempt, "full")
             stream.write(b"-BUSY\r\n")
         else:
-            self._in_flight.setdefault(stream, []).append(call)
-            self._waiting.append(_WaitingCall(stream, call, work_s))
+            self._in_flight.setdefault(stream, []).append(attempt)
+            self._waiting.append(_WaitingAttempt(stream, attempt, work_s))
             self.run_waiting()
 
-    def _complete(self, stream: Stream, call: Call) -> None:
-        """Free the slot of a call whose work is done, and answer it.
+    def _complete(self, stream: Stream, attempt: HostAttempt) -> None:
+        """Free the slot of an attempt whose work is done, and answer it.
 
         A host that has crashed meanwhile does neither run nor answer it.
         """
@@ -200,28 +202,28 @@
         if self.listener is not None:
             fails = self._random.random() < self.error_rate
             if not fails:
-                self._execute(call)
-            if call in self._in_flight.get(stream, ()) and not self.silent:
-                self._in_flight[stream].remove(call)
-                self._records.ended(call, "error" if fails else "ok")
-                self._answer(stream, call, fails)
+                self._execute(attempt)
+            if attempt in self._in_flight.get(stream, ()) and not self.silent:
+                self._in_flight[stream].remove(attempt)
+                self._records.on_attempt_ended(attempt, "error" if fails else "ok")
+                self._answer(stream, attempt, fails)
         self.run_waiting()
 
-    def _execute(self, call: Call) -> None:
+    def _execute(self, attempt: HostAttempt) -> None:
         """Take note that an RPC ran, unless its idempotency key has run before."""
         self.ran += 1
-        if call.key is None or call.key not in self._executed_keys:
-            self._executed_keys[call.key] = None
-            self._records.ran(call)
+        if attempt.key is None or attempt.key not in self._executed_keys:
+            self._executed_keys[attempt.key] = None
+            self._records.on_executed(attempt)
         if len(self._executed_keys) > MAXIMUM_REMEMBERED:
             for key in list(self._executed_keys)[: MAXIMUM_REMEMBERED // 2]:
                 del self._executed_keys[key]
 
-    def _answer(self, stream: Stream, call: Call, fails: bool) -> None:
+    def _answer(self, stream: Stream, attempt: HostAttempt, fails: bool) -> None:
         if fails:
             stream.write(b"-ERR failed\r\n")
             return
-        value = call.rpc.encode()
+        value = attempt.rpc.encode()
         stream.write(b"*3\r\n$%d\r\n%b\r\n%b" % (len(value), value, TWO_NULLS))
 
 
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -37,7 +37,7 @@
     build_terms,
 )
 from petrellane.testbed.processes import Crash, LogEvent, Process
-from petrellane.testbed.records import SETTLE, Records
+from petrellane.testbed.records import SETTLE_S, Records
 from petrellane.testbed.relay import Relay
 
 Found = TypeVar("Found")
@@ -113,7 +113,7 @@
         self._turned_at = time.monotonic()
         terms = build_terms(spec, self.settings)
         self.records = Records(terms, self.scheduler.now, self.scheduler.after)
-        self.records.proves = spec.proves
+        self.records.generation_by_method = spec.proves
         self.relays = FleetRelays(
             self.scheduler, spec.relays, spec.seed, self.addresses, self._is_gateway
         )
@@ -172,18 +172,18 @@
         """Run the scheduler for one turn, and note stalls."""
         # Whoever drives the fleet did something else meanwhile: to start a process takes time.
         away = time.monotonic() - self._turned_at
-        if away > SETTLE:
-            self.records.stood_still = self.records.turns
+        if away > SETTLE_S:
+            self.records.last_stall = self.records.turns
         pause = self.scheduler.pause()
         self.scheduler.turn(TURN_MS if pause is None else min(TURN_MS, pause))
         self.records.turns += 1
         stall = away + self.scheduler.longest
         self.scheduler.longest = 0.0
         self._turned_at = time.monotonic()
-        if stall > SETTLE and (self.clients.on or self.clients.out):
-            self.records.tell(f"the rig stood still for {stall:.3f} s")
+        if stall > SETTLE_S and (self.clients.on or self.clients.out):
+            self.records.note(f"the rig stood still for {stall:.3f} s")
             self.longest_stall_s = max(self.longest_stall_s, stall)
-            self.records.stood_still = self.records.turns
+            self.records.last_stall = self.records.turns
 
     def run_for(self, seconds: float) -> None:
         """Let so much time go by."""
@@ -273,12 +273,12 @@
 
     def partition(self, names: Collection[str]) -> None:
         """Cut a set of gateways from control processes and the other gateways, both ways."""
-        self.records.tell(f"cut: {', '.join(names)} from the rest")
+        self.records.note(f"cut: {', '.join(names)} from the rest")
         self.relays.partition(names)
 
     def heal(self) -> None:
         """End all faults of relays."""
-        self.records.tell("all relays healed")
+        self.records.note("all relays healed")
         self.relays.heal()
 
     def verdict(self) -> invariants.Verdict:
@@ -286,7 +286,7 @@
         for control in self.controls.values():
             if control.process is not None and control.process.is_running:
                 for generation in control.ask("history").get("history", ()):
-                    self.records.take(
+                    self.records.add(
                         invariants.GenerationDecided(
                             self.records.now(),
                             generation["number"],
@@ -298,14 +298,14 @@
 
     def timeline(self, maximum: int = 60) -> str:
         """Return what happened last, a line each."""
-        return "\n".join(f"{at:8.3f} {text}" for at, text in self.records.told[-maximum:])
+        return "\n".join(f"{at:8.3f} {text}" for at, text in self.records.timeline[-maximum:])
 
     def on_event(self, name: str, event: LogEvent) -> None:
         """Take what a process has logged."""
         kind = event["event"]
         if kind in TIMELINE_EVENTS:
             shown = {key: value for key, value in event.items() if key not in HIDDEN_FIELDS}
-            self.records.tell(f"{name}: {kind} {orjson.dumps(shown).decode()[:MAXIMUM_LINE]}")
+            self.records.note(f"{name}: {kind} {orjson.dumps(shown).decode()[:MAXIMUM_LINE]}")
         if kind == "fault":
             self.crashes.append(Crash(name, "fault", event.get("trace", event.get("error"))))
 
@@ -314,7 +314,7 @@
         code = process.popen.returncode
         text = process.stderr_tail()
         self.crashes.append(Crash(process.name, code, text))
-        self.records.tell(f"{process.name} crashed: exit code {code}: {text[-MAXIMUM_STDERR:]}")
+        self.records.note(f"{process.name} crashed: exit code {code}: {text[-MAXIMUM_STDERR:]}")
 
     def close(self) -> None:
         """End all processes by their ids, and remove all files."""
--- a/petrellane/testbed/fleet_control.py
+++ b/petrellane/testbed/fleet_control.py
@@ -65,7 +65,7 @@
         if self.process is not None:
             self.process.close()
         self._write_config()
-        self._fleet.records.tell(f"{self.name} starts")
+        self._fleet.records.note(f"{self.name} starts")
         self.events.append({"event": "begins"})
         spec = ProcessSpec(
             self.name,
@@ -84,7 +84,7 @@
         """
         if self.process is None:
             raise RuntimeError(f"expected a process of {self.name}, found none")
-        self._fleet.records.tell(f"{self.name} is killed")
+        self._fleet.records.note(f"{self.name} is killed")
         self.process.kill()
         self.process.popen.wait()
 
--- a/petrellane/testbed/fleet_gateway.py
+++ b/petrellane/testbed/fleet_gateway.py
@@ -121,14 +121,14 @@
                 raise RuntimeError(f"expected that {self.name} has ended, found it running")
             self.process.close()
         self.ready = False
-        self.fleet.records.tell(f"{self.name} starts")
+        self.fleet.records.note(f"{self.name} starts")
         self._follow_target()
         self.process = self._run({})
 
     def replace(self) -> None:
         """Start a process that succeeds the running one, which is told to end afterwards."""
         old = self.running_process()
-        self.fleet.records.tell(f"{self.name} is replaced")
+        self.fleet.records.note(f"{self.name} is replaced")
         event_count = len(self.events)
         management = self._at(self._successor_management_port)
         self.process = self._run({"PROXY_MANAGEMENT": management})
@@ -143,7 +143,7 @@
     def kill(self) -> None:
         """Kill it outright: nobody answers what it had received."""
         process = self.running_process()
-        self.fleet.records.tell(f"{self.name} is killed")
+        self.fleet.records.note(f"{self.name} is killed")
         self.ready = False
         process.kill()
         process.popen.wait()
@@ -152,13 +152,13 @@
 
     def pause(self) -> None:
         """Stop its process until `resume`."""
-        self.fleet.records.tell(f"{self.name} is stopped")
+        self.fleet.records.note(f"{self.name} is stopped")
         self.running_process().pause()
         self._record("paused")
 
     def resume(self) -> None:
         """Let its process go on."""
-        self.fleet.records.tell(f"{self.name} goes on")
+        self.fleet.records.note(f"{self.name} goes on")
         self.running_process().resume()
         self._record("resumed")
 
@@ -229,8 +229,8 @@
     def _forget(self) -> None:
         """Take note that its process has ended without answering what it had received."""
         self.fleet.discovery.forget(self.name)
-        self.fleet.records.forget(self.name)
+        self.fleet.records.on_gateway_killed(self.name)
 
     def _record(self, event: str) -> None:
         records = self.fleet.records
-        records.take(invariants.GatewayLifecycle(records.now(), self.name, event))
+        records.add(invariants.GatewayLifecycle(records.now(), self.name, event))
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -45,14 +45,14 @@
             self._after(step.length, partial(self._end, step, undo))
 
     def _end(self, step: Step, undo: Undo) -> None:
-        self._fleet.records.tell(f"{step.do} is over: {', '.join(step.who)}")
+        self._fleet.records.note(f"{step.do} is over: {', '.join(step.who)}")
         undo()
 
     def _execute(self, step: Step) -> Undo | None:
         """Do one step; return what undoes it."""
         fleet = self._fleet
         routes = step.between if step.do in RELAY_FAULTS else ()
-        fleet.records.tell(" ".join([step.do, *step.who, *routes]))
+        fleet.records.note(" ".join([step.do, *step.who, *routes]))
         if step.do in RELAY_FAULTS:
             return self._inject_relay_fault(step)
         if step.do == "split":
--- a/petrellane/testbed/scale_reports.py
+++ b/petrellane/testbed/scale_reports.py
@@ -30,7 +30,7 @@
         """Expect reports of these gateways, which start with a list of so many hosts."""
         self.ready_after: dict[str, float] = {}
         self.first_lists: list[float] = []
-        self.generations: dict[int, dict[str, float]] = {}
+        self.generations: dict[int | None, dict[str, float]] = {}
         self.list_changes: dict[int, float] = {}
         self.list_arrivals: dict[int, list[float]] = {}
         self.faults: list[str] = []
--- a/petrellane/testbed/services.py
+++ b/petrellane/testbed/services.py
@@ -6,8 +6,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from pathlib import Path
-from typing import Any, Protocol, Self
+from typing import TYPE_CHECKING, Any, Self
 
 import orjson
 
@@ -18,17 +17,14 @@
 from petrellane.testbed.fake_counter import FakeCounter
 from petrellane.testbed.scale_discovery import EndpointChanges, ScaleDiscovery
 
+if TYPE_CHECKING:
+    from petrellane.testbed.metered import Meter
+
 BACKLOG = 4096  # many gateways dial at once
 MAXIMUM_LOG_LINES = 100_000  # that wait for the testbed
 STANDARD_OUTPUT = 1
 
 
-class Meter(Protocol):
-    """Reports what this process spends, and figures that `more` adds."""
-
-    more: Callable[[], dict[str, Any]]
-
-
 @dataclass(frozen=True)
 class ServiceParameters:
     """What the testbed writes for a test double.
@@ -52,7 +48,8 @@
     @classmethod
     def read(cls, path: str) -> Self:
         """Read the testbed's file."""
-        stored = orjson.loads(Path(path).read_bytes())
+        with open(path, "rb") as file:
+            stored = orjson.loads(file.read())
         return cls(
             (stored["ip"], stored["port"]),
             stored["words"],
@@ -63,7 +60,7 @@
         )
 
 
-def run(program: str, path: str, meter: Meter) -> int:
+def run(program: str, path: str, meter: "Meter") -> int:
     """Be one of the test doubles until the testbed ends this process.
 
     Args:
@@ -89,7 +86,7 @@
 
 
 def _start_counter(
-    scheduler: Scheduler, parameters: ServiceParameters, meter: Meter
+    scheduler: Scheduler, parameters: ServiceParameters, meter: "Meter"
 ) -> dict[str, Callable[[], object]]:
     """Start the counter; return the handlers of commands, of which it knows none."""
     counter = FakeCounter(scheduler, parameters.address)
@@ -99,7 +96,7 @@
 
 
 def _start_discovery(
-    scheduler: Scheduler, log: Logger, parameters: ServiceParameters, meter: Meter
+    scheduler: Scheduler, log: Logger, parameters: ServiceParameters, meter: "Meter"
 ) -> dict[str, Callable[[], object]]:
     """Start discovery; return the handlers of commands."""
     discovery = ScaleDiscovery(scheduler, parameters.rows, parameters.rate)
--- a/tests/integration/testbed/test_testbed.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -21,7 +21,7 @@
 from petrellane.testbed.fleet import LoopbackFleet
 from petrellane.testbed.fleet_spec import FleetSpec, SettingsSpec, build_settings
 from petrellane.testbed.processes import Build
-from petrellane.testbed.records import Records
+from petrellane.testbed.records import ArrivedAttempt, ReceivedRpc, Records
 from petrellane.testbed.relay import Relay
 from petrellane.testbed.run_file import RunFileError, parse_run_file
 
@@ -495,7 +495,7 @@
             lab.finish_load()
             committed = {1: True, 2: "after" in allowed}
             for number, decided in committed.items():
-                lab.records.take(invariants.GenerationDecided(lab.records.now(), number, decided))
+                lab.records.add(invariants.GenerationDecided(lab.records.now(), number, decided))
             verdict = lab.records.close()
             self.assertEqual(
                 verdict.counts, {}, f"{step}: {verdict.violations[:2]}\n{lab.timeline()}"
@@ -823,16 +823,16 @@
             {"a": (1, "z"), "b": (1, "z")},
         )
         records = Records(invariants.Terms(methods, {}, groups), lambda: clock[0])
-        records.taken("r", "g0", "c", "free", "post", 1.0, 2.0)
-        first = records.sent("r", "a", 0.1)
+        records.on_received(ReceivedRpc("r", "g0", "c", "free", "post", 1.0, 2.0))
+        first = records.on_attempt_arrived(ArrivedAttempt("r", "a", 0.1))
         for _ in range(5):
             records.turns, clock[0] = records.turns + 1, clock[0] + 0.1
-        records.sent("r", "b", 0.1)
+        records.on_attempt_arrived(ArrivedAttempt("r", "b", 0.1))
         for _ in range(turns):
             records.turns += 1
         clock[0] += 0.2  # the turn takes its time
-        records.forget("other")
-        records.ended(first, "late")
+        records.on_gateway_killed("other")
+        records.on_attempt_ended(first, "late")
         return records.close().counts
 
     def test_an_end_that_is_read_late_in_a_long_turn(self):
@@ -847,11 +847,11 @@
             lambda: clock[0],
         )
         records.turns = 10
-        records.taken("r", "g0", "c", "free", "look", 1.0, 2.0)
+        records.on_received(ReceivedRpc("r", "g0", "c", "free", "look", 1.0, 2.0))
         if stood_still:
-            records.stood_still = records.turns
-        records.answered("r", invariants.REJECTED, "look")
-        records.ended(records.sent("r", "a", 0.1), "late")
+            records.last_stall = records.turns
+        records.on_answered("r", invariants.REJECTED, "look")
+        records.on_attempt_ended(records.on_attempt_arrived(ArrivedAttempt("r", "a", 0.1)), "late")
         return records.close().counts
 
     def test_what_hosts_got_while_the_rig_stood_still_comes_before_the_answer(self):
@@ -873,16 +873,20 @@
             lambda: clock[0],
             lambda seconds, call: calls.append((clock[0] + seconds, call)),
         )
-        records.taken("r", "g0", "c", "free", "look", 1.0, 2.0)
+        records.on_received(ReceivedRpc("r", "g0", "c", "free", "look", 1.0, 2.0))
         clock[0] = at
-        records.left("r")
+        records.on_client_disconnected("r")
         (due, told), clock[0] = calls[0], at + sent
         if sent < due - at:
-            records.ended(records.sent("r", "a", 0.1, came=came), "late")
+            records.on_attempt_ended(
+                records.on_attempt_arrived(ArrivedAttempt("r", "a", 0.1, read_at=came)), "late"
+            )
         records.turns, clock[0] = 10, max(due, at + sent)
         told()
         if sent >= due - at:
-            records.ended(records.sent("r", "a", 0.1, came=came), "late")
+            records.on_attempt_ended(
+                records.on_attempt_arrived(ArrivedAttempt("r", "a", 0.1, read_at=came)), "late"
+            )
         return records.close().counts
 
     def test_what_crosses_a_client_that_leaves_in_its_last_moment_is_no_fault(self):
@@ -952,7 +956,7 @@
             lab.run_for(2.5)
             self.late = {
                 one.gateway
-                for one in lab.records.kept
+                for one in lab.records.history
                 if isinstance(one, invariants.AttemptSent)
                 and one.host == "h0"
                 and one.at > lab.records.now() - 0.8
@@ -1012,7 +1016,7 @@
 
         def do(lab):
             for name, size in faults:
-                lab.records.tell(f"{name} at h0 and h1")
+                lab.records.note(f"{name} at h0 and h1")
                 for relay in lab.between("host", to=["h0", "h1"]):
                     relay.fault(name, size)
                 lab.run_for(seconds)
