--- a/tests/integration/testbed/test_testbed.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -333,7 +333,7 @@
             self.assertEqual(told["outcome"], "aborted")
             self.assertIn("refused by g2", told["why"])
             os.rename(folder + ".away", folder)
-            lab.records.proves["after"] = 3
+            lab.records.generation_by_method["after"] = 3
             self.assertEqual(lab.change_settings(second(lab))["reached"], 3)
             self.judge(lab)
 
@@ -417,7 +417,7 @@
             self.assertEqual(told["outcome"], "aborted")
             self.assertIn("g3 (no address in the roster)", told["why"])
             lab.gateways[3].kill()  # it is taken off for good, by staff's word
-            lab.records.proves["after"] = 3
+            lab.records.generation_by_method["after"] = 3
             told = lab.change_settings(second(lab), without=["g3"])
             self.assertEqual((told["outcome"], told["absent"]), ("committed", ["ghost"]))
             lab.gateways[3].start()
