--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -161,11 +161,11 @@
 ) -> None:
     """Print how evenly load is distributed over endpoints."""
     from petrellane.load_distribution import commands
-    from petrellane.load_distribution.sources import SpreadError
+    from petrellane.load_distribution.sources import LoadSourceError
 
     try:
-        commands.tell(path, since, until or None, json, svg, seed)
-    except SpreadError as error:
+        commands.print_figures(commands.SpreadOptions(path, since, until or None, json, svg, seed))
+    except LoadSourceError as error:
         _exit_with_error(error)
 
 
@@ -324,11 +324,11 @@
 ) -> None:
     """Play a run file and tell what happened."""
     from petrellane.testbed import command
-    from petrellane.testbed.runner import PlayError
+    from petrellane.testbed.run_file import RunFileError
 
     try:
         raise typer.Exit(command.play_file(file, records))
-    except PlayError as error:
+    except RunFileError as error:
         _exit_with_error(error)
 
 
