--- a/benchmarks/config_consensus.py
+++ b/benchmarks/config_consensus.py
@@ -30,7 +30,8 @@
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent))
 
 from benchmarks.process_usage import ProcessUsage, percentile, read_usage
-from petrellane.testbed.fleet import Lab, Shape, settings
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec, SettingsSpec, build_settings
 
 CHANGE_PATIENCE_S = 60
 IDLE_GATEWAYS = 10
@@ -66,19 +67,20 @@
     seconds: list[float]
 
 
-def read_usages(lab: Lab) -> list[ProcessUsage]:
+def read_usages(lab: LoopbackFleet) -> list[ProcessUsage]:
     """Return what each gateway's process uses."""
     processes = [gateway.process for gateway in lab.gateways]
-    return [read_usage(process.process.pid) for process in processes if process is not None]
+    return [read_usage(process.popen.pid) for process in processes if process is not None]
 
 
 def measure_idle(gateways: int, has_consensus: bool) -> IdleCost:
     """Measure gateways that have nothing to do."""
-    with Lab(Shape(gateways=gateways, agreement=has_consensus, relays=(), hosts=1)) as lab:
+    spec = FleetSpec(gateways=gateways, agreement=has_consensus, relays=(), hosts=1)
+    with LoopbackFleet(spec) as lab:
         lab.start()
-        lab.play(1.0)
+        lab.run_for(1.0)
         before = read_usages(lab)
-        lab.play(IDLE_S)
+        lab.run_for(IDLE_S)
         after = read_usages(lab)
     cpu_ms_per_s = [
         (now.cpu_s - then.cpu_s) / IDLE_S * 1e3 for now, then in zip(after, before, strict=True)
@@ -87,7 +89,7 @@
     return IdleCost(percentile(resident_mb, 0.5), percentile(cpu_ms_per_s, 0.5))
 
 
-def inject_faults(lab: Lab, generator: random.Random) -> None:
+def inject_faults(lab: LoopbackFleet, generator: random.Random) -> None:
     """Kill a tenth of the gateways, and lose some connections of the control process."""
     for gateway in generator.sample(lab.gateways, len(lab.gateways) // 10):
         gateway.kill()
@@ -95,7 +97,7 @@
         relay.fault("lossy", LOSSY_SHARE)
 
 
-def last_in_force(lab: Lab, number: int) -> float:
+def last_in_force(lab: LoopbackFleet, number: int) -> float:
     """Return the time at which the last gateway had a generation in force."""
     latest: float = max(
         event["at"]
@@ -106,22 +108,24 @@
     return latest
 
 
-def make_changes(lab: Lab, options: FleetOptions) -> ChangeTimes:
+def make_changes(lab: LoopbackFleet, options: FleetOptions) -> ChangeTimes:
     """Make changes one after another."""
     outcomes: Counter[str] = Counter()
     seconds: list[float] = []
     for number in range(options.changes):
-        content = settings(options.gateways, attempts=2 + number % 2, quota=float(number + 1))
+        content = build_settings(
+            SettingsSpec(options.gateways, attempts=2 + number % 2, quota=float(number + 1))
+        )
         proposed_at = time.time()
-        change = lab.change(content, patience=CHANGE_PATIENCE_S)
+        change = lab.change_settings(content, patience=CHANGE_PATIENCE_S)
         outcomes[change["outcome"]] += 1
         if change["outcome"] == "committed":
             seconds.append(last_in_force(lab, change["number"]) - proposed_at)
-        lab.play(0.1)
+        lab.run_for(0.1)
     return ChangeTimes(dict(outcomes), seconds)
 
 
-def change_during_restart(lab: Lab, generator: random.Random) -> Row:
+def change_during_restart(lab: LoopbackFleet, generator: random.Random) -> Row:
     """Make one more change while a third of the running gateways is killed and started again.
 
     Returns:
@@ -129,28 +133,31 @@
     """
     control = lab.controls["control"]
     running = [
-        gateway for gateway in lab.gateways if gateway.process is not None and gateway.process.up
+        gateway
+        for gateway in lab.gateways
+        if gateway.process is not None and gateway.process.is_running
     ]
     started = time.monotonic()
-    content = settings(len(lab.gateways), attempts=9)
+    content = build_settings(SettingsSpec(len(lab.gateways), attempts=9))
     number = control.ask("propose", settings=content)["number"]
     for gateway in generator.sample(running, len(running) // 3):
         gateway.kill()
         gateway.start()
-        lab.turn()  # the testbed must not stand still, as it has the clients as well
-    change = lab.until(lambda: lab.ended(control, number), "an end", CHANGE_PATIENCE_S)
+        lab.run_turn()  # the testbed must not stand still, as it has the clients as well
+    ended = lab.run_until(lambda: control.ended_change(number), "an end", CHANGE_PATIENCE_S)
+    change = ended or {}  # `run_until` returns none but a change that has ended
     names = [gateway.name for gateway in running]
 
     def serve_one_generation() -> bool:
         are_ready = all(gateway.ready for gateway in running)
-        return are_ready and lab.agreed(names) is not None
+        return are_ready and lab.agreed_generation(names) is not None
 
-    lab.until(serve_one_generation, "one generation", CHANGE_PATIENCE_S)
+    lab.run_until(serve_one_generation, "one generation", CHANGE_PATIENCE_S)
     seconds = round(time.monotonic() - started, 2)
     return {"outcome": change["outcome"], "why": change["why"], "s": seconds}
 
 
-def count_rejected_for_changes(lab: Lab) -> int:
+def count_rejected_for_changes(lab: LoopbackFleet) -> int:
     """Return the RPCs that gateways rejected while a change was not in force everywhere."""
     return sum(
         event.get("pushed generation", 0)
@@ -160,7 +167,7 @@
     )
 
 
-def count_answers(lab: Lab) -> dict[str, int]:
+def count_answers(lab: LoopbackFleet) -> dict[str, int]:
     """Return the RPCs by their answer."""
     answers: Counter[str] = Counter()
     for (_, answer), number in lab.records.counts.items():
@@ -168,7 +175,7 @@
     return dict(answers)
 
 
-def describe_verdict(lab: Lab) -> Row:
+def describe_verdict(lab: LoopbackFleet) -> Row:
     """Return broken rules, and whether the run proves anything."""
     verdict = lab.verdict()
     stalls = [line for _, line in lab.records.timeline if "stood still" in line]
@@ -187,11 +194,11 @@
     }
 
 
-def play_changes(lab: Lab, options: FleetOptions, generator: random.Random) -> Row:
+def play_changes(lab: LoopbackFleet, options: FleetOptions, generator: random.Random) -> Row:
     """Make changes under load on a started testbed and return their figures."""
     control = lab.controls["control"]
     lab.clients.start()
-    lab.play(1.0)
+    lab.run_for(1.0)
     if options.has_faults:
         inject_faults(lab, generator)
     calls_before = sum(control.ask("status")["calls"].values())
@@ -199,7 +206,7 @@
     calls = control.ask("status")["calls"]
     restart = change_during_restart(lab, generator) if options.has_faults else None
     change_calls = sum(calls.get(kind, 0) for kind in CHANGE_CALLS)
-    lab.quiet()
+    lab.finish_load()
     verdict = describe_verdict(lab)
     return {
         "changes": times.outcomes,
@@ -217,7 +224,7 @@
 
 def measure_fleet(options: FleetOptions) -> Row:
     """Return the figures of changes at one fleet."""
-    shape = Shape(
+    spec = FleetSpec(
         gateways=options.gateways,
         agreement=True,
         relays=("agents-of-control",) if options.has_faults else (),
@@ -225,7 +232,7 @@
         work=0.002,
         hosts=4,
     )
-    with Lab(shape) as lab:
+    with LoopbackFleet(spec) as lab:
         started = time.monotonic()
         lab.start()
         start_s = time.monotonic() - started
--- a/benchmarks/load_balancing_models.py
+++ b/benchmarks/load_balancing_models.py
@@ -4,7 +4,7 @@
 
 from petrellane.decisions.controller import AdmissionController
 from petrellane.load_distribution import sources
-from petrellane.load_distribution.figures import figures
+from petrellane.load_distribution.figures import compute_figures
 from petrellane.simulation.baselines import BASELINES
 from petrellane.simulation.fleet import FleetSimulation, Run
 from petrellane.simulation.scenario import Fault, Scenario
@@ -82,7 +82,9 @@
     run = simulate(scenario, options.policy)
     service = measure_service(run, WARM_UP_S)
     work = scenario.methods[0].work
-    evenness = figures(sources.of_records(run.records or [], WARM_UP_S, options.length))
+    evenness = compute_figures(
+        sources.trace_from_records(run.records or [], WARM_UP_S, options.length)
+    )
     span = next(span for span in evenness.spans if span.seconds == SPAN_S)
     return {
         "who": options.policy,
@@ -105,7 +107,7 @@
 
 def shares_after_return(run: Run, options: CaseRun) -> list[float]:
     """Return the attempts that the first endpoint gets by second, over its fair part."""
-    trace = sources.of_records(run.records or [], RETURN_AT_S, CASE_LENGTH_S)
+    trace = sources.trace_from_records(run.records or [], RETURN_AT_S, CASE_LENGTH_S)
     seconds = [int(at) for at, _, host, _ in trace.sent if host == FIRST_HOST]
     return [
         round(seconds.count(second) * options.hosts / options.rate, 2)
@@ -127,7 +129,9 @@
     )
     run = simulate(scenario, options.policy)
     service = measure_service(run, WARM_UP_S)
-    evenness = figures(sources.of_records(run.records or [], FAULT_AT_S, CASE_LENGTH_S))
+    evenness = compute_figures(
+        sources.trace_from_records(run.records or [], FAULT_AT_S, CASE_LENGTH_S)
+    )
     return {
         "case": options.case,
         "who": options.policy,
--- a/benchmarks/load_balancing_processes.py
+++ b/benchmarks/load_balancing_processes.py
@@ -7,8 +7,9 @@
 
 from benchmarks.process_usage import ProcessUsage, read_usage
 from petrellane.load_distribution import sources
-from petrellane.load_distribution.figures import Figures, figures
-from petrellane.testbed.fleet import Lab, Shape
+from petrellane.load_distribution.figures import Figures, compute_figures
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec
 
 WARM_UP_S = 5.0
 SLOTS = 2
@@ -36,13 +37,13 @@
         return self.load * self.hosts * SLOTS / self.rate
 
 
-def read_usages(lab: Lab) -> list[ProcessUsage]:
+def read_usages(lab: LoopbackFleet) -> list[ProcessUsage]:
     """Return what each gateway's process uses."""
     processes = [gateway.process for gateway in lab.gateways]
-    return [read_usage(process.process.pid) for process in processes if process is not None]
+    return [read_usage(process.popen.pid) for process in processes if process is not None]
 
 
-def count_answers(lab: Lab) -> Counter[str]:
+def count_answers(lab: LoopbackFleet) -> Counter[str]:
     """Return the RPCs so far by their answer."""
     answers: Counter[str] = Counter()
     for (_, answer), number in lab.records.counts.items():
@@ -53,7 +54,7 @@
 class ProcessRunner:
     """Plays the parts of the run on a started testbed; lives as long as that."""
 
-    def __init__(self, lab: Lab, options: ProcessRun) -> None:
+    def __init__(self, lab: LoopbackFleet, options: ProcessRun) -> None:
         self.lab = lab
         self.options = options
         self.rows: list[Row] = []
@@ -64,8 +65,10 @@
         since = lab.records.now()
         first_wait = len(lab.clients.waits)
         answers_before = count_answers(lab)
-        lab.play(self.options.seconds / PARTS)
-        evenness = figures(sources.of_records(lab.records.history, since, lab.records.now()))
+        lab.run_for(self.options.seconds / PARTS)
+        evenness = compute_figures(
+            sources.trace_from_records(lab.records.history, since, lab.records.now())
+        )
         waits = lab.clients.waits[first_wait:]
         durations = sorted(duration for duration, answer in waits if answer == "ok")
         answers = count_answers(lab)
@@ -91,27 +94,27 @@
         self.measure("no fault")
         back, slow, failing, silent = self.lab.hosts[:4]
         self._play_return(back)
-        slow.slow = SLOWDOWN
+        slow.slowdown = SLOWDOWN
         self.measure("one ten times as slow")
-        slow.slow = 1.0
-        failing.share = 1.0
-        failing.slow = 1 / SLOWDOWN
+        slow.slowdown = 1.0
+        failing.error_rate = 1.0
+        failing.slowdown = 1 / SLOWDOWN
         self.measure("one answers errors at once")
-        failing.share = 0.0
-        failing.slow = 1.0
+        failing.error_rate = 0.0
+        failing.slowdown = 1.0
         silent.silent = True
         self.measure("one is silent")
         silent.silent = False
-        silent.work()
+        silent.run_waiting()
 
     def _play_return(self, host: Any) -> None:  # noqa: ANN401 - the testbed's fake endpoint
         """Let an endpoint go away and come back empty."""
         lab = self.lab
-        host.down()
-        lab.discovery.put(host.name, host.text, "terminated")
-        lab.play(1.0)
+        host.crash()
+        lab.discovery.put(host.name, host.host_port, "terminated")
+        lab.run_for(1.0)
         host.start()
-        lab.discovery.put(host.name, host.text, since=host.started)
+        lab.discovery.put(host.name, host.host_port, since=host.started_at)
         ran_before = host.ran
         all_before = sum(host.ran for host in lab.hosts)
         row = self.measure("one comes back")
@@ -133,7 +136,11 @@
 
 
 def describe_machine(
-    lab: Lab, options: ProcessRun, start_s: float, cpu_before: float, usages: list[ProcessUsage]
+    lab: LoopbackFleet,
+    options: ProcessRun,
+    start_s: float,
+    cpu_before: float,
+    usages: list[ProcessUsage],
 ) -> Row:
     """Return what the run took of the machine, and whether it proves anything."""
     verdict = lab.verdict()
@@ -144,7 +151,7 @@
         "mb_each": round(statistics.median(sizes) / 2**20, 1),
         "mb_all": round(sum(sizes) / 2**20),
         "cores": round(cpu_s / options.seconds, 2),
-        "rig_stood_still_s": round(lab.longest, 3),
+        "rig_stood_still_s": round(lab.longest_stall_s, 3),
         "broken": verdict.counts,
         "crashes": len(lab.crashes),
         "void": lab.void,
@@ -159,7 +166,7 @@
 
 def play_processes(options: ProcessRun) -> tuple[list[Row], Row]:
     """Play the run; return the figures of its parts and what it took of the machine."""
-    shape = Shape(
+    spec = FleetSpec(
         gateways=options.gateways,
         hosts=options.hosts,
         relays=(),
@@ -168,17 +175,17 @@
         slots=SLOTS,
         queue=QUEUE,
     )
-    with Lab(shape) as lab:
+    with LoopbackFleet(spec) as lab:
         started = time.monotonic()
         lab.records.keep_all()
         lab.start()
         start_s = time.monotonic() - started
         lab.clients.start()
-        lab.play(WARM_UP_S)
+        lab.run_for(WARM_UP_S)
         cpu_before = sum(usage.cpu_s for usage in read_usages(lab))
         runner = ProcessRunner(lab, options)
         runner.play_parts()
         usages = read_usages(lab)
-        lab.quiet(QUIET_S)
+        lab.finish_load(QUIET_S)
         machine = describe_machine(lab, options, start_s, cpu_before, usages)
     return runner.rows, machine
--- a/benchmarks/messages_coordinator.py
+++ b/benchmarks/messages_coordinator.py
@@ -8,7 +8,9 @@
 from benchmarks.messages_figures import LONG_STEP_S, REPEATS, FigureTable
 from petrellane.config_consensus import ballots, coordinator, participant, safe_settings
 from petrellane.config_consensus import messages as protocol
-from petrellane.testbed import fleet
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec, SettingsSpec
+from petrellane.testbed.fleet_spec import build_settings as build_fleet_settings
 
 LOOK_INTERVAL_S = 1.0  # of a coordinator that nothing is due of
 CHANGES = 10
@@ -142,28 +144,30 @@
     )
 
 
-def commit_changes(lab: fleet.Lab, gateways: int) -> None:
+def commit_changes(lab: LoopbackFleet, gateways: int) -> None:
     """Make changes one after another.
 
     Raises:
         RuntimeError: One was not committed.
     """
     for number in range(CHANGES):
-        settings = fleet.settings(gateways, attempts=2 + number % 2, quota=float(number + 1))
-        outcome = lab.change(settings, patience=30)
+        settings = build_fleet_settings(
+            SettingsSpec(gateways, attempts=2 + number % 2, quota=float(number + 1))
+        )
+        outcome = lab.change_settings(settings, patience=30)
         if outcome["outcome"] != "committed":
             raise RuntimeError(f"change: expected it committed, found {outcome}")
 
 
 def measure_calls(figures: FigureTable, gateways: int) -> None:
     """Measure the calls of a control process on sockets, with real gateways."""
-    shape = fleet.Shape(gateways=gateways, agreement=True, relays=(), hosts=2)
-    with fleet.Lab(shape) as lab:
+    spec = FleetSpec(gateways=gateways, agreement=True, relays=(), hosts=2)
+    with LoopbackFleet(spec) as lab:
         lab.start()
         control = lab.controls["control"]
-        lab.play(1.0)
+        lab.run_for(1.0)
         calls_at_start = control.ask("status")["calls"]
-        lab.play(IDLE_S)
+        lab.run_for(IDLE_S)
         calls_before = control.ask("status")["calls"]
         looks = sum(calls_before.values()) - sum(calls_at_start.values())
         figures.add(
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -46,7 +46,8 @@
 from petrellane.simulation.scenario import Customer, Fault, Method, Plan, Scenario, World
 from petrellane.testbed.clients import Customer as Client
 from petrellane.testbed.clients import Method as ClientMethod
-from petrellane.testbed.fleet import Lab, Shape, settings
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec, SettingsSpec, build_settings, build_terms
 
 HOSTS = 60
 ZONES = 10
@@ -200,18 +201,20 @@
     return rows
 
 
-def build_shape(options: RunOptions) -> Shape:
+def build_spec(options: RunOptions) -> FleetSpec:
     """Return the same run for real gateways."""
     work = options.mean_work
     customers = [
         Client(number + 1, "free", part.share, part.first_gateway, part.gateway_count)
         for number, part in enumerate(split_load(options.gateways, options.shape))
     ]
-    gateway_settings = settings(options.gateways, cold=WARM_UP_S, cold_from=INITIAL_CAPACITY)
+    gateway_settings = build_settings(
+        SettingsSpec(options.gateways, slow_start_s=WARM_UP_S, slow_start_minimum=INITIAL_CAPACITY)
+    )
     for method in gateway_settings["classes"]:
         method["goalTime"] = int(LATENCY_OBJECTIVE_IN_WORKS * 1e6 * work)
         method["giveUp"] = int(DEADLINE_IN_WORKS * 1e6 * work)
-    return Shape(
+    return FleetSpec(
         gateways=options.gateways,
         hosts=HOSTS,
         relays=(),
@@ -226,9 +229,11 @@
     )
 
 
-def track_records(lab: Lab) -> SpanTracker:
+def track_records(lab: LoopbackFleet) -> SpanTracker:
     """Return a tracker that takes every record of the testbed after the judge of invariants."""
-    tracker = SpanTracker(lab.terms(), [host.name for host in lab.hosts], float(SLOTS))
+    tracker = SpanTracker(
+        build_terms(lab.spec, lab.settings), [host.name for host in lab.hosts], float(SLOTS)
+    )
     judge: Callable[[Record], None] = lab.records.observe
 
     def judge_and_track(record: Record) -> None:
@@ -239,31 +244,31 @@
     return tracker
 
 
-def play_restart(lab: Lab, options: RunOptions) -> None:
+def play_restart(lab: LoopbackFleet, options: RunOptions) -> None:
     """Play the load with the restart of endpoints, and of gateways where the shape says so."""
     lab.start()
     lab.clients.start()
-    lab.play(STOP_AT_S)
+    lab.run_for(STOP_AT_S)
     restarted = [host for number, host in enumerate(lab.hosts) if number % ZONES in RESTARTED_ZONES]
     for host in restarted:
-        host.down()
-        lab.discovery.put(host.name, host.text, "terminated")
-    lab.play(RETURN_AT_S - STOP_AT_S - 0.2)
+        host.crash()
+        lab.discovery.put(host.name, host.host_port, "terminated")
+    lab.run_for(RETURN_AT_S - STOP_AT_S - 0.2)
     gateways = lab.gateways[::3] if options.shape == "restarted" else []
     for gateway in gateways:
         gateway.kill()
-    lab.play(0.2)
+    lab.run_for(0.2)
     for host in restarted:
         host.start()
-        lab.discovery.put(host.name, host.text, since=host.started)
+        lab.discovery.put(host.name, host.host_port, since=host.started_at)
     for gateway in gateways:
         gateway.start()
-        lab.turn()  # a start takes about ten milliseconds, in which the testbed would stand still
+        lab.run_turn()  # a start takes about 10 ms, in which the testbed would stand still
     lab.clients.rate = options.rate * (2 if options.shape == "burst" else 1)
-    lab.play(BURST_S)
+    lab.run_for(BURST_S)
     lab.clients.rate = options.rate
-    lab.play(END_AT_S - RETURN_AT_S - BURST_S)
-    lab.quiet(DEADLINE_IN_WORKS * options.mean_work + 2.0)
+    lab.run_for(END_AT_S - RETURN_AT_S - BURST_S)
+    lab.finish_load(DEADLINE_IN_WORKS * options.mean_work + 2.0)
 
 
 def run_processes(arguments: argparse.Namespace) -> list[Row]:
@@ -272,7 +277,7 @@
     options = RunOptions(
         gateways, arguments.shapes, arguments.seeds, arguments.load, arguments.rate, True
     )
-    with Lab(build_shape(options)) as lab:
+    with LoopbackFleet(build_spec(options)) as lab:
         tracker = track_records(lab)
         play_restart(lab, options)
         row = {
@@ -280,7 +285,7 @@
             "shape": options.shape,
             "seed": options.seed,
             "broken": lab.verdict().counts,
-            "stood_still": lab.longest,
+            "stood_still": lab.longest_stall_s,
             "void": lab.void,
             "crashes": len(lab.crashes),
             **tracker.figures().to_dict(),
--- a/petrellane/testbed/__init__.py
+++ b/petrellane/testbed/__init__.py
@@ -1,17 +1,15 @@
-"""Fleets of real and hollow gateways on loopback, and the page of capacity.
+"""Fleets on loopback: real gateways, test doubles of all that they talk to, and the invariants.
 
-A testbed of real gateways, fakes of all that they talk to, relays that inject faults between any
-two, clients in an open loop, and the invariant checker over what everybody saw:
+A fleet (`fleet`) has gateways and control processes as processes of their own; the rest runs in
+one process, on one scheduler and one clock:
 
-    fleet (processes) -- relay -- fakes (hosts, counter, discovery)
-    clients -- relay -- fleet            records -- checker
+    clients -- relay -- gateways -- relay -- test doubles (hosts, counter, discovery)
+    what every party saw -- `records` -- invariants
 
-A scale run of hollow gateways beside some real ones, each process with a meter on its streams:
+`run_file` reads a run, `runner` carries out its steps, `command` shows it; tests and benchmarks use
+`fleet.LoopbackFleet` directly.
 
-    hollow gateways, real ones (processes) -- services (a process each)
-
-In the first, everything but the gateways and control processes runs in one process, on one
-scheduler and one clock. `runner` plays a run file and `command` reports it; tests and benchmarks
-use `fleet` directly. A scale run is played by `scale`, and `testbed` holds its processes.
-`capacity` works out the page of capacity from measured slopes, which `slopes` fits.
+A scale run has hollow gateways, real ones and the test doubles in processes of their own: `scale`
+says what is run, `testbed` holds the processes, and each reports through `metered` what it spends.
+`slopes` fits lines to such runs, and `capacity` works out the page of capacity from them.
 """
--- a/petrellane/testbed/hollow/process.py
+++ b/petrellane/testbed/hollow/process.py
@@ -5,10 +5,11 @@
 
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
+from petrellane.testbed.command_pipe import CommandPipe
 from petrellane.testbed.hollow.group import HollowGroup
 from petrellane.testbed.hollow.parameters import HollowParameters
 from petrellane.testbed.metered import STANDARD_OUTPUT, Meter
-from petrellane.testbed.services import LINES, Words
+from petrellane.testbed.services import MAXIMUM_LOG_LINES
 
 THREAD_SWITCH_S = 0.0005  # each agent has a thread that writes, and they wait for each other
 
@@ -26,7 +27,7 @@
     parameters = HollowParameters.read(path)
     sys.setswitchinterval(THREAD_SWITCH_S)
     scheduler = Scheduler()
-    log = Logger(STANDARD_OUTPUT, "hollow", scheduler.now, LINES)
+    log = Logger(STANDARD_OUTPUT, "hollow", scheduler.now, MAXIMUM_LOG_LINES)
     log.event("empty", rss=meter.resident_bytes())
     group = HollowGroup(parameters, scheduler, log)
     gc.collect()
@@ -38,7 +39,7 @@
         "heal": group.reconnect,
     }
     if parameters.command_descriptor is not None:
-        Words(scheduler, parameters.command_descriptor, commands)
+        CommandPipe(scheduler, parameters.command_descriptor, commands)
     meter.more = group.figures
     scheduler.soon(group.start)
     scheduler.run()
--- a/petrellane/testbed/run_display.py
+++ b/petrellane/testbed/run_display.py
@@ -11,7 +11,8 @@
 from rich.table import Table
 
 from petrellane.invariants import OK, REJECTED
-from petrellane.testbed.fleet import Gateway, Lab
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_gateway import FleetGateway
 
 REFRESH_INTERVAL_S = 0.5
 LINE_INTERVAL_S = 5.0  # between lines where there is no terminal
@@ -49,7 +50,7 @@
     Used as a context manager around the run, whose scheduler refreshes it.
     """
 
-    def __init__(self, lab: Lab, seconds: float) -> None:
+    def __init__(self, lab: LoopbackFleet, seconds: float) -> None:
         """Show nothing yet.
 
         Args:
@@ -111,7 +112,7 @@
         return table
 
 
-def format_answers(lab: Lab) -> str:
+def format_answers(lab: LoopbackFleet) -> str:
     """Return one line on what became of the RPCs so far."""
     counts: dict[str, int] = {}
     for (_, answer), number in lab.records.counts.items():
@@ -124,12 +125,12 @@
     )
 
 
-def _gateway_cells(gateway: Gateway) -> list[str]:
-    figures: dict[str, Any] = gateway.last("figures") or {}
+def _gateway_cells(gateway: FleetGateway) -> list[str]:
+    figures: dict[str, Any] = gateway.last_event("figures") or {}
     state = "down"
     if gateway.ready:
         state = "serves"
-    elif gateway.process and gateway.process.up:
+    elif gateway.process and gateway.process.is_running:
         state = "starts"
     return [gateway.name, state, *(str(figures.get(name, 0)) for name in GATEWAY_FIGURES)]
 
--- a/petrellane/testbed/scale/observations.py
+++ b/petrellane/testbed/scale/observations.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from petrellane.testbed.metered import TRAFFIC_FIGURES
-from petrellane.testbed.testbed import Rig
+from petrellane.testbed.testbed import ScaleTestbed
 
 ROLES = ("hollow", "real", "control", "discovery", "counter")
 USAGE_FIGURES = ("cpu_s", *TRAFFIC_FIGURES)
@@ -97,38 +97,44 @@
     start: Mapping[str, Any]
 
 
-def collect(testbed: Rig, start: Mapping[str, Any], begin: float, end: float) -> RunObservations:
+def collect(
+    testbed: ScaleTestbed, start: Mapping[str, Any], begin: float, end: float
+) -> RunObservations:
     """Take from a testbed what its processes reported between two times of the clock."""
     return RunObservations(
         begin=begin,
         end=end,
         processes={role: processes_of(testbed, role, begin, end) for role in ROLES},
-        list_changes=testbed.changed,
-        list_arrivals=testbed.arrivals,
-        proposed_changes=[_proposed_change(change) for change in testbed.proposed],
-        generations=testbed.generations,
-        ready_after=sorted(testbed.ready.values()),
-        first_lists=testbed.firsts,
-        gateway_count=len(testbed.known_names),
-        faults=list(testbed.troubles),
-        longest_turn=testbed.longest,
+        list_changes=testbed.reports.list_changes,
+        list_arrivals=testbed.reports.list_arrivals,
+        proposed_changes=[_proposed_change(change) for change in testbed.changes.proposed],
+        generations=testbed.reports.generations,
+        ready_after=sorted(testbed.reports.ready_after.values()),
+        first_lists=testbed.reports.first_lists,
+        gateway_count=len(testbed.names),
+        faults=list(testbed.reports.faults),
+        longest_turn=testbed.longest_turn_s,
         stood_still=sum(
-            event["event"] == "stood_still" for party in testbed.parties for event in party.events
+            event["event"] == "stood_still"
+            for process in testbed.processes
+            for event in process.events
         ),
         start=start,
     )
 
 
-def processes_of(testbed: Rig, role: str, begin: float, end: float) -> list[ProcessObservation]:
+def processes_of(
+    testbed: ScaleTestbed, role: str, begin: float, end: float
+) -> list[ProcessObservation]:
     """Return the processes of one role, with what they spent between two times."""
     processes = []
-    for party in testbed.of(role):
-        usage, traffic = party.spent(begin, end)
+    for party in testbed.of_role(role):
+        usage, traffic = party.usage(begin, end)
         process = ProcessObservation(
-            gateway_count=party.number,
-            is_running=bool(party.process.up),
-            meter_lines=party.meters,
-            empty_rss=party.empty,
+            gateway_count=party.gateway_count,
+            is_running=party.process.is_running,
+            meter_lines=party.meter_lines,
+            empty_rss=party.empty_rss,
             usage=usage,
             traffic=traffic,
         )
@@ -136,9 +142,9 @@
     return processes
 
 
-def meter_lines_of(testbed: Rig, role: str) -> list[MeterLine]:
+def meter_lines_of(testbed: ScaleTestbed, role: str) -> list[MeterLine]:
     """Return the last line of each meter of a role."""
-    return [party.meters[-1] for party in testbed.of(role) if party.meters]
+    return [party.meter_lines[-1] for party in testbed.of_role(role) if party.meter_lines]
 
 
 def _proposed_change(change: Mapping[str, Any]) -> ProposedChange:
--- a/tests/integration/testbed/test_scale.py
+++ b/tests/integration/testbed/test_scale.py
@@ -19,8 +19,8 @@
 from petrellane.net import resp
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.testbed import services, testbed
-from petrellane.testbed.fakes import Counter, StandIn
+from petrellane.testbed.fake_counter import FakeCounter
+from petrellane.testbed.fake_server import FakeServer
 from petrellane.testbed.hollow.group import HollowGroup
 from petrellane.testbed.hollow.load import (
     GATEWAYS_PER_CUSTOMER,
@@ -33,6 +33,8 @@
 from petrellane.testbed.scale.config import ScaleConfig, ScaleError
 from petrellane.testbed.scale.observations import USAGE_FIGURES
 from petrellane.testbed.scale.report import propagation_times
+from petrellane.testbed.scale_discovery import ScaleDiscovery
+from petrellane.testbed.scale_process import ScaleProcess
 
 WRONG = [  # (the section's text, what the one line names)
     ("hollow = 3\nwings = 2", "wings"),
@@ -125,7 +127,7 @@
         )
 
     def test_nothing_is_started_before_it_is_refused(self):
-        with unittest.mock.patch.object(runner, "Rig") as made:
+        with unittest.mock.patch.object(runner, "ScaleTestbed") as made:
             for told in (ScaleConfig(hollow=-1), ScaleConfig(hollow=5000, real=190, hosts=50_000)):
                 self.assertRaises(ScaleError, runner.play, told)
         made.assert_not_called()
@@ -148,24 +150,24 @@
     """What is made of what processes tell."""
 
     def test_what_a_process_spent_is_that_of_the_steady_part(self):
-        party = testbed.Party.__new__(testbed.Party)
-        party.meters = [
+        party = ScaleProcess.__new__(ScaleProcess)
+        party.meter_lines = [
             {"at": at, "cpu": at * 0.1, "by": {"counter": [2 * at, at, 20 * at, 10 * at]}}
             for at in range(20)
         ]
-        total, by = party.spent(5.0, 15.0)
+        total, by = party.usage(5.0, 15.0)
         for found, expected in zip(
             (*total, *by["counter"]), (0.1, 2, 1, 20, 10, 2, 1, 20, 10), strict=True
         ):
             self.assertAlmostEqual(found, expected)
-        self.assertEqual(party.spent(30.0, 40.0), ([0.0] * 5, {}))
+        self.assertEqual(party.usage(30.0, 40.0), ([0.0] * 5, {}))
 
     def test_one_that_ends_or_begins_within_counts_for_its_part(self):
-        party = testbed.Party.__new__(testbed.Party)
-        party.meters = [{"at": 10.0 + at, "cpu": float(at), "by": {}} for at in range(1, 6)]
-        self.assertAlmostEqual(party.spent(5.0, 15.0)[0][0], 0.5)  # 5 s of CPU in 10
-        party.meters = [{"at": float(at), "cpu": float(at), "by": {}} for at in range(0, 11)]
-        self.assertAlmostEqual(party.spent(5.0, 15.0)[0][0], 0.5)
+        party = ScaleProcess.__new__(ScaleProcess)
+        party.meter_lines = [{"at": 10.0 + at, "cpu": float(at), "by": {}} for at in range(1, 6)]
+        self.assertAlmostEqual(party.usage(5.0, 15.0)[0][0], 0.5)  # 5 s of CPU in 10
+        party.meter_lines = [{"at": float(at), "cpu": float(at), "by": {}} for at in range(0, 11)]
+        self.assertAlmostEqual(party.usage(5.0, 15.0)[0][0], 0.5)
 
     def test_the_last_one_is_the_last_of_all(self):
         told = propagation_times(
@@ -189,10 +191,10 @@
         rows = [
             {"name": f"h{at}", "address": "10.0.0.1:1", "status": "in_service"} for at in range(4)
         ]
-        self.registry = services.Registry(Scheduler(), rows, 0.0)
+        self.registry = ScaleDiscovery(Scheduler(), rows, 0.0)
 
     def names(self, since):
-        told = body_of(self.registry.body(since))
+        told = body_of(self.registry.response(since))
         return told["index"], told["snapshot"], [row["name"] for row in told["endpoints"]]
 
     def test_what_is_newer_is_told_once(self):
@@ -202,15 +204,15 @@
             self.registry.change(name, state)
         self.assertEqual(self.names(4), (7, False, ["h2", "h0"]))
         self.assertEqual(self.names(6), (7, False, ["h2"]))
-        self.assertEqual(body_of(self.registry.body(4))["endpoints"][0]["status"], "in_service")
-        self.assertIs(self.registry.body(4), self.registry.body(4))
+        self.assertEqual(body_of(self.registry.response(4))["endpoints"][0]["status"], "in_service")
+        self.assertIs(self.registry.response(4), self.registry.response(4))
 
     def test_one_that_is_too_far_behind_or_ahead_gets_the_list_whole(self):
         for since in (3, 5, -1):
             self.assertEqual(self.names(since), (4, True, ["h0", "h1", "h2", "h3"]))
 
 
-class Recorder(StandIn):
+class Recorder(FakeServer):
     """Discovery that tells of nothing new, and keeps the head of each question."""
 
     def __init__(self, scheduler):
@@ -227,7 +229,7 @@
             del stream.buffer[: end + 4]
 
 
-class Adds(Counter):
+class Adds(FakeCounter):
     """The counter, which keeps what it is asked."""
 
     def __init__(self, scheduler):
@@ -257,8 +259,8 @@
         return {
             "name": "g0",
             "listen": "127.0.0.1:0",
-            "discovery": discovery.text,
-            "counter": counter.text,
+            "discovery": discovery.host_port,
+            "counter": counter.host_port,
             "seed": "7",
             "known": {"index": 9, "snapshot": True, "endpoints": [row]},
             "settings": {**settings, "locality": "z0"},
@@ -320,7 +322,7 @@
         for one in (discovery, counter):
             one.close()
         node.endpoint_watch.end()
-        return [head.replace(discovery.text, "there") for head in discovery.heads[:1]], [
+        return [head.replace(discovery.host_port, "there") for head in discovery.heads[:1]], [
             (parts[0], parts[1], float(parts[2])) for parts in counter.asked[:2]
         ]
 
