--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.endpoint_list_delay import played
+from benchmarks.endpoint_list_delay_model import play_outage
 from petrellane.invariants import (
     AttemptArrived,
     AttemptEnded,
@@ -125,7 +125,7 @@
         )
         for trouble in ("refused", "silent", "turned away"):
             with self.subTest(trouble):
-                took, calls, refused, broken = played(1, 60, trouble, 50.0)
+                took, calls, refused, broken = play_outage(1, 60, trouble, 50.0)
                 self.assertNotIn(None, took)
                 self.assertLess(max(took), 6.0)
                 self.assertEqual(([], 0), (broken, sum(refused[10:])))
