--- /dev/null
+++ b/tests/integration/gateway/client_steps.py
@@ -0,0 +1,223 @@
+"""Steps of clients: connections, commands, the answers to them, and how connections end."""
+
+import contextlib
+import socket
+
+from petrellane.net import resp
+from tests.integration.gateway.configuration import as_options, unescape
+from tests.integration.gateway.harness import FENCE, Harness
+from tests.integration.gateway.sockets import SMALL_BUFFER, Peer
+
+PING = "*1\\r\\n$4\\r\\nPING\\r\\n"
+BURST = 200  # commands of the step `burst`
+BEGUN = "begun"  # the RPC of the step `begin`
+SETTLING_TURNS = 5
+
+
+class ClientSteps(Harness):
+    """Connect clients, send RPCs and check what comes back."""
+
+    left_to_send = b""  # the second half of the RPC of the step `begin`
+
+    def do_connect(self, *names: str) -> None:
+        """Connect clients, each of which gets an answer to PING."""
+        for name in names:
+            self.clients[name] = Peer(socket.create_connection(self.address))
+            self.do_open(name)
+
+    def do_connect_drained(self, name: str) -> None:
+        """Connect a client that the gateway does not want."""
+        self.do_silent(name)
+        self.turn()
+
+    def do_narrow(self, name: str) -> None:
+        """Connect a client whose machine takes few bytes that it has not read."""
+        sock = socket.socket()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
+        sock.connect(self.address)
+        self.clients[name] = Peer(sock)
+
+    def do_silent(self, name: str) -> None:
+        """Connect a client that sends nothing."""
+        self.clients[name] = Peer(socket.create_connection(self.address))
+
+    def do_open(self, *names: str) -> None:
+        """Check that clients are served."""
+        for name in names:
+            self.do_raw(name, PING)
+            self.do_reads(name, "+PONG")
+
+    def fence(self) -> None:
+        """Let the gateway handle all that has come, as far as it serves new clients."""
+        for _ in range(SETTLING_TURNS):
+            self.turn()
+        if self.gateway.is_ending or not self.gateway.service.passes_health_check:
+            return
+        if FENCE not in self.clients:
+            self.do_connect(FENCE)
+        self.do_open(FENCE)
+
+    def do_raw(self, name: str, *text: str) -> None:
+        """Send any bytes."""
+        self.clients[name].sock.send(unescape(" ".join(text)))
+
+    def do_query(self, name: str, rpc: str, method: str, *words: str) -> None:
+        """Send an RPC as a query, whatever its method."""
+        self.do_send(name, rpc, method, *words, verb=b"SVC.QUERY")
+
+    def do_submit(self, name: str, rpc: str, method: str, *words: str) -> None:
+        """Send an RPC as a submission, whatever its method."""
+        self.do_send(name, rpc, method, *words, verb=b"SVC.SUBMIT")
+
+    def do_send(
+        self, name: str, rpc: str, method: str, *words: str, verb: bytes | None = None
+    ) -> None:
+        """Send one RPC; `split` sends it byte by byte, `body=N` gives it a body of N bytes."""
+        options = as_options(words)
+        is_split = options.pop("split", None) is not None
+        is_unread = options.pop("unread", None) is not None
+        body_size = int(options.pop("body", 0))
+        standstill_s = float(options.pop("stands", 0))
+        if verb is None:
+            verb = b"SVC.QUERY" if method == "look" else b"SVC.SUBMIT"
+        customer = b"%016x" % int(options.pop("who", 1))
+        fields = f"c={method},t=basic,d={options.pop('d', '2000')}"
+        for key, value in {"units": "1", "spread": "1", "first": "0", **options}.items():
+            fields += f",{key}={value}"
+        parts = [verb, customer, rpc.encode(), fields.encode()]
+        if body_size:
+            parts.append(b"x" * body_size)
+        self.sent[rpc] = parts
+        self._send_command(self.clients[name], resp.words(*parts), is_split)
+        self.now += standstill_s  # it comes while the process stands still
+        for _ in range(0 if is_unread else 3):  # it is read before the clock moves
+            self.turn()
+
+    def _send_command(self, client: Peer, data: bytes, is_split: bool) -> None:
+        if not is_split:
+            client.send_all(data)
+            return
+        for index in range(len(data)):
+            client.sock.send(data[index : index + 1])
+            self.turn()
+
+    def do_begin(self, name: str, size: str) -> None:
+        """Send half of a command with a body of so many bytes, called `begun`."""
+        body_size = int(size)
+        fields = b"c=post,t=basic,d=3000,units=1,spread=1,first=0"
+        parts = [b"SVC.SUBMIT", b"%016x" % 7, BEGUN.encode(), fields, b"x" * body_size]
+        self.sent[BEGUN] = parts
+        data = resp.words(*parts)
+        self.left_to_send = data[body_size // 2 :]
+        self._feed(self.clients[name], data[: body_size // 2])
+
+    def do_rest(self, name: str) -> None:
+        """Send the rest of the command that `begin` began."""
+        self._feed(self.clients[name], self.left_to_send)
+
+    def _feed(self, client: Peer, data: bytes) -> None:
+        while data:
+            with contextlib.suppress(BlockingIOError):
+                data = data[client.sock.send(data) :]
+            self.turn()
+        for _ in range(SETTLING_TURNS):
+            self.turn()
+
+    def do_kept(self, low: str, high: str) -> None:
+        """Check how many bytes of bodies are kept."""
+        reserved = self.gateway.endpoint_pools.buffer_budget.reserved
+        assert int(low) <= reserved <= int(high), reserved
+
+    def do_reads(self, name: str, *text: str) -> None:
+        """Check the next answer: a line by its beginning, or $VALUE."""
+        client = self.clients[name]
+        expected = unescape(" ".join(text))
+        (kind, span, _), data = self.until(
+            f"an answer at {name}, {text}",
+            lambda: client.parse(resp.answer, self.gateway.limits),
+        )
+        if expected.startswith(b"$"):
+            assert kind == ord("$"), data
+            assert span, data
+            assert data[slice(*span)] == expected[1:], data[:200]
+        else:
+            assert data.startswith(expected), data[:200]
+
+    def do_reads_long(self, name: str, number: str) -> None:
+        """Check that the client has a complete value of so many bytes."""
+        client = self.clients[name]
+        size = int(number)
+        expected = b"$%d\r\n" % size + b"x" * size + b"\r\n"
+        self.until(f"{size} bytes at {name}", lambda: len(client.buffer) >= len(expected))
+        assert client.buffer[: len(expected)] == expected, client.buffer[:40]
+        del client.buffer[: len(expected)]
+
+    def do_partly(self, name: str, number: str) -> None:
+        """Check that the client has so many bytes of an answer that is not complete."""
+        client = self.clients[name]
+        self.until(f"{number} bytes at {name}", lambda: len(client.buffer) >= int(number))
+        assert not client.ended
+
+    def do_open_half(self, name: str) -> None:
+        """Check that the client is still connected, in the middle of an answer."""
+        self.turn()
+        assert not self.clients[name].ended
+
+    def do_ended_short(self, name: str) -> None:
+        """Check that the client's connection ends within an answer."""
+        client = self.clients.pop(name)
+        self.paused_clients.discard(name)
+
+        def has_ended() -> bool:
+            client.read()
+            return client.ended
+
+        self.until(f"the end of {name}", has_ended)
+        head, _, value = bytes(client.buffer).partition(b"\r\n")
+        assert head.startswith(b"$"), head
+        assert len(value) < int(head[1:]) + 2, (head, len(value))
+
+    def do_closed(self, *names: str) -> None:
+        """Check that connections were closed in order, after all answers were read."""
+        for name in names:
+            client = self.clients[name]
+            self.until(f"the end of {name}", lambda client=client: client.ended)
+            assert not client.buffer, client.buffer
+            assert not client.error, client.error
+            client.sock.close()
+
+    def do_leave(self, name: str) -> None:
+        """Disconnect a client, which the gateway notices."""
+        self.clients[name].sock.close()
+        self.until(
+            f"{name} being gone",
+            lambda: len(self.gateway.client_listener.clients) < len(self.clients),
+        )
+        del self.clients[name]
+
+    def do_goes(self, name: str) -> None:
+        """Disconnect a client, which the gateway has had no turn to notice."""
+        self.clients.pop(name).sock.close()
+
+    def do_pauses(self, name: str) -> None:
+        """The client reads nothing for a while."""
+        self.paused_clients.add(name)
+
+    def do_reads_on(self, name: str) -> None:
+        """The client reads again."""
+        self.paused_clients.discard(name)
+
+    def do_clients(self, number: str) -> None:
+        """Check that so many clients are still connected."""
+        self.until(
+            f"{number} clients",
+            lambda: len(self.gateway.client_listener.clients) == int(number),
+        )
+
+    def do_owed(self, name: str, number: str) -> None:
+        """Check that so many answers are due to this client."""
+        client = self.server_client(name)
+        self.until(
+            f"{number} answers owed to {name}",
+            lambda: len(client.pending_replies) == int(number),
+        )
--- /dev/null
+++ b/tests/integration/gateway/race_steps.py
@@ -0,0 +1,84 @@
+"""Steps that force races to happen, and steps that move the clock."""
+
+from petrellane.gateway.client_request import ClientRequest
+from petrellane.net import resp
+from tests.integration.gateway.configuration import unescape
+from tests.integration.gateway.endpoint_steps import EndpointSteps
+from tests.integration.gateway.sockets import CrossingSocket
+
+CLOCK_STEP_S = 0.02
+
+
+class RaceSteps(EndpointSteps):
+    """Bring events together in one turn or one instant."""
+
+    def do_wait(self, seconds: str) -> None:
+        """Let time pass, a step of the clock at a time."""
+        self.wait(float(seconds))
+
+    def wait(self, seconds: float) -> None:
+        """Move the clock in small steps, with two turns after each."""
+        end = self.now + seconds
+        while self.now < end:
+            self.now = min(end, self.now + CLOCK_STEP_S)
+            self.turn(0)
+            self.turn(0)
+
+    def do_stands(self, seconds: str) -> None:
+        """The process stands still for so long."""
+        self.now += float(seconds)
+
+    def do_turns(self, number: str, order: str = "forward") -> None:
+        """Run so many turns that handle ready sockets in this order."""
+        self.gateway.scheduler.poll.backward = order == "backward"
+        for _ in range(int(number)):
+            self.turn()
+        self.gateway.scheduler.poll.backward = False
+
+    def do_amid(self, name: str, seconds: str) -> None:
+        """In the turn in which the next RPC is read, a client goes and so much time passes."""
+        listener = self.gateway.client_listener
+        executor = self.gateway.executor
+        on_request = listener.on_request
+
+        def on_next_request(request: ClientRequest) -> None:
+            listener.on_request = on_request
+            self.do_goes(name)
+            self.now += float(seconds)
+            executor.on_request(request)
+
+        listener.on_request = on_next_request
+
+    def do_crosses(self, name: str, rpc: str) -> None:
+        """A query comes in the instant in which the gateway ends the client's connection."""
+        stream = self.server_client(name).stream
+        peer = self.clients[name]
+        fields = b"c=look,t=basic,d=2000,units=1,spread=1,first=0"
+        data = resp.words(b"SVC.QUERY", b"%016x" % 8, rpc.encode(), fields)
+        stream.sock = CrossingSocket(stream.sock, lambda: peer.sock.send(data))
+
+    def do_host_crosses(self, name: str, *text: str) -> None:
+        """Bytes of an endpoint come in the instant in which its idle connections are closed."""
+        data = unescape(" ".join(text))
+        peers = {
+            peer.sock.getpeername(): peer for peer in self.endpoint_peers() if peer.role == name
+        }
+        for pool in self.gateway.endpoint_pools.pools.values():
+            for connection in pool.idle:
+                stream = connection.stream
+                peer = peers.get(stream.sock.getsockname())
+                if peer is not None:
+                    stream.sock = CrossingSocket(
+                        stream.sock, lambda peer=peer: peer.sock.send(data)
+                    )
+
+    def do_fault(self, name: str) -> None:
+        """The next call of the decisions of this name raises an error."""
+        controller = self.gateway.executor.controller
+        call = getattr(controller, name)
+
+        def fail(*_args: object, **_kwargs: object) -> None:
+            setattr(controller, name, call)
+            raise ZeroDivisionError("a fault of ours")
+
+        setattr(controller, name, fail)
--- /dev/null
+++ b/tests/integration/gateway/setup_steps.py
@@ -0,0 +1,124 @@
+"""Steps that start a gateway and change its configuration."""
+
+import json
+import tempfile
+
+from petrellane import config
+from petrellane.config import ConfigError
+from petrellane.gateway.process import GatewayProcess
+from petrellane.net.limits import Limits
+from petrellane.net.scheduler import Scheduler
+from tests.integration.gateway.check_steps import CheckSteps
+from tests.integration.gateway.configuration import (
+    BASE_CONFIG,
+    endpoint_row,
+    unescape,
+    with_changes,
+)
+from tests.integration.gateway.harness import BACKLOG, FULL_LISTENER
+from tests.integration.gateway.peer_steps import PeerSteps
+from tests.integration.gateway.sockets import OrderedPoll
+
+DEFAULT_ENDPOINTS = ("a", "b")
+
+
+class SetupSteps(PeerSteps, CheckSteps):
+    """Start the gateway under test and let it read other configurations."""
+
+    def do_config(self, *words: str) -> None:
+        """Take a configuration with these changes."""
+        self.config = with_changes(BASE_CONFIG, list(words))
+
+    def do_refused(self, *words: str) -> None:
+        """Check that the configuration is refused, in one line with this text."""
+        try:
+            config.parse_config(self.config)
+        except ConfigError as error:
+            assert " ".join(words) in str(error), error
+            assert "\n" not in str(error), error
+            return
+        raise AssertionError("it was accepted")
+
+    def do_limits(self, *words: str) -> None:
+        """Set other limits, before `world`."""
+        options = dict(word.split("=") for word in words)
+        self.limits = {
+            name: float(value) if "." in value else int(value) for name, value in options.items()
+        }
+
+    def do_world(self, *words: str) -> None:
+        """Start a gateway with these endpoints and changes of its configuration."""
+        endpoints = [word for word in words if "=" not in word] or DEFAULT_ENDPOINTS
+        self.config = with_changes(BASE_CONFIG, [word for word in words if "=" in word])
+        self.config["counter"] = self.listen("counter")
+        self.config["discovery"] = self.listen("discovery")
+        self.config["known"]["endpoints"] = [
+            endpoint_row(name, self.listen(name, 0 if name == FULL_LISTENER else BACKLOG))
+            for name in endpoints
+        ]
+        self.config["seed"] = f"{self.seed:x}"
+        self._start_gateway()
+        self.until("a watch", lambda: self.pending_watch)
+
+    def _start_gateway(self) -> None:
+        parsed = config.parse_config(self.config)
+        limits = Limits(**{**vars(Limits.of(parsed)), **self.limits})
+        scheduler = Scheduler(lambda: self.now)
+        self.gateway = GatewayProcess(parsed, self.log.fileno(), limits, scheduler)
+        self.is_started = True
+        scheduler.poll = OrderedPoll(scheduler.poll)
+        self.gateway.start()
+        self.gateway.endpoint_pools.on_attempt_ended = self.on_attempt_ended
+        self.gateway.executor.counter_client.on_reply = self.on_counter_reply
+        self.address = self.gateway.client_listener.listener.getsockname()
+
+    def do_settings(self, *words: str) -> None:
+        """Change the file of settings and send SIGHUP."""
+        self.config = with_changes(self.config, list(words))
+        self.gateway.reload(lambda before: config.parse_config(self.config, None, before))
+
+    def do_spoils(self, word: str) -> None:
+        """Send SIGHUP with a configuration that is wrong."""
+        wrong = with_changes(self.config, [word])
+        self.gateway.reload(lambda before: config.parse_config(wrong, None, before))
+
+    def do_refusals(self, number: str, *texts: str) -> None:
+        """Check that so many configurations were refused, with these texts among the lines."""
+        lines = self.log_lines("reload_refused")
+        assert len(lines) == int(number), lines
+        for text in texts:
+            expected = unescape(text).decode()
+            assert any(expected in line for line in lines), (text, lines)
+
+    def do_moves(self, *names: str) -> None:
+        """Send SIGHUP with new addresses of these peers; the old ones accept nobody new."""
+        for name in names:
+            if name in self.listeners:  # it may be down
+                self.listeners.pop(name).close()
+            self.rename_old(name)
+            if name == "discovery":
+                self.pending_watch = None
+            self.config[name] = self.listen(name)
+        environment = {"PROXY_DISCOVERY": "127.0.0.1:1"}
+        self.gateway.reload(lambda before: config.parse_config(self.config, environment, before))
+
+    def do_rereads(self, event: str) -> None:
+        """Send SIGHUP, which reads a file, and check the event that is logged."""
+        with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
+            json.dump(self.config, file)
+            file.flush()
+            if event == "reload_refused":
+                self.do_short()
+            environment = {"PROXY_CONFIG": file.name}
+            self.gateway.reload(lambda before: config.load(environment, before))
+            self.do_plenty()
+        self.do_logged(event)
+
+    def do_term(self) -> None:
+        """Send SIGTERM."""
+        self.gateway.scheduler.running = True
+        self.gateway.end()
+
+    def do_ended(self) -> None:
+        """Check that the gateway has ended."""
+        self.until("the end", lambda: not self.gateway.scheduler.running)
--- a/tests/integration/gateway/test_endpoint_lists.py
+++ b/tests/integration/gateway/test_endpoint_lists.py
@@ -7,7 +7,8 @@
 from petrellane import config
 from petrellane.config import endpoints
 from petrellane.decisions import types as api
-from tests.integration.gateway.scenario import Net
+from tests.integration.gateway.configuration import endpoint_row
+from tests.integration.gateway.scenario import GatewayScenario
 
 
 class Name(str):
@@ -138,37 +139,39 @@
     SHARE, MANY = 8, 400
 
     def setUp(self):
-        self.net = net = Net(1)
+        self.net = net = GatewayScenario(1)
         self.addCleanup(net.close)
         net.do_limits(f"list_rows={self.SHARE}")
         net.do_world("a", "b")
         net.do_connect("c")
         self.told, self.checked = [], []  # (turn, rows) and the turns of checked rows
         self.tell, check = (
-            net.node.executor.controller.on_endpoint_events,
+            net.gateway.executor.controller.on_endpoint_events,
             config.parse_endpoint_entry,
         )
-        net.node.executor.controller.on_endpoint_events = self.listed
+        net.gateway.executor.controller.on_endpoint_events = self.listed
         patch = mock.patch.object(
             endpoints,
             "parse_endpoint_entry",
-            lambda row: self.checked.append(net.turned) or check(row),
+            lambda row: self.checked.append(net.turn_count) or check(row),
         )
         patch.start()
         self.addCleanup(patch.stop)
 
     def listed(self, now, full, rows):
         if rows is not None:
-            self.told.append((self.net.turned, rows))
+            self.told.append((self.net.turn_count, rows))
         return self.tell(now, full, rows)
 
     def row(self, name, state="terminating", **more):
         at = self.net.listeners[name].getsockname()[1] if name in self.net.listeners else 1
-        return self.net.entry(name, f"127.0.0.1:{at}", state) | more
+        return endpoint_row(name, f"127.0.0.1:{at}", state) | more
 
     def answer(self, full, *rows):
-        self.net.index += 1
-        body = json.dumps({"index": self.net.index, "snapshot": full, "endpoints": rows})
+        self.net.endpoint_list_index += 1
+        body = json.dumps(
+            {"index": self.net.endpoint_list_index, "snapshot": full, "endpoints": rows}
+        )
         return f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}"
 
     def says(self, full, *rows):
@@ -181,7 +184,7 @@
         self.net.until("a list", holds)
 
     def in_force(self):
-        self.until(lambda: self.net.node.endpoint_watch.index == self.net.index)
+        self.until(lambda: self.net.gateway.endpoint_watch.index == self.net.endpoint_list_index)
 
     def names(self):
         """The names in the order in which the module was told of them, each with its state."""
@@ -204,20 +207,23 @@
         self.net.do_reads("c", "$served")
 
     def test_rpcs_are_answered_while_a_long_list_is_checked_and_taken_over(self):
-        node = self.net.node
+        node = self.net.gateway
         self.says(True, self.row("a", "in_service"), *self.many(), self.row("b", "in_service"))
         self.until(lambda: self.checked)
         self.served("r1")
-        self.assertEqual((self.told, node.endpoint_watch.index, self.net.watch), ([], 1, None))
+        self.assertEqual(
+            (self.told, node.endpoint_watch.index, self.net.pending_watch), ([], 1, None)
+        )
         self.until(lambda: len(self.told) > 2)
         self.served("r2")
         self.assertTrue(node.executor.applying_endpoint_list)
         self.assertEqual(
-            (node.endpoint_watch.index, self.net.watch, self.net.lines("hosts")[1:]), (1, None, [])
+            (node.endpoint_watch.index, self.net.pending_watch, self.net.log_lines("hosts")[1:]),
+            (1, None, []),
         )
         self.in_force()
         self.assertEqual(self.longest(), (self.SHARE, self.SHARE))
-        (line,) = self.net.lines("hosts")[1:]
+        (line,) = self.net.log_lines("hosts")[1:]
         self.assertLessEqual(
             {"full": True, "changed": 402, "known": 402, "ready": 2}.items(),
             json.loads(line).items(),
@@ -234,7 +240,10 @@
         rows = [row for _, rows in self.told for row in rows]
         self.assertEqual([row.state for row in rows], [api.READY] + [api.GONE] * 401)
         self.assertEqual(
-            (list(self.net.node.executor.endpoints), len(self.net.node.executor.ready_endpoints)),
+            (
+                list(self.net.gateway.executor.endpoints),
+                len(self.net.gateway.executor.ready_endpoints),
+            ),
             (["b"], 1),
         )
         self.served("r1")
@@ -249,23 +258,23 @@
         )
 
     def test_a_list_whose_last_row_is_of_no_form_changes_nothing(self):
-        before = dict(self.net.node.executor.endpoints)
+        before = dict(self.net.gateway.executor.endpoints)
         self.says(True, *self.many(), self.row("a", weight=-1))
-        self.until(lambda: self.net.lines("discovery_away"))
-        (line,) = self.net.lines("discovery_away")
+        self.until(lambda: self.net.log_lines("discovery_away"))
+        (line,) = self.net.log_lines("discovery_away")
         self.assertEqual(
             json.loads(line)["error"],
             "list.endpoints[400].weight: expected a number from 0, found -1",
         )
         self.assertEqual(
-            (self.told, self.net.node.executor.endpoints, self.longest()[1]),
+            (self.told, self.net.gateway.executor.endpoints, self.longest()[1]),
             ([], before, self.SHARE),
         )
         self.net.do_watch("from=1&")
         self.served("r1")
 
     def test_a_change_right_behind_a_long_list_comes_after_it(self):
-        self.before = dict(self.net.node.executor.endpoints)
+        self.before = dict(self.net.gateway.executor.endpoints)
         self.says(True, *self.many(), self.row("a", "in_service"), self.row("b", "in_service"))
         self.net.peers[-1].sock.send(
             self.answer(False, self.row("a")).encode()
@@ -274,27 +283,27 @@
         self.assertEqual(
             self.names()[-3:], [("a", api.READY), ("b", api.READY), ("a", api.DRAINING)]
         )
-        self.assertEqual(len(self.net.node.executor.ready_endpoints), 1)
+        self.assertEqual(len(self.net.gateway.executor.ready_endpoints), 1)
         for rpc in ("r1", "r2", "r3"):
             self.served(rpc)
-            self.assertEqual(self.net.host_of(rpc).at, "b")
+            self.assertEqual(self.net.endpoint_of(rpc).role, "b")
 
     def test_a_list_of_a_discovery_that_is_left_while_it_is_checked_is_dropped(self):
         self.says(True, *self.many())
         self.until(lambda: len(self.checked) > 2 * self.SHARE)
         self.net.do_moves("discovery")
         self.net.do_tells("whole", "a")
-        self.assertEqual(list(self.net.node.executor.endpoints), ["a"])
+        self.assertEqual(list(self.net.gateway.executor.endpoints), ["a"])
         self.assertEqual([len(rows) for _, rows in self.told], [2])
         self.assertLess(len(self.checked), self.MANY)
         self.served("r1")
 
     def test_a_list_that_is_being_taken_over_is_in_force_before_that_of_the_next_discovery(self):
         """And what the one between told, which was left while it waited for that, is dropped."""
-        self.before = dict(self.net.node.executor.endpoints)
+        self.before = dict(self.net.gateway.executor.endpoints)
         self.says(True, *self.many(), self.row("a", "in_service"))
         self.until(lambda: len(self.told) > 2)
-        old = self.net.node.endpoint_watch
+        old = self.net.gateway.endpoint_watch
         self.net.do_moves("discovery")
         self.checked.clear()
         self.says(True, self.row("w"))
@@ -315,13 +324,13 @@
         self.assertEqual(
             [state for _, state in names[self.MANY + 3 :]], [api.GONE] * (self.MANY + 1)
         )
-        self.assertEqual(list(self.net.node.executor.endpoints), ["b"])
+        self.assertEqual(list(self.net.gateway.executor.endpoints), ["b"])
         self.served("r1")
 
     def test_a_change_costs_what_it_names(self):
         self.says(True, *self.many(), self.row("a", "in_service"), self.row("b", "in_service"))
         self.in_force()
-        executor = self.net.node.executor
+        executor = self.net.gateway.executor
         executor.endpoints, executor.ready_endpoints = (
             Table(executor.endpoints),
             Group(executor.ready_endpoints),
@@ -329,13 +338,13 @@
         self.says(False, self.row("a"), self.row("x7", "terminated"), self.row("x8", "in_service"))
         self.in_force()
         self.assertLessEqual(
-            {"known": 401, "ready": 2}.items(), json.loads(self.net.lines("hosts")[-1]).items()
+            {"known": 401, "ready": 2}.items(), json.loads(self.net.log_lines("hosts")[-1]).items()
         )
 
     def test_hosts_have_a_pool_while_it_holds_anything(self):
         self.says(True, *self.many(), self.row("a", "in_service"))
         self.in_force()
-        pools = self.net.node.endpoint_pools.pools
+        pools = self.net.gateway.endpoint_pools.pools
         self.assertEqual(pools, {})
         self.served("r1")
         self.assertEqual(
--- a/tests/integration/gateway/test_scenarios.py
+++ b/tests/integration/gateway/test_scenarios.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.integration.gateway.scenario import Net
+from tests.integration.gateway.scenario import GatewayScenario
 from tests.scenario_files import play_with_seeds, scenario_files
 
 FOLDER = pathlib.Path(__file__).parent / "scenarios"
@@ -14,4 +14,4 @@
 @pytest.mark.parametrize("path", scenario_files(FOLDER), ids=lambda path: path.stem)
 def test_scenario(path: pathlib.Path) -> None:
     """What the file expects holds."""
-    play_with_seeds(path, Net, SEEDS)
+    play_with_seeds(path, GatewayScenario, SEEDS)
--- a/tests/integration/operation/world.py
+++ b/tests/integration/operation/world.py
@@ -14,7 +14,7 @@
 from petrellane.net import resp
 from petrellane.net.limits import Limits
 from petrellane.operation.hot_restart_transport import socket_name
-from tests.integration.gateway.scenario import TOLD, changed
+from tests.integration.gateway.configuration import BASE_CONFIG, with_changes
 
 LIMITS = Limits(256, 1.0, 1.0, 1, 1.0)
 BIG = 300_000
@@ -56,7 +56,7 @@
         self.folder = self.stack.enter_context(tempfile.TemporaryDirectory())
         self.listener = self.stack.enter_context(socket.create_server(("127.0.0.1", 0)))
         self.address = self.listener.getsockname()
-        told = changed(TOLD, words)
+        told = with_changes(BASE_CONFIG, list(words))
         host = self.serve(self.host)
         told.update(
             listen="%s:%d" % self.address,
--- a/tests/scenario_files.py
+++ b/tests/scenario_files.py
@@ -1,7 +1,7 @@
 """Scenario files: steps in text, played by an object with a method for each verb.
 
 The notation is in tests/README.md. The objects are `tests.unit.decisions.scenario.Scene` for the
-decisions and `tests.integration.gateway.scenario.Net` for a whole gateway.
+decisions and `tests.integration.gateway.scenario.GatewayScenario` for a whole gateway.
 """
 
 import contextlib
--- a/tests/unit/operation/test_operation.py
+++ b/tests/unit/operation/test_operation.py
@@ -19,7 +19,7 @@
 from petrellane.operation import hot_restart, hot_restart_messages, management_requests
 from petrellane.operation.backoff import Backoff, PollFailure, PollTimes
 from petrellane.operation.lifecycle import Lifecycle, LifecycleState
-from tests.integration.gateway.scenario import TOLD
+from tests.integration.gateway.configuration import BASE_CONFIG
 
 SETTINGS = dict(
     zone="z",
@@ -311,8 +311,8 @@
         )
 
     def test_what_is_known_of_a_method_outlives_its_change_and_not_its_end(self):
-        before = config.parse_settings(config.Section(TOLD["settings"], "settings"))
-        told = copy.deepcopy(TOLD["settings"])
+        before = config.parse_settings(config.Section(BASE_CONFIG["settings"], "settings"))
+        told = copy.deepcopy(BASE_CONFIG["settings"])
         told["classes"][0]["effect"] = "side_effect"
         del told["classes"][1]
         now = config.reload_settings(
@@ -341,21 +341,21 @@
         self.assertNotIn(before.methods["lodge"].identity, gateway.load_balancer.answer_times)
 
     def test_a_file_that_lacks_what_the_one_in_force_has(self):
-        before = config.parse_config(copy.deepcopy(TOLD))
+        before = config.parse_config(copy.deepcopy(BASE_CONFIG))
         for path in (
             ["name"],
             ["settings", "limits"],
             ["settings", "limits", "maxAttempts"],
             ["limits", "sockets"],
         ):
-            told = copy.deepcopy(TOLD)
+            told = copy.deepcopy(BASE_CONFIG)
             place = told
             for step in path[:-1]:
                 place = place[step]
             del place[path[-1]]
             with self.assertRaisesRegex(config.ConfigError, "^" + ".".join(path) + ": missing"):
                 config.parse_config(told, None, before)
-        told = copy.deepcopy(TOLD)
+        told = copy.deepcopy(BASE_CONFIG)
         del told["known"]  # the last host list is no setting
         config.parse_config(told, None, before)
 
