--- a/tests/integration/gateway/__init__.py
+++ b/tests/integration/gateway/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of a whole gateway on loopback sockets."""
--- a/tests/integration/gateway/harness.py
+++ b/tests/integration/gateway/harness.py
@@ -58,7 +58,7 @@
         self._init_peers()
         self._init_records()
         resources = contextlib.ExitStack()
-        self.log = resources.enter_context(tempfile.TemporaryFile())
+        self.log = resources.enter_context(tempfile.TemporaryFile())  # noqa: SIM115  # closed by `close`
         self.resources = resources
         self.descriptor_limit: tuple[int, int] | None = None  # the one to restore
 
--- a/tests/integration/gateway/sockets.py
+++ b/tests/integration/gateway/sockets.py
@@ -117,11 +117,13 @@
     def __init__(
         self, sock: socket.socket, turn_count: Callable[[], int], limit: int, data: bytes
     ) -> None:
-        """Args:
-        sock: The socket that is replaced.
-        turn_count: Returns the number of turns so far.
-        limit: Reads in one turn beyond which a read fails.
-        data: What each read brings; as many letters x as it asks for, where this is empty.
+        """Replace a socket.
+
+        Args:
+            sock: The socket that is replaced.
+            turn_count: Returns the number of turns so far.
+            limit: Reads in one turn beyond which a read fails.
+            data: What each read brings; as many letters x as it asks for, where this is empty.
         """
         self.sock = sock
         self.turn_count = turn_count
@@ -157,9 +159,11 @@
     """
 
     def __init__(self, listener: socket.socket, failures: float) -> None:
-        """Args:
-        listener: The listener that is replaced.
-        failures: How many calls fail; may be infinite.
+        """Replace a listener.
+
+        Args:
+            listener: The listener that is replaced.
+            failures: How many calls fail; may be infinite.
         """
         self.listener = listener
         self.failures = failures
--- a/tests/integration/operation/__init__.py
+++ b/tests/integration/operation/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of whole processes: hot restarts, and long values."""
--- a/tests/unit/decisions/__init__.py
+++ b/tests/unit/decisions/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the decisions, which do no I/O."""
--- a/tests/unit/operation/__init__.py
+++ b/tests/unit/operation/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of operation without a socket."""
--- /dev/null
+++ b/tests/unit/operation/test_backoff.py
@@ -0,0 +1,110 @@
+"""When discovery is polled next."""
+
+import random
+from collections import Counter
+from collections.abc import Callable
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from petrellane.net.limits import Limits
+from petrellane.operation.backoff import Backoff, PollFailure, PollTimes
+
+GATEWAYS = 200
+SECONDS = 60
+SETTLED = range(10, SECONDS)  # seconds in which the first rush is over
+NEWS = "news"
+NO_NEWS = "none"
+OUTCOMES = [PollFailure.FAILED, PollFailure.TIMED_OUT, PollFailure.REJECTED, NEWS, NO_NEWS]
+
+
+def backoff_of(draw: Callable[[], float], at_first: float = Limits.watch_next) -> Backoff:
+    """Return a backoff with the gateway's times."""
+    times = PollTimes(
+        Limits.watch_next,
+        at_first,
+        Limits.watch_hold,
+        Limits.watch_grace,
+        Limits.watch_timeout,
+        Limits.backoff_first,
+    )
+    return Backoff(draw, times)
+
+
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(OUTCOMES), st.floats(0, 1), st.booleans()),
+        max_size=40,
+    ),
+    st.randoms(),
+    st.booleans(),
+)
+def test_next_poll_begins_in_time(
+    polls: list[tuple[PollFailure | str, float, bool]], chance: random.Random, has_moved: bool
+) -> None:
+    """Whatever becomes of polls, the next begins within the bound.
+
+    It is never at once after a failure, and a poll that may be held leaves its grace period.
+    """
+    maximum = Limits.watch_first if has_moved else Limits.watch_next
+    backoff = backoff_of(chance.random, maximum)
+    now = 100.0
+    began: float | None = None
+    for outcome, share, watches in polls:
+        if began is not None:
+            bound = Limits.watch_first if has_moved else Limits.watch_next
+            assert now - began <= bound + 1e-9
+        began = now
+        # At another address the complete list is asked for.
+        until = backoff.start_poll(now, watches and not has_moved)
+        assert until - began <= Limits.watch_next
+        dialed = began + share * share * (until - began)
+        hold_end = dialed + backoff.remaining_hold(dialed)
+        assert hold_end <= max(dialed, until - backoff.times.grace) + 1e-9
+        now = until if outcome == PollFailure.TIMED_OUT else began + share * (until - began)
+        if isinstance(outcome, PollFailure):
+            pause = backoff.pause_after(outcome, now)
+            assert pause > 0.0
+            now += pause
+        else:
+            backoff.on_success(outcome == NEWS)
+            has_moved = False
+
+
+@pytest.mark.parametrize(("maximum", "at_first", "hold"), [(5.0, 3.0, 4.0), (5.0, 2.0, 3.8)])
+def test_times_without_slack_are_refused(maximum: float, at_first: float, hold: float) -> None:
+    """Times between which nothing is left for a dial or a pause are an error."""
+    with pytest.raises(ValueError):
+        Backoff(random.random, PollTimes(maximum, at_first, hold, 1.0, 2.0, 0.1))
+
+
+def test_rejected_gateways_come_back_spread() -> None:
+    """Gateways that are rejected at once, time and again, do not come back at once."""
+    polls: Counter[int] = Counter()
+    for seed in range(GATEWAYS):
+        backoff = backoff_of(random.Random(seed).random)
+        now = 0.0
+        while now < SECONDS:
+            polls[int(now)] += 1
+            backoff.start_poll(now, True)
+            now += backoff.pause_after(PollFailure.REJECTED, now)
+    assert max(count for second, count in polls.items() if second) < 75
+    # In the long run, each polls once in four seconds and a half.
+    assert sum(polls[second] for second in SETTLED) / len(SETTLED) < 46
+
+
+def test_watches_in_step_come_apart() -> None:
+    """Gateways that had news at once, and none after that, do not stay in step."""
+    polls: Counter[int] = Counter()
+    for seed in range(GATEWAYS):
+        backoff = backoff_of(random.Random(seed).random)
+        now = 0.0
+        backoff.on_success(True)
+        while now < SECONDS:
+            backoff.start_poll(now, True)
+            now += backoff.remaining_hold(now)
+            backoff.on_success(False)
+            polls[int(now)] += 1
+    assert max(polls.values()) < 95
+    assert sum(polls[second] for second in SETTLED) / len(SETTLED) < 60
