--- a/tests/scenario_files.py
+++ b/tests/scenario_files.py
@@ -1,7 +1,8 @@
 """Scenario files: steps in text, played by an object with a method for each verb.
 
-The notation is in tests/README.md. The objects are `tests.unit.decisions.scenario.Scene` for the
-decisions and `tests.integration.gateway.scenario.GatewayScenario` for a whole gateway.
+The notation is in tests/README.md. The objects are `DecisionScenario` of
+`tests.unit.decisions.scenario` for the decisions, and `GatewayScenario` of
+`tests.integration.gateway.scenario` for a whole gateway.
 """
 
 import contextlib
--- a/tests/unit/decisions/test_scenarios.py
+++ b/tests/unit/decisions/test_scenarios.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.scenario_files import play_with_seeds, scenario_files
-from tests.unit.decisions.scenario import Scene
+from tests.unit.decisions.scenario import DecisionScenario
 
 FOLDER = pathlib.Path(__file__).parent / "scenarios"
 SEEDS = 5
@@ -14,4 +14,4 @@
 @pytest.mark.parametrize("path", scenario_files(FOLDER), ids=lambda path: path.stem)
 def test_scenario(path: pathlib.Path) -> None:
     """What the file expects holds with each seed."""
-    play_with_seeds(path, Scene, SEEDS)
+    play_with_seeds(path, DecisionScenario, SEEDS)
