--- a/tests/unit/decisions/scenario_setup.py
+++ b/tests/unit/decisions/scenario_setup.py
@@ -90,7 +90,7 @@
         self.timers: list[PendingTimer] = []
         self.actions: list[tuple[api.Rpc | None, actions.Action]] = []  # with the RPC it is about
         self.log: list[str] = []
-        self.counter_totals: dict[str, float] = {}
+        self.counter_totals: dict[object, float] = {}
 
     def execute(self, returned: Iterable[actions.Action]) -> None:
         """Take the actions that the controller returned."""
@@ -103,10 +103,9 @@
                 self.counter_requests.append((action, self.controller))
             elif isinstance(action, actions.WriteLog):
                 self.log.append(action.text)
+            rpc: api.Rpc | None = getattr(action, "rpc", None)
             if isinstance(action, actions.CancelAttempt):
                 rpc = action.attempt.rpc
-            else:
-                rpc = getattr(action, "rpc", None)
             self.actions.append((rpc, action))
 
     def do_set(self, *words: str) -> None:
