--- /dev/null
+++ b/tests/integration/gateway/endpoint_list_play.py
@@ -0,0 +1,127 @@
+"""A gateway that gets long endpoint lists, and the turns in which it handles their rows."""
+
+import json
+from collections.abc import Callable
+
+import pytest
+
+from petrellane import config
+from petrellane.config import endpoints
+from petrellane.decisions import types as api
+from petrellane.decisions.actions import Action
+from tests.integration.gateway.configuration import Config, endpoint_row
+from tests.integration.gateway.scenario import GatewayScenario
+
+SHARE = 8  # rows of an endpoint list that are handled in one turn
+MANY = 400  # rows of a long list, besides those of a and b
+CLIENT = "c"
+
+
+class EndpointListPlay:
+    """A gateway with endpoints a and b and a client; made for one test, then closed.
+
+    Attributes:
+        scenario: The gateway and its peers.
+        applied: What the decisions were given: turn and rows.
+        checked: The turn of each row that was checked.
+        initial: The endpoints at the start, by name.
+    """
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.scenario = GatewayScenario(1)
+        self.applied: list[tuple[int, list[api.EndpointEvent]]] = []
+        self.checked: list[int] = []
+        self.monkeypatch = monkeypatch
+
+    def start(self) -> None:
+        """Start the gateway and observe what it does with endpoint lists."""
+        self.scenario.do_limits(f"list_rows={SHARE}")
+        self.scenario.do_world("a", "b")
+        self.scenario.do_connect(CLIENT)
+        self.gateway = self.scenario.gateway
+        self.executor = self.gateway.executor
+        self.initial = dict(self.executor.endpoints)
+        controller = self.executor.controller
+        self.on_endpoint_events = controller.on_endpoint_events
+        self.monkeypatch.setattr(controller, "on_endpoint_events", self._on_endpoint_events)
+        self.parse_entry = config.parse_endpoint_entry
+        self.monkeypatch.setattr(endpoints, "parse_endpoint_entry", self._parse_entry)
+
+    def _on_endpoint_events(
+        self, now: float, is_full: bool, rows: list[api.EndpointEvent] | None
+    ) -> list[Action]:
+        if rows is not None:
+            self.applied.append((self.scenario.turn_count, rows))
+        return self.on_endpoint_events(now, is_full, rows)
+
+    def _parse_entry(self, row: config.Section) -> object:
+        self.checked.append(self.scenario.turn_count)
+        return self.parse_entry(row)
+
+    def row(self, name: str, status: str = "terminating", **fields: float) -> Config:
+        """Return an endpoint's row, at its address where it listens."""
+        return endpoint_row(name, self.scenario.address_of(name), status) | fields
+
+    def many(self) -> list[Config]:
+        """Return the rows of a long list of endpoints that are not ready."""
+        return [self.row(f"x{index}") for index in range(MANY)]
+
+    def answer(self, is_full: bool, *rows: Config) -> str:
+        """Return discovery's next answer."""
+        self.scenario.endpoint_list_index += 1
+        index = self.scenario.endpoint_list_index
+        body = json.dumps({"index": index, "snapshot": is_full, "endpoints": rows})
+        return f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}"
+
+    def send_full(self, *rows: Config) -> None:
+        """Answer the watch with a complete list."""
+        self.scenario.do_says(self.answer(True, *rows))
+
+    def send_changes(self, *rows: Config) -> None:
+        """Answer the watch with changes."""
+        self.scenario.do_says(self.answer(False, *rows))
+
+    def until(self, condition: Callable[[], object]) -> None:
+        """Run turns until a condition holds."""
+        self.scenario.until("a list", condition)
+
+    def until_in_force(self) -> None:
+        """Run turns until the gateway has applied the last answer."""
+        index = self.scenario.endpoint_list_index
+        self.until(lambda: self.gateway.endpoint_watch.index == index)
+
+    def applied_rows(self) -> list[api.EndpointEvent]:
+        """Return all rows that the decisions were given, in their order."""
+        return [row for _, rows in self.applied for row in rows]
+
+    def applied_states(self) -> list[tuple[str, str]]:
+        """Return name (or address, where it was not known at the start) and state of each row."""
+        names = {endpoint: name for name, endpoint in self.initial.items()}
+        return [
+            (names.get(row.endpoint, row.endpoint.address), row.state)
+            for row in self.applied_rows()
+        ]
+
+    def maximum_applied(self) -> int:
+        """Return the most rows that the decisions were given in one turn."""
+        return maximum_in_a_turn([turn for turn, rows in self.applied for _ in rows])
+
+    def maximum_checked(self) -> int:
+        """Return the most rows that were checked in one turn."""
+        return maximum_in_a_turn(self.checked)
+
+    def list_lines(self) -> list[str]:
+        """Return the log's lines of endpoint lists since the start."""
+        return self.scenario.log_lines("hosts")[1:]
+
+    def serve(self, rpc: str) -> None:
+        """Check that an RPC is served."""
+        self.scenario.do_send(CLIENT, rpc, "look")
+        self.scenario.do_takes(rpc)
+        self.scenario.do_answers(rpc, "$served")
+        self.scenario.do_reads(CLIENT, "$served")
+
+
+def maximum_in_a_turn(turns: list[int]) -> int:
+    """Return how often the most frequent turn occurs."""
+    return max(map(turns.count, set(turns)), default=0)
--- a/tests/integration/gateway/harness.py
+++ b/tests/integration/gateway/harness.py
@@ -58,7 +58,8 @@
         self._init_peers()
         self._init_records()
         resources = contextlib.ExitStack()
-        self.log = resources.enter_context(tempfile.TemporaryFile())  # noqa: SIM115  # closed by `close`
+        log = tempfile.TemporaryFile()  # noqa: SIM115  # `close` closes it
+        self.log = resources.enter_context(log)
         self.resources = resources
         self.descriptor_limit: tuple[int, int] | None = None  # the one to restore
 
--- a/tests/integration/gateway/test_endpoint_lists.py
+++ b/tests/integration/gateway/test_endpoint_lists.py
@@ -1,357 +1,188 @@
-"""Long lists of methods and hosts, by the operations and turns that they cost and never by time."""
+"""Long endpoint lists, by the operations and turns that they cost and never by time."""
 
+import contextlib
 import json
-import unittest
-from unittest import mock
+from collections.abc import Iterator
+from typing import Any, NoReturn
+
+import pytest
 
-from petrellane import config
-from petrellane.config import endpoints
 from petrellane.decisions import types as api
-from tests.integration.gateway.configuration import endpoint_row
-from tests.integration.gateway.scenario import GatewayScenario
-
-
-class Name(str):
-    """A name that counts how often it is looked up or compared."""
-
-    asked = 0
-
-    def __hash__(self):
-        Name.asked += 1
-        return str.__hash__(self)
-
-    def __eq__(self, other):
-        Name.asked += 1
-        return str.__eq__(self, other)
-
-
-def told(number, **more):
-    """A settings object with so many methods and plans, and whatever else the first method says."""
-    rows = [
-        {
-            "name": Name(f"m{at}"),
-            "effect": "token",
-            "keyScope": "all",
-            "window": 4000000,
-            "goalTime": 1000000,
-            "giveUp": 4000000,
-            "worth": 1.5,
-            "lateWorth": 0.5,
-            "streamed": False,
-        }
-        for at in range(number)
-    ]
-    rows[0] |= more
-    return config.Section(
-        {
-            "classes": rows,
-            "contracts": [
-                {"name": Name(f"p{at}"), "quotaRate": 5, "storeSize": 9} for at in range(number)
-            ],
-        },
-        "settings",
-    )
-
-
-class Slopes(unittest.TestCase):
-    """What settings cost grows in step with their rows."""
-
-    def cost(self, call):
-        Name.asked = 0
-        call()
-        return Name.asked
-
-    def test_settings_are_read_in_step_with_their_rows(self):
-        few, many = (
-            self.cost(lambda rows=rows: config.parse_settings(rows))
-            for rows in (told(40), told(400))
-        )
-        self.assertGreater(few, 0)
-        self.assertLessEqual(many, 12 * few)
-
-    def test_settings_follow_others_in_step_with_their_rows(self):
-        """Also where the first method says another thing; all else keeps its object, and that one its root."""
-        costs = []
-        for number in (40, 400):
-            before, now = (
-                config.parse_settings(told(number)),
-                config.parse_settings(told(number, worth=2.0)),
-            )
-            costs.append(
-                self.cost(lambda before=before, now=now: config.reload_settings(before, now))
-            )
-            after = config.reload_settings(before, now)
-            other = [name for name, row in after.methods.items() if row is not before.methods[name]]
-            self.assertEqual((other, after.methods["m0"].priority_weight), (["m0"], 2.0))
-            self.assertIs(after.methods["m0"].identity, before.methods["m0"].identity)
-            self.assertTrue(all(row is before.plans[name] for name, row in after.plans.items()))
-        self.assertLessEqual(costs[1], 12 * costs[0])
-
-    def test_what_is_wrong_in_the_last_row_is_told_in_one_line(self):
-        for wrong, text in (
-            ({"name": "m7"}, 'settings.classes: expected each name once, found "m7" twice'),
-            ({"giveUp": 0}, "settings.classes[399].giveUp: expected a number above 0, found 0"),
-            (
-                {"giveUp": None},
-                "settings.classes[399].giveUp: expected a number above 0, found null",
-            ),
-            (
-                {"giveUp": 10**400},
-                "settings.classes[399].giveUp: expected a number above 0, found 1000",
-            ),
-            (
-                {"worth": float("nan")},
-                "settings.classes[399].worth: expected a number from 0, found nan",
-            ),
-            ({"worth": True}, "settings.classes[399].worth: expected a number from 0, found true"),
-            ({"worth": -1}, "settings.classes[399].worth: expected a number from 0, found -1"),
-            (
-                {"effect": "odd"},
-                "settings.classes[399].effect: expected one of pure, token, side_effect",
-            ),
-        ):
-            rows = told(400)
-            rows.value["classes"][-1] |= wrong
-            with self.assertRaises(config.ConfigError) as raised:
-                config.parse_settings(rows)
-            self.assertTrue(str(raised.exception).startswith(text), str(raised.exception)[:99])
-
-
-def walked(*words):
+from tests.integration.gateway.endpoint_list_play import CLIENT, MANY, SHARE, EndpointListPlay
+
+IN_SERVICE = "in_service"
+IDLE_S = "17"  # after which the gateway has let go of idle connections
+
+
+@pytest.fixture
+def play(monkeypatch: pytest.MonkeyPatch) -> Iterator[EndpointListPlay]:
+    """A gateway with endpoints a and b that handles eight rows in a turn."""
+    made = EndpointListPlay(monkeypatch)
+    with contextlib.closing(made.scenario):
+        made.start()
+        yield made
+
+
+def send_many_then_both(play: EndpointListPlay) -> None:
+    """Send a long complete list that ends with a and b in service."""
+    play.send_full(*play.many(), play.row("a", IN_SERVICE), play.row("b", IN_SERVICE))
+
+
+def test_rpcs_are_answered_while_a_long_list_is_handled(play: EndpointListPlay) -> None:
+    """RPCs are served while rows are checked and while they are applied, a share in each turn."""
+    play.send_full(play.row("a", IN_SERVICE), *play.many(), play.row("b", IN_SERVICE))
+    play.until(lambda: play.checked)
+    play.serve("r1")
+    assert play.applied == []
+    assert play.gateway.endpoint_watch.index == 1
+    assert play.scenario.pending_watch is None
+    play.until(lambda: len(play.applied) > 2)
+    play.serve("r2")
+    assert play.executor.applying_endpoint_list
+    assert play.gateway.endpoint_watch.index == 1
+    assert play.scenario.pending_watch is None
+    assert play.list_lines() == []
+    play.until_in_force()
+    assert (play.maximum_applied(), play.maximum_checked()) == (SHARE, SHARE)
+    (line,) = play.list_lines()
+    expected = {"full": True, "changed": MANY + 2, "known": MANY + 2, "ready": 2}
+    assert expected.items() <= json.loads(line).items()
+    play.scenario.do_watch("from=2&")
+
+
+def test_endpoints_that_a_list_leaves_out_go_last(play: EndpointListPlay) -> None:
+    """They are given to the decisions after the rows of the list, a share in each turn too."""
+    send_many_then_both(play)
+    play.until_in_force()
+    play.applied.clear()
+    play.send_full(play.row("b", IN_SERVICE))
+    play.until_in_force()
+    assert play.maximum_applied() == SHARE
+    states = [row.state for row in play.applied_rows()]
+    assert states == [api.READY] + [api.GONE] * (MANY + 1)
+    assert list(play.executor.endpoints) == ["b"]
+    assert len(play.executor.ready_endpoints) == 1
+    play.serve("r1")
+
+
+def test_a_short_list_is_applied_in_the_turn_of_its_check(play: EndpointListPlay) -> None:
+    """One call of the decisions gets all rows, and those that the list leaves out."""
+    play.send_full(play.row("a", IN_SERVICE), play.row("y"))
+    play.until_in_force()
+    assert {turn for turn, _ in play.applied} == set(play.checked)
+    assert len(play.applied) == 1
+    rows = [(row.state, row.endpoint.address.endswith(":1")) for row in play.applied_rows()]
+    assert rows == [(api.READY, False), (api.DRAINING, True), (api.GONE, False)]
+
+
+def test_a_list_whose_last_row_is_invalid_changes_nothing(play: EndpointListPlay) -> None:
+    """The error names the row, nothing is applied, and the list is asked for anew."""
+    before = dict(play.executor.endpoints)
+    play.send_full(*play.many(), play.row("a", weight=-1))
+    play.until(lambda: play.scenario.log_lines("discovery_away"))
+    (line,) = play.scenario.log_lines("discovery_away")
+    error = f"list.endpoints[{MANY}].weight: expected a number from 0, found -1"
+    assert json.loads(line)["error"] == error
+    assert play.applied == []
+    assert play.executor.endpoints == before
+    assert play.maximum_checked() == SHARE
+    play.scenario.do_watch("from=1&")
+    play.serve("r1")
+
+
+def test_a_change_right_behind_a_long_list_comes_after_it(play: EndpointListPlay) -> None:
+    """A change that does not wait for the next watch is applied after the list."""
+    send_many_then_both(play)
+    change = play.answer(False, play.row("a"))
+    play.scenario.peers[-1].sock.send(change.encode())
+    play.until_in_force()
+    last = [("a", api.READY), ("b", api.READY), ("a", api.DRAINING)]
+    assert play.applied_states()[-3:] == last
+    assert len(play.executor.ready_endpoints) == 1
+    for rpc in ("r1", "r2", "r3"):
+        play.serve(rpc)
+        assert play.scenario.endpoint_of(rpc).role == "b"
+
+
+def test_a_list_of_an_abandoned_discovery_is_dropped(play: EndpointListPlay) -> None:
+    """A list whose discovery is replaced while its rows are checked is not applied."""
+    play.send_full(*play.many())
+    play.until(lambda: len(play.checked) > 2 * SHARE)
+    play.scenario.do_moves("discovery")
+    play.scenario.do_tells("whole", "a")
+    assert list(play.executor.endpoints) == ["a"]
+    assert [len(rows) for _, rows in play.applied] == [2]
+    assert len(play.checked) < MANY
+    play.serve("r1")
+
+
+def test_a_list_that_is_applied_is_in_force_before_the_next(play: EndpointListPlay) -> None:
+    """The list of the next discovery follows it; one in between, which waited, is dropped."""
+    play.send_full(*play.many(), play.row("a", IN_SERVICE))
+    play.until(lambda: len(play.applied) > 2)
+    first_watch = play.gateway.endpoint_watch
+    play.scenario.do_moves("discovery")
+    play.checked.clear()
+    play.send_full(play.row("w"))
+    play.until(lambda: play.checked)  # it has its one row, and waits
+    play.scenario.do_moves("discovery")
+    play.send_full(play.row("b", IN_SERVICE))
+    play.until_in_force()
+    assert first_watch.is_ended
+    assert first_watch.index == 2
+    states = play.applied_states()
+    new_address = play.scenario.address_of("b")
+    expected = [("a", api.READY), ("b", api.GONE), (new_address, api.READY)]
+    assert states[MANY : MANY + 3] == expected
+    assert [state for _, state in states[MANY + 3 :]] == [api.GONE] * (MANY + 1)
+    assert list(play.executor.endpoints) == ["b"]
+    play.serve("r1")
+
+
+def fail_walk(*_args: object) -> NoReturn:
+    """Fail, as a walk over all endpoints is not allowed."""
     raise AssertionError("walked")
 
 
-class Table(dict):
-    """One that nobody may walk."""
-
-    __iter__ = keys = values = items = walked
-
-
-class Group(set):
-    """One that nobody may walk."""
-
-    __iter__ = walked
-
-
-class HostLists(unittest.TestCase):
-    """A gateway with hosts a and b, eight rows a turn, and lists of hosts that are not ready besides."""
-
-    SHARE, MANY = 8, 400
-
-    def setUp(self):
-        self.net = net = GatewayScenario(1)
-        self.addCleanup(net.close)
-        net.do_limits(f"list_rows={self.SHARE}")
-        net.do_world("a", "b")
-        net.do_connect("c")
-        self.told, self.checked = [], []  # (turn, rows) and the turns of checked rows
-        self.tell, check = (
-            net.gateway.executor.controller.on_endpoint_events,
-            config.parse_endpoint_entry,
-        )
-        net.gateway.executor.controller.on_endpoint_events = self.listed
-        patch = mock.patch.object(
-            endpoints,
-            "parse_endpoint_entry",
-            lambda row: self.checked.append(net.turn_count) or check(row),
-        )
-        patch.start()
-        self.addCleanup(patch.stop)
-
-    def listed(self, now, full, rows):
-        if rows is not None:
-            self.told.append((self.net.turn_count, rows))
-        return self.tell(now, full, rows)
-
-    def row(self, name, state="terminating", **more):
-        at = self.net.listeners[name].getsockname()[1] if name in self.net.listeners else 1
-        return endpoint_row(name, f"127.0.0.1:{at}", state) | more
-
-    def answer(self, full, *rows):
-        self.net.endpoint_list_index += 1
-        body = json.dumps(
-            {"index": self.net.endpoint_list_index, "snapshot": full, "endpoints": rows}
-        )
-        return f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}"
-
-    def says(self, full, *rows):
-        self.net.do_says(self.answer(full, *rows))
-
-    def many(self, number=MANY, kind="x"):
-        return [self.row(f"{kind}{at}") for at in range(number)]
-
-    def until(self, holds):
-        self.net.until("a list", holds)
-
-    def in_force(self):
-        self.until(lambda: self.net.gateway.endpoint_watch.index == self.net.endpoint_list_index)
-
-    def names(self):
-        """The names in the order in which the module was told of them, each with its state."""
-        by_host = {host: name for name, host in self.before.items()}
-        return [
-            (by_host.get(row.endpoint, row.endpoint.address), row.state)
-            for _, rows in self.told
-            for row in rows
-        ]
-
-    def longest(self):
-        """The most rows that were told in one turn, and that were checked in one."""
-        turns = [turn for turn, rows in self.told for _ in rows]
-        return tuple(max(map(of.count, set(of)), default=0) for of in (turns, self.checked))
-
-    def served(self, rpc):
-        self.net.do_send("c", rpc, "look")
-        self.net.do_takes(rpc)
-        self.net.do_answers(rpc, "$served")
-        self.net.do_reads("c", "$served")
-
-    def test_rpcs_are_answered_while_a_long_list_is_checked_and_taken_over(self):
-        node = self.net.gateway
-        self.says(True, self.row("a", "in_service"), *self.many(), self.row("b", "in_service"))
-        self.until(lambda: self.checked)
-        self.served("r1")
-        self.assertEqual(
-            (self.told, node.endpoint_watch.index, self.net.pending_watch), ([], 1, None)
-        )
-        self.until(lambda: len(self.told) > 2)
-        self.served("r2")
-        self.assertTrue(node.executor.applying_endpoint_list)
-        self.assertEqual(
-            (node.endpoint_watch.index, self.net.pending_watch, self.net.log_lines("hosts")[1:]),
-            (1, None, []),
-        )
-        self.in_force()
-        self.assertEqual(self.longest(), (self.SHARE, self.SHARE))
-        (line,) = self.net.log_lines("hosts")[1:]
-        self.assertLessEqual(
-            {"full": True, "changed": 402, "known": 402, "ready": 2}.items(),
-            json.loads(line).items(),
-        )
-        self.net.do_watch("from=2&")
-
-    def test_what_a_list_leaves_out_ends_last_and_in_shares_too(self):
-        self.says(True, *self.many(), self.row("a", "in_service"), self.row("b", "in_service"))
-        self.in_force()
-        self.told.clear()
-        self.says(True, self.row("b", "in_service"))
-        self.in_force()
-        self.assertEqual(self.longest()[0], self.SHARE)
-        rows = [row for _, rows in self.told for row in rows]
-        self.assertEqual([row.state for row in rows], [api.READY] + [api.GONE] * 401)
-        self.assertEqual(
-            (
-                list(self.net.gateway.executor.endpoints),
-                len(self.net.gateway.executor.ready_endpoints),
-            ),
-            (["b"], 1),
-        )
-        self.served("r1")
-
-    def test_a_short_list_is_taken_over_in_the_turn_in_which_it_is_whole(self):
-        self.says(True, self.row("a", "in_service"), self.row("y"))
-        self.in_force()
-        self.assertEqual(({turn for turn, _ in self.told}, len(self.told)), (set(self.checked), 1))
-        self.assertEqual(
-            [(row.state, row.endpoint.address.endswith(":1")) for row in self.told[0][1]],
-            [(api.READY, False), (api.DRAINING, True), (api.GONE, False)],
-        )
-
-    def test_a_list_whose_last_row_is_of_no_form_changes_nothing(self):
-        before = dict(self.net.gateway.executor.endpoints)
-        self.says(True, *self.many(), self.row("a", weight=-1))
-        self.until(lambda: self.net.log_lines("discovery_away"))
-        (line,) = self.net.log_lines("discovery_away")
-        self.assertEqual(
-            json.loads(line)["error"],
-            "list.endpoints[400].weight: expected a number from 0, found -1",
-        )
-        self.assertEqual(
-            (self.told, self.net.gateway.executor.endpoints, self.longest()[1]),
-            ([], before, self.SHARE),
-        )
-        self.net.do_watch("from=1&")
-        self.served("r1")
-
-    def test_a_change_right_behind_a_long_list_comes_after_it(self):
-        self.before = dict(self.net.gateway.executor.endpoints)
-        self.says(True, *self.many(), self.row("a", "in_service"), self.row("b", "in_service"))
-        self.net.peers[-1].sock.send(
-            self.answer(False, self.row("a")).encode()
-        )  # it does not wait for the call
-        self.in_force()
-        self.assertEqual(
-            self.names()[-3:], [("a", api.READY), ("b", api.READY), ("a", api.DRAINING)]
-        )
-        self.assertEqual(len(self.net.gateway.executor.ready_endpoints), 1)
-        for rpc in ("r1", "r2", "r3"):
-            self.served(rpc)
-            self.assertEqual(self.net.endpoint_of(rpc).role, "b")
-
-    def test_a_list_of_a_discovery_that_is_left_while_it_is_checked_is_dropped(self):
-        self.says(True, *self.many())
-        self.until(lambda: len(self.checked) > 2 * self.SHARE)
-        self.net.do_moves("discovery")
-        self.net.do_tells("whole", "a")
-        self.assertEqual(list(self.net.gateway.executor.endpoints), ["a"])
-        self.assertEqual([len(rows) for _, rows in self.told], [2])
-        self.assertLess(len(self.checked), self.MANY)
-        self.served("r1")
-
-    def test_a_list_that_is_being_taken_over_is_in_force_before_that_of_the_next_discovery(self):
-        """And what the one between told, which was left while it waited for that, is dropped."""
-        self.before = dict(self.net.gateway.executor.endpoints)
-        self.says(True, *self.many(), self.row("a", "in_service"))
-        self.until(lambda: len(self.told) > 2)
-        old = self.net.gateway.endpoint_watch
-        self.net.do_moves("discovery")
-        self.checked.clear()
-        self.says(True, self.row("w"))
-        self.until(lambda: self.checked)  # it has its one row, and waits
-        self.net.do_moves("discovery")
-        self.says(True, self.row("b", "in_service"))
-        self.in_force()
-        self.assertEqual((old.is_ended, old.index), (True, 2))
-        names = self.names()
-        self.assertEqual(
-            names[self.MANY : self.MANY + 3],
-            [
-                ("a", api.READY),
-                ("b", api.GONE),
-                ("127.0.0.1:%d" % (self.net.listeners["b"].getsockname()[1]), api.READY),
-            ],
-        )
-        self.assertEqual(
-            [state for _, state in names[self.MANY + 3 :]], [api.GONE] * (self.MANY + 1)
-        )
-        self.assertEqual(list(self.net.gateway.executor.endpoints), ["b"])
-        self.served("r1")
-
-    def test_a_change_costs_what_it_names(self):
-        self.says(True, *self.many(), self.row("a", "in_service"), self.row("b", "in_service"))
-        self.in_force()
-        executor = self.net.gateway.executor
-        executor.endpoints, executor.ready_endpoints = (
-            Table(executor.endpoints),
-            Group(executor.ready_endpoints),
-        )
-        self.says(False, self.row("a"), self.row("x7", "terminated"), self.row("x8", "in_service"))
-        self.in_force()
-        self.assertLessEqual(
-            {"known": 401, "ready": 2}.items(), json.loads(self.net.log_lines("hosts")[-1]).items()
-        )
-
-    def test_hosts_have_a_pool_while_it_holds_anything(self):
-        self.says(True, *self.many(), self.row("a", "in_service"))
-        self.in_force()
-        pools = self.net.gateway.endpoint_pools.pools
-        self.assertEqual(pools, {})
-        self.served("r1")
-        self.assertEqual(
-            [pool.address for pool in pools.values()], [self.net.listeners["a"].getsockname()]
-        )
-        self.net.do_wait(17)
-        self.net.clients.pop("c").sock.close()  # idle for so long, it was let go
-        self.assertEqual(pools, {})
-        self.net.do_connect("c")
-        self.served("r2")
+class UnwalkedTable(dict[str, Any]):
+    """A table that nobody may walk."""
+
+    __iter__ = fail_walk
+    keys = fail_walk
+    values = fail_walk
+    items = fail_walk
+
+
+class UnwalkedSet(set[Any]):
+    """A set that nobody may walk."""
+
+    __iter__ = fail_walk
+
+
+def test_a_change_costs_what_it_names(play: EndpointListPlay) -> None:
+    """A change of some endpoints walks over no others."""
+    send_many_then_both(play)
+    play.until_in_force()
+    executor = play.executor
+    executor.endpoints = UnwalkedTable(executor.endpoints)
+    executor.ready_endpoints = UnwalkedSet(executor.ready_endpoints)
+    play.send_changes(play.row("a"), play.row("x7", "terminated"), play.row("x8", IN_SERVICE))
+    play.until_in_force()
+    line = json.loads(play.list_lines()[-1])
+    assert {"known": MANY + 1, "ready": 2}.items() <= line.items()
+
+
+def test_endpoints_have_a_pool_while_it_holds_anything(play: EndpointListPlay) -> None:
+    """An endpoint's pool begins with its first attempt and ends with its last connection."""
+    play.send_full(*play.many(), play.row("a", IN_SERVICE))
+    play.until_in_force()
+    pools = play.gateway.endpoint_pools.pools
+    assert pools == {}
+    play.serve("r1")
+    address = play.scenario.listeners["a"].getsockname()
+    assert [pool.address for pool in pools.values()] == [address]
+    play.scenario.do_wait(IDLE_S)
+    play.scenario.clients.pop(CLIENT).sock.close()  # idle for so long, it was let go
+    assert pools == {}
+    play.scenario.do_connect(CLIENT)
+    play.serve("r2")
