--- a/tests/integration/operation/test_long_values.py
+++ b/tests/integration/operation/test_long_values.py
@@ -1,65 +1,94 @@
 """Many long values at once through one process with little memory."""
 
-import os
 import socket
 import time
-import unittest
+from collections.abc import Iterator
 
-from tests.integration.operation.world import PATIENCE, World, answer, commands
+import pytest
 
-SIZE, MANY = 4 * 1024 * 1024, 32
+from tests.integration.operation.deployment import (
+    PATIENCE_S,
+    Deployment,
+    GatewayProcess,
+    commands,
+    read_answer,
+    send_rpc,
+)
 
+SIZE = 4 * 1024 * 1024
+CLIENTS = 32
+MEMORY_MB = 64
+SMALL_BUFFER = 8192
+TRIES = 50  # a single endpoint rejects some RPCs at first
+FAST_RPCS = 20
 
-class Longs(unittest.TestCase):
-    def test_clients_that_stop_reading(self):
-        """Thirty-two values of 4 MiB to clients that read nothing for a while, 64 MB of memory, and fast clients beside
-        them: all get what the host gave, and memory stays within the limit."""
-        world = World("limits.memory_mb=64")
-        self.addCleanup(world.close)
 
-        def host(sock):
-            for parts in commands(sock):
-                size = SIZE if parts[2].startswith(b"long") else 5
-                sock.sendall(b"*3\r\n$%d\r\n" % size + b"x" * size + b"\r\n$-1\r\n$-1\r\n")
+@pytest.fixture
+def deployment() -> Iterator[Deployment]:
+    """A gateway with little memory, whose endpoint answers some RPCs with long values."""
+    made = Deployment(f"limits.memory_mb={MEMORY_MB}")
+    made.rows[0]["address"] = made.serve(serve_endpoint)
+    made.write(made.config)
+    yield made
+    made.close()
 
-        world.rows[0]["address"] = world.serve(host)
-        world.write(world.told)
-        process = world.start()
-        world.ready(process)
-        clients = []
-        for number in range(MANY):
-            sock = socket.socket()
-            self.addCleanup(sock.close)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
-            sock.settimeout(PATIENCE)
-            sock.connect(world.address)
-            for again in range(50):  # one host alone pushes some back at first
-                world.send(sock, b"long%d.%d" % (number, again), who=number + 2)
-                if sock.recv(1, socket.MSG_PEEK) == b"$":
-                    break
-                answer(sock)
-                time.sleep(0.05)
-            clients.append(sock)
-        took, answers, most = [], [], 0
-        for number in range(20):
-            began, fast = time.monotonic(), world.client()
-            world.send(fast, b"fast%d" % number)
-            answers.append(answer(fast)[:1])
-            took.append(time.monotonic() - began)
-            time.sleep(0.05)
-            with open(f"/proc/{process.pid}/status") as status:
-                most = max(
-                    most, next(int(line.split()[1]) for line in status if line.startswith("VmRSS"))
-                )
-        self.assertLess(max(took), 1.0)
-        self.assertGreater(answers.count(b"$"), 10)
-        self.assertLess(most / 1024, 64)
-        self.assertLess(len(os.listdir(f"/proc/{process.pid}/fd")), 256)
-        head = b"$%d\r\n" % SIZE
-        for sock in clients:
-            got, first = 0, b""
-            while got < len(head) + SIZE + 2:
-                data = sock.recv(1 << 20)
-                self.assertTrue(data, got)
-                first, got = first or data, got + len(data)
-            self.assertTrue(first.startswith(head))
+
+def serve_endpoint(sock: socket.socket) -> None:
+    """Answer RPCs whose ids begin with `long` with a long value, others with a short one."""
+    for parts in commands(sock):
+        size = SIZE if parts[2].startswith(b"long") else 5
+        sock.sendall(b"*3\r\n$%d\r\n" % size + b"x" * size + b"\r\n$-1\r\n$-1\r\n")
+
+
+def begin_long_value(deployment: Deployment, number: int) -> socket.socket:
+    """Return a connection on which a long value begins to come, and reads nothing of it."""
+    sock = socket.socket()
+    deployment.resources.callback(sock.close)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
+    sock.settimeout(PATIENCE_S)
+    sock.connect(deployment.address)
+    for attempt in range(TRIES):
+        send_rpc(sock, b"long%d.%d" % (number, attempt), customer=number + 2)
+        if sock.recv(1, socket.MSG_PEEK) == b"$":
+            break
+        read_answer(sock)
+        time.sleep(0.05)
+    return sock
+
+
+def check_long_value(sock: socket.socket) -> None:
+    """Read a long value and check that it is complete."""
+    head = b"$%d\r\n" % SIZE
+    received = 0
+    first = b""
+    while received < len(head) + SIZE + 2:
+        data = sock.recv(1 << 20)
+        assert data, received
+        first = first or data
+        received += len(data)
+    assert first.startswith(head)
+
+
+def test_clients_that_stop_reading(deployment: Deployment, old: GatewayProcess) -> None:
+    """Long values wait within the limit of memory, beside clients with short ones.
+
+    All clients get what the endpoint sent.
+    """
+    clients = [begin_long_value(deployment, number) for number in range(CLIENTS)]
+    took_s = []
+    answers = []
+    memory_kb = 0
+    for number in range(FAST_RPCS):
+        began = time.monotonic()
+        client = deployment.connect()
+        send_rpc(client, b"fast%d" % number)
+        answers.append(read_answer(client)[:1])
+        took_s.append(time.monotonic() - began)
+        time.sleep(0.05)
+        memory_kb = max(memory_kb, old.resident_kb())
+    assert max(took_s) < 1.0
+    assert answers.count(b"$") > 10
+    assert memory_kb / 1024 < MEMORY_MB
+    assert old.descriptor_count() < 256
+    for sock in clients:
+        check_long_value(sock)
