--- a/tests/integration/gateway/check_steps.py
+++ b/tests/integration/gateway/check_steps.py
@@ -126,7 +126,7 @@
             path = self.hot_restart.socket_path()
             self.do_short()
             sock.connect(path)
-            self.do_turns_most("40")
+            self.do_turns_within("40")
             self.do_plenty()
             self.wait(0.1)
             self.until("a link", lambda: self.hot_restart.links)
@@ -134,7 +134,7 @@
             self.hot_restart.close()
         self.until("its end", lambda: not self.hot_restart.links)
 
-    def do_turns_most(self, maximum: str) -> None:
+    def do_turns_within(self, maximum: str) -> None:
         """Check that nothing turns more often in a tenth of a second."""
         end = time.monotonic() + OBSERVED_S
         turns = 0
--- a/tests/integration/gateway/endpoint_steps.py
+++ b/tests/integration/gateway/endpoint_steps.py
@@ -18,7 +18,7 @@
 class EndpointSteps(ClientSteps):
     """Check what reaches endpoints, and answer it."""
 
-    def do_hears(self) -> None:
+    def do_starts_reading(self) -> None:
         """The endpoint `deaf` reads from now on."""
         self.deaf_reads = True
 
@@ -49,9 +49,9 @@
         expected = [without_deadline(part) for part in self.sent[rpc]]
         assert [without_deadline(part) for part in parts] == expected, parts
         left_ms = int(re.search(rb"(?:^|,)d=(\d+)", parts[3])[1])
-        assert left_ms <= int(options.get("most", left_ms)), left_ms
-        assert left_ms >= int(options.get("least", 0)), left_ms
-        assert options.get("at", peer.role) == peer.role, peer.role
+        assert left_ms <= int(options.get("max_ms", left_ms)), left_ms
+        assert left_ms >= int(options.get("min_ms", 0)), left_ms
+        assert options.get("on", peer.role) == peer.role, peer.role
 
     def do_untaken(self, rpc: str, times: str = "times=1") -> None:
         """Check that endpoints have fewer than so many commands for the RPC."""
--- a/tests/integration/gateway/harness.py
+++ b/tests/integration/gateway/harness.py
@@ -34,7 +34,7 @@
 PATIENCE_S = 20.0  # real time after which what is expected counts as never coming
 BACKLOG = 64
 FULL_LISTENER = "full"  # accepts no connection
-DEAF_LISTENER = "deaf"  # reads nothing before the step `hears`, and has a small buffer
+DEAF_LISTENER = "deaf"  # reads nothing before the step `starts-reading`, and has a small buffer
 BLOCKERS = 2  # connections that fill a backlog of zero
 FENCE = "fence"  # the client whose PING shows that the gateway has handled what came before
 
--- a/tests/integration/gateway/peer_steps.py
+++ b/tests/integration/gateway/peer_steps.py
@@ -80,7 +80,7 @@
         self.listeners.pop(name).close()
         self.rename_old(name)
         self.listen(name)
-        self.do_tells("in_service", name)
+        self.do_updates("in_service", name)
 
     def rename_old(self, name: str) -> None:
         """Let the connections at a peer's old address go by NAME-old."""
@@ -116,11 +116,11 @@
         self.pending_watch = None
         return watch
 
-    def do_tells(self, state: str, *names: str) -> None:
-        """Discovery answers the watch with a change, or with a complete list (`whole`)."""
+    def do_updates(self, state: str, *names: str) -> None:
+        """Discovery answers the watch with a change, or with a complete list (`complete`)."""
         self.watch_in_progress()
         self.endpoint_list_index += 1
-        is_complete = state == "whole"
+        is_complete = state == "complete"
         status = "in_service" if is_complete else state
         rows = [endpoint_row(name, self.address_of(name), status) for name in names]
         body = json.dumps(
--- a/tests/integration/gateway/test_endpoint_lists.py
+++ b/tests/integration/gateway/test_endpoint_lists.py
@@ -109,7 +109,7 @@
     play.send_full(*play.many())
     play.until(lambda: len(play.checked) > 2 * SHARE)
     play.scenario.do_moves("discovery")
-    play.scenario.do_tells("whole", "a")
+    play.scenario.do_updates("complete", "a")
     assert list(play.executor.endpoints) == ["a"]
     assert [len(rows) for _, rows in play.applied] == [2]
     assert len(play.checked) < MANY
