--- a/tests/integration/__init__.py
+++ b/tests/integration/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of whole gateways and of fleets of processes."""
--- a/tests/unit/__init__.py
+++ b/tests/unit/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of one part at a time; few start a process."""
--- a/tests/unit/config/__init__.py
+++ b/tests/unit/config/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of configuration."""
