--- a/benchmarks/descriptors.py
+++ b/benchmarks/descriptors.py
@@ -435,7 +435,7 @@
         },
         "dials short": {name: short.count(name) for name in sorted(set(short))},
         "accepts short": sum(line["event"] == "no_descriptor" for line in lines),
-        "reloads refused": sum(line["event"] == "reload_refused" for line in lines),
+        "reloads refused": sum(line["event"] == "reload_rejected" for line in lines),
         "faults": sum(line["event"] == "fault" for line in lines) + (code != 0),
         "most": max(most),
         "lost": lost,
--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -36,8 +36,8 @@
     "dials failed",
     "adds",
     "adds failed",
-    "discovery_away",
-    "discovery_back",
+    "discovery_unreachable",
+    "discovery_recovered",
     "hosts",
     "started",
 )
--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -41,7 +41,7 @@
         try:
             config = load(before)
         except ConfigError as error:
-            process.log.event("reload_refused", error=str(error))
+            process.log.event("reload_rejected", error=str(error))
             return
         counter = config.counter or before.counter  # it cannot be removed in service
         moved = _moved_addresses(before, config)
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -138,7 +138,7 @@
     def _report_failure(self, error: Exception) -> None:
         """Report the first failure in a row."""
         if not self.backoff.is_failing:
-            self.log.event("discovery_away", error=str(error))
+            self.log.event("discovery_unreachable", error=str(error))
             self.consumer.on_endpoint_list(None)
 
     def _pause_after(self, error: Exception) -> float:
@@ -198,7 +198,7 @@
             self.index = None  # its numbers began anew: what they count from is not what we have
             return is_lasting
         if self.backoff.is_failing:
-            self.log.event("discovery_back", index=index)
+            self.log.event("discovery_recovered", index=index)
         self.backoff.on_success(bool(endpoint_list.entries))
         while self.consumer.is_applying_endpoint_list():
             self._yield_turn()
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -62,7 +62,7 @@
         "not_on_roster",
         "leading",
         "deposed",
-        "reload_refused",
+        "reload_rejected",
         "agreed",
     }
 )
--- a/tests/integration/gateway/process_steps.py
+++ b/tests/integration/gateway/process_steps.py
@@ -52,7 +52,7 @@
                 wait_for_event(process, "reloaded")
                 path.write_text("not JSON")
                 process.send_signal(signal.SIGHUP)
-                wait_for_event(process, "reload_refused")
+                wait_for_event(process, "reload_rejected")
                 path.write_text(right)
                 process.send_signal(signal.SIGHUP)
                 process.send_signal(signal.SIGTERM)
--- a/tests/integration/gateway/setup_steps.py
+++ b/tests/integration/gateway/setup_steps.py
@@ -84,7 +84,7 @@
 
     def do_refusals(self, number: str, *texts: str) -> None:
         """Check that so many configurations were refused, with these texts among the lines."""
-        lines = self.log_lines("reload_refused")
+        lines = self.log_lines("reload_rejected")
         assert len(lines) == int(number), lines
         for text in texts:
             expected = unescape(text).decode()
@@ -107,7 +107,7 @@
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(self.config, file)
             file.flush()
-            if event == "reload_refused":
+            if event == "reload_rejected":
                 self.do_short()
             environment = {"PROXY_CONFIG": file.name}
             self.gateway.reload(lambda before: config.load(environment, before))
--- a/tests/integration/gateway/test_endpoint_lists.py
+++ b/tests/integration/gateway/test_endpoint_lists.py
@@ -79,8 +79,8 @@
     """The error names the row, nothing is applied, and the list is asked for anew."""
     before = dict(play.executor.endpoints)
     play.send_full(*play.many(), play.row("a", weight=-1))
-    play.until(lambda: play.scenario.log_lines("discovery_away"))
-    (line,) = play.scenario.log_lines("discovery_away")
+    play.until(lambda: play.scenario.log_lines("discovery_unreachable"))
+    (line,) = play.scenario.log_lines("discovery_unreachable")
     error = f"list.endpoints[{MANY}].weight: expected a number from 0, found -1"
     assert json.loads(line)["error"] == error
     assert play.applied == []
