--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -26,11 +26,12 @@
 
 from petrellane import invariants  # noqa: E402
 from petrellane.simulation import VERSION  # noqa: E402
-from petrellane.simulation.fleet import Fleet  # noqa: E402
+from petrellane.simulation.fleet import FleetSimulation  # noqa: E402
 from petrellane.simulation.scenario import Customer, Fault, Method, Plan, Scenario, World  # noqa: E402
 from petrellane.testbed.clients import Customer as Client  # noqa: E402
 from petrellane.testbed.clients import Method as Asked  # noqa: E402
-from petrellane.testbed.fleet import Lab, Shape, settings  # noqa: E402
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec, SettingsSpec, build_settings, build_terms  # noqa: E402
 
 HOSTS, ZONES, SLOTS = 60, 10, 1
 COLD, COLD_FROM = 6.0, 0.2
@@ -140,11 +141,11 @@
         slots=SLOTS,
         queue=64,
         latency=0.0005,
-        standing=1.0,
+        connection_reuse=1.0,
         retries=0,
-        cold=COLD,
-        cold_from=COLD_FROM,
-        notice=0.3,
+        slow_start=COLD,
+        slow_start_minimum=COLD_FROM,
+        detection_delay=0.3,
         exponential=exponential,
     )
     methods = (Method("look", "idempotent", 1.0, work, 20 * work, 60 * work),)
@@ -162,15 +163,15 @@
 
 def play(gateways, shape, seed, load, rate, exponential):
     """The figures of one run of the model."""
-    fleet = Fleet(scenario(gateways, shape, seed, load, rate, exponential))
-    spans = Spans(fleet.terms(), [one.name for one in fleet.machines], float(SLOTS))
-    note = fleet.note
+    fleet = FleetSimulation(scenario(gateways, shape, seed, load, rate, exponential))
+    spans = Spans(fleet.terms(), [one.name for one in fleet.endpoints], float(SLOTS))
+    note = fleet.record
 
     def noted(record):
         note(record)
         spans.take(record)
 
-    fleet.note = noted
+    fleet.record = noted
     run = fleet.play()
     return {
         "gateways": gateways,
@@ -220,10 +221,12 @@
         Client(number + 1, "free", share, first, spread)
         for number, (share, first, spread) in enumerate(parts(gateways, told.shapes))
     ]
-    obliged = settings(gateways, cold=COLD, cold_from=COLD_FROM)
+    obliged = build_settings(
+        SettingsSpec(gateways, slow_start_s=COLD, slow_start_minimum=COLD_FROM)
+    )
     for row in obliged["classes"]:
         row |= {"goalTime": int(20e6 * work), "giveUp": int(60e6 * work)}
-    shape = Shape(
+    shape = FleetSpec(
         gateways=gateways,
         hosts=HOSTS,
         relays=(),
@@ -236,8 +239,10 @@
         customers=customers,
         methods=[Asked("look", patience=60 * work)],
     )
-    with Lab(shape) as lab:
-        spans = Spans(lab.terms(), [one.name for one in lab.hosts], float(SLOTS))
+    with LoopbackFleet(shape) as lab:
+        spans = Spans(
+            build_terms(lab.spec, lab.settings), [one.name for one in lab.hosts], float(SLOTS)
+        )
         judge = lab.records.observe
 
         def judged(record):
@@ -247,27 +252,27 @@
         lab.records.observe = judged
         lab.start()
         lab.clients.start()
-        lab.play(GONE)
+        lab.run_for(GONE)
         back = [host for number, host in enumerate(lab.hosts) if number % ZONES in STARTED]
         for host in back:
-            host.down()
-            lab.discovery.put(host.name, host.text, "terminated")
-        lab.play(BACK - GONE - 0.2)
+            host.crash()
+            lab.discovery.put(host.name, host.host_port, "terminated")
+        lab.run_for(BACK - GONE - 0.2)
         again = lab.gateways[::3] if told.shapes == "restarted" else []
         for one in again:
             one.kill()
-        lab.play(0.2)
+        lab.run_for(0.2)
         for host in back:
             host.start()
-            lab.discovery.put(host.name, host.text, since=host.started)
+            lab.discovery.put(host.name, host.host_port, since=host.started_at)
         for one in again:
             one.start()
-            lab.turn()  # a start takes some ten milliseconds of the rig, which else stands still for all of them together
+            lab.run_turn()  # a start takes some ten milliseconds of the rig, which else stands still for all of them together
         lab.clients.rate = told.rate * (2 if told.shapes == "burst" else 1)
-        lab.play(4.0)
+        lab.run_for(4.0)
         lab.clients.rate = told.rate
-        lab.play(LENGTH - BACK - 4.0)
-        lab.quiet(60 * work + 2.0)
+        lab.run_for(LENGTH - BACK - 4.0)
+        lab.finish_load(60 * work + 2.0)
         verdict = lab.verdict()
         rows.append(
             {
@@ -275,7 +280,7 @@
                 "shape": told.shapes,
                 "seed": told.seeds,
                 "broken": verdict.counts,
-                "stood_still": lab.longest,
+                "stood_still": lab.longest_stall_s,
                 "void": lab.void,
                 "crashes": len(lab.crashes),
                 **spans.figures(),
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -23,12 +23,16 @@
 from benchmarks.agreement import memory  # noqa: E402
 from petrellane.decisions.controller import AdmissionController  # noqa: E402
 from petrellane.load_distribution import sources  # noqa: E402
-from petrellane.load_distribution.figures import figures  # noqa: E402
-from petrellane.simulation import shrinking  # noqa: E402
+from petrellane.load_distribution.figures import compute_figures  # noqa: E402
 from petrellane.simulation.baselines import BASELINES  # noqa: E402
-from petrellane.simulation.fleet import Fleet  # noqa: E402
+from petrellane.simulation.fleet import FleetSimulation  # noqa: E402
 from petrellane.simulation.scenario import Fault  # noqa: E402
-from petrellane.testbed.fleet import Lab, Shape  # noqa: E402
+from petrellane.simulation.sparse_traffic import (  # noqa: E402
+    measure_service,
+    sparse_scenario,
+)
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec  # noqa: E402
 
 WARM = 5.0  # seconds of a run that are left out
 WAYS = ("module", *BASELINES)
@@ -36,16 +40,18 @@
 
 def play(who, gateways, hosts, load, patience, rate, seed, length):
     """The figures of one run of the model."""
-    scenario = shrinking.thin(gateways, hosts, load, seed, rate, length, patience)
-    run = Fleet(scenario, BASELINES.get(who, AdmissionController), keep=True).play()
-    served, work = shrinking.served(run, WARM), scenario.methods[0].work
-    found = figures(sources.of_records(run.records, WARM, length))
+    scenario = sparse_scenario(gateways, hosts, load, seed, rate, length, patience)
+    run = FleetSimulation(
+        scenario, BASELINES.get(who, AdmissionController), keep_records=True
+    ).play()
+    served, work = measure_service(run, WARM), scenario.methods[0].work
+    found = compute_figures(sources.trace_from_records(run.records, WARM, length))
     five = next(one for one in found.spans if one.seconds == 5.0)
     return {
         "who": who,
         "load": load,
         "seed": seed,
-        "pushed": served.pushed,
+        "pushed": served.rejected,
         "late": served.late,
         "ok": served.ok,
         "p50": served.p50 / work,
@@ -77,12 +83,17 @@
 
 def hard_play(case, who, gateways, hosts, load, patience, rate):
     """The figures of one fault; what the first host gets by second after it is back, over its part."""
-    scenario = shrinking.thin(gateways, hosts, load, 1, rate, 20.0, patience, faults=HARD[case])
-    run = Fleet(scenario, BASELINES.get(who, AdmissionController), keep=True).play()
-    served, found = shrinking.served(run, WARM), figures(sources.of_records(run.records, 8.0, 20.0))
+    scenario = sparse_scenario(gateways, hosts, load, 1, rate, 20.0, patience, faults=HARD[case])
+    run = FleetSimulation(
+        scenario, BASELINES.get(who, AdmissionController), keep_records=True
+    ).play()
+    served, found = (
+        measure_service(run, WARM),
+        compute_figures(sources.trace_from_records(run.records, 8.0, 20.0)),
+    )
     sent = [
         int(at)
-        for at, _, host, _ in sources.of_records(run.records, 10.0, 20.0).sent
+        for at, _, host, _ in sources.trace_from_records(run.records, 10.0, 20.0).sent
         if host == "h0"
     ]
     back = (
@@ -91,7 +102,7 @@
     return {
         "case": case,
         "who": who,
-        **served._asdict(),
+        **{"pushed" if name == "rejected" else name: one for name, one in served._asdict().items()},
         "p99": served.p99 / scenario.methods[0].work,
         "excess": [one.excess for one in found.spans],
         "idle": len(found.idle),
@@ -158,7 +169,7 @@
     """Real gateways, with faults at hosts in turn; a row for each part of the run."""
     slots = 2
     work = told.load * told.hosts * slots / told.rate
-    shape = Shape(
+    shape = FleetSpec(
         gateways=told.gateways,
         hosts=told.hosts,
         relays=(),
@@ -168,13 +179,13 @@
         queue=64,
     )
     rows, part = [], told.seconds / 5
-    with Lab(shape) as lab:
+    with LoopbackFleet(shape) as lab:
         began = time.monotonic()
         lab.records.keep_all()
         lab.start()
         up = time.monotonic() - began
         lab.clients.start()
-        lab.play(WARM)
+        lab.run_for(WARM)
         spent = sum(memory(one.process)[1] for one in lab.gateways)
 
         def measure(name, seconds):
@@ -183,8 +194,10 @@
                 len(lab.clients.waits),
                 dict(lab.records.counts),
             )
-            lab.play(seconds)
-            found = figures(sources.of_records(lab.records.history, since, lab.records.now()))
+            lab.run_for(seconds)
+            found = compute_figures(
+                sources.trace_from_records(lab.records.history, since, lab.records.now())
+            )
             took = sorted(one for one, answer in lab.clients.waits[waits:] if answer == "ok")
             answers = {}
             for (_, answer), number in lab.records.counts.items():
@@ -216,11 +229,11 @@
 
         measure("no fault", part)
         back, slow, failing, silent = lab.hosts[:4]
-        back.down()
-        lab.discovery.put(back.name, back.text, "terminated")
-        lab.play(1.0)
+        back.crash()
+        lab.discovery.put(back.name, back.host_port, "terminated")
+        lab.run_for(1.0)
         back.start()
-        lab.discovery.put(back.name, back.text, since=back.started)
+        lab.discovery.put(back.name, back.host_port, since=back.started_at)
         before, all_before = back.ran, sum(host.ran for host in lab.hosts)
         measure("one comes back", part)
         rows[-1]["back_over_its_part"] = (
@@ -228,24 +241,24 @@
             * told.hosts
             / max(1, sum(host.ran for host in lab.hosts) - all_before)
         )
-        slow.slow = 10.0
+        slow.slowdown = 10.0
         measure("one ten times as slow", part)
-        slow.slow, failing.share = 1.0, 1.0
-        failing.slow = 0.1
+        slow.slowdown, failing.error_rate = 1.0, 1.0
+        failing.slowdown = 0.1
         measure("one answers errors at once", part)
-        failing.share, failing.slow, silent.silent = 0.0, 1.0, True
+        failing.error_rate, failing.slowdown, silent.silent = 0.0, 1.0, True
         measure("one is silent", part)
         silent.silent = False
-        silent.work()
+        silent.run_waiting()
         told_of = [memory(one.process) for one in lab.gateways]
-        lab.quiet(10.0)
+        lab.finish_load(10.0)
         verdict = lab.verdict()
         machine = {
             "up_s": round(up, 1),
             "mb_each": round(statistics.median(size for size, _ in told_of) / 2**20, 1),
             "mb_all": round(sum(size for size, _ in told_of) / 2**20),
             "cores": round((sum(cpu for _, cpu in told_of) - spent) / told.seconds, 2),
-            "rig_stood_still_s": round(lab.longest, 3),
+            "rig_stood_still_s": round(lab.longest_stall_s, 3),
             "broken": verdict.counts,
             "crashes": len(lab.crashes),
             "void": lab.void,
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -5,7 +5,7 @@
     python benchmarks/told.py --model [--gateways 200] [--seeds 5] [--rate 80]
 
 Processes on loopback, without load. Each gateway has a discovery of its own, which is in trouble for 3 to 25 s
-(`--longest`), again and again, each time by one of the kinds of `petrellane/testbed/fakes.py`. A host's state changes
+(`--longest`), again and again, each time by one of the kinds of `petrellane/testbed/fake_discovery.py`. A host's state changes
 meanwhile, and what is timed is from the return of discovery to the gateway's line `hosts` with that change. An `open watch`
 falls silent as it begins, and the change comes at once: there a new call would have reached discovery all the time, so the
 time counts from the change. With `--together` all gateways have one discovery: it has the trouble for 8 s, and serves
@@ -23,10 +23,12 @@
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 from petrellane.invariants import EndpointNotified  # noqa: E402
-from petrellane.simulation.fleet import Fleet  # noqa: E402
-from petrellane.simulation.scenario import read  # noqa: E402
-from petrellane.testbed.fakes import Discovery  # noqa: E402
-from petrellane.testbed.fleet import Lab, Shape  # noqa: E402
+from petrellane.simulation.fleet import FleetSimulation  # noqa: E402
+from petrellane.simulation.scenario_files import parse_scenario  # noqa: E402
+from petrellane.testbed.fake_discovery import DiscoveryFault, FakeDiscovery  # noqa: E402
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec  # noqa: E402
+from petrellane.testbed.processes import Build  # noqa: E402
 
 BOUND = 6.0
 PATIENCE = 20.0  # seconds after which a change counts as not told
@@ -44,16 +46,16 @@
     def __init__(self, lab, one, told):
         self.lab, self.one, self.told, self.took = lab, one, told, []
         self.random = random.Random(f"{told.seed} {one.name}")
-        self.discovery = Discovery(lab.scheduler, lab.records)
+        self.discovery = FakeDiscovery(lab.scheduler, lab.records)
         for host in lab.hosts:
-            self.discovery.put(host.name, host.text)
-        self.door = self.discovery.door(one.name, lab.place())
-        one.write({**one.told(), "discovery": self.door.text})
+            self.discovery.put(host.name, host.host_port)
+        self.door = self.discovery.listener_for(one.name, lab.addresses.next_address())
+        one.write_config({**one.config(), "discovery": self.door.host_port})
         self.state, self.over, self.kinds = "in_service", False, told.kinds
 
     def change(self):
         self.state = "terminating" if self.state == "in_service" else "in_service"
-        self.discovery.put("h0", self.lab.hosts[0].text, self.state)
+        self.discovery.put("h0", self.lab.hosts[0].host_port, self.state)
         return self.discovery.index
 
     def heard(self, index, since):
@@ -75,10 +77,10 @@
                 took = self.open_watch()
             else:
                 length = self.random.uniform(3.0, self.told.longest)
-                self.door.begin(kind)
+                self.door.inject(DiscoveryFault(kind))
                 scheduler.wait(length)
                 index = self.change()
-                self.door.end()
+                self.door.heal()
                 took = self.heard(index, self.lab.scheduler.now())
             self.took.append((kind, took))
 
@@ -93,22 +95,22 @@
 
 
 def apart(told):
-    shape = Shape(gateways=told.gateways, hosts=2, seed=told.seed, relays=())
-    with Lab(shape) as lab:
+    shape = FleetSpec(gateways=told.gateways, hosts=2, seed=told.seed, relays=())
+    with LoopbackFleet(shape) as lab:
         trials = [Trials(lab, one, told) for one in lab.gateways]
         for one in lab.gateways:
-            one.build = {"cwd": os.path.abspath(told.build)} if told.build else {}
+            one.build = Build(cwd=os.path.abspath(told.build)) if told.build else Build()
         lab.start()
         for trial in trials:
             lab.scheduler.spawn(trial.run)
-        lab.play(told.seconds)
+        lab.run_for(told.seconds)
         calls = sum(trial.discovery.calls for trial in trials)
         for trial in trials:
             trial.over = True
             trial.discovery.close()
         found = [one for trial in trials for one in trial.took]
         rows = {kind: [took for of, took in found if of == kind] for kind in told.kinds}
-        rig = lab.longest
+        rig = lab.longest_stall_s
     print(
         f"{'trouble':12} {'trials':>6} {'p50':>6} {'p90':>6} {'most':>6} {'over 6 s':>8} {'never':>6}"
     )
@@ -129,24 +131,24 @@
 
 def together(told):
     """One discovery for all: what each gateway has been told, and how many calls come in each second."""
-    shape = Shape(gateways=told.gateways, hosts=2, seed=told.seed, relays=())
-    with Lab(shape) as lab:
+    shape = FleetSpec(gateways=told.gateways, hosts=2, seed=told.seed, relays=())
+    with LoopbackFleet(shape) as lab:
         for one in lab.gateways:
-            one.build = {"cwd": os.path.abspath(told.build)} if told.build else {}
+            one.build = Build(cwd=os.path.abspath(told.build)) if told.build else Build()
         lab.start()
-        lab.play(10.0)
-        doors, began = list(lab.discovery.doors.values()), lab.scheduler.now()
+        lab.run_for(10.0)
+        doors, began = list(lab.discovery.listeners.values()), lab.scheduler.now()
         for door in doors:
-            door.begin(told.together)
-        lab.play(TOGETHER)
-        lab.discovery.put("h0", lab.hosts[0].text, "terminating")
+            door.inject(DiscoveryFault(told.together))
+        lab.run_for(TOGETHER)
+        lab.discovery.put("h0", lab.hosts[0].host_port, "terminating")
         index, back, seconds = lab.discovery.index, lab.scheduler.now(), []
         lab.discovery.rate = told.rate
         for door in doors:
-            door.end()
+            door.heal()
         for _ in range(30):
             before = lab.discovery.calls, lab.discovery.refused
-            lab.play(1.0)
+            lab.run_for(1.0)
             seconds.append((lab.discovery.calls - before[0], lab.discovery.refused - before[1]))
         took = []
         for one in lab.gateways:
@@ -156,7 +158,7 @@
                 if event["event"] == "hosts" and event["index"] >= index
             ]
             took.append(min(times, default=None))
-        rig = lab.longest
+        rig = lab.longest_stall_s
     known, late = (
         [one for one in took if one is not None],
         sum(one is None or one > BOUND for one in took),
@@ -205,22 +207,22 @@
         {"kind": "fault", "what": "host drains", "at": 14.0 + host, "length": 25.0, "whom": host}
         for host in range(4)
     ]
-    return read("\n".join(json.dumps(row) for row in rows))
+    return parse_scenario("\n".join(json.dumps(row) for row in rows))
 
 
 def played(seed, gateways, trouble, rate):
     """Seconds after which each gateway was told of each drain (None: never), calls and calls turned away by second from the
     return of discovery on, and the rules that were broken."""
-    fleet = Fleet(scenario(seed, gateways, trouble, rate), keep=True)
+    fleet = FleetSimulation(scenario(seed, gateways, trouble, rate), keep_records=True)
     run, back, first = fleet.play(), 10.0 if trouble == "turned away" else 10.0 + TOGETHER, {}
     for record in run.records:
         if type(record) is EndpointNotified and record.state == "draining":
             first.setdefault((record.gateway, record.host), record.at)
-    took = [first.get((node.name, f"h{host}")) for node in fleet.nodes for host in range(4)]
+    took = [first.get((node.name, f"h{host}")) for node in fleet.gateways for host in range(4)]
     took = [at and at - max(back, 14.0 + number % 4) for number, at in enumerate(took)]
     counts = [
         [by_second[second] for second in range(int(back), 38)]
-        for by_second in (fleet.discovery.calls, fleet.discovery.refused)
+        for by_second in (fleet.discovery.polls, fleet.discovery.rejected_polls)
     ]
     return took, *counts, run.broken
 
--- a/petrellane/testbed/command.py
+++ b/petrellane/testbed/command.py
@@ -6,12 +6,14 @@
 
 from petrellane.invariants import Verdict
 from petrellane.load_distribution import sources
-from petrellane.testbed.fleet import Lab, Shape
+from petrellane.testbed.fleet import LoopbackFleet
+from petrellane.testbed.fleet_spec import FleetSpec
 from petrellane.testbed.run_display import RunDisplay, format_answers
-from petrellane.testbed.runner import Figures, Play, Stage, Step, load, shape_of
+from petrellane.testbed.run_file import LabSection, RunFile, Step, fleet_spec_of, load_run_file
+from petrellane.testbed.runner import StepRunner
 
-DEMO = Play(
-    lab=Figures(gateways=3, hosts=6, seconds=20.0, rate=120.0),
+DEMO = RunFile(
+    lab=LabSection(gateways=3, hosts=6, seconds=20.0, rate=120.0),
     step=[Step(at=10.0, do="kill", who=["h2"])],
 )
 MAX_TIMELINE = 200
@@ -31,9 +33,9 @@
         The exit code.
 
     Raises:
-        PlayError: The file cannot be read or is malformed.
+        RunFileError: The file cannot be read or is malformed.
     """
-    return play(load(path), records=records)
+    return play(load_run_file(path), records=records)
 
 
 def demo() -> int:
@@ -46,30 +48,30 @@
         "three gateways, six hosts, a counter and discovery, on loopback; "
         "host h2 is killed half way"
     )
-    return play(DEMO, Shape(rate=DEMO.lab.rate))
+    return play(DEMO, FleetSpec(rate=DEMO.lab.rate))
 
 
-def play(run: Play, shape: Shape | None = None, records: str = "") -> int:
+def play(run: RunFile, spec: FleetSpec | None = None, records: str = "") -> int:
     """Play a run, and print its timeline and its verdict.
 
     Args:
         run: The run.
-        shape: The fleet; None for the one that the run describes.
+        spec: The fleet; None for the one that the run describes.
         records: Where the records of the run are written; empty for nowhere.
 
     Returns:
         The exit code.
     """
-    with Lab(shape or shape_of(run)) as lab:
+    with LoopbackFleet(spec or fleet_spec_of(run)) as lab:
         if records:
             lab.records.keep_all()
         lab.start()
         lab.records.note(f"load begins: {run.lab.rate:g} RPCs a second")
-        Stage(lab, run).begin()
+        StepRunner(lab, run).begin()
         lab.clients.start()
         with RunDisplay(lab, run.lab.seconds):
-            lab.play(run.lab.seconds)
-            lab.quiet()
+            lab.run_for(run.lab.seconds)
+            lab.finish_load()
         verdict = lab.verdict()
         if records:
             sources.write(records, lab.records.history, lab.records.now())
@@ -78,7 +80,7 @@
         return exit_code_of(lab, verdict, run.expect.broken)
 
 
-def exit_code_of(lab: Lab, verdict: Verdict, expected: Sequence[str]) -> int:
+def exit_code_of(lab: LoopbackFleet, verdict: Verdict, expected: Sequence[str]) -> int:
     """Print whether rules broke as expected, and return the exit code.
 
     It is 1 where a rule broke that was not to, or one did not that was to, where a process crashed
@@ -95,7 +97,7 @@
     return EXIT_FAILED
 
 
-def print_result(lab: Lab, verdict: Verdict) -> None:
+def print_result(lab: LoopbackFleet, verdict: Verdict) -> None:
     """Print the answers, the violations, and what went wrong with the run itself."""
     no_gateway = ""
     if lab.clients.turned_back:
@@ -116,7 +118,7 @@
         print(f"void: {lab.void}")
 
 
-def _latency_text(lab: Lab) -> str:
+def _latency_text(lab: LoopbackFleet) -> str:
     latencies = sorted(seconds for seconds, _ in lab.clients.waits)
     median = latencies[int(len(latencies) * 0.5)]
     p99 = latencies[int(len(latencies) * 0.99)]
--- a/petrellane/testbed/scale/runner.py
+++ b/petrellane/testbed/scale/runner.py
@@ -8,12 +8,12 @@
 
 import orjson
 
-from petrellane.testbed import fleet
+from petrellane.testbed.fleet_spec import SettingsSpec, build_settings
 from petrellane.testbed.scale.config import ScaleConfig, gateways_by_process, load, validate
 from petrellane.testbed.scale.observations import ROLES, collect, meter_lines_of
 from petrellane.testbed.scale.report import Report, make_report, total_usage
 from petrellane.testbed.scale.resources import check_resources
-from petrellane.testbed.testbed import Rig, RigError
+from petrellane.testbed.testbed import ScaleRunError, ScaleTestbed
 
 FIXED_METHODS = 3  # that the settings of every fleet have
 UNREACHED_QUOTA = 1000.0  # of customers' plan, in units a second
@@ -24,10 +24,12 @@
 
 def make_settings(config: ScaleConfig, change: int = 0) -> dict[str, Any]:
     """Return the settings of a run after so many changes, as the settings file has them."""
-    settings: dict[str, Any] = fleet.settings(
-        max(1, config.gateway_count),
-        more=[f"m{number}" for number in range(config.methods - FIXED_METHODS)],
-        quota=UNREACHED_QUOTA,
+    settings: dict[str, Any] = build_settings(
+        SettingsSpec(
+            max(1, config.gateway_count),
+            extra_methods=[f"m{number}" for number in range(config.methods - FIXED_METHODS)],
+            quota=UNREACHED_QUOTA,
+        )
     )
     settings["classes"][0]["giveUp"] += change * DEADLINE_STEP_US
     return settings
@@ -38,11 +40,11 @@
 
     Raises:
         ScaleError: The run cannot be played; nothing was started.
-        RigError: The run did not come about.
+        ScaleRunError: The run did not come about.
     """
     validate(config)
     check_resources(config)
-    testbed = Rig(config, gateways_by_process(config), partial(make_settings, config))
+    testbed = ScaleTestbed(config, gateways_by_process(config), partial(make_settings, config))
     began = time.time()
     try:
         testbed.start()
@@ -67,7 +69,7 @@
     """
     try:
         report = play(load(path))
-    except RigError as error:
+    except ScaleRunError as error:
         print(error)
         return EXIT_VOID
     from petrellane.testbed.scale.output import print_report  # rich is an extra
--- /dev/null
+++ b/tests/unit/cli/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the command line."""
