--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -4,7 +4,7 @@
 
 Reads benchmarks/capacity.toml (sizes, budgets, estimates), benchmarks/scale.json (written by
 benchmarks/scale.py), benchmarks/messages.json (by benchmarks/messages.py) and the JSON line of
-docs/runs/scale-1200.txt (by `petrellane lab scale`). `--check` writes nothing, and exits with 1
+docs/runs/scale-1200.txt (by `petrellane testbed scale`). `--check` writes nothing, and exits with 1
 and one line that names the first table that differs. An input or a page that cannot be used is
 named in one line, with exit code 2.
 """
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -31,6 +31,20 @@
 EXIT_USAGE = 2
 """Exit code where the command, its files or its environment are wrong."""
 
+FORMER_COMMANDS = {
+    "hunt": "property-search",
+    "spread": "load-distribution",
+    "lab": "testbed",
+}
+"""Names that commands had, which still work, and their names now."""
+
+
+@app.callback()
+def _announce_new_name(context: typer.Context) -> None:
+    name = context.invoked_subcommand or ""
+    if name in FORMER_COMMANDS:
+        print(f"petrellane: {name} is {FORMER_COMMANDS[name]} now", file=sys.stderr)
+
 
 def _load_config() -> "Config":
     """The configuration that the environment names; ends the command where it is wrong."""
@@ -76,7 +90,8 @@
     )
 
 
-@app.command("hunt")
+@app.command("hunt", hidden=True)
+@app.command("property-search")
 def search_properties(
     seeds: Annotated[int, typer.Option(min=1, help="Scenarios to play.")] = 2000,
     first: Annotated[
@@ -107,7 +122,7 @@
     ] = False,
     write: Annotated[str, typer.Option(help="Write the scenario to this file.")] = "",
     records: Annotated[
-        str, typer.Option(help="Write what was seen to this file, for `spread`.")
+        str, typer.Option(help="Write what was seen to this file, for `load-distribution`.")
     ] = "",
 ) -> None:
     """Play one scenario in simulated time."""
@@ -120,11 +135,15 @@
         _exit_with_error(error)
 
 
-@app.command(
-    help="How even load is over hosts: peaks, troughs, idle hosts, herds and swings; "
+LOAD_DISTRIBUTION_HELP = (
+    "How even load is over endpoints: peaks, troughs, idle endpoints, herds and swings; "
     "docs/history/load-distribution.md defines them."
 )
-def spread(  # noqa: PLR0913 - a parameter for each option
+
+
+@app.command("spread", hidden=True, help=LOAD_DISTRIBUTION_HELP)
+@app.command("load-distribution", help=LOAD_DISTRIBUTION_HELP)
+def load_distribution(  # noqa: PLR0913 - a parameter for each option
     path: Annotated[str, typer.Argument(help="A file of records, or a folder of gateways' logs.")],
     since: Annotated[
         float, typer.Option(min=0.0, help="Seconds from the begin to leave out.")
@@ -282,24 +301,25 @@
     _exit_with_result(control, json, lambda commands: commands.show_differences(one, other))
 
 
-lab_app = typer.Typer(
-    help="A rig of many processes on loopback, with faults between them.",
+testbed_app = typer.Typer(
+    help="A testbed of many processes on loopback, with faults between them.",
     no_args_is_help=True,
     add_completion=False,
     rich_markup_mode=None,
 )
-app.add_typer(lab_app, name="lab")
+app.add_typer(testbed_app, name="testbed")
+app.add_typer(testbed_app, name="lab", hidden=True)
 
 
-@lab_app.command(
+@testbed_app.command(
     "run",
     help="Play a run file and tell what happened; exit code 1 when a rule broke or a process "
     "crashed.",
 )
-def lab_run(
+def testbed_run(
     file: Annotated[str, typer.Argument(help="A run file; docs/testbed.md has the notation.")],
     records: Annotated[
-        str, typer.Option(help="Write what was seen to this file, for `spread`.")
+        str, typer.Option(help="Write what was seen to this file, for `load-distribution`.")
     ] = "",
 ) -> None:
     """Play a run file and tell what happened."""
@@ -312,20 +332,20 @@
         _exit_with_error(error)
 
 
-@lab_app.command("demo")
-def lab_demo() -> None:
+@testbed_app.command("demo")
+def testbed_demo() -> None:
     """Three gateways, six hosts, 20 s of load, one host killed half way; ends by itself."""
     from petrellane.testbed import command
 
     raise typer.Exit(command.demo())
 
 
-@lab_app.command(
+@testbed_app.command(
     "scale",
     help="Run many hollow gateways beside some real ones, and tell what each role spends; exit "
     "code 1 when the run proves nothing.",
 )
-def lab_scale(
+def testbed_scale(
     file: Annotated[str, typer.Argument(help="A scale file; docs/testbed.md has the notation.")],
 ) -> None:
     """Run many hollow gateways beside some real ones."""
--- a/petrellane/simulation/baselines.py
+++ b/petrellane/simulation/baselines.py
@@ -28,7 +28,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, ClassVar
 
-from petrellane.decisions.types import OK, Endpoint
+from petrellane.decisions.types import OK, Endpoint, Outcome
 from petrellane.simulation.baseline_controller import Baseline, TwoChoices
 from petrellane.simulation.subsetting_baselines import Aperture, RingSubset, Subset
 
@@ -97,7 +97,7 @@
         self._estimates[picked] = self._estimate(picked) + 1 / picked.weight
         return picked
 
-    def on_outcome(self, endpoint: Endpoint, outcome: str, _now: float) -> None:
+    def on_outcome(self, endpoint: Endpoint, outcome: Outcome, _now: float) -> None:
         """Take the report of an answer."""
         if outcome == OK and endpoint in self._estimates:
             self._estimates[endpoint] = _queue_of(self.gateway, endpoint)
@@ -144,7 +144,7 @@
         best.uses_left -= 1
         return best.endpoint
 
-    def on_outcome(self, endpoint: Endpoint, outcome: str, now: float) -> None:
+    def on_outcome(self, endpoint: Endpoint, outcome: Outcome, now: float) -> None:
         """Take the report of an answer."""
         if outcome == OK:
             report = LoadReport(endpoint, _queue_of(self.gateway, endpoint), self.USES, now)
--- a/petrellane/simulation/controllers.py
+++ b/petrellane/simulation/controllers.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from petrellane.decisions.actions import Action, CounterAdd, SendAttempt
-from petrellane.decisions.types import EndpointEvent, Rpc
+from petrellane.decisions.types import EndpointEvent, Outcome, Rpc
 
 
 class Controller(Protocol):
@@ -30,7 +30,7 @@
         """An RPC has come."""
 
     def on_attempt_ended(
-        self, now: float, attempt: SendAttempt, outcome: str, /, *, over: bool, took: float
+        self, now: float, attempt: SendAttempt, outcome: Outcome, /, *, over: bool, took: float
     ) -> list[Action]:
         """An attempt has ended."""
 
@@ -38,7 +38,7 @@
         """The client of an RPC has gone."""
 
     def on_counter_reply(
-        self, now: float, add: CounterAdd, outcome: str, total: float, /
+        self, now: float, add: CounterAdd, outcome: Outcome, total: float, /
     ) -> list[Action]:
         """The counter has answered an add, or failed to."""
 
--- a/tests/integration/testbed/test_testbed.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -1136,7 +1136,7 @@
     def test_a_run_file_from_the_command_line(self):
         file = os.path.join(os.path.dirname(__file__), "runs", "change-under-faults.toml")
         ended = subprocess.run(
-            [sys.executable, "-m", "petrellane", "lab", "run", file],
+            [sys.executable, "-m", "petrellane", "testbed", "run", file],
             capture_output=True,
             text=True,
             timeout=60,
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -205,7 +205,7 @@
                 (["replay", folder + "/none"], 2, "expected a scenario file"),
                 (["replay", "--seed", "x"], 2, "expected a whole number, found x"),
                 (["replay", "--seed", "5"], 0, "no rule broken"),
-                (["hunt", "--seeds", "0"], 2, "seeds"),
+                (["property-search", "--seeds", "0"], 2, "seeds"),
             ):
                 done = subprocess.run(
                     [sys.executable, "-m", "petrellane", *words], capture_output=True, text=True
