--- a/benchmarks/left.py
+++ b/benchmarks/left.py
@@ -163,7 +163,7 @@
 
     until = leave_at + 1.0
     for each in range(COMING):
-        scheduler.spawn(one, f"burst-{clients.number}-{each}")
+        scheduler.spawn(one, f"burst-{clients.rpc_count}-{each}")
     for _ in range(0 if quiet else CROWD):
         scheduler.after(max(0.0, stays - 0.1 * chance.random()), lambda: scheduler.spawn(crowd))
 
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -114,6 +114,7 @@
         leaving: The share of RPCs whose client closes its connection within its patience.
         half_closing: The share of these that end their sending first and close later.
         turned_back: RPCs that found no gateway.
+        rpc_count: RPCs sent by the load so far.
         load: What is sent; its rate is that of the start.
         seed: The begin of the RPCs' ids.
         waits: For each answer the seconds since the intended time, and its kind.
@@ -141,7 +142,7 @@
         self.load = load
         self.seed = seed
         self._random = random.Random(f"{seed} clients")
-        self._number = 0
+        self.rpc_count = 0
         self._next_at = 0.0
 
     def start(self) -> None:
@@ -200,10 +201,10 @@
         method = self._random.choices(methods, [method.share for method in methods])[0]
         customers = self.load.customers
         customer = self._random.choices(customers, [customer.share for customer in customers])[0]
-        self._number += 1
+        self.rpc_count += 1
         self.out += 1
         try:
-            self.send(ClientRpc(f"{self.seed}-{self._number:08x}", method, customer, intended))
+            self.send(ClientRpc(f"{self.seed}-{self.rpc_count:08x}", method, customer, intended))
         finally:
             self.out -= 1
 
