--- a/benchmarks/descriptors_run.py
+++ b/benchmarks/descriptors_run.py
@@ -248,7 +248,7 @@
             names.get(line.split()[1], "?") for line in errors if line.startswith("short")
         ]
         figures = [event for event in log if event["event"] == "figures"]
-        counts = {kind: count_events(log, kind) for kind in ("no_descriptor", "reload_refused")}
+        counts = {kind: count_events(log, kind) for kind in ("no_descriptor", "reload_rejected")}
         return RunResult(
             kind=self.options.kind,
             sockets=self.options.sockets,
@@ -256,7 +256,7 @@
             delays=observation.delays,
             short_dials={name: short_dials.count(name) for name in sorted(set(short_dials))},
             short_accepts=counts["no_descriptor"],
-            refused_reloads=counts["reload_refused"],
+            refused_reloads=counts["reload_rejected"],
             faults=count_events(log, "fault") + (exit_code != 0),
             descriptors=observation.descriptors,
             lost_descriptors=observation.lost_descriptors,
--- a/tests/scenario_files.py
+++ b/tests/scenario_files.py
@@ -1,14 +1,22 @@
 """Scenario files: steps in text, played by an object with a method for each verb.
 
-The notation is in tests/README.md. The objects are `tests.unit.decisions.scenario.Scene` for the
-decisions and `tests.integration.gateway.scenario.Net` for a whole gateway.
+The notation is in tests/README.md. The objects are `DecisionScenario` of
+`tests.unit.decisions.scenario` for the decisions, and `GatewayScenario` of
+`tests.integration.gateway.scenario` for a whole gateway.
 """
 
 import contextlib
 import pathlib
 import random
 from collections.abc import Callable
-from typing import Any
+from typing import Protocol
+
+
+class ClosableScene(Protocol):
+    """What the steps of one play act on."""
+
+    def close(self) -> None:
+        """Give back what it has open."""
 
 
 def scenario_files(folder: pathlib.Path) -> list[pathlib.Path]:
@@ -16,7 +24,7 @@
     return sorted(folder.glob("*.txt"))
 
 
-def play(scene: Any, path: pathlib.Path) -> None:
+def play(scene: object, path: pathlib.Path) -> None:
     """Play the steps of a file, several of a line with `;` between them, one after the other.
 
     Args:
@@ -37,7 +45,7 @@
                 raise AssertionError(f"{path.name}:{number}: {step.strip()}: {error!r}") from None
 
 
-def play_with_seeds(path: pathlib.Path, scene: Callable[[int], Any], seeds: int) -> None:
+def play_with_seeds(path: pathlib.Path, scene: Callable[[int], ClosableScene], seeds: int) -> None:
     """Play a file with so many seeds: what it expects must not depend on one draw.
 
     Args:
