--- a/benchmarks/start_up_single.py
+++ b/benchmarks/start_up_single.py
@@ -1,4 +1,4 @@
-"""Starts of single processes for `start_up_time.py`: the cost of a start without others beside it."""
+"""Starts of single processes for `start_up_time.py`, without others beside them."""
 
 import json
 import os
