--- a/petrellane/config_consensus/journal.py
+++ b/petrellane/config_consensus/journal.py
@@ -14,6 +14,7 @@
 VERSION: Final = 1  # of the file's layout, in its PRAGMA user_version
 LOCK_TIMEOUT_S: Final = 0.5  # for a control process that is about to end
 INTACT: Final = "ok"  # what the integrity check of a sound file gives
+REPORT_HEADING: Final = "***"  # begins a line of the check that names the database
 
 Record = dict[str, Any]  # a JSON object
 
@@ -24,6 +25,12 @@
 INSERT_RECORD: Final = "INSERT INTO records (at, told) VALUES (?, ?)"
 
 
+def first_problem(report: str) -> str:
+    """Return the first problem that a report of SQLite names, without the headings above it."""
+    lines = report.splitlines()
+    return next((line for line in lines if not line.startswith(REPORT_HEADING)), report)
+
+
 class JournalError(ConsensusError):
     """A journal that can't be used; the text is one line that says what to do."""
 
@@ -44,17 +51,30 @@
         self.path = path
         try:
             self._connection = sqlite3.connect(path, timeout=LOCK_TIMEOUT_S, isolation_level=None)
+        except sqlite3.DatabaseError as error:
+            raise self._refusal(error) from None
+        try:
             self._lock()
             self._check_or_create_tables()
             self._connection.execute("COMMIT")
-        except sqlite3.OperationalError as error:
-            reason = "another control process has it" if "locked" in str(error) else str(error)
-            raise JournalError(f"{path}: expected a file that can be written: {reason}") from None
         except sqlite3.DatabaseError as error:
-            raise JournalError(
-                f"{path}: expected a whole journal, found {error}: move it away and start with an "
-                "empty one; the gateways remember what is in force"
-            ) from None
+            self.close()
+            raise self._refusal(error) from None
+        except JournalError:
+            self.close()
+            raise
+
+    def _refusal(self, error: sqlite3.DatabaseError) -> JournalError:
+        """Return the error that says in one line why the file can't be opened as a journal."""
+        reason = first_problem(str(error))
+        if isinstance(error, sqlite3.OperationalError):
+            if "locked" in reason:
+                reason = "another control process has it"
+            return JournalError(f"{self.path}: expected a file that can be written: {reason}")
+        return JournalError(
+            f"{self.path}: expected a whole journal, found {reason}: move it away and start with "
+            "an empty one; the gateways remember what is in force"
+        )
 
     def _lock(self) -> None:
         self._connection.execute("PRAGMA locking_mode=EXCLUSIVE")
--- a/tests/unit/config_consensus/test_config_consensus.py
+++ b/tests/unit/config_consensus/test_config_consensus.py
@@ -485,7 +485,6 @@
         for length in [*range(0, len(whole), 509), len(whole) - 1]:
             with open(self.path(), "wb") as file:
                 file.write(whole[:length])
-            gc.collect()  # else a connection that an open before left behind may hold its lock
             try:
                 kept = journal.Journal(self.path())
                 self.assertIn(len(kept.records()), (0, 40))  # an empty file is a new journal
@@ -493,6 +492,24 @@
             except journal.JournalError as error:
                 self.assertNotIn("\n", str(error))
 
+    def test_a_damaged_journal_is_refused_by_its_first_problem_and_closed(self):
+        kept = journal.Journal(self.path())
+        for at in range(40):
+            kept.append({"kind": "epoch", "number": at, "text": "x" * 200}, float(at))
+        kept.close()
+        whole = open(self.path(), "rb").read()
+        with open(self.path(), "wb") as file:
+            file.write(whole[:-509])
+        gc.disable()  # what is left open is not closed by chance
+        self.addCleanup(gc.enable)
+        with self.assertRaises(journal.JournalError) as found:
+            journal.Journal(self.path())
+        self.assertIn("expected a whole journal, found On tree page", str(found.exception))
+        descriptors = [
+            os.readlink(one.path) for one in os.scandir("/proc/self/fd") if one.is_symlink()
+        ]
+        self.assertNotIn(os.path.realpath(self.path()), descriptors)
+
     def test_a_journal_of_another_version(self):
         base = sqlite3.connect(self.path())
         base.execute("CREATE TABLE records (x)")
