--- a/tests/unit/load_distribution/__init__.py
+++ b/tests/unit/load_distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Figures of evenness: planted herds, swings and idle hosts are seen, chance is not taken for them."""
+"""Figures of load distribution: herds, swings and idle hosts are found, and chance is not."""
