--- /dev/null
+++ b/tests/unit/simulation/test_invariants.py
@@ -0,0 +1,171 @@
+"""The invariant checker on records made by hand: each rule broken, and just not broken."""
+
+import dataclasses
+from collections.abc import Hashable
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from petrellane.invariants import (
+    AttemptArrived,
+    AttemptEnded,
+    AttemptSent,
+    ClientDisconnected,
+    EndpointNotified,
+    EndpointStarted,
+    GatewayLifecycle,
+    HardLimit,
+    InvariantChecker,
+    MethodRule,
+    Record,
+    RpcAnswered,
+    RpcReceived,
+    Terms,
+    Verdict,
+)
+
+TERMS = Terms(
+    methods={
+        "look": MethodRule("idempotent"),
+        "post": MethodRule("non-idempotent"),
+        "lodge": MethodRule("deduplicated", "zone", 1.0),
+    },
+    hard_limits={"chain": HardLimit(10.0, 20.0, 2.0)},
+    groups={"a": (0, 0), "b": (1, 0), "c": (2, 1)},
+)
+
+
+def judge(*records: Record, terms: Terms = TERMS) -> Verdict:
+    """Return the verdict on a run that has these records."""
+    checker = InvariantChecker(terms)
+    for record in records:
+        checker.observe(record)
+    return checker.close(100.0)
+
+
+def received(
+    method: str = "look",
+    at: float = 1.0,
+    plan: str = "",
+    units: float = 1.0,
+    rpc: Hashable = "r",
+) -> RpcReceived:
+    """Return the record of an RPC that has two seconds."""
+    return RpcReceived(at, "g", rpc, "who", plan, method, units, at + 2.0)
+
+
+# Each RPC gets its final answer in time.
+
+
+def test_a_missing_answer_is_lost() -> None:
+    assert judge(received()).counts == {"lost": 1}
+
+
+def test_an_answer_within_the_slack_is_in_time() -> None:
+    verdict = judge(received(), RpcAnswered(3.04, "g", "r", "aborted"))
+    assert verdict.counts == {}
+    assert verdict.nearest["lost"] > 0.99
+
+
+def test_an_answer_after_the_slack_is_lost() -> None:
+    assert judge(received(), RpcAnswered(3.06, "g", "r", "aborted")).counts == {"lost": 1}
+
+
+@pytest.mark.parametrize(
+    ("record", "counts"),
+    [
+        (GatewayLifecycle(2.0, "g", "killed"), {}),
+        (ClientDisconnected(2.0, "g", "r"), {}),
+        (ClientDisconnected(3.06, "g", "r"), {"lost": 1}),
+    ],
+    ids=["gateway-killed", "client-left-early", "client-left-late"],
+)
+def test_no_answer_is_due_of_a_killed_gateway_or_to_a_client_that_left_early(
+    record: Record, counts: dict[str, int]
+) -> None:
+    assert judge(received(), record).counts == counts
+
+
+# No RPC takes effect twice.
+
+
+@pytest.mark.parametrize(
+    ("sent_at", "ended_at", "host", "counts"),
+    [
+        (1.9, 2.1, "b", {}),
+        (1.9, 2.2, "c", {"twice": 1}),
+        (2.1, 2.2, "b", {"twice": 1}),
+    ],
+    ids=["within", "other-zone", "after-the-window"],
+)
+def test_an_idempotency_key_holds_in_its_zone_and_window(
+    sent_at: float, ended_at: float, host: str, counts: dict[str, int]
+) -> None:
+    verdict = judge(
+        received("lodge"),
+        AttemptSent(1.0, "g", "r", 0, "a"),
+        AttemptEnded(1.5, "g", "r", 0, "late"),
+        AttemptSent(sent_at, "g", "r", 1, host),
+        AttemptEnded(ended_at, "g", "r", 1, "ok"),
+        RpcAnswered(ended_at, "g", "r", "ok"),
+    )
+    assert verdict.counts == counts
+
+
+def test_attempts_that_overlap_are_effects_twice() -> None:
+    verdict = judge(
+        received(),
+        AttemptSent(1.0, "g", "r", 0, "a"),
+        AttemptSent(1.1, "g", "r", 1, "b"),
+        RpcAnswered(1.2, "g", "r", "ok"),
+    )
+    assert verdict.counts["twice"] == 1
+
+
+# Cold hosts are not pushed over.
+
+
+@pytest.mark.parametrize(
+    ("number", "of_notified", "counts"),
+    [(18, 18, {}), (19, 19, {"cold": 1}), (19, 13, {"cold": 1}), (19, 12, {})],
+)
+def test_a_cold_host_bears_its_budget_and_twice_its_root_and_two(
+    number: int, of_notified: int, counts: dict[str, int]
+) -> None:
+    """The budget is 10 RPCs here, so the limit is 18.3.
+
+    A gateway that was not notified of the start is not to blame; with over a third of the work
+    from such gateways, nobody is.
+    """
+    gateways = ["not"] * (number - of_notified) + ["knows"] * of_notified
+    verdict = judge(
+        EndpointStarted(1.0, "a", 1.0),
+        EndpointNotified(1.0, "knows", "a", "ready", 1.0),
+        EndpointNotified(1.0, "not", "a", "ready", 0.0),
+        *(AttemptArrived(1.0, gateway, rpc, 0, "a", 0.075) for rpc, gateway in enumerate(gateways)),
+        terms=dataclasses.replace(TERMS, mean_work=0.075),
+    )
+    assert verdict.counts == counts
+
+
+# Hard limits.
+
+
+@settings(max_examples=60, deadline=None, derandomize=True)
+@given(st.lists(st.tuples(st.floats(0, 3), st.integers(1, 6)), min_size=1, max_size=40))
+def test_a_hard_limit_holds_for_every_span(draws: list[tuple[float, int]]) -> None:
+    """No span may hold more than burst, slack and what the rate gives in it."""
+    checker = InvariantChecker(TERMS)
+    now = 0.0
+    admitted: list[tuple[float, int]] = []
+    is_broken = False
+    for number, (pause, units) in enumerate(draws):
+        now += pause
+        admitted.append((now, units))
+        checker.observe(received(at=now, plan="chain", units=float(units), rpc=number))
+        checker.observe(AttemptSent(now, "g", number, 0, "a"))
+        for first, (begin, _) in enumerate(admitted):
+            total = sum(units for _, units in admitted[first:])
+            is_broken = is_broken or total > 22.0 + 10.0 * (now - begin) + 1e-6
+    assert ("ceilings" in checker.log.counts) == is_broken
