--- a/petrellane/testbed/fleet_control.py
+++ b/petrellane/testbed/fleet_control.py
@@ -63,6 +63,7 @@
     def start(self) -> None:
         """Write its file, and start its process."""
         if self.process is not None:
+            self.process.read_output()  # its end may not have been reported yet
             self.process.close()
         self._write_config()
         self._fleet.records.note(f"{self.name} starts")
--- a/petrellane/testbed/fleet_gateway.py
+++ b/petrellane/testbed/fleet_gateway.py
@@ -119,6 +119,7 @@
         if self.process is not None:
             if self.process.is_running:
                 raise RuntimeError(f"expected that {self.name} has ended, found it running")
+            self.process.read_output()  # its end may not have been reported yet
             self.process.close()
         self.ready = False
         self.fleet.records.note(f"{self.name} starts")
--- a/petrellane/testbed/processes.py
+++ b/petrellane/testbed/processes.py
@@ -185,21 +185,36 @@
         self._stderr.seek(0)
         return self._stderr.read()[-MAXIMUM_STDERR:].decode("utf-8", "replace").strip()
 
+    def read_output(self) -> None:
+        """Report all that it has logged by now, and its end where it has ended.
+
+        Lines and the end may be there at once; then the end is reported in the same call, as it is
+        to be known before what other descriptors tell of it.
+        """
+        while not self._stdout.closed:
+            try:
+                data = os.read(self._stdout.fileno(), READ_SIZE)
+            except BlockingIOError:
+                return
+            if data:
+                self._report_lines(data)
+            else:
+                self._report_end()
+
     def _on_output(self, _: int) -> None:
-        try:
-            data = os.read(self._stdout.fileno(), READ_SIZE)
-        except BlockingIOError:
-            return
-        if not data:
-            self._scheduler.unregister(self._stdout.fileno())
-            self._stdout.close()
-            self.popen.wait()
-            self._on_ended(self)
-            return
+        self.read_output()
+
+    def _report_lines(self, data: bytes) -> None:
         *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
             self._on_event(self, _parse_event(line))
 
+    def _report_end(self) -> None:
+        self._scheduler.unregister(self._stdout.fileno())
+        self._stdout.close()
+        self.popen.wait()
+        self._on_ended(self)
+
 
 def _parse_event(line: bytes) -> LogEvent:
     """Return the event of an output line; one named `unreadable` where it holds none."""
--- a/tests/integration/testbed/test_testbed.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -8,6 +8,7 @@
 import socket
 import subprocess
 import sys
+import tempfile
 import time
 import unittest
 import unittest.mock
@@ -20,7 +21,7 @@
 from petrellane.testbed.fake_server import FakeServer
 from petrellane.testbed.fleet import LoopbackFleet
 from petrellane.testbed.fleet_spec import FleetSpec, SettingsSpec, build_settings
-from petrellane.testbed.processes import Build
+from petrellane.testbed.processes import Build, Process, ProcessSpec
 from petrellane.testbed.records import ArrivedAttempt, ReceivedRpc, Records
 from petrellane.testbed.relay import Relay
 from petrellane.testbed.run_file import RunFileError, parse_run_file
@@ -481,7 +482,7 @@
             if not step.startswith("epoch"):
                 lab.run_until(lambda: dying.ask("status").get("state") == "leading", "it leads")
                 dying.ask("propose", settings=second(lab))
-            lab.run_until(lambda: not dying.process.is_running, "it ends at its step")
+            lab.run_until(lambda: lab.crashes, "it ends at its step")
             lab.crashes.clear()  # that one was meant
             lab.run_for(0.7)
             serving = self.admits(lab, 0.6)
@@ -537,7 +538,7 @@
                 lab.run_until(lambda one=one: one.ready, "g2 serves")
                 lab.run_for(1.2)  # its memory was written at the start, and the epoch is an old one
                 number = lab.controls["control"].ask("propose", settings=second(lab))["number"]
-                lab.run_until(lambda one=one: not one.process.is_running, "it ends at its write")
+                lab.run_until(lambda: lab.crashes, "it ends at its write")
                 lab.crashes.clear()
                 one.build, one.environ = Build(), {}
                 one.start()
@@ -550,6 +551,41 @@
                 self.settles(lab, 2 if told["outcome"] == "committed" else 1)
                 self.judge(lab)
 
+    def test_a_gateway_that_is_started_before_its_end_was_reported(self):
+        """What its predecessor had received is answered by nobody, and sent again by nobody."""
+        with fleet() as lab:
+            gateway = lab.gateways[2]
+
+            def received():
+                open_rpcs = lab.records.open_rpcs
+                return {name for name, rpc in open_rpcs.items() if rpc.gateway == gateway.name}
+
+            lab.run_until(received, "an RPC that g2 has received")
+            gateway.process.popen.kill()  # not by the fleet, which learns it from its output alone
+            gateway.process.popen.wait()
+            gateway.start()
+            self.assertEqual(received(), set())
+            self.assertEqual([crash.name for crash in lab.crashes], [gateway.name])
+            lab.run_until(lambda: gateway.ready, "g2 serves")
+            self.judge(lab, crashes=1)
+
+    def test_the_end_is_reported_in_the_turn_of_the_last_line(self):
+        """Else clients of a gateway that logs and ends see its connections close before that."""
+        events, ends = [], []
+        scheduler = Scheduler()
+        with tempfile.TemporaryDirectory() as folder:
+            process = Process(
+                scheduler,
+                ProcessSpec("writer", [], folder, build=Build(module="platform")),
+                lambda _, event: events.append(event),
+                ends.append,
+            )
+            self.addCleanup(process.close)
+            process.popen.wait()
+            scheduler.turn(0)
+            self.assertEqual(len(events), 1)
+            self.assertEqual(ends, [process])
+
     def test_the_control_process_and_a_gateway_killed_together(self):
         with fleet() as lab:
             control, one = lab.controls["control"], lab.gateways[2]
