--- a/petrellane/gateway/endpoint_pool.py
+++ b/petrellane/gateway/endpoint_pool.py
@@ -54,7 +54,10 @@
                 self._write(connection)
             elif not self._dial_or_write():
                 break
-        # A dial may be late: an idle connection that has rested by then is as good.
+        self._watch_resting_connections()
+
+    def _watch_resting_connections(self) -> None:
+        """Dispatch again once idle connections have rested, as they may be ready before a dial."""
         if self.queue and self.idle and not self.rest_timer:
             self.rest_timer = self.pools.scheduler.after(
                 self.pools.limits.rest, self._on_rest_timer
--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -193,7 +193,13 @@
             self._give_up(pending, LATE)
 
     def _give_up(self, pending: PendingAttempt, outcome: Outcome) -> None:
-        """Stop waiting for an attempt, unless that has been done or its response is under way."""
+        """Stop waiting for an attempt, unless that has been done or its response is under way.
+
+        Args:
+            pending: The attempt.
+            outcome: What is reported of an attempt that was written. One that still waits in its
+                pool's queue is always UNREACHABLE, as nothing of it was sent.
+        """
         if pending.attempt not in self.pending_attempts or pending.is_relaying:
             return
         if pending.abandoned_as and outcome != LATE:
--- a/petrellane/operation/backoff.py
+++ b/petrellane/operation/backoff.py
@@ -16,12 +16,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-SPREADING_DRAW_MINIMUM = 0.2
+DESYNCHRONIZING_DRAW_MINIMUM = 0.2
 """Lower end of a draw, as a fraction of its maximum, that spreads gateways which are in step."""
 
-SPREAD_DRAW_MINIMUM = 0.8
+STEADY_DRAW_MINIMUM = 0.8
 """Lower end of a draw, as a fraction of its maximum, of a gateway that is out of step."""
 
+JITTER_MINIMUM = 0.5
+"""The shortest jittered pause, as a fraction of the pause before jitter."""
+
+JITTER_MAXIMUM = 1.5
+"""The longest jittered pause, as a fraction of the pause before jitter."""
+
 
 class PollFailure(enum.Enum):
     """Why a poll brought no endpoint list."""
@@ -58,7 +64,7 @@
             ValueError: There is none.
         """
         longest_poll = max(self.max_hold + self.grace, self.poll_timeout)
-        longest_pause = 1.5 * self.initial_pause
+        longest_pause = JITTER_MAXIMUM * self.initial_pause
         if (
             longest_poll + longest_pause > self.max_interval
             or self.poll_timeout + longest_pause > self.first_interval
@@ -90,7 +96,7 @@
         # The next poll waits for no changes: an answer to it proves that discovery is reachable.
         self._probes_next = False
         # We have drawn a time of our own since the last event that all gateways met at once.
-        self._is_spread = False
+        self._is_desynchronized = False
         self._started_at = 0.0
         self._hold = 0.0
 
@@ -124,7 +130,7 @@
         Changes reach all watching gateways at the same time; a gateway whose polls failed before
         gets them at a time of its own.
         """
-        self._is_spread = self._is_spread and (self.is_failing or not has_changes)
+        self._is_desynchronized = self._is_desynchronized and (self.is_failing or not has_changes)
         self.is_failing = False
         self._probes_next = False
         self._next_pause = self.times.initial_pause
@@ -142,12 +148,12 @@
             self._next_pause = self.times.initial_pause
         else:
             self._next_pause = min(2 * pause, self.times.max_interval)
-        self._is_spread = self._is_spread and self.is_failing
+        self._is_desynchronized = self._is_desynchronized and self.is_failing
         self.is_failing = True
         self._probes_next = failure is not PollFailure.REJECTED
         remaining = max(self.times.initial_pause / 2, self._started_at + self._interval - now)
-        if 1.5 * pause <= remaining:
-            return pause * (0.5 + self._random())
+        if JITTER_MAXIMUM * pause <= remaining:
+            return pause * (JITTER_MINIMUM + self._random())
         return self._draw(remaining)
 
     def _pause_length(self, failure: PollFailure) -> float:
@@ -160,6 +166,6 @@
 
     def _draw(self, maximum: float) -> float:
         """A time of our own, up to so many seconds."""
-        minimum = SPREAD_DRAW_MINIMUM if self._is_spread else SPREADING_DRAW_MINIMUM
-        self._is_spread = True
+        minimum = STEADY_DRAW_MINIMUM if self._is_desynchronized else DESYNCHRONIZING_DRAW_MINIMUM
+        self._is_desynchronized = True
         return maximum * (minimum + (1 - minimum) * self._random())
--- a/petrellane/operation/lifecycle.py
+++ b/petrellane/operation/lifecycle.py
@@ -5,7 +5,8 @@
 Closing connections and notifying callers is left to the services that own them.
 
     starting --start--> serving
-    serving --drain--> draining --(no client left)--> drained --resume--> serving
+    starting or serving --drain--> draining --(no client left)--> drained
+    draining or drained --resume--> serving
     any state --begin_shutdown--> ending, from which nothing leads back
 """
 
@@ -28,8 +29,8 @@
 
 # Read for each command, where a class attribute of an enumeration would cost more.
 _ENDING = LifecycleState.ENDING
-_IN_SERVICE = (LifecycleState.STARTING, LifecycleState.SERVING)
-_PASSES_HEALTH_CHECK = (*_IN_SERVICE, _ENDING)
+_NOT_LEAVING = (LifecycleState.STARTING, LifecycleState.SERVING)
+_PASSES_HEALTH_CHECK = (*_NOT_LEAVING, _ENDING)
 _RESUMABLE = (LifecycleState.DRAINING, LifecycleState.DRAINED)
 
 
@@ -102,7 +103,7 @@
         Returns:
             True always: a process that is ending empties all the same.
         """
-        if self.state in _IN_SERVICE:
+        if self.state in _NOT_LEAVING:
             self.state = LifecycleState.DRAINING
             self.since = now
         return True
@@ -121,7 +122,7 @@
         """End for good; a drain in progress keeps the time at which it began."""
         if self.state is LifecycleState.ENDING:
             return
-        if self.state in _IN_SERVICE:
+        if self.state in _NOT_LEAVING:
             self.since = now
         self.state = LifecycleState.ENDING
 
@@ -138,7 +139,7 @@
 
     def closes_idle_connections(self, now: float) -> bool:
         """Whether a connection with no reply pending is closed."""
-        return self.state not in _IN_SERVICE and now - self.since >= self.change_over_s
+        return self.state not in _NOT_LEAVING and now - self.since >= self.change_over_s
 
     def accepts_command(
         self, now: float, connected_at: float, has_pending_replies: bool = False
@@ -150,7 +151,7 @@
         """
         if self.state is _ENDING:
             return not (has_pending_replies and self.closes_idle_connections(now))
-        if self.state in _IN_SERVICE:
+        if self.state in _NOT_LEAVING:
             return True
         return now - max(self.since, connected_at) < self.last_command_s
 
--- a/petrellane/testbed/capacity/workload.py
+++ b/petrellane/testbed/capacity/workload.py
@@ -9,7 +9,7 @@
 from petrellane.decisions.leases import HEADROOM, LEASE_AHEAD, WINDOW_FILLS
 from petrellane.decisions.load_balancing import SAMPLES_PER_ENDPOINT, SUBSET_MINIMUM
 from petrellane.net.limits import Limits
-from petrellane.operation.backoff import SPREAD_DRAW_MINIMUM
+from petrellane.operation.backoff import STEADY_DRAW_MINIMUM
 from petrellane.testbed.capacity.figures import DAY_S, MS_PER_S, Figure
 from petrellane.testbed.capacity.measurements import Measurements
 
@@ -44,9 +44,9 @@
 def idle_watch_calls_per_second() -> Figure:
     """Return the watch calls a second of one gateway while the list does not change.
 
-    The length of each call is drawn from SPREAD_DRAW_MINIMUM of the longest to the longest.
+    The length of each call is drawn from STEADY_DRAW_MINIMUM of the longest to the longest.
     """
-    return Figure(2 / ((1 + SPREAD_DRAW_MINIMUM) * Limits.watch_hold), ("backoff.py",))
+    return Figure(2 / ((1 + STEADY_DRAW_MINIMUM) * Limits.watch_hold), ("backoff.py",))
 
 
 def settings_change_bytes(inputs: Measurements) -> Figure:
