--- a/petrellane/testbed/capacity/alternatives.py
+++ b/petrellane/testbed/capacity/alternatives.py
@@ -12,7 +12,7 @@
 
 SETTINGS_HEADINGS = (
     "way",
-    "gateways that the busiest tells",
+    "gateways that the busiest notifies",
     "its bytes for a change",
     "its rules",
     "at a gateway",
@@ -52,9 +52,9 @@
     complete = workload.settings_change_bytes(inputs)
     delta = workload.settings_delta_bytes(inputs)
     ways = (
-        SettingsDistribution("whole, one for all (as it is)", gateways, complete, gateways),
-        SettingsDistribution("whole, a tree: one a zone passes on", zone, complete, zone),
-        SettingsDistribution("whole, one control process a region", region, complete, region),
+        SettingsDistribution("complete, one for all (as it is)", gateways, complete, gateways),
+        SettingsDistribution("complete, a tree: one a zone passes on", zone, complete, zone),
+        SettingsDistribution("complete, one control process a region", region, complete, region),
         SettingsDistribution("deltas by digest, one for all", gateways, delta, gateways),
         SettingsDistribution(
             "deltas by digest, one control process a region", region, delta, region
@@ -95,13 +95,13 @@
     row_bytes = inputs.message("list_bytes") / hosts
     list_changes = workload.list_changes_per_second(inputs)
     ways = (
-        ("all hosts (as it is)", hosts),
+        ("all endpoints (as it is)", hosts),
         ("those of its region", hosts / inputs.size("regions")),
         ("those of some services", hosts / inputs.size("services") * inputs.estimate("served")),
     )
     return Table(
         "list-ways",
-        ("a gateway knows", "hosts", "a whole list", "changes, the day's mean", "from"),
+        ("a gateway knows", "endpoints", "a complete list", "changes, the day's mean", "from"),
         tuple(
             (
                 name,
@@ -150,9 +150,11 @@
     change_mb = workload.settings_change_bytes(inputs) * gateways / MEGABYTE
     change_mb_per_region = workload.settings_change_bytes(inputs) * gateways / regions / MEGABYTE
     return [
-        RegionComparison("gateways that one control process tells", gateways, region, "gateways"),
         RegionComparison(
-            "bytes for one change, whole settings", change_mb, change_mb_per_region, "MB"
+            "gateways that one control process notifies", gateways, region, "gateways"
+        ),
+        RegionComparison(
+            "bytes for one change, complete settings", change_mb, change_mb_per_region, "MB"
         ),
         RegionComparison(
             "rules for one change",
@@ -160,7 +162,7 @@
             workload.coordinator_change_seconds(inputs, workload.count_text(region)),
             "s",
         ),
-        RegionComparison("looks at rest", gateways * 1.0, gateways / regions, "1/s"),
+        RegionComparison("polls at rest", gateways * 1.0, gateways / regions, "1/s"),
     ]
 
 
@@ -181,8 +183,8 @@
         RegionComparison(
             "adds on the counter, customers at some gateways", adds, adds / regions, "1/s"
         ),
-        RegionComparison("hosts in the list", hosts, hosts / regions, "hosts"),
+        RegionComparison("endpoints in the list", hosts, hosts / regions, "endpoints"),
         RegionComparison(
-            "a whole list", list_bytes / MEGABYTE, list_bytes / regions / MEGABYTE, "MB"
+            "a complete list", list_bytes / MEGABYTE, list_bytes / regions / MEGABYTE, "MB"
         ),
     ]
--- a/petrellane/testbed/capacity/failures.py
+++ b/petrellane/testbed/capacity/failures.py
@@ -109,7 +109,7 @@
             rows / duration * workload.list_change_ms(inputs) / MS_PER_S,
             "cores",
         ),
-        FailureCost("hosts that come back cold", hosts, "hosts"),
+        FailureCost("endpoints that restart and warm up", hosts, "endpoints"),
     ]
 
 
@@ -138,7 +138,7 @@
         FailureCost(
             "starts, by their share of all machines", _gateway_starts_per_day(inputs), "a day"
         ),
-        FailureCost("whole list read", inputs.message("list_bytes") / MEGABYTE, "MB"),
+        FailureCost("complete list read", inputs.message("list_bytes") / MEGABYTE, "MB"),
         FailureCost("calls to other gateways until it knows", calls, "calls"),
         FailureCost("bytes of these calls", _quorum_bytes(inputs) / MEGABYTE, "MB"),
         FailureCost("its processor for these and the list", processor_ms / MS_PER_S, "s"),
@@ -152,7 +152,7 @@
     settings_mb = region * inputs.message("content_bytes") / MEGABYTE
     calls = region * _quorum_calls(inputs)
     return [
-        FailureCost("whole lists from discovery", lists_mb, "MB"),
+        FailureCost("complete lists from discovery", lists_mb, "MB"),
         FailureCost("these on one card", lists_mb / inputs.estimate("link_mb"), "s"),
         FailureCost("settings, where they lost them", settings_mb, "MB"),
         FailureCost("calls to other gateways", calls, "calls"),
--- a/petrellane/testbed/capacity/gateway_costs.py
+++ b/petrellane/testbed/capacity/gateway_costs.py
@@ -26,7 +26,7 @@
     hosts = inputs.size_value("hosts")
     rpcs = workload.rpcs_per_gateway(inputs)
     return [
-        cost("state: hosts", inputs.size("hosts"), "hosts"),
+        cost("state: endpoints", inputs.size("hosts"), "endpoints"),
         cost(
             "state: customers seen in a window, at most",
             rpcs * inputs.estimate("window_s"),
@@ -39,19 +39,19 @@
             "added_ms",
         ),
         cost(
-            "decision, 99 in 100, by hosts alone",
+            "decision, 99 in 100, by endpoints alone",
             inputs.figure_at("hosts", "decision_p99_ms", hosts),
             "ms",
             "decision_ms",
         ),
         cost(
-            "decision, the median, by hosts alone",
+            "decision, the median, by endpoints alone",
             inputs.figure_at("hosts", "decision_p50_ms", hosts),
             "ms",
         ),
         cost("processor, at its RPCs", inputs.combined_figure("cores", SIZES), "cores"),
         cost("RPCs", rpcs, "1/s"),
-        cost("hosts in use, by its own call-outs", workload.subset_size(inputs), "hosts"),
+        cost("subset, by its own attempts", workload.subset_size(inputs), "endpoints"),
     ]
 
 
@@ -60,7 +60,7 @@
     hosts = inputs.size_value("hosts")
     return [
         cost(
-            "whole host list taken over",
+            "complete endpoint list applied",
             inputs.figure_at("hosts", "list_whole_ms", hosts),
             "ms",
         ),
@@ -70,9 +70,9 @@
             "ms",
             "turn_ms",
         ),
-        cost("whole host list read (JSON)", inputs.message("list_read_ms"), "ms"),
+        cost("complete endpoint list read (JSON)", inputs.message("list_read_ms"), "ms"),
         cost(
-            "one change of the list taken over",
+            "one change of the list applied",
             workload.list_change_ms(inputs),
             "ms",
             "list_change_ms",
@@ -86,7 +86,7 @@
     return [
         cost("settings read", workload.settings_read_ms(inputs), "ms", "settings_read_ms"),
         cost(
-            "RPCs that come while a change of settings is taken over, and wait",
+            "RPCs that come while a change of settings is applied, and wait",
             busy * workload.settings_changes_per_second(inputs),
             "of 1",
             "late_share",
@@ -133,11 +133,13 @@
     stored = workload.stored_bytes_per_change(inputs) * inputs.size("changes") / GIGABYTE
     return [
         cost("state: settings, read", inputs.message("settings_mb"), "MB"),
-        cost("state: members of the roster", inputs.size("gateways"), "names"),
-        traffic("watch of the host list, at rest", workload.idle_watch_bytes_per_second(inputs)),
-        traffic("changes of the host list", workload.list_change_bytes_per_second(inputs)),
-        traffic("looks of one control process", workload.poll_bytes_per_second(inputs)),
-        traffic("settings, whole at each change", change_bytes),
+        cost("state: participants of the roster", inputs.size("gateways"), "names"),
+        traffic(
+            "watch of the endpoint list, at rest", workload.idle_watch_bytes_per_second(inputs)
+        ),
+        traffic("changes of the endpoint list", workload.list_change_bytes_per_second(inputs)),
+        traffic("polls of one control process", workload.poll_bytes_per_second(inputs)),
+        traffic("settings, complete at each change", change_bytes),
         traffic("all of these", _control_traffic(inputs)),
         traffic(
             "all of these, by deltas and digests (not built)",
@@ -161,7 +163,7 @@
     return [
         cost("processor for one change of settings", change, "ms"),
         cost(
-            "processor: looks, changes of settings and of the list",
+            "processor: polls, changes of settings and of the list",
             cores,
             "cores",
             "control_core",
@@ -202,7 +204,7 @@
         memory("memory of a hollow gateway, measured", hollow * MEGABYTES_PER_MIB),
         memory("memory of a real gateway, all of it, measured", real * MEGABYTES_PER_MIB),
         memory(
-            "memory of the module with its lists, as a sum",
+            "memory of the decisions with their lists, as a sum",
             inputs.combined_figure("memory_mb", SIZES),
         ),
     ]
--- a/petrellane/testbed/capacity/service_costs.py
+++ b/petrellane/testbed/capacity/service_costs.py
@@ -17,9 +17,9 @@
 from petrellane.testbed.capacity.measurements import Measurements
 
 CONTROL_PROCESS = "control process, one for all"
-DISCOVERY = "discovery, as we use it"
+DISCOVERY = "discovery, as gateways use it"
 COUNTER = "counter"
-HOSTS = "hosts, as we load them"
+HOSTS = "endpoints, as gateways load them"
 
 
 def control_process_costs(inputs: Measurements) -> list[Cost]:
@@ -43,18 +43,18 @@
     )
     return [
         cost(
-            "state: names of members, a list for each gateway heard",
+            "state: names of participants, a list for each gateway heard",
             gateways * gateways,
             "names",
         ),
-        cost("looks at rest", gateways * 1.0, "1/s"),
+        cost("polls at rest", gateways * 1.0, "1/s"),
         cost(
             "traffic at rest",
             workload.poll_bytes_per_second(inputs) * gateways / MEGABYTE,
             "MB/s",
         ),
         cost(
-            "processor at rest: rules and seals of the looks, without sockets",
+            "processor at rest: rules and signatures of the polls, without sockets",
             idle_cores,
             "cores",
             "control_process_core",
@@ -82,7 +82,7 @@
     return [
         cost("messages for one change", calls * gateways, "calls"),
         cost(
-            "bytes for one change, whole settings",
+            "bytes for one change, complete settings",
             workload.settings_change_bytes(inputs) * gateways / MEGABYTE,
             "MB",
         ),
@@ -117,7 +117,7 @@
             "patience_s",
         ),
         cost(
-            "one change on one card, whole settings",
+            "one change on one card, complete settings",
             change_mb / inputs.estimate("link_mb"),
             "s",
             "in_force_s",
@@ -211,7 +211,7 @@
     cost = partial(Cost, DISCOVERY)
     return [
         cost(
-            "processor of the stand-in, measured",
+            "processor of the fake, measured",
             inputs.run_figure_per_process("discovery", "cpu_s"),
             "cores",
         ),
@@ -220,7 +220,7 @@
             inputs.run_figure("roles", "discovery", "messages_in"),
             "1/s",
         ),
-        cost("one whole list", inputs.message("list_bytes") / MEGABYTE, "MB"),
+        cost("one complete list", inputs.message("list_bytes") / MEGABYTE, "MB"),
         cost(
             "list in force at the last gateway, measured",
             inputs.run_figure("list", "last_s"),
@@ -280,7 +280,7 @@
             "cores",
         ),
         cost(
-            "processor of the stand-in at a few hundred adds a second, measured",
+            "processor of the fake at a few hundred adds a second, measured",
             inputs.run_figure_per_process("counter", "cpu_s"),
             "cores",
         ),
@@ -315,12 +315,16 @@
     subset = workload.subset_size(inputs)
     gateways = inputs.size("gateways")
     return [
-        cost("RPCs on a host", inputs.size("rpcs") / inputs.size("hosts"), "1/s"),
-        cost("gateways that have it in use", gateways * subset / inputs.size("hosts"), "gateways"),
+        cost("RPCs on an endpoint", inputs.size("rpcs") / inputs.size("hosts"), "1/s"),
         cost(
-            "RPCs from one gateway on one host in use",
+            "gateways that have it in their subsets",
+            gateways * subset / inputs.size("hosts"),
+            "gateways",
+        ),
+        cost(
+            "RPCs from one gateway on one endpoint of its subset",
             workload.rpcs_per_gateway(inputs) / subset,
             "1/s",
         ),
-        cost("exchanges in the sets of all gateways", gateways / SUBSET_ROTATION, "1/s"),
+        cost("exchanges in the subsets of all gateways", gateways / SUBSET_ROTATION, "1/s"),
     ]
