--- a/petrellane/decisions/actions.py
+++ b/petrellane/decisions/actions.py
@@ -102,9 +102,21 @@
     subject: object
 
 
+COUNTER_UNREACHABLE = "counter_unreachable"
+COUNTER_RECOVERED = "counter_recovered"
+OVERLOAD_STARTED = "overload_started"
+OVERLOAD_ENDED = "overload_ended"
+
+
 class WriteLog(NamedTuple):
-    """Write one line for the operators."""
+    """Write one line for the operators.
+
+    Attributes:
+        event: What happened, one of the four names above.
+        text: Details for people.
+    """
 
+    event: str
     text: str
 
 
--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -17,6 +17,8 @@
 
 from petrellane.decisions import retries
 from petrellane.decisions.actions import (
+    OVERLOAD_ENDED,
+    OVERLOAD_STARTED,
     Abort,
     Action,
     CancelAttempt,
@@ -302,9 +304,7 @@
         before = shedder.overload
         shedder.overload = self.load_balancer.overload(now)
         if (shedder.overload > 0) != (before > 0):
-            # The words are stable, as logs are searched for them.
-            state = "at ease" if before else "pressed"
-            actions.append(WriteLog(f"hosts {state}: {before:.2f} to {shedder.overload:.2f}"))
+            actions.append(_overload_log(before, shedder.overload))
         self._has_check_timer = bool(self.load_balancer.in_flight or shedder.overload)
         if self._has_check_timer:
             actions.append(SetTimer(CHECK_INTERVAL, self.load_balancer))
@@ -323,3 +323,11 @@
                 attempt.is_cancelled = True
                 cancelled.append(CancelAttempt(attempt))
         return cancelled
+
+
+def _overload_log(before: float, now: float) -> WriteLog:
+    """The line of the log where overload starts or ends; its text is kept, as people search it."""
+    figures = f"{before:.2f} to {now:.2f}"
+    if before:
+        return WriteLog(OVERLOAD_ENDED, f"hosts at ease: {figures}")
+    return WriteLog(OVERLOAD_STARTED, f"hosts pressed: {figures}")
--- a/petrellane/decisions/counter_health.py
+++ b/petrellane/decisions/counter_health.py
@@ -8,7 +8,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from petrellane.decisions.actions import WriteLog
+from petrellane.decisions.actions import COUNTER_RECOVERED, COUNTER_UNREACHABLE, WriteLog
 from petrellane.decisions.endpoint_health import SAMPLE_LIFETIME
 
 SILENT_AFTER = 2  # failed top-ups in a row after which the counter counts as silent; ours
@@ -61,11 +61,14 @@
             return []
         self.is_silent = True
         self.schedule_probe(now)
-        return [WriteLog(f"counter silent: {SILENT_AFTER} asks in a row failed")]
+        text = f"counter silent: {SILENT_AFTER} asks in a row failed"
+        return [WriteLog(COUNTER_UNREACHABLE, text)]
 
     def on_success(self, now: float) -> list[WriteLog]:
         """Note a top-up that was answered; logs when the counter is back."""
         was_silent = self.is_silent
         self.is_silent = False
         self._results.append((now, True))
-        return [WriteLog("counter answers again")] if was_silent else []
+        if not was_silent:
+            return []
+        return [WriteLog(COUNTER_RECOVERED, "counter answers again")]
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -373,7 +373,7 @@
         self.scheduler.after(action.delay, on_timer)
 
     def _write_log(self, action: WriteLog) -> None:
-        self.log.event("mode", text=action.text)
+        self.log.event(action.event, text=action.text)
 
     def _watch_endpoints(self, action: WatchEndpoints) -> None:
         """Do nothing: the watch is on from the start and restarts by itself."""
