--- a/tests/groups.py
+++ b/tests/groups.py
@@ -14,7 +14,7 @@
 GROUPS = {
     "tests/integration/testbed/test_testbed.py": "processes",
     "tests/integration/testbed/": "config_consensus",
-    "tests/unit/testbed/test_capacity.py": "capacity",
+    "tests/unit/testbed/test_capacity": "capacity",
     "tests/compatibility/": "capacity",
     "tests/unit/testbed/": "config_consensus",
     "tests/unit/config_consensus/": "config_consensus",
