--- a/tests/unit/load_distribution/drawn_traces.py
+++ b/tests/unit/load_distribution/drawn_traces.py
@@ -13,7 +13,7 @@
 PickHost = Callable[[random.Random, str, float], str]
 
 
-def pick_evenly(generator: random.Random, _gateway: str, _at: float) -> str:
+def pick_evenly(generator: random.Random, _gateway: str, _now: float) -> str:
     """Pick any host, each as likely as the others."""
     return generator.choice(HOSTS)
 
--- a/tests/unit/load_distribution/test_figures.py
+++ b/tests/unit/load_distribution/test_figures.py
@@ -35,7 +35,7 @@
     capacities = {"h0": 10.0, "h1": 0.5}
     weights = [capacities.get(host, 1.0) for host in HOSTS]
 
-    def pick(generator: random.Random, _gateway: str, _at: float) -> str:
+    def pick(generator: random.Random, _gateway: str, _now: float) -> str:
         return generator.choices(HOSTS, weights)[0]
 
     span = measure_span(drawn_trace(pick=pick, capacities=capacities), 30.0)
@@ -59,9 +59,9 @@
 
 
 def test_gateways_that_all_leave_and_all_come_are_a_herd() -> None:
-    def pick(generator: random.Random, _gateway: str, at: float) -> str:
+    def pick(generator: random.Random, _gateway: str, now: float) -> str:
         if generator.random() < 0.3:
-            return f"h{int(at) % 10}"
+            return f"h{int(now) % 10}"
         return f"h{generator.randrange(10)}"
 
     herd, by_chance = measure_herd(drawn_trace(pick=pick))
@@ -69,10 +69,10 @@
 
 
 def test_gateways_that_each_move_by_themselves_are_no_herd() -> None:
-    def pick(generator: random.Random, gateway: str, at: float) -> str:
+    def pick(generator: random.Random, gateway: str, now: float) -> str:
         """As much movement as in a herd, at each gateway's own time."""
         if generator.random() < 0.3:
-            return f"h{(int(at) + int(gateway[1:]) * 7) % 10}"
+            return f"h{(int(now) + int(gateway[1:]) * 7) % 10}"
         return f"h{generator.randrange(10)}"
 
     herd, _ = measure_herd(drawn_trace(pick=pick))
@@ -92,8 +92,8 @@
 
 
 def test_a_swing_has_its_period_and_amplitude() -> None:
-    def pick(generator: random.Random, _gateway: str, at: float) -> str:
-        share_of_first_half = 0.5 + (0.3 if at % 6 < 3 else -0.3)
+    def pick(generator: random.Random, _gateway: str, now: float) -> str:
+        share_of_first_half = 0.5 + (0.3 if now % 6 < 3 else -0.3)
         is_first_half = generator.random() < share_of_first_half
         number = generator.randrange(5)
         return f"h{number if is_first_half else number + 5}"
@@ -106,14 +106,14 @@
 # Idle hosts.
 
 
-def pick_all_but_the_last(generator: random.Random, _gateway: str, _at: float) -> str:
+def pick_all_but_the_last(generator: random.Random, _gateway: str, _now: float) -> str:
     """Pick any host but h9."""
     return f"h{generator.randrange(9)}"
 
 
 def test_an_idle_host_is_found_with_its_begin_and_length() -> None:
-    def pick(generator: random.Random, _gateway: str, at: float) -> str:
-        is_last_in_use = at < 10 or at > 22
+    def pick(generator: random.Random, _gateway: str, now: float) -> str:
+        is_last_in_use = now < 10 or now > 22
         return f"h{generator.randrange(10 if is_last_in_use else 9)}"
 
     periods = find_idle_periods(drawn_trace(pick=pick))
--- a/tests/unit/load_distribution/test_sparse_traffic.py
+++ b/tests/unit/load_distribution/test_sparse_traffic.py
@@ -96,5 +96,5 @@
     times = [sent.at for sent in trace.sent if sent.host == "h0"]
     share = RATE / ENDPOINT_COUNT  # attempts a second
     for since in (5.0, 7.0, 9.0):
-        assert sum(since <= at < since + 2 for at in times) < 1.5 * 2 * share
+        assert sum(since <= time < since + 2 for time in times) < 1.5 * 2 * share
     assert len(times) > 0.3 * 7 * share
--- a/tests/unit/simulation/test_planted_faults.py
+++ b/tests/unit/simulation/test_planted_faults.py
@@ -35,7 +35,7 @@
 
 def test_a_predecessor_that_keeps_its_leases_is_found() -> None:
     fault = PlantedFault(
-        name="what is given is kept as well",
+        name="a predecessor keeps what it has handed over",
         module="leases",
         before="self.available = 0.0\n        self.hard_limit = kept\n"
         "        self.hard_limit_filled_at = math.inf",
