--- a/tests/unit/config_consensus/test_messages.py
+++ b/tests/unit/config_consensus/test_messages.py
@@ -1,6 +1,7 @@
 """The JSON forms of the protocol's messages and of the journal's records, byte for byte."""
 
 import json
+from typing import Any
 
 import pytest
 
@@ -11,10 +12,10 @@
 
 EPOCH = Epoch(2, "c")
 BALLOT = Ballot(3, EPOCH)
-CONTENT = {"classes": []}
+CONTENT: messages.JsonObject = {"classes": []}
 GENERATION = Generation(BALLOT, digest(CONTENT), CONTENT, ("g0", "g1"))
 IDENTITY = '"number":3,"epoch":[2,"c"]'
-WHOLE = (
+GENERATION_FIELDS = (
     IDENTITY + f',"digest":"{GENERATION.digest}","content":{{"classes":[]}},"members":["g0","g1"]'
 )
 ENVELOPE = '"to":"g0","epoch_of":[2,"c"],"order":7'
@@ -27,11 +28,13 @@
 }
 
 
-def to_json(fields):
+def to_json(fields: messages.JsonObject) -> str:
+    """Return the fields as JSON, in their order and without spaces."""
     return json.dumps(fields, separators=(",", ":"))
 
 
-def request(body):
+def request(body: messages.RequestBody) -> messages.Request:
+    """Return a request to a participant."""
     return messages.Request("g0", EPOCH, 7, body)
 
 
@@ -43,16 +46,17 @@
         (messages.Abort(BALLOT), '"do":"deny",' + IDENTITY),
         (
             messages.Prepare(Ballot(1, Epoch(1, "b")), GENERATION),
-            '"do":"prepare","base":{"number":1,"epoch":[1,"b"]},' + WHOLE,
+            '"do":"prepare","base":{"number":1,"epoch":[1,"b"]},' + GENERATION_FIELDS,
         ),
-        (messages.Commit(GENERATION, with_content=True), '"do":"commit",' + WHOLE),
+        (messages.Commit(GENERATION, with_content=True), '"do":"commit",' + GENERATION_FIELDS),
         (
             messages.Commit(GENERATION, with_content=False),
             '"do":"commit",' + IDENTITY + f',"digest":"{GENERATION.digest}"',
         ),
     ],
 )
-def test_a_request_on_the_wire(body, expected):
+def test_a_request_on_the_wire(body: messages.RequestBody, expected: str) -> None:
+    """Each kind of request has its keys, in their order."""
     assert to_json(request(body).to_dict()) == "{" + expected + "," + ENVELOPE + "}"
 
 
@@ -63,11 +67,13 @@
         (messages.PeerQuestion("g1", BALLOT), '{"do":"content","to":"g1",' + IDENTITY + "}"),
     ],
 )
-def test_a_question_to_a_peer_on_the_wire(question, expected):
+def test_a_question_to_a_peer_on_the_wire(question: messages.PeerQuestion, expected: str) -> None:
+    """A question for the state has no ballot."""
     assert to_json(question.to_dict()) == expected
 
 
-def test_a_request_is_read_as_it_was_sent():
+def test_a_request_is_read_as_it_was_sent() -> None:
+    """All fields come through the wire."""
     sent = request(messages.Prepare(Ballot(1, Epoch(1, "b")), GENERATION))
     received = messages.ReceivedRequest.from_dict(json.loads(to_json(sent.to_dict())))
     assert received.kind is messages.MessageKind.PREPARE
@@ -78,17 +84,19 @@
 
 
 @pytest.mark.parametrize("kind", [None, "else", 3, [], {}, "PREPARE"])
-def test_an_unknown_kind_is_rejected(kind):
-    with pytest.raises(MessageRejected) as found:
+def test_an_unknown_kind_is_rejected(kind: object) -> None:
+    """The rejection repeats the kind, whatever its type."""
+    with pytest.raises(MessageRejected) as rejection:
         messages.ReceivedRequest.from_dict({"do": kind, "epoch_of": [2, "c"]})
-    assert found.value.status == 400
-    assert found.value.to_dict() == {
+    assert rejection.value.status == 400
+    assert rejection.value.to_dict() == {
         "refused": "form",
         "why": f"do: expected a known word, found {kind}",
     }
 
 
-def test_a_state_is_read():
+def test_a_state_is_read() -> None:
+    """A participant's report is read from its wire keys."""
     assert messages.decode_answer(request(messages.Promise()), STATE) == messages.PeerState(
         BALLOT, "d", (Ballot(4, EPOCH),), (Ballot(2, Epoch(1, "b")),), ("g0", "g1")
     )
@@ -106,40 +114,49 @@
         ),
     ],
 )
-def test_an_answer_that_can_not_be_read(answer, reason):
-    found = messages.decode_answer(request(messages.Promise()), answer)
-    assert found == messages.MalformedAnswer(reason)
+def test_an_answer_that_can_not_be_read(answer: dict[str, Any], reason: str) -> None:
+    """A malformed answer is one, with what was expected; nothing is raised."""
+    decoded = messages.decode_answer(request(messages.Promise()), answer)
+    assert decoded == messages.MalformedAnswer(reason)
 
 
 @pytest.mark.parametrize(
     ("answer", "expected"),
     [
         ({"refused": "behind", "why": "x"}, messages.Rejection("behind", "x", None)),
-        ({"refused": "epoch", "promised": [4, "d"]}, messages.Rejection("epoch", "", (4, "d"))),
+        (
+            {"refused": "epoch", "promised": [4, "d"]},
+            messages.Rejection("epoch", "", Epoch(4, "d")),
+        ),
         ({"refused": "epoch", "promised": [4]}, messages.Rejection("epoch", "", None)),
         ({"refused": "other", "why": "y" * 400}, messages.Rejection("other", "y" * 300, None)),
     ],
 )
-def test_a_rejection_is_read(answer, expected):
+def test_a_rejection_is_read(answer: dict[str, Any], expected: messages.Rejection) -> None:
+    """A rejection may lack its reason and its epoch; a long reason is cut."""
     assert messages.decode_answer(request(messages.Promise()), answer) == expected
 
 
-def test_a_content_is_read_and_checked():
-    asked = request(messages.ReadContent(BALLOT))
-    assert messages.decode_answer(asked, GENERATION.to_dict()) == GENERATION
+def test_a_content_is_read_and_checked() -> None:
+    """A content has to have the digest that it names."""
+    question = request(messages.ReadContent(BALLOT))
+    assert messages.decode_answer(question, GENERATION.to_dict()) == GENERATION
     forged = GENERATION.to_dict() | {"digest": "0"}
-    assert isinstance(messages.decode_answer(asked, forged), messages.MalformedAnswer)
-    refused = {"refused": "unknown", "why": "no such generation here"}
-    assert isinstance(messages.decode_answer(asked, refused), messages.Rejection)
+    assert isinstance(messages.decode_answer(question, forged), messages.MalformedAnswer)
+    rejection = {"refused": "unknown", "why": "no such generation here"}
+    assert isinstance(messages.decode_answer(question, rejection), messages.Rejection)
 
 
 RECORDS = [
     (changes.EpochClaimed(2, "c"), '{"kind":"epoch","number":2,"control":"c"}'),
-    (changes.FoundInForce(GENERATION), '{"kind":"in_force","generation":{' + WHOLE + "}}"),
+    (
+        changes.FoundInForce(GENERATION),
+        '{"kind":"in_force","generation":{' + GENERATION_FIELDS + "}}",
+    ),
     (
         changes.Proposed(GENERATION, ("g1",), "staff", "why"),
         '{"kind":"proposed","generation":{'
-        + WHOLE
+        + GENERATION_FIELDS
         + '},"without":["g1"],"by":"staff","why":"why"}',
     ),
     (
@@ -151,10 +168,12 @@
 
 
 @pytest.mark.parametrize(("record", "expected"), RECORDS)
-def test_a_record_of_the_journal(record, expected):
+def test_a_record_of_the_journal(record: changes.Record, expected: str) -> None:
+    """Each kind of record has its stored form, and is read from it."""
     assert to_json(record.to_dict()) == expected
     assert changes.parse_record(json.loads(expected) | {"at": 5.0}) == record
 
 
-def test_a_record_of_a_kind_that_this_build_does_not_know():
+def test_a_record_of_a_kind_that_this_build_does_not_know() -> None:
+    """A record of a later build is passed over."""
     assert changes.parse_record({"kind": "later", "at": 5.0}) is None
--- a/tests/unit/config_consensus/test_services.py
+++ b/tests/unit/config_consensus/test_staff_commands.py
@@ -1,20 +1,20 @@
-"""Parts of the services around the rules of a change: replays, staff's commands, writes to the disk."""
+"""Staff's commands: their exit codes and output, by what the control process answers."""
 
-from types import SimpleNamespace
-
-import greenlet
 import pytest
 
+from petrellane.config.consensus import ControlConfig
 from petrellane.config_consensus import commands, rpc_client
-from petrellane.config_consensus.commands import CommandFailedError, ExitCode, SettingsCommands
-from petrellane.config_consensus.message_authentication import AuthenticationError
-from petrellane.config_consensus.staff_calls import MAX_CALL_AGE_S, ReplayGuard
+from petrellane.config_consensus.commands import (
+    CommandFailedError,
+    ControlClient,
+    ExitCode,
+    SettingsCommands,
+)
+from petrellane.config_consensus.messages import JsonObject
 from petrellane.config_consensus.staff_messages import ChangeProgress, StaffCall
-from petrellane.config_consensus.state_writer import StateWriter
-from petrellane.net.scheduler import Scheduler
 
 ADDRESS = ("127.0.0.1", 9)
-CHANGE = {
+CHANGE: JsonObject = {
     "number": 3,
     "outcome": "preparing",
     "why": "",
@@ -27,47 +27,23 @@
 COMMITTED = CHANGE | {"outcome": "committed", "owed": [], "reached": 2}
 
 
-class FakeClient:
-    """Gives answers in turn, or raises them where they are errors, and keeps the calls."""
+class FakeClient(ControlClient):
+    """Gives answers in turn, or raises them where they are errors, and records the calls."""
 
-    def __init__(self, *answers):
-        self.config = SimpleNamespace(listen=ADDRESS)
+    def __init__(self, *answers: JsonObject | rpc_client.RpcError) -> None:
+        super().__init__(ControlConfig("c", ADDRESS, "", b"", {}))
         self.answers = list(answers)
-        self.calls = []
+        self.calls: list[tuple[StaffCall, dict[str, object]]] = []
 
-    def call(self, kind, **arguments):
+    def call(self, kind: StaffCall, **arguments: object) -> JsonObject:
+        """Return the next answer."""
         self.calls.append((kind, arguments))
         answer = self.answers.pop(0)
-        if isinstance(answer, Exception):
+        if isinstance(answer, rpc_client.RpcError):
             raise answer
         return answer
 
 
-def test_a_call_of_staff_counts_once():
-    now = [1000.0]
-    guard = ReplayGuard(lambda: now[0])
-    guard.check({"at": 1000.0, "nonce": "a"})
-    with pytest.raises(AuthenticationError):
-        guard.check({"at": 1000.0, "nonce": "a"})
-    guard.check({"at": 1000.0, "nonce": "b"})
-
-
-@pytest.mark.parametrize("sent_at", [1000.0 - MAX_CALL_AGE_S - 1, 1061.0, None, "1000", [1]])
-def test_a_call_of_staff_is_new(sent_at):
-    with pytest.raises(AuthenticationError, match="at: expected a new call of the last 60 s"):
-        ReplayGuard(lambda: 1000.0).check({"at": sent_at, "nonce": "a"})
-
-
-def test_a_nonce_is_kept_as_long_as_its_call_could_be_new():
-    now = [1000.0]
-    guard = ReplayGuard(lambda: now[0])
-    sent_at = now[0] + MAX_CALL_AGE_S
-    guard.check({"at": sent_at, "nonce": "a"})
-    now[0] = sent_at + MAX_CALL_AGE_S
-    with pytest.raises(AuthenticationError):
-        guard.check({"at": sent_at, "nonce": "a"})
-
-
 @pytest.mark.parametrize(
     ("answer", "text", "is_finished"),
     [
@@ -91,7 +67,8 @@
         (CHANGE | {"outcome": "unknown", "why": "x"}, "generation 3: unknown: x", False),
     ],
 )
-def test_progress_in_one_line(answer, text, is_finished):
+def test_progress_in_one_line(answer: JsonObject, text: str, is_finished: bool) -> None:
+    """Each outcome has its text, and only some of them are final."""
     progress = ChangeProgress.from_answer(answer)
     assert progress.describe() == text
     assert progress.is_finished is is_finished
@@ -108,16 +85,20 @@
         (CHANGE, ExitCode.IN_DOUBT),
     ],
 )
-def test_exit_code_of_a_change(answer, exit_code):
+def test_exit_code_of_a_change(answer: JsonObject, exit_code: ExitCode) -> None:
+    """A script can tell what came of a change by the exit code."""
     client = FakeClient(answer)
-    found = SettingsCommands(client, as_json=False).propose_again(1, ["g2"], wait_s=0.0)
-    assert found == exit_code
+    code = SettingsCommands(client, as_json=False).propose_again(1, ["g2"], wait_s=0.0)
+    assert code == exit_code
     [(kind, arguments)] = client.calls
     assert kind == StaffCall.BACK
     assert (arguments["number"], arguments["without"], arguments["less"]) == (1, ["g2"], True)
 
 
-def test_a_change_is_followed_to_its_end(monkeypatch, capsys):
+def test_a_change_is_followed_to_its_end(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """A lost answer on the way does not end it."""
     monkeypatch.setattr(commands, "FOLLOW_INTERVAL_S", 0.0)
     lost = rpc_client.NoAnswerError(ADDRESS, "timed out")
     client = FakeClient(CHANGE, CHANGE, lost, COMMITTED)
@@ -144,38 +125,23 @@
         ({"refused": "not now", "why": "x"}, ExitCode.REJECTED, "refused: x\n"),
     ],
 )
-def test_exit_code_of_a_call_that_fails(answer, exit_code, text, capsys):
-    with pytest.raises(CommandFailedError) as found:
+def test_exit_code_of_a_call_that_fails(
+    answer: JsonObject | rpc_client.RpcError,
+    exit_code: ExitCode,
+    text: str,
+    capsys: pytest.CaptureFixture[str],
+) -> None:
+    """The output says why, in a line."""
+    with pytest.raises(CommandFailedError) as failure:
         SettingsCommands(FakeClient(answer), as_json=False).show_status()
-    assert found.value.exit_code == exit_code
+    assert failure.value.exit_code == exit_code
     assert capsys.readouterr().out == text
 
 
-def test_differences_between_generations(capsys):
+def test_differences_between_generations(capsys: pytest.CaptureFixture[str]) -> None:
+    """Two generations are compared by their contents."""
     before = {"classes": [], "contracts": [{"name": "sold", "ceilingRate": 40}]}
     after = {"classes": [], "contracts": [{"name": "sold", "ceilingRate": 20}]}
     client = FakeClient({"content": before}, {"content": after})
     assert SettingsCommands(client, as_json=False).show_differences("1", "2") == ExitCode.DONE
     assert capsys.readouterr().out == "plan sold: ceiling 40 to 20\n"
-
-
-@pytest.mark.parametrize("error", [None, OSError(28, "No space left on device")])
-def test_a_write_does_not_block_other_greenlets(error):
-    scheduler = Scheduler()
-    results, turns = [], []
-
-    class SlowStore:
-        def save(self, state):
-            while not turns:  # another greenlet goes on meanwhile
-                pass
-            if error:
-                raise error
-
-    def write():
-        results.append(StateWriter(scheduler, SlowStore()).save("state"))
-        scheduler.stop()
-
-    scheduler.soon(greenlet.greenlet(write, scheduler.hub).switch)
-    scheduler.after(0.01, lambda: turns.append(None))
-    scheduler.run()
-    assert results == [error]
