--- a/tests/unit/config_consensus/orders.py
+++ b/tests/unit/config_consensus/orders.py
@@ -1,9 +1,9 @@
 """Plays all orders of events for a fleet of a size, for as long as that takes.
 
-    python -m tests.unit.config_consensus.orders GATEWAYS CONTROLS [CRASHES [FAULTS [PROPOSALS]]]
+    python -m tests.unit.config_consensus.orders GATEWAYS CONTROLS
 
-It prints the number of states and the first violation with its steps. The exit code is 1 where
-there is one.
+Optional numbers behind these are CRASHES, FAULTS, PROPOSALS (1 each) and MAX_STATES. It prints
+the number of states and the first violation with its steps. The exit code is 1 where there is one.
 """
 
 from typing import Annotated
