--- a/benchmarks/messages_coordinator.py
+++ b/benchmarks/messages_coordinator.py
@@ -6,7 +6,7 @@
 
 from benchmarks.messages_content import build_roster, build_settings
 from benchmarks.messages_figures import LONG_STEP_S, REPEATS, FigureTable
-from petrellane.config_consensus import ballots, coordinator, participant, safe_settings
+from petrellane.config_consensus import ballots, canonical_settings, coordinator, participant
 from petrellane.config_consensus import messages as protocol
 from petrellane.testbed.fleet import LoopbackFleet
 from petrellane.testbed.fleet_spec import FleetSpec, SettingsSpec
@@ -49,7 +49,7 @@
         """Play until the coordinator leads; `takeover_s` is the time of its rules for that."""
         roster = build_roster(size)
         settings = build_settings(1, 1)
-        digest = safe_settings.digest(settings)
+        digest = canonical_settings.digest(settings)
         first = ballots.Generation(participant.INITIAL_BALLOT, digest, settings, roster)
         self.now = 0.0
         self.coordinator = coordinator.Coordinator("control", roster, DiscardingJournal(), self.now)
--- a/benchmarks/messages_sizes.py
+++ b/benchmarks/messages_sizes.py
@@ -19,9 +19,9 @@
 from benchmarks.messages_figures import FigureTable
 from petrellane.config_consensus import (
     ballots,
+    canonical_settings,
     message_authentication,
     participant,
-    safe_settings,
 )
 from petrellane.net import http, resp
 
@@ -82,7 +82,7 @@
     """Return a generation of these settings with a roster of this size."""
     return ballots.Generation(
         ballots.Ballot(12345, EPOCH),
-        safe_settings.digest(settings),
+        canonical_settings.digest(settings),
         settings,
         build_roster(roster_size),
     )
@@ -91,10 +91,10 @@
 def measure_settings(figures: FigureTable, settings: Settings) -> None:
     """Measure settings, and a change of one row of them."""
     for methods in METHOD_COUNTS:
-        size = len(safe_settings.canonical_bytes(build_settings(methods)))
+        size = len(canonical_settings.canonical_bytes(build_settings(methods)))
         what = f"settings of {methods} methods and {PLANS} plans, canonical"
         figures.add_bytes(f"settings_bytes_{methods}", size, what)
-    changed_row = safe_settings.canonical_bytes({"classes": settings["classes"][:1]})
+    changed_row = canonical_settings.canonical_bytes({"classes": settings["classes"][:1]})
     delta = {
         "do": "prepare",
         "to": "gateway-1-0100",
@@ -102,7 +102,7 @@
         "rows": json.loads(changed_row),
         "epoch_of": list(EPOCH),
         "order": 1234567,
-        "digest": safe_settings.digest(settings),
+        "digest": canonical_settings.digest(settings),
     }
     figures.add_bytes(
         "delta_bytes",
--- a/benchmarks/messages_steps.py
+++ b/benchmarks/messages_steps.py
@@ -11,9 +11,9 @@
 from petrellane.config import Section, parse_endpoint_list
 from petrellane.config_consensus import (
     ballots,
+    canonical_settings,
     message_authentication,
     participant,
-    safe_settings,
     state_store,
 )
 from petrellane.config_consensus import messages as protocol
@@ -38,7 +38,7 @@
     settings = build_settings(METHODS, revision=1)
     next_generation = ballots.Generation(
         ballots.Ballot(12346, EPOCH),
-        safe_settings.digest(settings),
+        canonical_settings.digest(settings),
         settings,
         generation.roster,
     )
--- a/petrellane/config_consensus/changes.py
+++ b/petrellane/config_consensus/changes.py
@@ -17,7 +17,7 @@
 from enum import StrEnum
 from typing import Any, ClassVar, NamedTuple
 
-from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus import canonical_settings
 from petrellane.config_consensus.ballots import (
     Ballot,
     Epoch,
@@ -324,10 +324,10 @@
     if kind == EpochClaimed.kind:
         return EpochClaimed(fields["number"], fields.get("control", ""))
     if kind == FoundInForce.kind:
-        return FoundInForce(parse_generation(fields["generation"], safe_settings.digest))
+        return FoundInForce(parse_generation(fields["generation"], canonical_settings.digest))
     if kind == Proposed.kind:
         return Proposed(
-            parse_generation(fields["generation"], safe_settings.digest),
+            parse_generation(fields["generation"], canonical_settings.digest),
             tuple(fields.get("without", ())),
             fields.get("by", ""),
             fields.get("why", ""),
--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -14,7 +14,7 @@
 
 from petrellane.config import load_settings_file
 from petrellane.config.consensus import ControlConfig
-from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus import settings_diff
 from petrellane.config_consensus.changes import ChangeOutcome
 from petrellane.config_consensus.errors import ConsensusError
 from petrellane.config_consensus.message_authentication import STAFF_PATH
@@ -160,7 +160,7 @@
             after: The same.
         """
         contents = [self._read_settings(source) for source in (before, after)]
-        lines = safe_settings.describe_changes(*contents)
+        lines = settings_diff.describe_changes(*contents)
         self._print({"lines": lines}, "\n".join(lines) or "they say the same")
         return ExitCode.DONE
 
--- a/petrellane/config_consensus/coordinator.py
+++ b/petrellane/config_consensus/coordinator.py
@@ -23,7 +23,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
 
-from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus import canonical_settings
 from petrellane.config_consensus.ballots import NO_EPOCH, Ballot, Epoch, Generation, majority
 from petrellane.config_consensus.changes import Change, ChangeOutcome
 from petrellane.config_consensus.errors import ProposalRejected
@@ -338,7 +338,7 @@
         if self.state != CoordinatorState.LEADING:
             reason = self.reason or "a majority of the gateways has not answered yet"
             raise ProposalRejected(f"{self.state}: {reason}")
-        digest = safe_settings.digest(content)
+        digest = canonical_settings.digest(content)
         if self.change:
             if self.change.generation.digest == digest:
                 return self.change
--- a/petrellane/config_consensus/ledger.py
+++ b/petrellane/config_consensus/ledger.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, Protocol
 
-from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus import canonical_settings
 from petrellane.config_consensus.ballots import Ballot, Epoch, Generation
 from petrellane.config_consensus.changes import (
     Change,
@@ -165,7 +165,7 @@
         """Settings under the next free number."""
         in_force_number = self.in_force.number if self.in_force else 0
         ballot = Ballot(max(self.highest_number, in_force_number) + 1, epoch)
-        return Generation(ballot, safe_settings.digest(content), content, roster)
+        return Generation(ballot, canonical_settings.digest(content), content, roster)
 
     def change_in_force(self, digest: str, roster: Sequence[str], now: float) -> Change | None:
         """The change that brought these settings in force for this roster, None for others."""
--- a/petrellane/config_consensus/messages.py
+++ b/petrellane/config_consensus/messages.py
@@ -24,8 +24,8 @@
     parse_generation,
     shorten,
 )
+from petrellane.config_consensus.canonical_settings import digest
 from petrellane.config_consensus.errors import MessageRejected
-from petrellane.config_consensus.safe_settings import digest
 
 MAX_REASON_LENGTH = 300  # characters of a rejection's reason that are kept
 
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -15,6 +15,7 @@
 from petrellane.config.consensus import ConsensusConfig
 from petrellane.config_consensus import participant
 from petrellane.config_consensus.ballots import Generation
+from petrellane.config_consensus.canonical_settings import digest, shared_settings
 from petrellane.config_consensus.errors import MessageRejected
 from petrellane.config_consensus.message_authentication import (
     CallResult,
@@ -28,7 +29,7 @@
     ParticipantStatus,
 )
 from petrellane.config_consensus.peer_polling import PeerPoller
-from petrellane.config_consensus.safe_settings import describe_changes, digest, shared_settings
+from petrellane.config_consensus.settings_diff import describe_changes
 from petrellane.config_consensus.state_store import StateStore
 from petrellane.config_consensus.state_writer import StateWriter
 from petrellane.net.limits import Limits
--- a/petrellane/config_consensus/peer_polling.py
+++ b/petrellane/config_consensus/peer_polling.py
@@ -10,11 +10,11 @@
 
 from petrellane.config_consensus import participant
 from petrellane.config_consensus.ballots import Ballot, Generation, parse_generation
+from petrellane.config_consensus.canonical_settings import digest
 from petrellane.config_consensus.errors import ConsensusError, MessageRejected
 from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
 from petrellane.config_consensus.messages import JsonObject, PeerQuestion, PeerState
 from petrellane.config_consensus.rpc_client import Address, RpcClient, RpcError
-from petrellane.config_consensus.safe_settings import digest
 
 if TYPE_CHECKING:
     from petrellane.config_consensus.participant_service import ParticipantService
--- a/petrellane/config_consensus/staff_calls.py
+++ b/petrellane/config_consensus/staff_calls.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from petrellane.config import ConfigError, Section, check_no_key_removed, parse_settings
-from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus import canonical_settings, safe_settings
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.changes import Change, ChangeOutcome
 from petrellane.config_consensus.coordinator import Coordinator
@@ -119,7 +119,7 @@
 
     def _propose(self, proposed: JsonObject, message: JsonObject) -> CallResult:
         """Propose settings, once they are valid alone and together with those in force."""
-        content = safe_settings.shared_settings(proposed)
+        content = canonical_settings.shared_settings(proposed)
         without = message.get("without", [])
         if not isinstance(without, list) or not all(isinstance(name, str) for name in without):
             return reject_call(StaffRejection.MALFORMED, "without: expected a list of names")
--- a/petrellane/config_consensus/state_store.py
+++ b/petrellane/config_consensus/state_store.py
@@ -13,8 +13,8 @@
 
 import orjson
 
-from petrellane.config_consensus import safe_settings
 from petrellane.config_consensus.ballots import parse_ballot, parse_epoch, parse_generation
+from petrellane.config_consensus.canonical_settings import digest
 from petrellane.config_consensus.errors import ConsensusError
 from petrellane.config_consensus.participant import ParticipantState
 
@@ -169,10 +169,8 @@
 
 def _decode_state(content: StoredContent) -> ParticipantState:
     return ParticipantState(
-        in_force=parse_generation(content["in_force"], safe_settings.digest),
+        in_force=parse_generation(content["in_force"], digest),
         promised=parse_epoch(content["promised"]),
-        prepared=tuple(
-            parse_generation(generation, safe_settings.digest) for generation in content["possible"]
-        ),
+        prepared=tuple(parse_generation(generation, digest) for generation in content["possible"]),
         aborted=tuple(parse_ballot(ballot) for ballot in content["denied"]),
     )
--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -81,10 +81,10 @@
             ConfigError: The settings will not do here.
         """
         # Imported where it is needed: a gateway alone starts without it.
-        from petrellane.config_consensus import safe_settings
+        from petrellane.config_consensus import canonical_settings
 
         config = self.process.config
-        merged = {**safe_settings.local_settings(config.raw["settings"]), **content}
+        merged = {**canonical_settings.local_settings(config.raw["settings"]), **content}
         return config.with_settings(merged)
 
     def _apply(self, settings: Settings) -> None:
--- a/tests/compatibility/build/participant.py
+++ b/tests/compatibility/build/participant.py
@@ -9,9 +9,9 @@
 
 from petrellane.config_consensus import (
     ballots,
+    canonical_settings,
     messages,
     participant,
-    safe_settings,
     state_store,
 )
 from petrellane.config_consensus.errors import MessageRejected
@@ -21,7 +21,7 @@
 
 def digest(settings: Json) -> str:
     """The digest of settings that are agreed on."""
-    return safe_settings.digest(settings)
+    return canonical_settings.digest(settings)
 
 
 def state_of(content: Json) -> participant.ParticipantState:
@@ -76,7 +76,7 @@
         {"number": ballot.number, "epoch": list(ballot.epoch)}
         for ballot in participant.missing_ballots(state, peer)
     ]
-    got = [ballots.parse_generation(one, safe_settings.digest) for one in fetched]
+    got = [ballots.parse_generation(one, canonical_settings.digest) for one in fetched]
     after = participant.merge_peer_state(state, peer, got, lambda content: None)
     return {"missing": missing, "after": stored(after)}
 
--- a/tests/unit/config_consensus/test_config_consensus.py
+++ b/tests/unit/config_consensus/test_config_consensus.py
@@ -14,6 +14,7 @@
 
 from petrellane.config_consensus import (
     ballots,
+    canonical_settings,
     errors,
     journal,
     message_authentication,
@@ -21,6 +22,7 @@
     notifications,
     participant,
     safe_settings,
+    settings_diff,
     state_store,
 )
 from tests.unit.config_consensus.planted import PLANTS, planted
@@ -93,7 +95,7 @@
     def test_the_meet_is_a_greatest_lower_bound(self, one, other, third):
         both = safe_settings.meet(one, other)
         self.assertEqual(both, safe_settings.meet(other, one))
-        self.assertEqual(safe_settings.meet(one, one), safe_settings.with_defaults(one))
+        self.assertEqual(safe_settings.meet(one, one), canonical_settings.with_defaults(one))
         self.assertEqual(
             safe_settings.meet(both, third),
             safe_settings.meet(one, safe_settings.meet(other, third)),
@@ -103,7 +105,10 @@
     @given(some_settings, some_settings)
     def test_the_meet_allows_nothing_that_either_forbids(self, one, other):
         met = safe_settings.meet(one, other)
-        for told in (safe_settings.with_defaults(one), safe_settings.with_defaults(other)):
+        for told in (
+            canonical_settings.with_defaults(one),
+            canonical_settings.with_defaults(other),
+        ):
             methods = {row["name"]: row for row in told["classes"]}
             for row in met["classes"]:
                 there = methods[row["name"]]
@@ -128,14 +133,14 @@
         mixed = dict(chance.sample(list(told.items()), len(told)))
         mixed["classes"] = chance.sample(told["classes"], len(told["classes"]))
         mixed = {"locality": "own", **mixed, "unsaid": None}
-        self.assertEqual(safe_settings.digest(told), safe_settings.digest(mixed))
-        self.assertEqual(safe_settings.describe_changes(told, mixed), [])
+        self.assertEqual(canonical_settings.digest(told), canonical_settings.digest(mixed))
+        self.assertEqual(settings_diff.describe_changes(told, mixed), [])
 
     @given(some_settings, some_settings)
     def test_a_change_is_told_and_only_a_change(self, one, other):
         self.assertEqual(
-            not safe_settings.describe_changes(one, other),
-            safe_settings.with_defaults(one) == safe_settings.with_defaults(other),
+            not settings_diff.describe_changes(one, other),
+            canonical_settings.with_defaults(one) == canonical_settings.with_defaults(other),
         )
 
     def test_words_of_a_change(self):
@@ -149,7 +154,7 @@
             "limits": {"maxAttempts": 2},
         }
         self.assertEqual(
-            safe_settings.describe_changes(before, after),
+            settings_diff.describe_changes(before, after),
             [
                 "method look: gone",
                 "method post: new, effect non-idempotent",
@@ -164,7 +169,10 @@
         names = ("g0", "g1", "g2")
         made = [
             ballots.Generation(
-                ballots.Ballot(at, ballots.Epoch(1, "a")), safe_settings.digest(told), told, names
+                ballots.Ballot(at, ballots.Epoch(1, "a")),
+                canonical_settings.digest(told),
+                told,
+                names,
             )
             for at, told in enumerate(CONTENTS)
         ]
@@ -196,7 +204,7 @@
     def test_what_is_refused(self):
         state, made = self.state()
         later = ballots.Generation(
-            ballots.Ballot(1, ballots.Epoch(1, "a")), safe_settings.digest(NEW), NEW
+            ballots.Ballot(1, ballots.Epoch(1, "a")), canonical_settings.digest(NEW), NEW
         )
         denied, _ = self.hear(state, "deny", made[1])
         for cause, given_state, message in (
--- a/tests/unit/config_consensus/test_cost.py
+++ b/tests/unit/config_consensus/test_cost.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from petrellane.config_consensus import messages, participant, safe_settings
+from petrellane.config_consensus import canonical_settings, messages, participant
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.coordinator import ChangeOutcome, Coordinator, CoordinatorState
 from tests.unit.decisions.test_load_balancing import operations
@@ -31,7 +31,10 @@
     def __init__(self, number):
         self.names, self.content = tuple(Name(f"g{at}") for at in range(number)), {"classes": []}
         first = Generation(
-            participant.INITIAL_BALLOT, safe_settings.digest(self.content), self.content, self.names
+            participant.INITIAL_BALLOT,
+            canonical_settings.digest(self.content),
+            self.content,
+            self.names,
         )
         self.states = dict.fromkeys(self.names, participant.ParticipantState(first))
         self.leader, self.now = Coordinator("c", self.names, Nothing(), 0.0), 0.0
--- a/tests/unit/config_consensus/test_messages.py
+++ b/tests/unit/config_consensus/test_messages.py
@@ -6,8 +6,8 @@
 
 from petrellane.config_consensus import changes, messages
 from petrellane.config_consensus.ballots import Ballot, Epoch, Generation
+from petrellane.config_consensus.canonical_settings import digest
 from petrellane.config_consensus.errors import MessageRejected
-from petrellane.config_consensus.safe_settings import digest
 
 EPOCH = Epoch(2, "c")
 BALLOT = Ballot(3, EPOCH)
--- a/tests/unit/config_consensus/world.py
+++ b/tests/unit/config_consensus/world.py
@@ -6,13 +6,13 @@
 
 from petrellane.config_consensus import (
     ballots,
+    canonical_settings,
     changes,
     coordinator,
     errors,
     messages,
     notifications,
     participant,
-    safe_settings,
 )
 
 OLD = {"classes": [{"name": "look", "effect": "pure", "giveUp": 4}], "contracts": []}
@@ -45,7 +45,9 @@
     def __init__(self, name, members):
         self.name, self.members, self.up = name, members, True
         self.state = participant.ParticipantState(
-            ballots.Generation(participant.INITIAL_BALLOT, safe_settings.digest(OLD), OLD, members)
+            ballots.Generation(
+                participant.INITIAL_BALLOT, canonical_settings.digest(OLD), OLD, members
+            )
         )
         self.standing = participant.ParticipantStatus(name, members, True, 0.0)
         self.standing.knows_in_force = True
