--- a/petrellane/config_consensus/coordinator.py
+++ b/petrellane/config_consensus/coordinator.py
@@ -21,7 +21,7 @@
 """
 
 from collections.abc import Iterable, Mapping, Sequence
-from typing import Any
+from typing import Any, NamedTuple
 
 from petrellane.config_consensus import canonical_settings
 from petrellane.config_consensus.ballots import NO_EPOCH, Ballot, Epoch, Generation, majority
@@ -49,6 +49,7 @@
     POLL_INTERVAL_S,
     RETRY_INTERVAL_S,
     Notifications,
+    ParticipantDescription,
 )
 
 __all__ = ["ChangeOutcome", "Coordinator", "CoordinatorState"]
@@ -58,6 +59,18 @@
 SUPERSEDING_AUTHOR = "the control process"
 
 
+class NextMessage(NamedTuple):
+    """The request that a participant is due.
+
+    Attributes:
+        request: the request; None where nothing is due yet.
+        pause_s: seconds after which to look again at the latest; 0 where there is a request.
+    """
+
+    request: Request | None
+    pause_s: float
+
+
 class Coordinator:
     """What one control process knows and does, from its start to its end.
 
@@ -127,8 +140,8 @@
         """The last report of each participant."""
         return self.notifications.reports
 
-    def describe_participant(self, name: str) -> tuple[str, int | None]:
-        """Where a participant stands, in words, and the number in force there."""
+    def describe_participant(self, name: str) -> ParticipantDescription:
+        """Where a participant stands."""
         return self.notifications.describe(name, self.in_force)
 
     def all_participants(self) -> tuple[str, ...]:
@@ -143,15 +156,15 @@
 
     # Requests.
 
-    def next_message(self, name: str, now: float) -> tuple[Request | None, float]:
-        """The request that a participant is due now, or None and the longest pause in seconds."""
+    def next_message(self, name: str, now: float) -> NextMessage:
+        """The request that a participant is due now, or how long to wait for one."""
         pause = self.notifications.retry_pause(name, now)
         if pause > 0:
-            return None, pause
+            return NextMessage(None, pause)
         message = self.build_message(name, now)
         if message is not None:
-            return message, 0.0
-        return None, self.notifications.poll_pause(name, now)
+            return NextMessage(message, 0.0)
+        return NextMessage(None, self.notifications.poll_pause(name, now))
 
     def build_message(self, name: str, now: float) -> Request | None:
         """The request that a participant is due, however soon after a failure; None: none."""
--- a/petrellane/config_consensus/messages.py
+++ b/petrellane/config_consensus/messages.py
@@ -15,6 +15,7 @@
 from enum import StrEnum
 from typing import Any, ClassVar, NamedTuple, Self
 
+from petrellane.config_consensus import state_keys
 from petrellane.config_consensus.ballots import (
     Ballot,
     Epoch,
@@ -25,10 +26,13 @@
     shorten,
 )
 from petrellane.config_consensus.canonical_settings import digest
-from petrellane.config_consensus.errors import MessageRejected
+from petrellane.config_consensus.errors import MessageRejected, RejectionCause
 
 MAX_REASON_LENGTH = 300  # characters of a rejection's reason that are kept
 
+# Causes of a participant that lacks a generation which the request builds on.
+CONTENT_CAUSES = (RejectionCause.BASE_NOT_IN_FORCE, RejectionCause.UNKNOWN_GENERATION)
+
 JsonObject = dict[str, Any]
 
 
@@ -184,7 +188,7 @@
             kind = MessageKind(found)
         except ValueError:
             raise MessageRejected(
-                400, "form", f"do: expected a known word, found {shorten(found)}"
+                400, RejectionCause.MALFORMED, f"do: expected a known word, found {shorten(found)}"
             ) from None
         if kind in (MessageKind.STATE, MessageKind.CONTENT):
             return cls(kind, None, fields)
@@ -224,12 +228,12 @@
         Raises:
             ValueError: the report is malformed.
         """
-        prepared = fields.get("possible", [])
-        aborted = fields.get("denied", [])
-        roster = fields.get("members", [])
+        prepared = fields.get(state_keys.PREPARED, [])
+        aborted = fields.get(state_keys.ABORTED, [])
+        roster = fields.get(state_keys.ROSTER, [])
         if not all(isinstance(rows, list) for rows in (prepared, aborted, roster)):
             raise ValueError("possible, denied, members: expected lists")
-        in_force = fields.get("in_force")
+        in_force = fields.get(state_keys.IN_FORCE)
         ballot = parse_ballot(in_force)
         return cls(
             ballot,
@@ -243,19 +247,19 @@
 class Rejection(NamedTuple):
     """A participant's answer that rejects a request."""
 
-    cause: str
+    cause: str  # a `RejectionCause`, or that of a later build
     reason: str
     promised: Epoch | None  # the epoch it follows, where it told one
 
     @property
     def is_for_epoch(self) -> bool:
         """Whether the participant follows a higher epoch."""
-        return self.cause == "epoch"
+        return self.cause == RejectionCause.STALE_EPOCH
 
     @property
     def is_for_content(self) -> bool:
         """Whether the participant lacks a generation that the request builds on."""
-        return self.cause in ("behind", "unknown")
+        return self.cause in CONTENT_CAUSES
 
 
 class MalformedAnswer(NamedTuple):
--- a/petrellane/config_consensus/notifications.py
+++ b/petrellane/config_consensus/notifications.py
@@ -9,6 +9,7 @@
 import math
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from petrellane.config_consensus.ballots import Ballot, Epoch, Generation
 from petrellane.config_consensus.changes import Change
@@ -29,6 +30,18 @@
 NOBODY_LISTENS = "nobody listens there"
 
 
+class ParticipantDescription(NamedTuple):
+    """Where a participant stands, as staff see it.
+
+    Attributes:
+        state: in a few words.
+        number: that of the generation it reported in force; None before its first report.
+    """
+
+    state: str
+    number: int | None
+
+
 @dataclass
 class Notifications:
     """Reports and due messages by participant; owned by the coordinator, for its life.
@@ -131,15 +144,15 @@
         """A poll where one is due."""
         return Promise() if self.is_poll_due(name, now) else None
 
-    def describe(self, name: str, in_force: Generation | None) -> tuple[str, int | None]:
-        """Where a participant stands, in words, and the number that it reported in force."""
+    def describe(self, name: str, in_force: Generation | None) -> ParticipantDescription:
+        """Where a participant stands."""
         report = self.reports.get(name)
         number = report.in_force.number if report else None
         if name in self.unreachable:
-            return self.unreachable[name], number
+            return ParticipantDescription(self.unreachable[name], number)
         if report is None:
-            return "not heard yet", number
-        return _describe_report(report, in_force), number
+            return ParticipantDescription("not heard yet", number)
+        return ParticipantDescription(_describe_report(report, in_force), number)
 
 
 def _first_orphaned(
--- a/petrellane/config_consensus/participant.py
+++ b/petrellane/config_consensus/participant.py
@@ -34,7 +34,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Any, NamedTuple
 
-from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus import safe_settings, state_keys
 from petrellane.config_consensus.ballots import (
     NO_EPOCH,
     Ballot,
@@ -42,7 +42,7 @@
     Generation,
     intersects_every_majority,
 )
-from petrellane.config_consensus.errors import MessageRejected
+from petrellane.config_consensus.errors import MessageRejected, RejectionCause
 from petrellane.config_consensus.messages import MessageKind, PeerState, ReceivedRequest
 
 MAX_ABORTED = 16  # aborted ballots remembered: nobody asks about changes further back
@@ -65,11 +65,11 @@
     def to_dict(self) -> dict[str, Any]:
         """The report as JSON."""
         return {
-            "promised": list(self.promised),
-            "in_force": self.in_force.identity_to_dict(),
-            "possible": [generation.identity_to_dict() for generation in self.prepared],
-            "denied": [ballot.to_dict() for ballot in self.aborted],
-            "members": list(self.in_force.roster),
+            state_keys.PROMISED: list(self.promised),
+            state_keys.IN_FORCE: self.in_force.identity_to_dict(),
+            state_keys.PREPARED: [generation.identity_to_dict() for generation in self.prepared],
+            state_keys.ABORTED: [ballot.to_dict() for ballot in self.aborted],
+            state_keys.ROSTER: list(self.in_force.roster),
         }
 
     def find_generation(self, ballot: Ballot) -> Generation | None:
@@ -80,6 +80,16 @@
         return None
 
 
+class HandledMessage(NamedTuple):
+    """What follows from a message: the state to remember, and the answer.
+
+    The answer is that state, or the content asked for.
+    """
+
+    state: ParticipantState
+    answer: ParticipantState | Generation
+
+
 def admissible_settings(state: ParticipantState) -> dict[str, Any]:
     """The settings to admit under: those in force; in doubt, what all candidates allow."""
     settings = state.in_force.content
@@ -90,7 +100,7 @@
 
 def handle_message(
     state: ParticipantState, message: Mapping[str, Any], validate: Validator
-) -> tuple[ParticipantState, ParticipantState | Generation]:
+) -> HandledMessage:
     """Handle a request of a coordinator or of another participant.
 
     Args:
@@ -98,20 +108,17 @@
         message: the request as JSON.
         validate: tells why settings are not valid here, None where they are.
 
-    Returns:
-        The state to remember, and the answer: that state, or the content asked for.
-
     Raises:
         MessageRejected: a rule rejects the request; status 400 where it is malformed.
     """
     try:
         request = ReceivedRequest.from_dict(message)
         if request.epoch is None:
-            return state, _read(state, request)
+            return HandledMessage(state, _read(state, request))
         after = _apply(_promise(state, request.epoch), request, validate)
     except ValueError as error:
-        raise MessageRejected(400, "form", str(error)) from None
-    return after, after
+        raise MessageRejected(400, RejectionCause.MALFORMED, str(error)) from None
+    return HandledMessage(after, after)
 
 
 def _read(state: ParticipantState, request: ReceivedRequest) -> ParticipantState | Generation:
@@ -120,7 +127,7 @@
         return state
     generation = state.find_generation(request.ballot())
     if generation is None:
-        raise MessageRejected(404, "unknown", "no such generation here")
+        raise MessageRejected(404, RejectionCause.UNKNOWN_GENERATION, "no such generation here")
     return generation
 
 
@@ -129,7 +136,7 @@
     if epoch < state.promised:
         raise MessageRejected(
             409,
-            "epoch",
+            RejectionCause.STALE_EPOCH,
             f"epoch {epoch.number} of {epoch.control}: expected at least "
             f"{state.promised.number} of {state.promised.control}",
             promised=list(state.promised),
@@ -164,27 +171,33 @@
         return state
     if ballot <= state.in_force.ballot:
         raise MessageRejected(
-            409, "past", f"generation {ballot.number}: {state.in_force.number} is in force"
+            409,
+            RejectionCause.CANNOT_COMMIT,
+            f"generation {ballot.number}: {state.in_force.number} is in force",
         )
     if ballot in state.aborted:
-        raise MessageRejected(409, "past", f"generation {ballot.number}: it was given up")
+        raise MessageRejected(
+            409, RejectionCause.CANNOT_COMMIT, f"generation {ballot.number}: it was given up"
+        )
     if state.in_force.ballot < base:
         raise MessageRejected(
             409,
-            "behind",
+            RejectionCause.BASE_NOT_IN_FORCE,
             f"generation {base.number} is not in force here, but {state.in_force.number}",
         )
     _require_valid(generation, validate)
     if len(state.prepared) >= MAX_PREPARED:
         raise MessageRejected(
-            409, "crowded", f"{MAX_PREPARED} generations are possible here already"
+            409,
+            RejectionCause.TOO_MANY_PREPARED,
+            f"{MAX_PREPARED} generations are possible here already",
         )
     return _with_prepared(state, generation)
 
 
 def _require_valid(generation: Generation, validate: Validator) -> None:
     if wrong := validate(generation.content):
-        raise MessageRejected(422, "settings", wrong)
+        raise MessageRejected(422, RejectionCause.INVALID_SETTINGS, wrong)
 
 
 def _with_prepared(state: ParticipantState, generation: Generation) -> ParticipantState:
@@ -209,7 +222,9 @@
     if generation is None:
         if not request.has_content:
             raise MessageRejected(
-                409, "unknown", f"generation {ballot.number}: its content is not here"
+                409,
+                RejectionCause.UNKNOWN_GENERATION,
+                f"generation {ballot.number}: its content is not here",
             )
         generation = request.generation()
         _require_valid(generation, validate)
@@ -306,7 +321,12 @@
         self.set_roster(roster)
 
     def set_roster(self, roster: Sequence[str]) -> None:
-        """Take the roster in force; a gateway off the roster hears of no change: it admits none."""
+        """Take the roster in force.
+
+        A gateway outside the roster is not notified of changes, so it must not admit RPCs. One on
+        the roster knows what is in force once enough others have answered, and keeps knowing it
+        when the roster changes.
+        """
         self.roster = tuple(roster)
         if self.name not in self.roster:
             self.knows_in_force = False
--- a/petrellane/config_consensus/participant_notifier.py
+++ b/petrellane/config_consensus/participant_notifier.py
@@ -9,6 +9,7 @@
 import greenlet
 
 from petrellane.config_consensus.coordinator import Coordinator
+from petrellane.config_consensus.errors import RejectionCause
 from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
 from petrellane.config_consensus.messages import Request, decode_answer
 from petrellane.config_consensus.rpc_client import (
@@ -111,7 +112,7 @@
             except NoAnswerError as error:
                 fault = str(error)
                 continue
-            if answer.get("refused") == "elsewhere":
+            if answer.get("refused") == RejectionCause.NOT_ACTIVE:
                 fault = NOT_THE_GATEWAY
                 continue
             self._take_step(
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -16,7 +16,7 @@
 from petrellane.config_consensus import participant
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.canonical_settings import digest, shared_settings
-from petrellane.config_consensus.errors import MessageRejected
+from petrellane.config_consensus.errors import MessageRejected, RejectionCause
 from petrellane.config_consensus.message_authentication import (
     CallResult,
     HttpAnswer,
@@ -261,7 +261,8 @@
         if not self.is_active:
             reason = "another process of this gateway is asked, or none yet"
             return CallResult(
-                HTTPStatus.SERVICE_UNAVAILABLE, {"refused": "elsewhere", "why": reason}
+                HTTPStatus.SERVICE_UNAVAILABLE,
+                {"refused": RejectionCause.NOT_ACTIVE, "why": reason},
             )
         with self.exclusive_update():
             try:
@@ -275,7 +276,8 @@
                 if not self.persist(state):
                     reason = f"{self.config.state}: the state can't be written"
                     return CallResult(
-                        HTTPStatus.INSUFFICIENT_STORAGE, {"refused": "unwritten", "why": reason}
+                        HTTPStatus.INSUFFICIENT_STORAGE,
+                        {"refused": RejectionCause.NOT_DURABLE, "why": reason},
                     )
                 self.apply_state()
                 self.notify_if_ready()
@@ -283,7 +285,7 @@
 
     def _log_rejection(self, message: JsonObject, rejection: MessageRejected) -> None:
         """Log settings that can't be applied here; other rejections are the caller's business."""
-        if rejection.cause == "settings":
+        if rejection.cause is RejectionCause.INVALID_SETTINGS:
             self.log.event(
                 "agreement_refused",
                 do=message["do"],
--- a/petrellane/config_consensus/staff_calls.py
+++ b/petrellane/config_consensus/staff_calls.py
@@ -175,8 +175,7 @@
         )
 
     def _describe_participant(self, name: str) -> JsonObject:
-        state, number = self._coordinator.describe_participant(name)
-        return {"state": state, "number": number}
+        return self._coordinator.describe_participant(name)._asdict()
 
     def _answer_history(self, _message: JsonObject) -> CallResult:
         history = sorted(self._coordinator.history.items())
--- a/petrellane/config_consensus/state_store.py
+++ b/petrellane/config_consensus/state_store.py
@@ -13,6 +13,7 @@
 
 import orjson
 
+from petrellane.config_consensus import state_keys
 from petrellane.config_consensus.ballots import parse_ballot, parse_epoch, parse_generation
 from petrellane.config_consensus.canonical_settings import digest
 from petrellane.config_consensus.errors import ConsensusError
@@ -158,19 +159,19 @@
 
 def _encode_state(state: ParticipantState) -> StoredContent:
     return {
-        "in_force": state.in_force.to_dict(),
-        "promised": list(state.promised),
-        "possible": [generation.to_dict() for generation in state.prepared],
-        "denied": [
-            {"number": ballot.number, "epoch": list(ballot.epoch)} for ballot in state.aborted
-        ],
+        state_keys.IN_FORCE: state.in_force.to_dict(),
+        state_keys.PROMISED: list(state.promised),
+        state_keys.PREPARED: [generation.to_dict() for generation in state.prepared],
+        state_keys.ABORTED: [ballot.to_dict() for ballot in state.aborted],
     }
 
 
 def _decode_state(content: StoredContent) -> ParticipantState:
     return ParticipantState(
-        in_force=parse_generation(content["in_force"], digest),
-        promised=parse_epoch(content["promised"]),
-        prepared=tuple(parse_generation(generation, digest) for generation in content["possible"]),
-        aborted=tuple(parse_ballot(ballot) for ballot in content["denied"]),
+        in_force=parse_generation(content[state_keys.IN_FORCE], digest),
+        promised=parse_epoch(content[state_keys.PROMISED]),
+        prepared=tuple(
+            parse_generation(generation, digest) for generation in content[state_keys.PREPARED]
+        ),
+        aborted=tuple(parse_ballot(ballot) for ballot in content[state_keys.ABORTED]),
     )
