--- a/petrellane/config_consensus/changes.py
+++ b/petrellane/config_consensus/changes.py
@@ -15,7 +15,7 @@
 from collections.abc import Collection, Iterator, Mapping
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import Any, ClassVar, NamedTuple
+from typing import Any, ClassVar, NamedTuple, Self
 
 from petrellane.config_consensus import canonical_settings
 from petrellane.config_consensus.ballots import (
@@ -31,6 +31,8 @@
 CHANGE_TIMEOUT_S = 3.0  # a change aborts when a participant has not voted by then
 
 INTERRUPTED = "the control process ended before it was decided"
+ALREADY_IN_FORCE = "in force already"
+REJECTED_PREFIX = "refused by"  # begins the reason of a change that a participant rejected
 
 
 class ChangeOutcome(StrEnum):
@@ -50,6 +52,19 @@
     ABSENT = "absent"
 
 
+def rejected_by(name: str, reason: str) -> str:
+    """The reason of a change that a participant rejected."""
+    return f"{REJECTED_PREFIX} {name}: {reason}"
+
+
+def is_rejection(reason: str) -> bool:
+    """Whether the reason of an aborted change is that a participant rejected it.
+
+    An answer to staff has the reason alone, so it is told from the text there.
+    """
+    return reason.startswith(REJECTED_PREFIX)
+
+
 class Decision(NamedTuple):
     """The outcome that a change has reached, and why, in one line."""
 
@@ -69,11 +84,12 @@
         started_at: time of the proposal, in seconds.
         previous_roster: the roster in force when it was proposed.
         votes: the votes so far; a participant without one has not voted.
-        first_message: sequence number of the last request before the proposal.
-        settled_message: that of the last request when the last of those that serve prepared.
+        last_sequence_before_proposal: sequence number of the last request before the proposal.
+        last_sequence_when_prepared: that of the last request when a participant prepared last.
         confirmed_absent: participants that were absent after that.
         outcome: PREPARING until it is decided.
-        reason: why it was made or decided as it was, in one line.
+        purpose: why it was proposed, in one line; empty for a proposal of staff.
+        decision_reason: why it has the outcome that it has, in one line.
         author: who proposed it.
     """
 
@@ -84,13 +100,48 @@
     started_at: float
     previous_roster: tuple[str, ...]
     votes: dict[str, Vote] = field(default_factory=dict)
-    first_message: int = 0
-    settled_message: int = 0
+    last_sequence_before_proposal: int = 0
+    last_sequence_when_prepared: int = 0
     confirmed_absent: set[str] = field(default_factory=set)
     outcome: ChangeOutcome = ChangeOutcome.PREPARING
-    reason: str = ""
+    purpose: str = ""
+    decision_reason: str = ""
     author: str = ""
 
+    @classmethod
+    def interrupted(cls, generation: Generation, excluded: tuple[str, ...], author: str) -> Self:
+        """The change of an earlier process, whose outcome is unknown."""
+        return cls(
+            generation=generation,
+            base=INITIAL_BALLOT,
+            participants=(),
+            excluded=excluded,
+            started_at=0.0,
+            previous_roster=(),
+            outcome=ChangeOutcome.UNKNOWN,
+            decision_reason=INTERRUPTED,
+            author=author,
+        )
+
+    @classmethod
+    def already_in_force(cls, generation: Generation, now: float) -> Self:
+        """The change to settings in force that this coordinator did not bring about."""
+        return cls(
+            generation=generation,
+            base=generation.ballot,
+            participants=(),
+            excluded=(),
+            started_at=now,
+            previous_roster=(),
+            outcome=ChangeOutcome.COMMITTED,
+            decision_reason=ALREADY_IN_FORCE,
+        )
+
+    @property
+    def reason(self) -> str:
+        """Why it was proposed, and from its outcome on why it has that one; in one line."""
+        return self.purpose if self.outcome is ChangeOutcome.PREPARING else self.decision_reason
+
     @property
     def ballot(self) -> Ballot:
         """The ballot of the proposed generation."""
@@ -131,18 +182,18 @@
             return False
         return self.ballot in report.prepared or report.in_force >= self.ballot
 
-    def record_prepared(self, name: str, last_message: int) -> None:
+    def record_prepared(self, name: str, last_sequence: int) -> None:
         """Count a participant as prepared; absent ones are to be asked once more then.
 
         Args:
             name: the participant.
-            last_message: sequence number of the last request sent to anybody.
+            last_sequence: sequence number of the last request sent to anybody.
         """
         if self.votes.get(name) is Vote.PREPARED:
             return
         self.votes[name] = Vote.PREPARED
         self.confirmed_absent.clear()
-        self.settled_message = last_message
+        self.last_sequence_when_prepared = last_sequence
 
     def record_absent(self, name: str, sequence: int) -> None:
         """Count a participant whose machine refused the connection as absent.
@@ -154,7 +205,7 @@
         if name not in self.participants or self.votes.get(name) is Vote.PREPARED:
             return
         self.votes[name] = Vote.ABSENT
-        if sequence > self.settled_message:
+        if sequence > self.last_sequence_when_prepared:
             self.confirmed_absent.add(name)
 
     def retract_absence(self, name: str) -> None:
@@ -190,7 +241,7 @@
                 return self._without_majority(prepared, members)
         if self.excluded and now - self.started_at < 2 * STALL_LIMIT_S:
             return None  # one that was excluded and merely stalls has to notice its stall first
-        return Decision(ChangeOutcome.COMMITTED, self.reason)
+        return Decision(ChangeOutcome.COMMITTED, self.purpose)
 
     def _waiting(self) -> Iterator[str]:
         """Participants that have neither prepared nor been confirmed absent."""
@@ -267,17 +318,7 @@
 
     def interrupted_change(self) -> Change:
         """The change of an earlier process, whose outcome is unknown unless a record follows."""
-        return Change(
-            self.generation,
-            INITIAL_BALLOT,
-            (),
-            self.excluded,
-            0.0,
-            (),
-            outcome=ChangeOutcome.UNKNOWN,
-            reason=INTERRUPTED,
-            author=self.author,
-        )
+        return Change.interrupted(self.generation, self.excluded, self.author)
 
 
 @dataclass(frozen=True, slots=True)
@@ -305,7 +346,7 @@
     def apply_to(self, change: Change) -> None:
         """Set a change that was read from the journal to its decision."""
         change.outcome = self.outcome
-        change.reason = self.reason
+        change.decision_reason = self.reason
         change.confirmed_absent = set(self.absent)
         change.votes = dict.fromkeys(self.prepared, Vote.PREPARED)
 
--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -15,7 +15,7 @@
 from petrellane.config import load_settings_file
 from petrellane.config.consensus import ControlConfig
 from petrellane.config_consensus import settings_diff
-from petrellane.config_consensus.changes import ChangeOutcome
+from petrellane.config_consensus.changes import ChangeOutcome, is_rejection
 from petrellane.config_consensus.errors import ConsensusError
 from petrellane.config_consensus.message_authentication import STAFF_PATH
 from petrellane.config_consensus.messages import JsonObject
@@ -253,6 +253,5 @@
     if progress.outcome == ChangeOutcome.COMMITTED:
         return ExitCode.IN_DOUBT if progress.owed else ExitCode.DONE
     if progress.outcome == ChangeOutcome.ABORTED:
-        is_rejected = progress.reason.startswith("refused by")
-        return ExitCode.REJECTED if is_rejected else ExitCode.ABORTED
+        return ExitCode.REJECTED if is_rejection(progress.reason) else ExitCode.ABORTED
     return ExitCode.IN_DOUBT
--- a/petrellane/config_consensus/coordinator.py
+++ b/petrellane/config_consensus/coordinator.py
@@ -25,7 +25,7 @@
 
 from petrellane.config_consensus import canonical_settings
 from petrellane.config_consensus.ballots import NO_EPOCH, Ballot, Epoch, Generation, majority
-from petrellane.config_consensus.changes import Change, ChangeOutcome
+from petrellane.config_consensus.changes import Change, ChangeOutcome, rejected_by
 from petrellane.config_consensus.errors import ProposalRejected
 from petrellane.config_consensus.leadership import (
     CoordinatorState,
@@ -228,7 +228,11 @@
             self._seek_again(name, report, now)
             return
         change = self.change
-        if change and name in change.excluded and message.sequence > change.first_message:
+        if (
+            change
+            and name in change.excluded
+            and message.sequence > change.last_sequence_before_proposal
+        ):
             self.abort_change(f"{name} was counted out, and answers", now)
             return
         if change and change.is_prepared(message, report):
@@ -261,7 +265,7 @@
         if rejection.is_for_content:
             notifications.on_content_missing(name)
         elif self.change and message.kind is MessageKind.PREPARE:
-            self.abort_change(f"refused by {name}: {rejection.reason}", now)
+            self.abort_change(rejected_by(name, rejection.reason), now)
 
     def _handle_higher_epoch(self, name: str, rejection: Rejection, now: float) -> None:
         """Claim a higher epoch while seeking; step down while leading."""
@@ -325,11 +329,11 @@
         in_doubt = {ballot for ballot in self.in_doubt if ballot > in_force.ballot}
         self.leadership.in_doubt = in_doubt
         if in_doubt and not self.change:
-            reason = (
+            purpose = (
                 "back to what is in force: nobody can tell "
                 f"whether generation {max(in_doubt).number} was decided"
             )
-            self._begin_change(in_force.content, (), SUPERSEDING_AUTHOR, now, reason)
+            self._begin_change(in_force.content, (), SUPERSEDING_AUTHOR, now, purpose)
 
     # A change.
 
@@ -374,21 +378,21 @@
         excluded: Sequence[str],
         author: str,
         now: float,
-        reason: str = "",
+        purpose: str = "",
     ) -> Change:
         in_force = self.ledger.require_in_force()
         last_sequence = self.notifications.last_sequence
         change = Change(
-            self.ledger.next_generation(content, self.roster, self.epoch),
-            in_force.ballot,
-            tuple(name for name in self.all_participants() if name not in excluded),
-            tuple(excluded),
-            now,
-            in_force.roster,
-            reason=reason,
+            generation=self.ledger.next_generation(content, self.roster, self.epoch),
+            base=in_force.ballot,
+            participants=tuple(name for name in self.all_participants() if name not in excluded),
+            excluded=tuple(excluded),
+            started_at=now,
+            previous_roster=in_force.roster,
+            purpose=purpose,
             author=author,
-            first_message=last_sequence,
-            settled_message=last_sequence,
+            last_sequence_before_proposal=last_sequence,
+            last_sequence_when_prepared=last_sequence,
         )
         return self.ledger.begin(change, now)
 
--- a/petrellane/config_consensus/ledger.py
+++ b/petrellane/config_consensus/ledger.py
@@ -22,8 +22,6 @@
     parse_record,
 )
 
-ALREADY_IN_FORCE = "in force already"
-
 
 class Journal(Protocol):
     """Where records become durable."""
@@ -108,7 +106,7 @@
 
     def begin(self, change: Change, now: float) -> Change:
         """Begin a change; it is under way from then on."""
-        record = Proposed(change.generation, change.excluded, change.author, change.reason)
+        record = Proposed(change.generation, change.excluded, change.author, change.purpose)
         self.journal.append(record.to_dict(), now)
         self.highest_number = change.generation.number
         self.last_change_at = now
@@ -126,7 +124,7 @@
         record = Decided(change.ballot, outcome, reason, absent, prepared)
         self.journal.append(record.to_dict(), now)
         change.outcome = outcome
-        change.reason = reason
+        change.decision_reason = reason
         self.decisions[change.ballot] = outcome
         self.change = None
         if outcome == ChangeOutcome.COMMITTED:
@@ -138,13 +136,13 @@
         for change in self.history.values():
             if change.outcome == ChangeOutcome.UNKNOWN and change.ballot < committed:
                 change.outcome = ChangeOutcome.SUPERSEDED
-                change.reason = f"by generation {committed.number}"
+                change.decision_reason = f"by generation {committed.number}"
 
     def abandon(self, reason: str) -> None:
         """Leave the change under way to another coordinator; its outcome is unknown here."""
         if self.change:
             self.change.outcome = ChangeOutcome.UNKNOWN
-            self.change.reason = reason
+            self.change.decision_reason = reason
             self.change = None
 
     # Questions.
@@ -175,8 +173,4 @@
         if set(roster) != set(in_force.roster):
             return None
         known = self.history.get(in_force.ballot)
-        if known:
-            return known
-        outcome = ChangeOutcome.COMMITTED
-        ballot = in_force.ballot
-        return Change(in_force, ballot, (), (), now, (), outcome=outcome, reason=ALREADY_IN_FORCE)
+        return known or Change.already_in_force(in_force, now)
--- a/tests/unit/config_consensus/world.py
+++ b/tests/unit/config_consensus/world.py
@@ -285,7 +285,7 @@
         late += tuple(
             (
                 name,
-                message.sequence > self.leaders[control].change.settled_message
+                message.sequence > self.leaders[control].change.last_sequence_when_prepared
                 if self.leaders[control].change
                 else 0,
             )
