--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -15,7 +15,6 @@
 from petrellane.config_consensus.journal import Journal
 from petrellane.config_consensus.message_authentication import (
     STAFF_PATH,
-    HttpAnswer,
     answer_signed_request,
 )
 from petrellane.config_consensus.participant_notifier import CALL_TIMEOUT_S, ParticipantNotifier
@@ -27,6 +26,7 @@
 from petrellane.net.scheduler import Scheduler
 from petrellane.operation.lifecycle import Lifecycle
 from petrellane.operation.management_api import ManagementServer
+from petrellane.operation.management_requests import HttpResponse
 
 TICK_INTERVAL_S = 0.05  # between looks at what time alone brings
 JOURNAL_FAILED_INTERVAL_S = 1.0  # between two `journal_failed` events
@@ -181,7 +181,7 @@
         )
         self._notifier.wake_workers()
 
-    def _handle_staff_call(self, fields: Mapping[bytes, bytes], body: bytes) -> HttpAnswer:
+    def _handle_staff_call(self, fields: Mapping[bytes, bytes], body: bytes) -> HttpResponse:
         return answer_signed_request(
             self.config.key, CONTROL_RECIPIENT, self._staff_calls.handle, fields, body
         )
--- a/petrellane/config_consensus/message_authentication.py
+++ b/petrellane/config_consensus/message_authentication.py
@@ -21,6 +21,7 @@
 
 from petrellane.config_consensus.errors import ConsensusError
 from petrellane.config_consensus.messages import JsonObject
+from petrellane.operation.management_requests import HttpResponse
 
 PARTICIPANT_PATH = b"/-/agreement"  # of a participant's calls, on a gateway's management listener
 STAFF_PATH = b"/-/settings"  # of staff's calls, on a control process's listener
@@ -45,14 +46,6 @@
     signature: bytes
 
 
-class HttpAnswer(NamedTuple):
-    """What a request on a management listener is answered with."""
-
-    status: int
-    body: bytes
-    fields: dict[str, str]
-
-
 class CallResult(NamedTuple):
     """What a handler answers an authentic message with, before it is signed."""
 
@@ -115,7 +108,7 @@
     handler: Callable[[JsonObject], CallResult],
     fields: Mapping[bytes, bytes],
     body: bytes,
-) -> HttpAnswer:
+) -> HttpResponse:
     """Verify a request, have it handled and sign the answer.
 
     Args:
@@ -130,13 +123,13 @@
     try:
         status, message = handler(verify_request(key, recipient, request_signature, body))
     except AuthenticationError as error:
-        return HttpAnswer(
+        return HttpResponse(
             HTTPStatus.UNAUTHORIZED, b'{"refused":"seal"}', {REASON_FIELD: str(error)}
         )
     except ValueError:
-        return HttpAnswer(HTTPStatus.BAD_REQUEST, b'{"refused":"form"}', {})
+        return HttpResponse(HTTPStatus.BAD_REQUEST, b'{"refused":"form"}', {})
     response = sign_response(key, request_signature, message)
-    return HttpAnswer(
+    return HttpResponse(
         status, response.body, {SIGNATURE_FIELD.decode(): response.signature.decode()}
     )
 
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -19,7 +19,6 @@
 from petrellane.config_consensus.errors import MessageRejected, RejectionCause
 from petrellane.config_consensus.message_authentication import (
     CallResult,
-    HttpAnswer,
     answer_signed_request,
 )
 from petrellane.config_consensus.messages import JsonObject
@@ -35,6 +34,7 @@
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
+from petrellane.operation.management_requests import HttpResponse
 
 UPDATE_RETRY_INTERVAL_S = 0.002  # between looks whether another greenlet's update has ended
 MAX_DRIFT_LINES = 20  # of a `drift` event
@@ -247,7 +247,7 @@
 
     # Calls.
 
-    def handle_call(self, fields: Mapping[bytes, bytes], body: bytes) -> HttpAnswer:
+    def handle_call(self, fields: Mapping[bytes, bytes], body: bytes) -> HttpResponse:
         """Answer a call on the management listener.
 
         Args:
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -14,11 +14,11 @@
 from petrellane.net.stream import Closed, Stream, accepted, listening
 from petrellane.operation import management_requests
 from petrellane.operation.lifecycle import Lifecycle
-from petrellane.operation.management_requests import RequestError, Response
+from petrellane.operation.management_requests import HttpResponse, RequestError
 
 Headers = Mapping[bytes, bytes]
-Handler = Callable[[Headers, bytes], tuple[int, bytes, Mapping[str, str]]]
-"""Answers the header fields and body of a request with the parts of a `Response`."""
+Handler = Callable[[Headers, bytes], HttpResponse]
+"""Answers a request, given its header fields and its body."""
 
 _HEAD_END = b"\r\n\r\n"
 
@@ -168,7 +168,7 @@
         while len(stream.buffer) < start + length:
             stream.fill(max(0.0, deadline - self._scheduler.now()))
         body = bytes(stream.buffer[start : start + length])
-        return management_requests.encode_response(Response(*self.handlers[path](headers, body)))
+        return management_requests.encode_response(self.handlers[path](headers, body))
 
     def _execute(self, path: bytes) -> int:
         state_before = self._lifecycle.state
--- a/petrellane/operation/management_requests.py
+++ b/petrellane/operation/management_requests.py
@@ -53,7 +53,7 @@
         self.status = status
 
 
-class Response(NamedTuple):
+class HttpResponse(NamedTuple):
     """An answer: its status, its JSON body, and header fields besides the standard ones."""
 
     status: int
@@ -133,10 +133,10 @@
     """The bytes of an answer that reports the gateway's state."""
     body = orjson.dumps({"state": state, "status": status}, option=orjson.OPT_APPEND_NEWLINE)
     headers = {"Allow": "GET, POST"} if status == 405 else {}
-    return encode_response(Response(status, body, headers))
+    return encode_response(HttpResponse(status, body, headers))
 
 
-def encode_response(response: Response) -> bytes:
+def encode_response(response: HttpResponse) -> bytes:
     """The bytes of an answer, after which the connection ends."""
     extra = "".join(f"{name}: {value}\r\n" for name, value in response.headers.items())
     head = (
--- a/tests/compatibility/build/management.py
+++ b/tests/compatibility/build/management.py
@@ -6,6 +6,7 @@
 from petrellane.net.stream import Closed
 from petrellane.operation.lifecycle import Lifecycle
 from petrellane.operation.management_api import ManagementServer
+from petrellane.operation.management_requests import HttpResponse
 from tests.compatibility.build.hot_restart import LIMITS
 
 Json = Any
@@ -50,7 +51,7 @@
     server = ManagementServer(
         scheduler, LIMITS, lifecycle, lambda: changes.append(None), lambda error: False
     )
-    server.handlers[b"/-/agreement"] = lambda fields, body: (
+    server.handlers[b"/-/agreement"] = lambda fields, body: HttpResponse(
         200,
         body[::-1],
         {"petrellane-seal": fields.get(b"petrellane-seal", b"none").decode()},
