--- a/petrellane/config_consensus/ballots.py
+++ b/petrellane/config_consensus/ballots.py
@@ -8,9 +8,10 @@
 from collections.abc import Callable, Collection
 from typing import Any, NamedTuple, TypeGuard
 
+from petrellane.config_consensus.errors import shorten
+
 MAX_NUMBER = 2**53  # numbers stay below this, so that every JSON reader keeps them exact
 MAX_NAME_LENGTH = 64
-SHOWN_LENGTH = 40  # characters of an unexpected value that an error repeats
 
 
 class Epoch(NamedTuple):
@@ -71,11 +72,6 @@
     return type(value) is int and 0 <= value < MAX_NUMBER
 
 
-def shorten(value: object) -> str:
-    """An unexpected value, short enough for an error text."""
-    return str(value)[:SHOWN_LENGTH]
-
-
 def parse_epoch(value: object) -> Epoch:
     """An epoch from JSON: a list of number and name.
 
--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -19,22 +19,24 @@
 from petrellane.config_consensus.errors import ConsensusError
 from petrellane.config_consensus.message_authentication import STAFF_PATH
 from petrellane.config_consensus.messages import JsonObject
-from petrellane.config_consensus.rpc_client import NotListeningError, RpcClient, RpcError
+from petrellane.config_consensus.rpc_client import (
+    NotListeningError,
+    RpcClient,
+    RpcError,
+    call_limits,
+)
 from petrellane.config_consensus.staff_messages import (
     CONTROL_RECIPIENT,
     ChangeProgress,
     StaffCall,
     StaffRejection,
 )
-from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
 
 CALL_TIMEOUT_S = 3.0
 FOLLOW_INTERVAL_S = 0.1  # between two questions for a change that is followed
 PROGRESS_COLUMNS = 78
 MAX_DESCRIPTORS = 64
-IDLE_TIMEOUT_S = 1.0
-STREAMS_PER_CONNECTION = 1
 USER_ERRORS = (StaffRejection.SETTINGS, StaffRejection.UNKNOWN, StaffRejection.MALFORMED)
 
 
@@ -69,13 +71,7 @@
     def __init__(self, config: ControlConfig, timeout_s: float = CALL_TIMEOUT_S) -> None:
         self.config = config
         self._timeout_s = timeout_s
-        self._limits = Limits(
-            sockets=MAX_DESCRIPTORS,
-            dial_timeout=timeout_s,
-            host_idle_timeout=IDLE_TIMEOUT_S,
-            streams=STREAMS_PER_CONNECTION,
-            counter_timeout=timeout_s,
-        )
+        self._limits = call_limits(MAX_DESCRIPTORS, timeout_s)
 
     def call(self, kind: StaffCall, **arguments: object) -> JsonObject:
         """Return the answer to one call, which may be a rejection. Raises RpcError."""
--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -18,7 +18,7 @@
     answer_signed_request,
 )
 from petrellane.config_consensus.participant_notifier import CALL_TIMEOUT_S, ParticipantNotifier
-from petrellane.config_consensus.rpc_client import RpcClient
+from petrellane.config_consensus.rpc_client import RpcClient, call_limits
 from petrellane.config_consensus.staff_calls import StaffCalls
 from petrellane.config_consensus.staff_messages import CONTROL_RECIPIENT
 from petrellane.net.limits import Limits
@@ -31,8 +31,6 @@
 TICK_INTERVAL_S = 0.05  # between looks at what time alone brings
 JOURNAL_FAILED_INTERVAL_S = 1.0  # between two `journal_failed` events
 MAX_DESCRIPTORS = 4096
-IDLE_TIMEOUT_S = 1.0  # of connections to gateways; there are none between two calls
-STREAMS_PER_CONNECTION = 1
 
 
 class ControlService:
@@ -58,7 +56,7 @@
         """
         self.config = config
         self.scheduler = scheduler or Scheduler()
-        self.limits = limits or default_limits()
+        self.limits = limits or call_limits(MAX_DESCRIPTORS, CALL_TIMEOUT_S)
         self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
         self.scheduler.fault = self.log.fault
         self.journal = Journal(config.journal)
@@ -185,14 +183,3 @@
         return answer_signed_request(
             self.config.key, CONTROL_RECIPIENT, self._staff_calls.handle, fields, body
         )
-
-
-def default_limits() -> Limits:
-    """Return the bounds of a control process's network code."""
-    return Limits(
-        sockets=MAX_DESCRIPTORS,
-        dial_timeout=CALL_TIMEOUT_S,
-        host_idle_timeout=IDLE_TIMEOUT_S,
-        streams=STREAMS_PER_CONNECTION,
-        counter_timeout=CALL_TIMEOUT_S,
-    )
--- a/petrellane/config_consensus/coordinator.py
+++ b/petrellane/config_consensus/coordinator.py
@@ -32,7 +32,7 @@
     Leadership,
     quorum_rosters,
 )
-from petrellane.config_consensus.ledger import Journal, Ledger
+from petrellane.config_consensus.ledger import Ledger, RecordLog
 from petrellane.config_consensus.messages import (
     Answer,
     MalformedAnswer,
@@ -86,7 +86,7 @@
         self,
         name: str,
         roster: Sequence[str],
-        journal: Journal,
+        journal: RecordLog,
         now: float,
         records: Iterable[Mapping[str, Any]] = (),
     ) -> None:
--- a/petrellane/config_consensus/errors.py
+++ b/petrellane/config_consensus/errors.py
@@ -1,7 +1,9 @@
-"""Errors of the consensus rules: messages that a participant rejects, proposals not taken."""
+"""Errors of consensus: messages that a participant rejects, proposals not taken, and their text."""
 
 from enum import StrEnum
 
+SHOWN_LENGTH = 40  # characters of an unexpected value that an error repeats
+
 
 class RejectionCause(StrEnum):
     """Why a participant rejects a message; the values are those of an answer's key `refused`.
@@ -48,3 +50,8 @@
 
 class ProposalRejected(ConsensusError):  # noqa: N818 - as above
     """A coordinator can't take a proposal now; the text is one line."""
+
+
+def shorten(value: object) -> str:
+    """An unexpected value, short enough for an error text."""
+    return str(value)[:SHOWN_LENGTH]
--- a/petrellane/config_consensus/ledger.py
+++ b/petrellane/config_consensus/ledger.py
@@ -23,7 +23,7 @@
 )
 
 
-class Journal(Protocol):
+class RecordLog(Protocol):
     """Where records become durable."""
 
     def append(self, record: dict[str, Any], at: float, /) -> None:
@@ -47,7 +47,7 @@
         claimed_epoch: the number of the highest epoch claimed.
     """
 
-    def __init__(self, journal: Journal, records: Iterable[Mapping[str, Any]]) -> None:
+    def __init__(self, journal: RecordLog, records: Iterable[Mapping[str, Any]]) -> None:
         """Replay the journal's records. Raises ValueError or KeyError where one is malformed."""
         self.journal = journal
         self.in_force: Generation | None = None
--- a/petrellane/config_consensus/message_authentication.py
+++ b/petrellane/config_consensus/message_authentication.py
@@ -19,7 +19,7 @@
 
 import orjson
 
-from petrellane.config_consensus.errors import ConsensusError
+from petrellane.config_consensus.errors import ConsensusError, shorten
 from petrellane.config_consensus.messages import JsonObject
 from petrellane.operation.management_requests import HttpResponse
 
@@ -28,7 +28,6 @@
 SIGNATURE_FIELD = b"petrellane-seal"  # header field, in lower case as parsers give it
 REASON_FIELD = "Petrellane-Why"  # header field that says why a request is not authentic
 NONCE_BYTES = 8
-SHOWN_CHARACTERS = 40  # of a value that was not expected
 
 # What a signature is for is its first part, so that none of one kind passes for the other.
 REQUEST_CONTEXT = b"question"
@@ -77,7 +76,7 @@
     _verify_signature(compute_signature(key, REQUEST_CONTEXT, body), signature)
     message = _decode_object(body)
     if message.get("to") != recipient:
-        found = str(message.get("to"))[:SHOWN_CHARACTERS]
+        found = shorten(message.get("to"))
         raise AuthenticationError(f"to: expected {recipient}, found {found}")
     return message
 
--- a/petrellane/config_consensus/messages.py
+++ b/petrellane/config_consensus/messages.py
@@ -23,10 +23,9 @@
     parse_ballot,
     parse_epoch,
     parse_generation,
-    shorten,
 )
 from petrellane.config_consensus.canonical_settings import digest
-from petrellane.config_consensus.errors import MessageRejected, RejectionCause
+from petrellane.config_consensus.errors import MessageRejected, RejectionCause, shorten
 
 MAX_REASON_LENGTH = 300  # characters of a rejection's reason that are kept
 
--- a/petrellane/config_consensus/participant_notifier.py
+++ b/petrellane/config_consensus/participant_notifier.py
@@ -13,11 +13,11 @@
 from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
 from petrellane.config_consensus.messages import Request, decode_answer
 from petrellane.config_consensus.rpc_client import (
-    Address,
     NoAnswerError,
     NotListeningError,
     RpcClient,
 )
+from petrellane.net.stream import Address
 
 CALL_TIMEOUT_S = 0.6  # that a participant may take to answer
 
--- a/petrellane/config_consensus/peer_polling.py
+++ b/petrellane/config_consensus/peer_polling.py
@@ -14,7 +14,8 @@
 from petrellane.config_consensus.errors import ConsensusError, MessageRejected
 from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
 from petrellane.config_consensus.messages import JsonObject, PeerQuestion, PeerState
-from petrellane.config_consensus.rpc_client import Address, RpcClient, RpcError
+from petrellane.config_consensus.rpc_client import RpcClient, RpcError
+from petrellane.net.stream import Address
 
 if TYPE_CHECKING:
     from petrellane.config_consensus.participant_service import ParticipantService
--- a/petrellane/config_consensus/rpc_client.py
+++ b/petrellane/config_consensus/rpc_client.py
@@ -19,13 +19,26 @@
 from petrellane.net.limits import Limits
 from petrellane.net.resp import Malformed
 from petrellane.net.scheduler import Scheduler
-from petrellane.net.stream import Closed, Stream
-
-Address = tuple[str, int]
+from petrellane.net.stream import Address, Closed, Stream
 
 SHOWN_BYTES = 100  # of an answer that is not authentic
 
 
+IDLE_TIMEOUT_S = 1.0  # of connections; there are none between two calls
+STREAMS_PER_CONNECTION = 1
+
+
+def call_limits(descriptors: int, timeout_s: float) -> Limits:
+    """Return the bounds of the network code of a process that makes calls and serves no RPCs."""
+    return Limits(
+        sockets=descriptors,
+        dial_timeout=timeout_s,
+        host_idle_timeout=IDLE_TIMEOUT_S,
+        streams=STREAMS_PER_CONNECTION,
+        counter_timeout=timeout_s,
+    )
+
+
 class RpcError(ConsensusError):
     """A call without an answer that can be used; the text is one line.
 
--- a/petrellane/config_consensus/staff_calls.py
+++ b/petrellane/config_consensus/staff_calls.py
@@ -13,7 +13,7 @@
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.changes import Change, ChangeOutcome
 from petrellane.config_consensus.coordinator import Coordinator
-from petrellane.config_consensus.errors import ProposalRejected
+from petrellane.config_consensus.errors import ProposalRejected, shorten
 from petrellane.config_consensus.leadership import CoordinatorState
 from petrellane.config_consensus.message_authentication import (
     AuthenticationError,
@@ -24,7 +24,6 @@
 
 MAX_CALL_AGE_S = 60.0  # by the caller's clock; a nonce is kept for twice as long
 MAX_AUTHOR_CHARACTERS = 64
-SHOWN_CHARACTERS = 40  # of a value that was not expected
 
 Clock = Callable[[], float]  # gives Unix time in seconds
 
@@ -228,7 +227,7 @@
 
 
 def _reject_kind(message: JsonObject) -> CallResult:
-    found = str(message.get("do"))[:SHOWN_CHARACTERS]
+    found = shorten(message.get("do"))
     return reject_call(StaffRejection.MALFORMED, f"do: expected a known word, found {found}")
 
 
