--- a/petrellane/config_consensus/errors.py
+++ b/petrellane/config_consensus/errors.py
@@ -1,6 +1,7 @@
 """Errors of consensus: messages that a participant rejects, proposals not taken, and their text."""
 
 from enum import StrEnum
+from http import HTTPStatus
 
 SHOWN_LENGTH = 40  # characters of an unexpected value that an error repeats
 
@@ -36,7 +37,9 @@
         more: further fields of the answer, as JSON.
     """
 
-    def __init__(self, status: int, cause: RejectionCause, text: str, **more: object) -> None:
+    def __init__(
+        self, status: HTTPStatus, cause: RejectionCause, text: str, **more: object
+    ) -> None:
         super().__init__(text)
         self.status = status
         self.cause = cause
--- a/petrellane/config_consensus/messages.py
+++ b/petrellane/config_consensus/messages.py
@@ -13,6 +13,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import StrEnum
+from http import HTTPStatus
 from typing import Any, ClassVar, NamedTuple, Self
 
 from petrellane.config_consensus import state_keys
@@ -187,7 +188,9 @@
             kind = MessageKind(found)
         except ValueError:
             raise MessageRejected(
-                400, RejectionCause.MALFORMED, f"do: expected a known word, found {shorten(found)}"
+                HTTPStatus.BAD_REQUEST,
+                RejectionCause.MALFORMED,
+                f"do: expected a known word, found {shorten(found)}",
             ) from None
         if kind in (MessageKind.STATE, MessageKind.CONTENT):
             return cls(kind, None, fields)
--- a/petrellane/config_consensus/participant.py
+++ b/petrellane/config_consensus/participant.py
@@ -32,6 +32,7 @@
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
+from http import HTTPStatus
 from typing import Any, NamedTuple
 
 from petrellane.config_consensus import safe_settings, state_keys
@@ -117,7 +118,9 @@
             return HandledMessage(state, _read(state, request))
         after = _apply(_promise(state, request.epoch), request, validate)
     except ValueError as error:
-        raise MessageRejected(400, RejectionCause.MALFORMED, str(error)) from None
+        raise MessageRejected(
+            HTTPStatus.BAD_REQUEST, RejectionCause.MALFORMED, str(error)
+        ) from None
     return HandledMessage(after, after)
 
 
@@ -127,7 +130,9 @@
         return state
     generation = state.find_generation(request.ballot())
     if generation is None:
-        raise MessageRejected(404, RejectionCause.UNKNOWN_GENERATION, "no such generation here")
+        raise MessageRejected(
+            HTTPStatus.NOT_FOUND, RejectionCause.UNKNOWN_GENERATION, "no such generation here"
+        )
     return generation
 
 
@@ -135,7 +140,7 @@
     """Follow an epoch, unless a higher one was promised."""
     if epoch < state.promised:
         raise MessageRejected(
-            409,
+            HTTPStatus.CONFLICT,
             RejectionCause.STALE_EPOCH,
             f"epoch {epoch.number} of {epoch.control}: expected at least "
             f"{state.promised.number} of {state.promised.control}",
@@ -171,24 +176,26 @@
         return state
     if ballot <= state.in_force.ballot:
         raise MessageRejected(
-            409,
+            HTTPStatus.CONFLICT,
             RejectionCause.CANNOT_COMMIT,
             f"generation {ballot.number}: {state.in_force.number} is in force",
         )
     if ballot in state.aborted:
         raise MessageRejected(
-            409, RejectionCause.CANNOT_COMMIT, f"generation {ballot.number}: it was given up"
+            HTTPStatus.CONFLICT,
+            RejectionCause.CANNOT_COMMIT,
+            f"generation {ballot.number}: it was given up",
         )
     if state.in_force.ballot < base:
         raise MessageRejected(
-            409,
+            HTTPStatus.CONFLICT,
             RejectionCause.BASE_NOT_IN_FORCE,
             f"generation {base.number} is not in force here, but {state.in_force.number}",
         )
     _require_valid(generation, validate)
     if len(state.prepared) >= MAX_PREPARED:
         raise MessageRejected(
-            409,
+            HTTPStatus.CONFLICT,
             RejectionCause.TOO_MANY_PREPARED,
             f"{MAX_PREPARED} generations are possible here already",
         )
@@ -197,7 +204,9 @@
 
 def _require_valid(generation: Generation, validate: Validator) -> None:
     if wrong := validate(generation.content):
-        raise MessageRejected(422, RejectionCause.INVALID_SETTINGS, wrong)
+        raise MessageRejected(
+            HTTPStatus.UNPROCESSABLE_ENTITY, RejectionCause.INVALID_SETTINGS, wrong
+        )
 
 
 def _with_prepared(state: ParticipantState, generation: Generation) -> ParticipantState:
@@ -222,7 +231,7 @@
     if generation is None:
         if not request.has_content:
             raise MessageRejected(
-                409,
+                HTTPStatus.CONFLICT,
                 RejectionCause.UNKNOWN_GENERATION,
                 f"generation {ballot.number}: its content is not here",
             )
