--- a/benchmarks/messages_sizes.py
+++ b/benchmarks/messages_sizes.py
@@ -22,6 +22,7 @@
     canonical_settings,
     message_authentication,
     participant,
+    state_store,
 )
 from petrellane.net import http, resp
 
@@ -68,16 +69,6 @@
     return size / 1e6 if value else 0.0
 
 
-def stored_state(state: participant.ParticipantState) -> dict[str, Any]:
-    """Return what a gateway writes to its disk of a participant's state."""
-    return {
-        "in_force": state.in_force.to_dict(),
-        "promised": list(state.promised),
-        "possible": [generation.to_dict() for generation in state.prepared],
-        "denied": [],
-    }
-
-
 def build_generation(settings: Settings, roster_size: int) -> ballots.Generation:
     """Return a generation of these settings with a roster of this size."""
     return ballots.Generation(
@@ -166,7 +157,7 @@
     in_doubt = state._replace(prepared=(generation,))
     figures.add_bytes(
         "remember_bytes",
-        len(orjson.dumps(stored_state(in_doubt))),
+        len(orjson.dumps(state_store.encode_state(in_doubt))),
         "what a gateway writes to its disk while in doubt",
     )
     size = memory_mb(orjson.dumps(generation.content))
--- a/benchmarks/messages_steps.py
+++ b/benchmarks/messages_steps.py
@@ -7,7 +7,7 @@
 
 from benchmarks.messages_content import HOSTS, METHODS, build_settings
 from benchmarks.messages_figures import FigureTable, time_step
-from benchmarks.messages_sizes import EPOCH, KEY, Samples, stored_state
+from benchmarks.messages_sizes import EPOCH, KEY, Samples
 from petrellane.config import Section, parse_endpoint_list
 from petrellane.config_consensus import (
     ballots,
@@ -61,8 +61,8 @@
     prepared = participant.handle_message(state, message, accept_all)[0]
 
     def store() -> None:
-        state_store.checksum(stored_state(prepared))
-        orjson.dumps(stored_state(prepared))
+        state_store.checksum(state_store.encode_state(prepared))
+        orjson.dumps(state_store.encode_state(prepared))
 
     return [
         Step(
--- a/petrellane/config_consensus/changes.py
+++ b/petrellane/config_consensus/changes.py
@@ -175,6 +175,10 @@
             and name not in self.confirmed_absent
         )
 
+    def is_excluded_alive(self, name: str, sequence: int) -> bool:
+        """Whether a participant that was counted out answered a request since the proposal."""
+        return name in self.excluded and sequence > self.last_sequence_before_proposal
+
     def is_prepared(self, request: Request, report: PeerState) -> bool:
         """Whether a request asked to prepare this change, and the report says it is prepared."""
         body = request.body
--- a/petrellane/config_consensus/coordinator.py
+++ b/petrellane/config_consensus/coordinator.py
@@ -21,7 +21,7 @@
 """
 
 from collections.abc import Iterable, Mapping, Sequence
-from typing import Any, NamedTuple
+from typing import Any
 
 from petrellane.config_consensus import canonical_settings
 from petrellane.config_consensus.ballots import NO_EPOCH, Ballot, Epoch, Generation, majority
@@ -48,6 +48,7 @@
     NOBODY_LISTENS,
     POLL_INTERVAL_S,
     RETRY_INTERVAL_S,
+    NextMessage,
     Notifications,
     ParticipantDescription,
 )
@@ -59,18 +60,6 @@
 SUPERSEDING_AUTHOR = "the control process"
 
 
-class NextMessage(NamedTuple):
-    """The request that a participant is due.
-
-    Attributes:
-        request: the request; None where nothing is due yet.
-        pause_s: seconds after which to look again at the latest; 0 where there is a request.
-    """
-
-    request: Request | None
-    pause_s: float
-
-
 class Coordinator:
     """What one control process knows and does, from its start to its end.
 
@@ -228,11 +217,7 @@
             self._seek_again(name, report, now)
             return
         change = self.change
-        if (
-            change
-            and name in change.excluded
-            and message.sequence > change.last_sequence_before_proposal
-        ):
+        if change and change.is_excluded_alive(name, message.sequence):
             self.abort_change(f"{name} was counted out, and answers", now)
             return
         if change and change.is_prepared(message, report):
--- a/petrellane/config_consensus/notifications.py
+++ b/petrellane/config_consensus/notifications.py
@@ -30,6 +30,18 @@
 NOBODY_LISTENS = "nobody listens there"
 
 
+class NextMessage(NamedTuple):
+    """The request that a participant is due.
+
+    Attributes:
+        request: the request; None where nothing is due yet.
+        pause_s: seconds after which to look again at the latest; 0 where there is a request.
+    """
+
+    request: Request | None
+    pause_s: float
+
+
 class ParticipantDescription(NamedTuple):
     """Where a participant stands, as staff see it.
 
--- a/petrellane/config_consensus/state_store.py
+++ b/petrellane/config_consensus/state_store.py
@@ -125,7 +125,7 @@
         return StoredState(stored["turn"], _decode_state(stored["remembers"]))
 
     def _encode(self, sequence_number: int, state: ParticipantState) -> bytes:
-        content = _encode_state(state)
+        content = encode_state(state)
         return orjson.dumps(
             {
                 "version": VERSION,
@@ -157,7 +157,8 @@
     return hashlib.blake2b(data, digest_size=CHECKSUM_BYTES).hexdigest()
 
 
-def _encode_state(state: ParticipantState) -> StoredContent:
+def encode_state(state: ParticipantState) -> StoredContent:
+    """Return a state as its file keeps it, with all contents."""
     return {
         state_keys.IN_FORCE: state.in_force.to_dict(),
         state_keys.PROMISED: list(state.promised),
