--- a/petrellane/config_consensus/coordinator.py
+++ b/petrellane/config_consensus/coordinator.py
@@ -23,16 +23,16 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
 
-from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus import canonical_settings
 from petrellane.config_consensus.ballots import NO_EPOCH, Ballot, Epoch, Generation, majority
-from petrellane.config_consensus.changes import Change, ChangeOutcome
+from petrellane.config_consensus.changes import Change, ChangeOutcome, rejected_by
 from petrellane.config_consensus.errors import ProposalRejected
 from petrellane.config_consensus.leadership import (
     CoordinatorState,
     Leadership,
     quorum_rosters,
 )
-from petrellane.config_consensus.ledger import Journal, Ledger
+from petrellane.config_consensus.ledger import Ledger, RecordLog
 from petrellane.config_consensus.messages import (
     Answer,
     MalformedAnswer,
@@ -48,7 +48,9 @@
     NOBODY_LISTENS,
     POLL_INTERVAL_S,
     RETRY_INTERVAL_S,
+    NextMessage,
     Notifications,
+    ParticipantDescription,
 )
 
 __all__ = ["ChangeOutcome", "Coordinator", "CoordinatorState"]
@@ -73,7 +75,7 @@
         self,
         name: str,
         roster: Sequence[str],
-        journal: Journal,
+        journal: RecordLog,
         now: float,
         records: Iterable[Mapping[str, Any]] = (),
     ) -> None:
@@ -127,8 +129,8 @@
         """The last report of each participant."""
         return self.notifications.reports
 
-    def describe_participant(self, name: str) -> tuple[str, int | None]:
-        """Where a participant stands, in words, and the number in force there."""
+    def describe_participant(self, name: str) -> ParticipantDescription:
+        """Where a participant stands."""
         return self.notifications.describe(name, self.in_force)
 
     def all_participants(self) -> tuple[str, ...]:
@@ -143,15 +145,15 @@
 
     # Requests.
 
-    def next_message(self, name: str, now: float) -> tuple[Request | None, float]:
-        """The request that a participant is due now, or None and the longest pause in seconds."""
+    def next_message(self, name: str, now: float) -> NextMessage:
+        """The request that a participant is due now, or how long to wait for one."""
         pause = self.notifications.retry_pause(name, now)
         if pause > 0:
-            return None, pause
+            return NextMessage(None, pause)
         message = self.build_message(name, now)
         if message is not None:
-            return message, 0.0
-        return None, self.notifications.poll_pause(name, now)
+            return NextMessage(message, 0.0)
+        return NextMessage(None, self.notifications.poll_pause(name, now))
 
     def build_message(self, name: str, now: float) -> Request | None:
         """The request that a participant is due, however soon after a failure; None: none."""
@@ -215,7 +217,7 @@
             self._seek_again(name, report, now)
             return
         change = self.change
-        if change and name in change.excluded and message.sequence > change.first_message:
+        if change and change.is_excluded_alive(name, message.sequence):
             self.abort_change(f"{name} was counted out, and answers", now)
             return
         if change and change.is_prepared(message, report):
@@ -248,7 +250,7 @@
         if rejection.is_for_content:
             notifications.on_content_missing(name)
         elif self.change and message.kind is MessageKind.PREPARE:
-            self.abort_change(f"refused by {name}: {rejection.reason}", now)
+            self.abort_change(rejected_by(name, rejection.reason), now)
 
     def _handle_higher_epoch(self, name: str, rejection: Rejection, now: float) -> None:
         """Claim a higher epoch while seeking; step down while leading."""
@@ -312,11 +314,11 @@
         in_doubt = {ballot for ballot in self.in_doubt if ballot > in_force.ballot}
         self.leadership.in_doubt = in_doubt
         if in_doubt and not self.change:
-            reason = (
+            purpose = (
                 "back to what is in force: nobody can tell "
                 f"whether generation {max(in_doubt).number} was decided"
             )
-            self._begin_change(in_force.content, (), SUPERSEDING_AUTHOR, now, reason)
+            self._begin_change(in_force.content, (), SUPERSEDING_AUTHOR, now, purpose)
 
     # A change.
 
@@ -338,7 +340,7 @@
         if self.state != CoordinatorState.LEADING:
             reason = self.reason or "a majority of the gateways has not answered yet"
             raise ProposalRejected(f"{self.state}: {reason}")
-        digest = safe_settings.digest(content)
+        digest = canonical_settings.digest(content)
         if self.change:
             if self.change.generation.digest == digest:
                 return self.change
@@ -361,21 +363,21 @@
         excluded: Sequence[str],
         author: str,
         now: float,
-        reason: str = "",
+        purpose: str = "",
     ) -> Change:
         in_force = self.ledger.require_in_force()
         last_sequence = self.notifications.last_sequence
         change = Change(
-            self.ledger.next_generation(content, self.roster, self.epoch),
-            in_force.ballot,
-            tuple(name for name in self.all_participants() if name not in excluded),
-            tuple(excluded),
-            now,
-            in_force.roster,
-            reason=reason,
+            generation=self.ledger.next_generation(content, self.roster, self.epoch),
+            base=in_force.ballot,
+            participants=tuple(name for name in self.all_participants() if name not in excluded),
+            excluded=tuple(excluded),
+            started_at=now,
+            previous_roster=in_force.roster,
+            purpose=purpose,
             author=author,
-            first_message=last_sequence,
-            settled_message=last_sequence,
+            last_sequence_before_proposal=last_sequence,
+            last_sequence_when_prepared=last_sequence,
         )
         return self.ledger.begin(change, now)
 
--- a/tests/unit/config_consensus/participant_states.py
+++ b/tests/unit/config_consensus/participant_states.py
@@ -1,6 +1,6 @@
 """States of a participant, which tests of its rules and of its store have in common."""
 
-from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus import canonical_settings
 from petrellane.config_consensus.ballots import Ballot, Epoch, Generation
 from petrellane.config_consensus.participant import ParticipantState
 from tests.unit.config_consensus.settings_examples import ALL_SETTINGS
@@ -8,7 +8,7 @@
 ROSTER = ("g0", "g1", "g2")
 EPOCH = Epoch(1, "a")
 GENERATIONS = tuple(
-    Generation(Ballot(number, EPOCH), safe_settings.digest(settings), settings, ROSTER)
+    Generation(Ballot(number, EPOCH), canonical_settings.digest(settings), settings, ROSTER)
     for number, settings in enumerate(ALL_SETTINGS)
 )
 
--- a/tests/unit/config_consensus/simulated_processes.py
+++ b/tests/unit/config_consensus/simulated_processes.py
@@ -9,11 +9,11 @@
 
 from petrellane.config_consensus import (
     ballots,
+    canonical_settings,
     coordinator,
     errors,
     messages,
     participant,
-    safe_settings,
 )
 from tests.unit.config_consensus.settings_examples import OLD_SETTINGS, accept
 
@@ -65,7 +65,10 @@
         self.roster = roster
         self.is_running = True
         initial = ballots.Generation(
-            participant.INITIAL_BALLOT, safe_settings.digest(OLD_SETTINGS), OLD_SETTINGS, roster
+            participant.INITIAL_BALLOT,
+            canonical_settings.digest(OLD_SETTINGS),
+            OLD_SETTINGS,
+            roster,
         )
         self.state = participant.ParticipantState(initial)
         self.status = self._new_status()
--- a/tests/unit/config_consensus/test_cost.py
+++ b/tests/unit/config_consensus/test_cost.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from petrellane.config_consensus import messages, participant, safe_settings
+from petrellane.config_consensus import canonical_settings, messages, participant
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.changes import Change
 from petrellane.config_consensus.coordinator import ChangeOutcome, Coordinator, CoordinatorState
@@ -64,7 +64,7 @@
             wrap: Wraps what the coordinator's process calls, to count its cost.
         """
         self.names = tuple(Name(f"g{number}") for number in range(size))
-        digest = safe_settings.digest(INITIAL_SETTINGS)
+        digest = canonical_settings.digest(INITIAL_SETTINGS)
         initial = Generation(participant.INITIAL_BALLOT, digest, INITIAL_SETTINGS, self.names)
         self.states = dict.fromkeys(self.names, participant.ParticipantState(initial))
         self.coordinator = Coordinator("c", self.names, NullJournal(), 0.0)
