--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -15,11 +15,10 @@
 from petrellane.config_consensus.journal import Journal
 from petrellane.config_consensus.message_authentication import (
     STAFF_PATH,
-    HttpAnswer,
     answer_signed_request,
 )
 from petrellane.config_consensus.participant_notifier import CALL_TIMEOUT_S, ParticipantNotifier
-from petrellane.config_consensus.rpc_client import RpcClient
+from petrellane.config_consensus.rpc_client import RpcClient, call_limits
 from petrellane.config_consensus.staff_calls import StaffCalls
 from petrellane.config_consensus.staff_messages import CONTROL_RECIPIENT
 from petrellane.net.limits import Limits
@@ -27,12 +26,11 @@
 from petrellane.net.scheduler import Scheduler
 from petrellane.operation.lifecycle import Lifecycle
 from petrellane.operation.management_api import ManagementServer
+from petrellane.operation.management_requests import HttpResponse
 
 TICK_INTERVAL_S = 0.05  # between looks at what time alone brings
 JOURNAL_FAILED_INTERVAL_S = 1.0  # between two `journal_failed` events
 MAX_DESCRIPTORS = 4096
-IDLE_TIMEOUT_S = 1.0  # of connections to gateways; there are none between two calls
-STREAMS_PER_CONNECTION = 1
 
 
 class ControlService:
@@ -58,7 +56,7 @@
         """
         self.config = config
         self.scheduler = scheduler or Scheduler()
-        self.limits = limits or default_limits()
+        self.limits = limits or call_limits(MAX_DESCRIPTORS, CALL_TIMEOUT_S)
         self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
         self.scheduler.fault = self.log.fault
         self.journal = Journal(config.journal)
@@ -181,18 +179,7 @@
         )
         self._notifier.wake_workers()
 
-    def _handle_staff_call(self, fields: Mapping[bytes, bytes], body: bytes) -> HttpAnswer:
+    def _handle_staff_call(self, fields: Mapping[bytes, bytes], body: bytes) -> HttpResponse:
         return answer_signed_request(
             self.config.key, CONTROL_RECIPIENT, self._staff_calls.handle, fields, body
         )
-
-
-def default_limits() -> Limits:
-    """Return the bounds of a control process's network code."""
-    return Limits(
-        sockets=MAX_DESCRIPTORS,
-        dial_timeout=CALL_TIMEOUT_S,
-        host_idle_timeout=IDLE_TIMEOUT_S,
-        streams=STREAMS_PER_CONNECTION,
-        counter_timeout=CALL_TIMEOUT_S,
-    )
--- a/tests/unit/config_consensus/simulated_fleet.py
+++ b/tests/unit/config_consensus/simulated_fleet.py
@@ -292,7 +292,9 @@
     def _refusal_key(self, refusal: DelayedMessage) -> tuple[str, bool]:
         """A refusal counts by whether it confirms an absence; see `Change.record_absent`."""
         change = self.coordinator(refusal.control).change
-        confirms = change is not None and refusal.request.sequence > change.settled_message
+        confirms = (
+            change is not None and refusal.request.sequence > change.last_sequence_when_prepared
+        )
         return refusal.participant, confirms
 
     def mark(self) -> bytes:
