--- a/tests/integration/testbed/__init__.py
+++ b/tests/integration/testbed/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of fleets of real processes, and of scale runs with hollow gateways."""
