--- a/tests/integration/testbed/test_testbed.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -20,6 +20,7 @@
 from petrellane.testbed.fleet import LoopbackFleet
 from petrellane.testbed.fleet_spec import FleetSpec, SettingsSpec, build_settings
 from petrellane.testbed.processes import Build, Process, ProcessSpec
+from tests.integration.testbed.planted import FAULT_VARIABLE, STEP_VARIABLE
 
 BEFORE, AFTER = ("before",), ("after",)
 LOAD = [
@@ -80,7 +81,7 @@
 def plant_in(party, plant, step=""):
     party.build, party.environ = (
         Build(module="tests.integration.testbed.planted"),
-        {"LAB_PLANT": plant, "LAB_STEP": step},
+        {FAULT_VARIABLE: plant, STEP_VARIABLE: step},
     )
 
 
@@ -183,7 +184,7 @@
         self.assertEqual((counts, allowed, in_doubt), ({}, {"after"}, [[2], [2], [2]]))
 
     def test_without_the_meet_that_breaks(self):
-        self.assertIn("agreed", self.doubt("no_meet")[0])
+        self.assertIn("agreed", self.doubt("doubt_is_ignored")[0])
 
     def absent(self, plant=None, old=True):
         """One is down for the whole change and starts later with its old file, cut off from the control process."""
@@ -212,7 +213,7 @@
         self.assertEqual(self.absent(), ({}, 2))
 
     def test_without_asking_that_breaks(self):
-        self.assertIn("agreed", self.absent("knows_at_once", old=False)[0])
+        self.assertIn("agreed", self.absent("serves_before_peers_answer", old=False)[0])
 
     def test_who_hears_of_too_few_does_not_serve(self):
         with fleet(5) as lab:
@@ -254,7 +255,7 @@
         self.assertGreater(pushed, 0)  # what waited there is answered at once
 
     def test_without_the_fence_that_breaks(self):
-        self.assertIn("agreed", self.stopped("never_stood_still")[0])
+        self.assertIn("agreed", self.stopped("stall_is_ignored")[0])
 
     def silent(self, plant=None):
         """One says nothing all along: it may be serving."""
@@ -287,10 +288,10 @@
         self.assertIn("no word from g3", why)
 
     def test_where_silent_counts_as_down_that_breaks(self):
-        self.assertIn("agreed", self.silent("silent_is_absent")[4])
+        self.assertIn("agreed", self.silent("no_answer_is_absence")[4])
 
     def test_where_a_majority_is_enough_that_breaks(self):
-        self.assertIn("agreed", self.silent("majority_is_enough")[4])
+        self.assertIn("agreed", self.silent("majority_commits")[4])
 
     def test_answers_lost_requests_arriving(self):
         with fleet() as lab:
@@ -306,7 +307,7 @@
             self.judge(lab)
 
     def test_a_refusal_by_an_older_build(self):
-        with fleet(plants={1: "refuses"}) as lab:
+        with fleet(plants={1: "rejects_many_methods"}) as lab:
             told = lab.change_settings(
                 build_settings(SettingsSpec(3, extra_methods=("before", "x", "y")))
             )
@@ -339,7 +340,7 @@
             one = lab.gateways[2]
             one.kill()
             self.assertEqual(lab.change_settings(second(lab))["absent"], ["g2"])
-            plant_in(one, "unwritable")
+            plant_in(one, "disk_is_full")
             one.start()
             lab.run_until(lambda: one.ready, "g2 serves")
             self.assertEqual(lab.agreed_generation(["g2"]), 2)
@@ -376,7 +377,7 @@
         self.assertIn("method before: gone", drift["lines"])
 
     def test_without_that_a_file_by_hand_is_taken(self):
-        self.assertEqual(self.by_hand("takes_the_file")[0], {"before", "after"})
+        self.assertEqual(self.by_hand("file_is_adopted")[0], {"before", "after"})
 
     def test_a_process_that_follows_has_the_generation(self):
         with fleet(follow=True) as lab:
@@ -471,7 +472,7 @@
             old = lab.controls["control"]
             old.kill()
             dying = lab.controls["control"] = control_of(
-                lab, "control", "steps", step, journal=old.journal
+                lab, "control", "ends_at_journal_write", step, journal=old.journal
             )
             dying.start()
             if not step.startswith("epoch"):
@@ -528,7 +529,7 @@
             with self.subTest(step), fleet() as lab:
                 one = lab.gateways[2]
                 one.kill()
-                plant_in(one, "saved", step)
+                plant_in(one, "ends_at_state_write", step)
                 one.start()
                 lab.run_until(lambda one=one: one.ready, "g2 serves")
                 lab.run_for(1.2)  # its memory was written at the start, and the epoch is an old one
@@ -785,7 +786,7 @@
         self.assertGreaterEqual(len([told for told in verdict.nearest.values() if told]), 1)
 
     def test_who_goes_on_to_one_that_drains_is_told(self):
-        self.assertEqual(list(self.drains("goes_on_to_drained")[1].counts), ["drains"])
+        self.assertEqual(list(self.drains("draining_is_ignored")[1].counts), ["drains"])
 
     def test_a_drain_that_a_gateway_has_not_heard_of_binds_it_not(self):
         def do(lab):
@@ -836,7 +837,7 @@
         self.assertGreater(ran, 3)
 
     def test_who_pushes_a_cold_host_over_is_told(self):
-        self.assertEqual(list(self.cold("emptiest_first")[1].counts), ["cold"])
+        self.assertEqual(list(self.cold("newest_host_first")[1].counts), ["cold"])
 
     FAULTS = (
         ("cut", 1.0),
@@ -876,7 +877,11 @@
     def test_who_sends_again_what_may_have_run_is_told(self):
         posts = [Method("post", 1.0, "non-idempotent")]
         self.assertEqual(
-            list(self.faults([("mute", 1.0)], "runs_twice", 1.5, methods=posts)[1].counts),
+            list(
+                self.faults([("mute", 1.0)], "every_method_is_retried", 1.5, methods=posts)[
+                    1
+                ].counts
+            ),
             ["twice"],
         )
 
