--- a/tests/groups.py
+++ b/tests/groups.py
@@ -12,7 +12,6 @@
 
 # The first prefix that fits a test's path decides.
 GROUPS = {
-    "tests/integration/testbed/test_testbed.py": "processes",
     "tests/integration/testbed/test_fleet_": "processes",
     "tests/integration/testbed/": "config_consensus",
     "tests/unit/testbed/test_capacity": "capacity",
