--- a/tests/integration/testbed/test_scale_files.py
+++ b/tests/integration/testbed/test_scale_files.py
@@ -102,7 +102,7 @@
     ],
     ids=["list-changes", "methods", "hosts"],
 )
-def test_what_takes_most_memory_is_estimated(changes: dict[str, Any]) -> None:
+def test_the_estimate_grows_with_what_takes_memory(changes: dict[str, Any]) -> None:
     config = msgspec.structs.replace(LARGE, **changes)
     assert resources.estimate_memory_mb(config) > 10_000
 
