--- a/benchmarks/attempts_after_disconnect_load.py
+++ b/benchmarks/attempts_after_disconnect_load.py
@@ -22,7 +22,9 @@
 PIPELINING_CLIENTS = 150
 PIPELINED_COMMANDS = 200
 BURST_CUSTOMER = 9
-PIPELINED = resp.words(b"SVC.QUERY", b"%016x" % BURST_CUSTOMER, b"none", b"c=none,t=free,d=1000")
+PIPELINED = resp.encode_command(
+    b"SVC.QUERY", b"%016x" % BURST_CUSTOMER, b"none", b"c=none,t=free,d=1000"
+)
 
 
 class Step(NamedTuple):
--- a/benchmarks/descriptors_clients.py
+++ b/benchmarks/descriptors_clients.py
@@ -7,11 +7,11 @@
 from petrellane.net import resp
 
 KINDS = ("silent", "ping", "renew", "half", "long", "flood", "mixed")
-PING = resp.words(b"PING")
+PING = resp.encode_command(b"PING")
 HALF_PING_BYTES = 4  # of a PING, which come later
-LONG_COMMAND_START = resp.words(b"SVC.QUERY", b"%016x" % 1, b"r1", b"c=look", b"x" * 2_000_000)[
-    :70_000
-]
+LONG_COMMAND_START = resp.encode_command(
+    b"SVC.QUERY", b"%016x" % 1, b"r1", b"c=look", b"x" * 2_000_000
+)[:70_000]
 DIALS_AT_ONCE = 40
 DIAL_INTERVAL_S = 0.02
 RPC_PATIENCE_S = 3.0
@@ -162,7 +162,7 @@
             self.connection = Connection(*await asyncio.open_connection(*self.address))
         reader, writer = self.connection
         writer.write(
-            resp.words(
+            resp.encode_command(
                 b"SVC.QUERY",
                 b"%016x" % customer,
                 b"q%d-%d" % (id(self), self.asked),
--- a/benchmarks/descriptors_peers.py
+++ b/benchmarks/descriptors_peers.py
@@ -95,7 +95,7 @@
         buffer = bytearray()
         while data := await reader.read(READ_BYTES):
             buffer += data
-            while buffer and (command := resp.command(buffer, 0, LIMITS)):
+            while buffer and (command := resp.parse_command(buffer, 0, LIMITS)):
                 del buffer[: command[-1]]
                 self._mark(name + " asked")
                 writer.write(answer)
--- a/benchmarks/messages_sizes.py
+++ b/benchmarks/messages_sizes.py
@@ -197,7 +197,7 @@
 
 def measure_counter(figures: FigureTable) -> None:
     """Measure the messages of the counter."""
-    add = resp.words(b"CNT.ADD", b"%d" % 1234567890123456789, b"12", b"20000")
+    add = resp.encode_command(b"CNT.ADD", b"%d" % 1234567890123456789, b"12", b"20000")
     figures.add_bytes("add_bytes", len(add), "an add on the counter, as a question")
     total = b"$5\r\n12345\r\n"
     figures.add_bytes("total_bytes", len(total), "its answer, with a total of five digits")
--- a/benchmarks/start_up_starts.py
+++ b/benchmarks/start_up_starts.py
@@ -119,14 +119,14 @@
         gateway_number = self.gateway.number
         name = b"ready-%x-%x-%x" % (gateway_number, int(self.began * 1e3), number)
         stream.write(
-            resp.words(
+            resp.encode_command(
                 b"SVC.QUERY",
                 b"%016x" % (9000 + gateway_number),
                 name,
                 b"c=look,t=sold,d=2000,units=1,spread=1,first=0",
             )
         )
-        while not (answer := resp.answer(stream.buffer, 0, LIMITS)):
+        while not (answer := resp.parse_reply(stream.buffer, 0, LIMITS)):
             stream.fill(ANSWER_PATIENCE_S)
         kind, span, end = answer
         self.at.setdefault(FIRST_ANSWER, time.time() - self.began)
--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -178,7 +178,9 @@
         if buffer and has_waited and self.stream.left():
             raise Closed("left before it was read")
         try:
-            while taken < limits.commands and (found := resp.command(buffer, position, limits)):
+            while taken < limits.commands and (
+                found := resp.parse_command(buffer, position, limits)
+            ):
                 spans, end = found
                 self.command_deadline = None
                 self._take_command(Command(position, spans, end))
--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -99,14 +99,16 @@
         add = pending.add
         amount = f"{add.amount:.7f}".rstrip("0").rstrip(".")
         ttl_ms = max(1, int(add.ttl * 1e3))
-        stream.write(resp.words(b"CNT.ADD", b"%d" % add.name, amount.encode(), b"%d" % ttl_ms))
+        stream.write(
+            resp.encode_command(b"CNT.ADD", b"%d" % add.name, amount.encode(), b"%d" % ttl_ms)
+        )
         pending.end_offset = stream.queued
         self.last_used_at = self.client.scheduler.now()
 
     def _read_answers(self, stream: Stream) -> None:
         """Take the answers that have come completely; that to a late addition goes by."""
         buffer = stream.buffer
-        while found := resp.answer(buffer, 0, self.client.limits):
+        while found := resp.parse_reply(buffer, 0, self.client.limits):
             kind, content, end = found
             if not self.pending:
                 raise resp.Malformed("an answer to nothing")
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -172,10 +172,10 @@
                     return
                 self._relay_data(buffer)
                 continue
-            if not self.relay and (head := resp.long_answer(buffer, limits)):
+            if not self.relay and (head := resp.parse_long_reply_head(buffer, limits)):
                 self._begin_relay(buffer, *head)
                 continue
-            reply = resp.answer(buffer, 0, limits)
+            reply = resp.parse_reply(buffer, 0, limits)
             if not reply:
                 return
             kind, content, end = reply
--- a/petrellane/net/resp.py
+++ b/petrellane/net/resp.py
@@ -98,7 +98,7 @@
     return (first, stop), stop + 2
 
 
-def command(buffer: Buffer, at: int, limits: Limits) -> Command | None:
+def parse_command(buffer: Buffer, offset: int, limits: Limits) -> Command | None:
     """Parse the command that begins at an offset.
 
     Returns:
@@ -107,7 +107,7 @@
     Raises:
         Malformed: It is no array of bulk strings, or exceeds the limits.
     """
-    array_head = _command_head(buffer, at, limits)
+    array_head = _command_head(buffer, offset, limits)
     if array_head is None:
         return None
     count, position = array_head
@@ -126,27 +126,27 @@
         if span is None:
             raise Malformed("null in a command")
         spans.append(span)
-        if position - at > max_size:
+        if position - offset > max_size:
             raise Malformed(f"command of more than {max_size} bytes")
     return Command(spans, position)
 
 
-def _command_head(buffer: Buffer, at: int, limits: Limits) -> tuple[int, int] | None:
+def _command_head(buffer: Buffer, offset: int, limits: Limits) -> tuple[int, int] | None:
     """Return the number of a command's parts and where the first begins; None while incomplete."""
-    if len(buffer) <= at:
+    if len(buffer) <= offset:
         return None
-    if buffer[at] != ARRAY:
+    if buffer[offset] != ARRAY:
         raise Malformed("expected an array")
-    end = _line_end(buffer, at, limits)
+    end = _line_end(buffer, offset, limits)
     if end < 0:
         return None
-    count = _integer(buffer, at, end)
+    count = _integer(buffer, offset, end)
     if not 1 <= count <= limits.parts:
         raise Malformed(f"array of {count} parts, expected 1 to {limits.parts}")
     return count, end + 2
 
 
-def answer(buffer: Buffer, at: int, limits: Limits) -> Reply | None:
+def parse_reply(buffer: Buffer, offset: int, limits: Limits) -> Reply | None:
     """Parse the reply that begins at an offset.
 
     Returns:
@@ -155,25 +155,25 @@
     Raises:
         Malformed: It is no reply, has an array within an array, or exceeds the limits.
     """
-    if len(buffer) <= at:
+    if len(buffer) <= offset:
         return None
-    kind = buffer[at]
+    kind = buffer[offset]
     if kind == BULK_STRING:
-        value = _bulk_string(buffer, at, limits, limits.value)
+        value = _bulk_string(buffer, offset, limits, limits.value)
         return None if value is None else Reply(kind, value[0], value[1])
-    end = _line_end(buffer, at, limits)
+    end = _line_end(buffer, offset, limits)
     if end < 0:
         return None
     if kind in LINE_KINDS:
-        return Reply(kind, (at + 1, end), end + 2)
+        return Reply(kind, (offset + 1, end), end + 2)
     if kind != ARRAY:
         raise Malformed("bad type of answer")
-    count = _integer(buffer, at, end)
+    count = _integer(buffer, offset, end)
     if count == NULL_LENGTH:
         return Reply(kind, None, end + 2)
     if not 0 <= count <= limits.parts:
         raise Malformed(f"array of {count} parts, expected at most {limits.parts}")
-    return _array_items(buffer, at, end + 2, count, limits)
+    return _array_items(buffer, offset, end + 2, count, limits)
 
 
 def _array_items(
@@ -182,7 +182,7 @@
     """Parse the items of an array reply that begins at `begin`, the first of them at `position`."""
     items: list[Span | None] = []
     for _ in range(count):
-        item = answer(buffer, position, limits)
+        item = parse_reply(buffer, position, limits)
         if item is None:
             return None
         if item.kind == ARRAY:
@@ -195,7 +195,7 @@
     return Reply(ARRAY, items, position)
 
 
-def long_answer(buffer: Buffer, limits: Limits) -> LongReplyHead | None:
+def parse_long_reply_head(buffer: Buffer, limits: Limits) -> LongReplyHead | None:
     """Parse the head of an array reply whose first item is longer than `limits.value`.
 
     Returns:
@@ -219,7 +219,7 @@
     return None
 
 
-def words(*parts: bytes) -> bytes:
+def encode_command(*parts: bytes) -> bytes:
     """Encode a command of these parts."""
     return b"*%d\r\n" % len(parts) + b"".join(
         b"$%d\r\n%b\r\n" % (len(part), part) for part in parts
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -248,7 +248,7 @@
         else:
             until = min(deadline, rpc.leave_at)
         try:
-            while (reply := resp.answer(stream.buffer, 0, LIMITS)) is None:
+            while (reply := resp.parse_reply(stream.buffer, 0, LIMITS)) is None:
                 stream.fill(max(0.0, until - self._scheduler.monotonic()))
         except TimeoutError:
             if not leaves:
@@ -294,7 +294,7 @@
     if rpc.method.effect == invariants.DEDUPLICATED:
         fields += f",k={rpc.name[-8:]}"
     verb = b"SVC.QUERY" if rpc.method.effect == invariants.IDEMPOTENT else b"SVC.SUBMIT"
-    return resp.words(verb, customer.key.encode(), rpc.name.encode(), fields.encode())
+    return resp.encode_command(verb, customer.key.encode(), rpc.name.encode(), fields.encode())
 
 
 def _take_answer(stream: Stream, rpc: ClientRpc, reply: resp.Reply) -> str:
--- a/petrellane/testbed/fake_server.py
+++ b/petrellane/testbed/fake_server.py
@@ -85,7 +85,7 @@
     def commands(self, stream: Stream) -> Iterator[list[bytes]]:
         """Yield the commands that come on a connection, each as its parts."""
         while True:
-            while (command := resp.command(stream.buffer, 0, LIMITS)) is not None:
+            while (command := resp.parse_command(stream.buffer, 0, LIMITS)) is not None:
                 parts = [bytes(stream.buffer[start:end]) for start, end in command.spans]
                 del stream.buffer[: command.end]
                 yield parts
--- a/petrellane/testbed/hollow/load.py
+++ b/petrellane/testbed/hollow/load.py
@@ -103,7 +103,7 @@
         method = self.random.choice(self.methods)
         self.sent += 1
         words = self._command(customer, method, is_wide=is_wide)
-        parsed = resp.command(words, 0, gateway.limits)
+        parsed = resp.parse_command(words, 0, gateway.limits)
         if parsed is None:
             raise ValueError("expected a complete command")
         spans, end = parsed
@@ -124,7 +124,7 @@
         )
         if not method.is_query:
             fields += f",k=k{self.sent}"
-        words = resp.words(
+        words = resp.encode_command(
             QUERY_COMMAND if method.is_query else SUBMIT_COMMAND,
             b"%016X" % (customer + 1),
             b"r%d" % self.sent,
--- a/tests/integration/gateway/client_steps.py
+++ b/tests/integration/gateway/client_steps.py
@@ -88,7 +88,7 @@
         if body_size:
             parts.append(b"x" * body_size)
         self.sent[rpc] = parts
-        self._send_command(self.clients[name], resp.words(*parts), is_split)
+        self._send_command(self.clients[name], resp.encode_command(*parts), is_split)
         self.now += standstill_s  # it comes while the process stands still
         for _ in range(0 if is_unread else 3):  # it is read before the clock moves
             self.turn()
@@ -107,7 +107,7 @@
         fields = b"c=post,t=basic,d=3000,units=1,spread=1,first=0"
         parts = [b"SVC.SUBMIT", b"%016x" % 7, BEGUN.encode(), fields, b"x" * body_size]
         self.sent[BEGUN] = parts
-        data = resp.words(*parts)
+        data = resp.encode_command(*parts)
         self.left_to_send = data[body_size // 2 :]
         self._feed(self.clients[name], data[: body_size // 2])
 
@@ -134,7 +134,7 @@
         expected = unescape(" ".join(text))
         (kind, span, _), data = self.until(
             f"an answer at {name}, {text}",
-            lambda: client.parse(resp.answer, self.gateway.limits),
+            lambda: client.parse(resp.parse_reply, self.gateway.limits),
         )
         if expected.startswith(b"$"):
             assert kind == ord("$"), data
--- a/tests/integration/gateway/endpoint_steps.py
+++ b/tests/integration/gateway/endpoint_steps.py
@@ -30,7 +30,7 @@
     def receive(self, rpc: str) -> list[tuple[Peer, list[bytes]]]:
         """Take in complete commands at all endpoints and return those of an RPC."""
         for peer in self.endpoint_peers():
-            while parsed := peer.parse(resp.command, self.gateway.limits):
+            while parsed := peer.parse(resp.parse_command, self.gateway.limits):
                 (spans, _), data = parsed
                 parts = [data[slice(*span)] for span in spans]
                 self.received.setdefault(parts[2].decode(), []).append((peer, parts))
--- a/tests/integration/gateway/harness.py
+++ b/tests/integration/gateway/harness.py
@@ -152,7 +152,7 @@
 
     def _serve_counter(self, peer: Peer) -> None:
         while self.counter_mode != "hold":
-            parsed = peer.parse(resp.command, self.gateway.limits)
+            parsed = peer.parse(resp.parse_command, self.gateway.limits)
             if not parsed:
                 return
             (spans, _), data = parsed
--- a/tests/integration/gateway/load_steps.py
+++ b/tests/integration/gateway/load_steps.py
@@ -31,7 +31,7 @@
 
     def do_burst(self, name: str, number: str) -> None:
         """Send so many commands at once."""
-        self.clients[name].sock.send(resp.words(b"SELECT", b"0") * int(number))
+        self.clients[name].sock.send(resp.encode_command(b"SELECT", b"0") * int(number))
 
     def do_behind(self, name: str) -> None:
         """Check that not all of the burst has been answered yet, and that all of it will be."""
@@ -45,7 +45,9 @@
         """Send so many RPCs at once, all with credit."""
         fields = b"c=look,t=basic,d=2000,units=0.1,spread=1,first=0"
         commands = [
-            resp.words(b"SVC.QUERY", b"%016x" % 9, b"%s-%d" % (name.encode(), index), fields)
+            resp.encode_command(
+                b"SVC.QUERY", b"%016x" % 9, b"%s-%d" % (name.encode(), index), fields
+            )
             for index in range(int(number))
         ]
         self.clients[name].sock.send(b"".join(commands))
--- a/tests/integration/gateway/race_steps.py
+++ b/tests/integration/gateway/race_steps.py
@@ -54,7 +54,7 @@
         stream = self.server_client(name).stream
         peer = self.clients[name]
         fields = b"c=look,t=basic,d=2000,units=1,spread=1,first=0"
-        data = resp.words(b"SVC.QUERY", b"%016x" % 8, rpc.encode(), fields)
+        data = resp.encode_command(b"SVC.QUERY", b"%016x" % 8, rpc.encode(), fields)
         stream.sock = CrossingSocket(stream.sock, lambda: peer.sock.send(data))
 
     def do_host_crosses(self, name: str, *text: str) -> None:
--- a/tests/integration/operation/deployment.py
+++ b/tests/integration/operation/deployment.py
@@ -47,7 +47,7 @@
     """Yield the commands that come on a connection, each as its parts."""
     buffer = bytearray()
     while True:
-        while parsed := resp.command(buffer, 0, LIMITS):
+        while parsed := resp.parse_command(buffer, 0, LIMITS):
             spans, end = parsed
             yield [bytes(buffer[slice(*span)]) for span in spans]
             del buffer[:end]
@@ -60,7 +60,7 @@
 def read_answer(sock: socket.socket) -> bytes:
     """Return the next answer on a connection, as a line or $VALUE; b"" at the connection's end."""
     buffer = bytearray()
-    while not (parsed := resp.answer(buffer, 0, LIMITS)):
+    while not (parsed := resp.parse_reply(buffer, 0, LIMITS)):
         data = sock.recv(READ_SIZE)
         if not data:
             return b""
@@ -300,7 +300,7 @@
         options.get("more", b""),
     )
     verb = options.get("verb", usual_verb)
-    client.sendall(resp.words(verb, b"%016x" % options.get("customer", 1), rpc, fields))
+    client.sendall(resp.encode_command(verb, b"%016x" % options.get("customer", 1), rpc, fields))
 
 
 def ask(
--- a/tests/integration/testbed/test_scale.py
+++ b/tests/integration/testbed/test_scale.py
@@ -305,13 +305,13 @@
         node.scheduler.fault = self.fail
         node.start()
         for number, customer in enumerate((1, 1, 2)):
-            words = resp.words(
+            words = resp.encode_command(
                 b"SVC.QUERY",
                 b"%016X" % customer,
                 b"r%d" % number,
                 b"c=look,t=sold,d=1000,first=0,spread=1",
             )
-            spans, end = resp.command(words, 0, node.limits)
+            spans, end = resp.parse_command(words, 0, node.limits)
             owner = SimpleNamespace(
                 on_answered=lambda: answers.append(1), is_client_gone=lambda: False
             )
