--- a/benchmarks/messages_sizes.py
+++ b/benchmarks/messages_sizes.py
@@ -56,7 +56,7 @@
     """Return the bytes of a signed HTTP request."""
     body, signature = message_authentication.sign_request(KEY, message)
     path = message_authentication.PARTICIPANT_PATH.decode()
-    return len(http.post(path, HOST, {SIGNATURE_FIELD: signature.decode()}, body))
+    return len(http.encode_post(path, HOST, {SIGNATURE_FIELD: signature.decode()}, body))
 
 
 def memory_mb(body: bytes) -> float:
@@ -190,7 +190,7 @@
     figures.add_bytes("news_bytes", size, "a watch's answer with one change")
     size = response_bytes(encode_endpoint_list([], False), is_signed=False)
     figures.add_bytes("no_news_bytes", size, "a watch's answer without any")
-    watch = http.get("/registry/instances?from=123456&hold_ms=3456", HOST)
+    watch = http.encode_get("/registry/instances?from=123456&hold_ms=3456", HOST)
     figures.add_bytes("watch_bytes", len(watch), "a watch, as a question")
     return endpoint_list
 
--- a/petrellane/config_consensus/rpc_client.py
+++ b/petrellane/config_consensus/rpc_client.py
@@ -95,11 +95,11 @@
             raise NoAnswerError(address, f"no connection: {error}") from None
 
     def _read_answer(self, stream: Stream, request_signature: bytes, deadline: float) -> JsonObject:
-        while not (response := http.head(stream.buffer, self.limits)):
-            http.more(stream, deadline)
+        while not (response := http.parse_response_head(stream.buffer, self.limits)):
+            http.read_more(stream, deadline)
         status, fields, head_length = response
         del stream.buffer[:head_length]
-        body = http.body(stream, fields, self.limits, deadline)
+        body = http.read_body(stream, fields, self.limits, deadline)
         if SIGNATURE_FIELD not in fields:
             shown = body[:SHOWN_BYTES].decode("latin-1").strip()
             raise AuthenticationError(f"status {status} without a seal: {shown}")
@@ -109,4 +109,4 @@
 def _encode_request(address: Address, path: bytes, request: SignedMessage) -> bytes:
     host, port = address
     fields = {SIGNATURE_FIELD.decode(): request.signature.decode()}
-    return http.post(path.decode(), f"{host}:{port}", fields, request.body)
+    return http.encode_post(path.decode(), f"{host}:{port}", fields, request.body)
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -158,15 +158,15 @@
         if self.index is not None:  # an index of 0 is one too
             hold_ms = int(self.backoff.remaining_hold(self.scheduler.now()) * 1e3)
             path += f"?from={self.index}&hold_ms={hold_ms}"
-        stream.write(http.get(path, f"{self.address[0]}:{self.address[1]}"))
-        while not (found := http.head(stream.buffer, limits)):
-            http.more(stream, until)
+        stream.write(http.encode_get(path, f"{self.address[0]}:{self.address[1]}"))
+        while not (found := http.parse_response_head(stream.buffer, limits)):
+            http.read_more(stream, until)
         status, fields, end = found
         if status != STATUS_OK:  # what else it says may have no end
             raise DiscoveryRejectedError(f"status {status}")
         del stream.buffer[:end]
-        endpoint_list = self.decode(http.body(stream, fields, limits, until))
-        return endpoint_list, http.lasts(fields)
+        endpoint_list = self.decode(http.read_body(stream, fields, limits, until))
+        return endpoint_list, http.is_keep_alive(fields)
 
     def decode(self, body: bytes) -> EndpointListUpdate:
         """Return the list of an answer's body, checked a chunk of its rows in a turn.
--- a/petrellane/net/http.py
+++ b/petrellane/net/http.py
@@ -27,12 +27,12 @@
     end: int
 
 
-def get(path: str, host: str) -> bytes:
+def encode_get(path: str, host: str) -> bytes:
     """Encode a request for JSON; the connection may be used for more."""
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
 
 
-def post(path: str, host: str, fields: Mapping[str, str], body: bytes) -> bytes:
+def encode_post(path: str, host: str, fields: Mapping[str, str], body: bytes) -> bytes:
     """Encode a request with a JSON body, after which the connection ends."""
     extra_fields = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
     request_head = (
@@ -42,7 +42,7 @@
     return request_head.encode() + body
 
 
-def head(buffer: bytes | bytearray, limits: Limits) -> ResponseHead | None:
+def parse_response_head(buffer: bytes | bytearray, limits: Limits) -> ResponseHead | None:
     """Parse the head of the response at the start of a buffer.
 
     Returns:
@@ -82,34 +82,34 @@
     return fields
 
 
-def more(stream: Stream, until: float) -> None:
+def read_more(stream: Stream, deadline: float) -> None:
     """Wait for more bytes of a response.
 
     Other greenlets have their turn before this returns, so that a long response holds nobody up.
 
     Args:
         stream: Where the response comes from.
-        until: Unix time by which the whole response has to be complete.
+        deadline: Unix time by which the whole response has to be complete.
 
     Raises:
         TimeoutError: It is past that time.
         Closed: The connection has ended or broken.
     """
     scheduler = stream.scheduler
-    if scheduler.now() >= until:
+    if scheduler.now() >= deadline:
         raise TimeoutError("no whole answer in time")
-    stream.fill(until - scheduler.now())
+    stream.fill(deadline - scheduler.now())
     scheduler.wait(0)
 
 
-def body(stream: Stream, fields: Fields, limits: Limits, until: float) -> bytes:
+def read_body(stream: Stream, fields: Fields, limits: Limits, deadline: float) -> bytes:
     """Read the body of a response whose head has been consumed.
 
     Args:
         stream: Where the response comes from.
         fields: The header fields of its head.
         limits: `list_size` bounds the body, `line` the line before a chunk.
-        until: Unix time by which the body has to be complete.
+        deadline: Unix time by which the body has to be complete.
 
     Raises:
         Malformed: The body is not encoded as its head says, or too long.
@@ -120,66 +120,66 @@
     if b"transfer-encoding" in fields:
         if fields[b"transfer-encoding"].lower() != b"chunked":
             raise Malformed("no such transfer coding")
-        return _read_chunked(stream, limits, until)
+        return _read_chunked(stream, limits, deadline)
     if b"content-length" not in fields:
-        return _read_to_end(stream, limits, until)
+        return _read_to_end(stream, limits, deadline)
     length = fields[b"content-length"]
     if not length.isdigit() or int(length) > limits.list_size:
         raise Malformed("bad length")
-    return _read_exactly(stream, int(length), until)
+    return _read_exactly(stream, int(length), deadline)
 
 
-def lasts(fields: Fields) -> bool:
+def is_keep_alive(fields: Fields) -> bool:
     """Return whether the connection can be used again after a response with these fields."""
     if fields.get(b"connection", b"").lower() == b"close":
         return False
     return b"content-length" in fields or b"transfer-encoding" in fields
 
 
-def _read_to_end(stream: Stream, limits: Limits, until: float) -> bytes:
+def _read_to_end(stream: Stream, limits: Limits, deadline: float) -> bytes:
     """Read up to the orderly end of the connection."""
     try:
-        _fill_past(stream, limits.list_size, until)
+        _fill_past(stream, limits.list_size, deadline)
     except Ended:
         data = bytes(stream.buffer)
         stream.buffer.clear()
         return data
 
 
-def _fill_past(stream: Stream, size: int, until: float) -> NoReturn:
+def _fill_past(stream: Stream, size: int, deadline: float) -> NoReturn:
     """Buffer what comes; raises Ended at the end of the connection, Malformed past `size` bytes."""
     while len(stream.buffer) <= size:
-        more(stream, until)
+        read_more(stream, deadline)
     raise Malformed("list too long")
 
 
-def _read_exactly(stream: Stream, length: int, until: float) -> bytes:
+def _read_exactly(stream: Stream, length: int, deadline: float) -> bytes:
     """Read so many bytes."""
     while len(stream.buffer) < length:
-        more(stream, until)
+        read_more(stream, deadline)
     data = bytes(stream.buffer[:length])
     del stream.buffer[:length]
     return data
 
 
-def _read_chunked(stream: Stream, limits: Limits, until: float) -> bytes:
+def _read_chunked(stream: Stream, limits: Limits, deadline: float) -> bytes:
     """Read chunks up to the last one, which is empty."""
     data = bytearray()
     while True:
-        length = _read_chunk_length(stream, limits, until, len(data))
+        length = _read_chunk_length(stream, limits, deadline, len(data))
         # The CRLF behind the empty last chunk stands for an empty trailer as well.
-        chunk = _read_exactly(stream, length + len(CRLF), until)
+        chunk = _read_exactly(stream, length + len(CRLF), deadline)
         if not length:
             return bytes(data)
         data += chunk[: -len(CRLF)]
 
 
-def _read_chunk_length(stream: Stream, limits: Limits, until: float, size_so_far: int) -> int:
+def _read_chunk_length(stream: Stream, limits: Limits, deadline: float, size_so_far: int) -> int:
     """Read the line before a chunk: its length, and extensions that are ignored."""
     while (end := stream.buffer.find(CRLF)) < 0:
         if len(stream.buffer) > limits.line:
             raise Malformed("bad chunk")
-        more(stream, until)
+        read_more(stream, deadline)
     try:
         length = int(bytes(stream.buffer[:end]).split(b";")[0], HEXADECIMAL)
     except ValueError:
--- a/tests/compatibility/build/signatures.py
+++ b/tests/compatibility/build/signatures.py
@@ -41,7 +41,7 @@
 def signed_call(path: str, host: str, signature: bytes, body: bytes) -> bytes:
     """The bytes of a signed request over HTTP."""
     field = message_authentication.SIGNATURE_FIELD.decode()
-    return http.post(path, host, {field: signature.decode()}, body)
+    return http.encode_post(path, host, {field: signature.decode()}, body)
 
 
 def agreement_paths() -> list[str]:
