--- a/benchmarks/attempts_after_disconnect_load.py
+++ b/benchmarks/attempts_after_disconnect_load.py
@@ -113,7 +113,7 @@
         for host in hosts:
             host.draining = False
 
-    fleet.scheduler.after(seconds, accept_again)
+    fleet.scheduler.call_later(seconds, accept_again)
 
 
 class Burst:
@@ -140,7 +140,7 @@
             self.scheduler.spawn(self._ask, f"burst-{self.number}-{number}")
         for _ in range(0 if is_quiet else PIPELINING_CLIENTS):
             delay_s = max(0.0, self.stay_s - 0.1 * self.random.random())
-            self.scheduler.after(delay_s, lambda: self.scheduler.spawn(self._pipeline))
+            self.scheduler.call_later(delay_s, lambda: self.scheduler.spawn(self._pipeline))
 
     def _ask(self, name: str) -> None:
         clients = self.clients
@@ -184,6 +184,6 @@
         Burst(fleet, generator, number).start(is_quiet)
 
     for share in REJECTING_AT:
-        fleet.scheduler.after(share * seconds, reject)
+        fleet.scheduler.call_later(share * seconds, reject)
     for number, share in enumerate(BURSTS_AT):
-        fleet.scheduler.after(share * seconds, partial(burst, number))
+        fleet.scheduler.call_later(share * seconds, partial(burst, number))
--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -93,7 +93,7 @@
                 results.append(error)
             scheduler.stop()
 
-        scheduler.soon(greenlet.greenlet(call, scheduler.hub).switch)
+        scheduler.call_soon(greenlet.greenlet(call, scheduler.hub).switch)
         scheduler.run()
         result = results[0]
         if isinstance(result, RpcError):
--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -140,7 +140,7 @@
 
     def _tick(self) -> None:
         """Do what time alone brings: a change is given up, or may be decided now."""
-        self.scheduler.after(TICK_INTERVAL_S, self._tick)
+        self.scheduler.call_later(TICK_INTERVAL_S, self._tick)
         self._take_step(self.coordinator.try_to_decide, self.scheduler.now())
         self._report_progress()
 
--- a/petrellane/config_consensus/participant_notifier.py
+++ b/petrellane/config_consensus/participant_notifier.py
@@ -71,7 +71,7 @@
     def wake_workers(self) -> None:
         """Have the workers look for messages now, as something has changed."""
         for wake in list(self._parked.values()):
-            self._scheduler.soon(wake)
+            self._scheduler.call_soon(wake)
 
     def _run_worker(self, name: str) -> None:
         while True:
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -370,7 +370,7 @@
         def on_timer() -> None:
             self.execute(self.controller.on_timer(self.now(), action.subject))
 
-        self.scheduler.after(action.delay, on_timer)
+        self.scheduler.call_later(action.delay, on_timer)
 
     def _write_log(self, action: WriteLog) -> None:
         self.log.event("mode", text=action.text)
--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -279,7 +279,7 @@
             self._close_when_sent(until - listener.scheduler.now())
         elif pieces:
             if not replies and self.handoff.parked:
-                listener.scheduler.soon(self.handoff.wake)
+                listener.scheduler.call_soon(self.handoff.wake)
             self.close_if_done()
 
     def _close_when_sent(self, timeout: float = 0.0) -> None:
@@ -296,7 +296,7 @@
             stream.close()
         elif not is_waiting:
             stream.relief = self._close_when_sent
-            self.listener.scheduler.after(timeout, stream.close)
+            self.listener.scheduler.call_later(timeout, stream.close)
 
     # The end.
 
--- a/petrellane/gateway/client_handoff.py
+++ b/petrellane/gateway/client_handoff.py
@@ -82,7 +82,7 @@
 
     def _on_answer(self, is_passed_on: bool) -> None:
         self.is_passed_on = is_passed_on
-        self.connection.listener.scheduler.soon(self.wake)
+        self.connection.listener.scheduler.call_soon(self.wake)
 
     def _park(self, timeout: float | None = None) -> None:
         self.parked = greenlet.getcurrent()
--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -87,7 +87,7 @@
         self.on_ended: Callable[[], object] | None = None
         self.end_deadline = 0.0
         self.successor: HotRestartTransport | None = None
-        self.scheduler.after(self.limits.look, self._close_stalled_clients)
+        self.scheduler.call_later(self.limits.look, self._close_stalled_clients)
 
     # Listening.
 
@@ -205,7 +205,7 @@
         self.make_room(self.limits.reserve)
         if self.is_accepting:
             self._stop_accepting()
-            self.scheduler.after(self.limits.out_of_descriptors, self.start_accepting)
+            self.scheduler.call_later(self.limits.out_of_descriptors, self.start_accepting)
         return is_evicted
 
     def _evict_idle_client(self) -> bool:
@@ -234,7 +234,7 @@
 
     def _close_stalled_clients(self) -> None:
         """Close clients that are owed nothing more and have not taken their answers for long."""
-        self.scheduler.after(self.limits.look, self._close_stalled_clients)
+        self.scheduler.call_later(self.limits.look, self._close_stalled_clients)
         now = self.scheduler.now()
         before = self.slow_readers
         self.slow_readers = {}
@@ -284,7 +284,7 @@
         elif not self.on_ended:
             self.start_accepting()
         for client in self.clients:
-            self.scheduler.soon(client.handoff.wake)
+            self.scheduler.call_soon(client.handoff.wake)
 
     def drain(self) -> None:
         """Close clients that may go, for as long as a drain lasts."""
@@ -299,7 +299,7 @@
                 client.close_if_done()
             if self.service.complete_drain(len(self.clients)):
                 self.log.event(self.service.state)
-            self.scheduler.after(self.limits.let_go, self._poll_drain)
+            self.scheduler.call_later(self.limits.let_go, self._poll_drain)
 
     def end(self, on_ended: Callable[[], object]) -> None:
         """Close each client as soon as it has all its answers, then call `on_ended`."""
@@ -313,7 +313,7 @@
         if not self.clients and not self.successor:
             self._accept()  # whoever came in the meantime is served
         if self.clients and self.scheduler.now() < self.end_deadline:
-            self.scheduler.after(self.limits.let_go, self._poll_end)
+            self.scheduler.call_later(self.limits.let_go, self._poll_end)
             return
         self._stop_accepting()
         if self.listener:
--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -184,13 +184,13 @@
         self.address = address
         self.on_reply = on_reply
         self.connections: list[CounterConnection] = []
-        self.scheduler.after(self.limits.look, self._retire_idle)
+        self.scheduler.call_later(self.limits.look, self._retire_idle)
 
     def send(self, add: CounterAdd) -> None:
         """Send an addition; its outcome is reported once."""
         pending = PendingAdd(add, self.scheduler.now())
         on_late = partial(self._on_late, pending)
-        pending.timer = self.scheduler.after(self.limits.counter_timeout, on_late)
+        pending.timer = self.scheduler.call_later(self.limits.counter_timeout, on_late)
         self._connection_for(pending.sent_at).send(pending)
 
     def move(self, address: Address) -> None:
@@ -239,11 +239,11 @@
         if not pending.is_reported:
             pending.is_reported = True
             pending.timer.cancel()
-            self.scheduler.soon(self.on_reply, pending.add, outcome, total)
+            self.scheduler.call_soon(self.on_reply, pending.add, outcome, total)
 
     def _retire_idle(self) -> None:
         """Retire idle connections before the counter does."""
-        self.scheduler.after(self.limits.look, self._retire_idle)
+        self.scheduler.call_later(self.limits.look, self._retire_idle)
         before = self.scheduler.now() - self.limits.counter_idle_timeout
         for connection in list(self.connections):
             is_idle = not connection.pending or connection.address != self.address
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -252,7 +252,7 @@
         """End the connection, at once or when the attempts behind are abandoned as well."""
         self.in_flight[0].abandoned_as = self.in_flight[0].abandoned_as or CANCELLED
         if self.is_abandoned():
-            self.pool.pools.scheduler.soon(self.end)
+            self.pool.pools.scheduler.call_soon(self.end)
 
     # The end.
 
--- a/petrellane/gateway/endpoint_pool.py
+++ b/petrellane/gateway/endpoint_pool.py
@@ -56,7 +56,7 @@
                 break
         # A dial may be late: an idle connection that has rested by then is as good.
         if self.queue and self.idle and not self.rest_timer:
-            self.rest_timer = self.pools.scheduler.after(
+            self.rest_timer = self.pools.scheduler.call_later(
                 self.pools.limits.rest, self._on_rest_timer
             )
 
@@ -90,7 +90,7 @@
         """Return whether an attempt waits that is still to be sent; hand back stale ones first."""
         pools = self.pools
         while self.queue and pools.is_stale(self.queue[0]):
-            pools.scheduler.soon(pools.report, self.queue.popleft(), NEVER_SENT)
+            pools.scheduler.call_soon(pools.report, self.queue.popleft(), NEVER_SENT)
         return bool(self.queue)
 
     def _take_idle(self, rest: float) -> EndpointConnection | None:
@@ -159,13 +159,13 @@
         if connection in self.idle:
             self.idle.remove(connection)
         if self.queue:  # an attempt may wait that no dial will serve
-            self.pools.scheduler.soon(self.dispatch)
+            self.pools.scheduler.call_soon(self.dispatch)
 
     def withdraw(self) -> None:
         """End idle connections and hand back the queue, as the endpoint wants nothing new."""
         self.retire(math.inf)
         while self.endpoint.state != READY and self.queue:
-            self.pools.scheduler.soon(self.pools.report, self.queue.popleft(), NEVER_SENT)
+            self.pools.scheduler.call_soon(self.pools.report, self.queue.popleft(), NEVER_SENT)
 
     def is_unused(self) -> bool:
         """Return whether it holds nothing: a new one would be the same."""
--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -71,7 +71,7 @@
         self.open_connections = 0
         self.counts: Counter[str] = Counter()  # figures since the last line of the log
         self.pending_attempts: dict[SendAttempt, PendingAttempt] = {}
-        self.scheduler.after(self.limits.look, self._run_periodic_checks)
+        self.scheduler.call_later(self.limits.look, self._run_periodic_checks)
 
     # Endpoints.
 
@@ -105,10 +105,10 @@
         pending = PendingAttempt(request, attempt, pool, attempt.sent_at + attempt.timeout)
         self.pending_attempts[attempt] = pending
         if pool is None or self.is_stale(pending):
-            self.scheduler.soon(self.report, pending, NEVER_SENT)
+            self.scheduler.call_soon(self.report, pending, NEVER_SENT)
             return
         timeout = min(attempt.send_by, pending.deadline) - self.scheduler.now()
-        pending.timer = self.scheduler.after(timeout, partial(self._on_timer, pending))
+        pending.timer = self.scheduler.call_later(timeout, partial(self._on_timer, pending))
         pool.assign(pending)
 
     def _on_timer(self, pending: PendingAttempt) -> None:
@@ -119,7 +119,9 @@
             self.report(pending, NEVER_SENT)
         else:
             time_left = pending.deadline - self.scheduler.now()
-            pending.timer = self.scheduler.after(time_left, partial(self._give_up, pending, LATE))
+            pending.timer = self.scheduler.call_later(
+                time_left, partial(self._give_up, pending, LATE)
+            )
 
     @staticmethod
     def _remove_from_queue(pending: PendingAttempt) -> bool:
@@ -151,7 +153,7 @@
         """Stop waiting for an attempt; its outcome is still reported."""
         pending = self.pending_attempts.get(attempt)
         if pending and not (pending.abandoned_as or pending.is_relaying):
-            self.scheduler.soon(self._give_up, pending, CANCELLED)
+            self.scheduler.call_soon(self._give_up, pending, CANCELLED)
 
     def on_client_disconnected(
         self, attempts: Iterable[SendAttempt], may_cancel: bool = True
@@ -166,7 +168,7 @@
             connection = pending.connection
             if connection is None:
                 if self._remove_from_queue(pending):
-                    self.scheduler.soon(self.report, pending, NEVER_SENT)
+                    self.scheduler.call_soon(self.report, pending, NEVER_SENT)
             elif (
                 pending.end_offset is not None
                 and pending.end_offset > connection.stream.sent
@@ -175,7 +177,7 @@
                 connection.stream.unsent.clear()  # nothing is written behind it: see can_pipeline
                 connection.give_up(pending, NEVER_SENT)
             elif may_cancel:
-                self.scheduler.soon(self._cancel_unanswered, pending)
+                self.scheduler.call_soon(self._cancel_unanswered, pending)
 
     def _cancel_unanswered(self, pending: PendingAttempt) -> None:
         """Cancel an attempt on a connection that its endpoint has not answered on."""
@@ -239,7 +241,7 @@
 
     def _run_periodic_checks(self) -> None:
         """Retire what has been idle for long, and dial for what waits without a dial."""
-        self.scheduler.after(self.limits.look, self._run_periodic_checks)
+        self.scheduler.call_later(self.limits.look, self._run_periodic_checks)
         now = self.scheduler.now()
         stalled_before = now - self.limits.stall_timeout
         stalled = [
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -219,7 +219,7 @@
         self.log_figures()
         if self.config.listen_fd is not None:
             self.client_listener.inherit(self.config.listen_fd)
-            self.scheduler.after(self.limits.listed, self.take_over)
+            self.scheduler.call_later(self.limits.listed, self.take_over)
         else:
             self.client_listener.listen(self.config.listen, connectable=not self.agent)
             self.begin_serving()
@@ -244,13 +244,13 @@
 
     def run_heartbeat(self) -> None:
         """Never let a poll last long: one that overruns shows that the process stood still."""
-        self.scheduler.after(self.limits.beat, self.run_heartbeat)
+        self.scheduler.call_later(self.limits.beat, self.run_heartbeat)
         if self.agent:
             self.agent.check_stall()
 
     def log_figures(self) -> None:
         """Log what was counted since the last line, if anything; a line a second at most."""
-        self.scheduler.after(self.limits.figures, self.log_figures)
+        self.scheduler.call_later(self.limits.figures, self.log_figures)
         executor = self.executor
         counts = executor.counts
         executor.counts = Counter()
@@ -312,13 +312,13 @@
         deadlines = [method.deadline for method in self.config.settings.methods.values()]
         final_deadline = self.service.final_answer_time(max(deadlines, default=0.0))
         time_left = max(0.0, final_deadline - self.scheduler.now())
-        self.scheduler.after(time_left, self.executor.expire_open_requests)
+        self.scheduler.call_later(time_left, self.executor.expire_open_requests)
         self.executor.final_deadline = final_deadline
         if self.client_listener.successor:  # clients go to the next process, not away
             self._end_clients()
             return
         change_over = self.service.since + self.limits.change_over - self.scheduler.now()
-        self.scheduler.after(max(0.0, change_over), self._end_clients)
+        self.scheduler.call_later(max(0.0, change_over), self._end_clients)
 
     def _end_clients(self) -> None:
         self.client_listener.end(self._stop)
@@ -326,7 +326,7 @@
     def _stop(self) -> None:
         """Stop the scheduler, as nothing is owed to anybody any more."""
         if self.handover and self.handover.has_unsent:
-            self.scheduler.after(self.limits.let_go, self._stop)
+            self.scheduler.call_later(self.limits.let_go, self._stop)
             return
         self.management.close()
         if self.agent:
--- a/petrellane/net/scheduler.py
+++ b/petrellane/net/scheduler.py
@@ -133,11 +133,11 @@
         self._urgent.discard(descriptor)
         self.poll.unregister(descriptor)
 
-    def soon(self, call: Callable[..., object], *arguments: object) -> None:
+    def call_soon(self, call: Callable[..., object], *arguments: object) -> None:
         """Make a call at the end of this turn."""
         self.ready.append((call, arguments))
 
-    def after(self, seconds: float, call: Callable[[], object]) -> Timer:
+    def call_later(self, seconds: float, call: Callable[[], object]) -> Timer:
         """Make a call after some seconds; zero or less means in the next turn."""
         timer = Timer(call)
         due = self.monotonic() + seconds
@@ -146,7 +146,7 @@
 
     def spawn(self, call: Callable[..., object], *arguments: object) -> None:
         """Run a call in a greenlet of its own, from the end of this turn."""
-        self.soon(greenlet.greenlet(call, self.hub).switch, *arguments)
+        self.call_soon(greenlet.greenlet(call, self.hub).switch, *arguments)
 
     def wait(self, seconds: float | None = None) -> bool:
         """Suspend this greenlet until somebody switches to it.
@@ -160,7 +160,7 @@
         current = greenlet.getcurrent()
         timer = None
         if seconds is not None:
-            timer = self.after(seconds, lambda: current.switch(False))
+            timer = self.call_later(seconds, lambda: current.switch(False))
         resumed_with = self.hub.switch()
         if timer:
             timer.cancel()
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -338,7 +338,7 @@
         self.unsent.clear()
         if not self.broken:
             self.broken = Closed(reason)
-            self.scheduler.soon(self._wake)
+            self.scheduler.call_soon(self._wake)
 
     def _wake(self) -> None:
         if self.reader:
--- a/petrellane/operation/hot_restart_link.py
+++ b/petrellane/operation/hot_restart_link.py
@@ -87,7 +87,7 @@
         except BlockingIOError:
             pass
         except OSError:
-            self._scheduler.soon(self.close)
+            self._scheduler.call_soon(self.close)
             return
         if self._is_open():
             events = select.POLLIN | (select.POLLOUT if self._unsent else 0)
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -140,7 +140,7 @@
         except OSError:  # no predecessor, or only its file is left, or we have no descriptor
             if sock:
                 sock.close()
-            self._scheduler.soon(self._finish_transfer, "none before")
+            self._scheduler.call_soon(self._finish_transfer, "none before")
             return
         self._predecessor = MessageLink(
             self._scheduler,
@@ -150,7 +150,7 @@
             self._on_predecessor_lost,
         )
         self._predecessor.send(TransferRequest(PROTOCOL_VERSION))
-        self._scheduler.after(self._limits.hand_over, self._on_transfer_timeout)
+        self._scheduler.call_later(self._limits.hand_over, self._on_transfer_timeout)
 
     def _on_predecessor_packet(self, link: MessageLink, packet: Packet) -> None:
         message = packet.message
@@ -259,7 +259,7 @@
         """Accept again soon: the listener would be ready at every poll."""
         if self._listener:
             self._scheduler.unregister(self._listener.fileno())
-            self._scheduler.after(self._limits.out_of_descriptors, self._resume_accepting)
+            self._scheduler.call_later(self._limits.out_of_descriptors, self._resume_accepting)
 
     def _on_successor_packet(self, link: MessageLink, packet: Packet) -> None:
         if packet.sock:
@@ -322,7 +322,7 @@
             raise RuntimeError("no successor to offer a connection to")
         number = sender.offer(on_settled)
         self._successor.send(ConnectionOffer(number, has_asked), data, sock.fileno())
-        self._scheduler.after(
+        self._scheduler.call_later(
             self._limits.take_back, partial(self._withdraw_offer, sender, number, on_settled)
         )
 
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -193,7 +193,7 @@
             self._next_at += self._random.expovariate(self.rate)
         if self.on:
             delay = max(0.0, self._next_at - self._scheduler.monotonic())
-            self._scheduler.after(delay, self._arrive)
+            self._scheduler.call_later(delay, self._arrive)
 
     def _send_drawn(self, intended: float) -> None:
         """Draw one RPC, and send it."""
--- a/petrellane/testbed/fake_discovery.py
+++ b/petrellane/testbed/fake_discovery.py
@@ -217,7 +217,7 @@
         }
         self._changed_at[name] = self.index
         self._changes.append(Change(self.index, name, state, since))
-        self.scheduler.after(self.notice_delay_s, self.notify)
+        self.scheduler.call_later(self.notice_delay_s, self.notify)
 
     def serve(self, stream: Stream, listener: DiscoveryListener) -> None:
         """Answer the requests of one connection until it ends."""
--- a/petrellane/testbed/fake_host.py
+++ b/petrellane/testbed/fake_host.py
@@ -122,7 +122,9 @@
             waiting = self._waiting.popleft()
             self.busy += 1
             seconds = waiting.work_s * self.slowdown / self._speed()
-            self.scheduler.after(seconds, partial(self._complete, waiting.stream, waiting.attempt))
+            self.scheduler.call_later(
+                seconds, partial(self._complete, waiting.stream, waiting.attempt)
+            )
 
     def on_disconnected(self, stream: Stream) -> None:
         """End the attempts of a connection: the gateway has given them up."""
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -112,7 +112,7 @@
         self.longest_stall_s = 0.0
         self._turned_at = time.monotonic()
         terms = build_terms(spec, self.settings)
-        self.records = Records(terms, self.scheduler.now, self.scheduler.after)
+        self.records = Records(terms, self.scheduler.now, self.scheduler.call_later)
         self.records.generation_by_method = spec.proves
         self.relays = FleetRelays(
             self.scheduler, spec.relays, spec.seed, self.addresses, self._is_gateway
--- a/petrellane/testbed/hollow/gateway.py
+++ b/petrellane/testbed/hollow/gateway.py
@@ -95,7 +95,7 @@
     ) -> None:
         """Begin an attempt; it ends at its timeout at the latest."""
         duration = min(self.random.expovariate(1 / MEAN_ATTEMPT_S), attempt.timeout)
-        self.timers[attempt] = self.scheduler.after(duration, partial(self._end, attempt, OK))
+        self.timers[attempt] = self.scheduler.call_later(duration, partial(self._end, attempt, OK))
 
     def _end(self, attempt: SendAttempt, outcome: Outcome) -> None:
         """End an attempt that is still in flight."""
@@ -107,7 +107,7 @@
 
     def cancel(self, attempt: SendAttempt) -> None:
         """End an attempt as cancelled, in the next turn."""
-        self.scheduler.soon(self._end, attempt, CANCELLED)
+        self.scheduler.call_soon(self._end, attempt, CANCELLED)
 
     def on_client_disconnected(
         self, attempts: Iterable[SendAttempt], may_cancel: bool = True
--- a/petrellane/testbed/hollow/group.py
+++ b/petrellane/testbed/hollow/group.py
@@ -86,13 +86,13 @@
     def start(self) -> None:
         """Start all gateways, one after the other."""
         for index, gateway in enumerate(self.gateways):
-            self.scheduler.after(index * START_INTERVAL_S, gateway.start)
+            self.scheduler.call_later(index * START_INTERVAL_S, gateway.start)
         self._flush_logs()
         self._report_arrivals()
 
     def _flush_logs(self) -> None:
         """Write lines of logs that a full pipe has held back."""
-        self.scheduler.after(FLUSH_INTERVAL_S, self._flush_logs)
+        self.scheduler.call_later(FLUSH_INTERVAL_S, self._flush_logs)
         self.log.flush()
         for gateway in self.gateways:
             gateway.log.flush()
@@ -157,7 +157,7 @@
 
     def _report_arrivals(self) -> None:
         """Log which gateways had which lists since the last time."""
-        self.scheduler.after(REPORT_INTERVAL_S, self._report_arrivals)
+        self.scheduler.call_later(REPORT_INTERVAL_S, self._report_arrivals)
         arrivals = self.arrivals
         self.arrivals = {}
         first_arrivals = self.first_arrivals
--- a/petrellane/testbed/hollow/load.py
+++ b/petrellane/testbed/hollow/load.py
@@ -92,7 +92,7 @@
             sent += 1
         if self.is_active:
             delay = max(0.0, self.next_at - self.target.scheduler.now())
-            self.target.scheduler.after(delay, self._send_due)
+            self.target.scheduler.call_later(delay, self._send_due)
 
     def _send(self) -> None:
         """Send one request of a random customer to a random gateway."""
--- a/petrellane/testbed/hollow/process.py
+++ b/petrellane/testbed/hollow/process.py
@@ -41,6 +41,6 @@
     if parameters.command_descriptor is not None:
         CommandPipe(scheduler, parameters.command_descriptor, commands)
     meter.more = group.figures
-    scheduler.soon(group.start)
+    scheduler.call_soon(group.start)
     scheduler.run()
     return 0
--- a/petrellane/testbed/metered.py
+++ b/petrellane/testbed/metered.py
@@ -153,7 +153,7 @@
 
         def logging_run(scheduler: Scheduler) -> None:
             def log() -> None:
-                scheduler.after(INTERVAL_S, log)
+                scheduler.call_later(INTERVAL_S, log)
                 self.log_sums(scheduler.now())
 
             log()
--- a/petrellane/testbed/relay.py
+++ b/petrellane/testbed/relay.py
@@ -181,7 +181,7 @@
             self._target_check = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             self._target_check.setblocking(False)
             self._target_check.connect_ex(self.target)
-            self.scheduler.after(TARGET_CHECK_S, self._check_target)
+            self.scheduler.call_later(TARGET_CHECK_S, self._check_target)
             return
         sock.close()
         self._target_check = None
--- a/petrellane/testbed/relay_connection.py
+++ b/petrellane/testbed/relay_connection.py
@@ -185,7 +185,7 @@
         while direction.waiting and "cut" not in self._relay.faults:
             due, data, read_at = direction.waiting[0]
             if due > now:
-                self._relay.scheduler.after(due - now, self._flush)
+                self._relay.scheduler.call_later(due - now, self._flush)
                 return
             if not data:
                 direction.sink.shutdown(socket.SHUT_WR)
--- a/petrellane/testbed/run_display.py
+++ b/petrellane/testbed/run_display.py
@@ -84,7 +84,7 @@
 
     def _refresh(self) -> None:
         """Show the present state, now and from now on."""
-        self.lab.scheduler.after(REFRESH_INTERVAL_S, self._refresh)
+        self.lab.scheduler.call_later(REFRESH_INTERVAL_S, self._refresh)
         passed = time.monotonic() - self.began
         if self.live:
             self.live.update(self.table(), refresh=True)
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -36,7 +36,7 @@
     def _after(self, seconds: float, call: Undo) -> None:
         """Make a call in a greenlet of its own after some seconds."""
         scheduler = self._fleet.scheduler
-        scheduler.after(seconds, partial(scheduler.spawn, call))
+        scheduler.call_later(seconds, partial(scheduler.spawn, call))
 
     def _take(self, step: Step) -> None:
         """Do a step, and set a timer for its end."""
@@ -133,7 +133,7 @@
         discovery = self._fleet.discovery
         if step.do == "kill":
             host.crash()
-            self._fleet.scheduler.after(
+            self._fleet.scheduler.call_later(
                 discovery.notice_delay_s,
                 partial(discovery.put, host.name, host.host_port, "terminated"),
             )
--- a/petrellane/testbed/scale_discovery.py
+++ b/petrellane/testbed/scale_discovery.py
@@ -60,7 +60,7 @@
         sleepers = self._sleepers
         self._sleepers = {}
         for sleeper in sleepers.values():
-            self.scheduler.soon(sleeper.switch)
+            self.scheduler.call_soon(sleeper.switch)
 
     def response(self, since: int | None) -> bytes:
         """Return what is newer than an index; the complete list for None or one too long ago."""
@@ -145,7 +145,7 @@
         """Change hosts from now on."""
         self._is_on = self._rate > 0
         if self._is_on:
-            self._scheduler.after(self._random.random() / self._rate, self._change)
+            self._scheduler.call_later(self._random.random() / self._rate, self._change)
 
     def end(self) -> None:
         """Change hosts no more."""
@@ -154,7 +154,7 @@
     def _change(self) -> None:
         if not self._is_on:
             return
-        self._scheduler.after(1 / self._rate, self._change)
+        self._scheduler.call_later(1 / self._rate, self._change)
         name = self._random.choice(self._names)
         is_in_service = self._discovery.rows[name]["status"] == "in_service"
         self._discovery.change(name, "terminating" if is_in_service else "in_service")
--- a/petrellane/testbed/testbed.py
+++ b/petrellane/testbed/testbed.py
@@ -127,7 +127,7 @@
             self.scheduler.spawn(self.changes.run)
         if self.parameters.restart_at:
             restart = partial(self.scheduler.spawn, self._restart)
-            self.scheduler.after(self.parameters.restart_at, restart)
+            self.scheduler.call_later(self.parameters.restart_at, restart)
         self._run_for(self.parameters.seconds)
         return begin, time.time()
 
--- a/tests/unit/config_consensus/test_services.py
+++ b/tests/unit/config_consensus/test_services.py
@@ -175,7 +175,7 @@
         results.append(StateWriter(scheduler, SlowStore()).save("state"))
         scheduler.stop()
 
-    scheduler.soon(greenlet.greenlet(write, scheduler.hub).switch)
-    scheduler.after(0.01, lambda: turns.append(None))
+    scheduler.call_soon(greenlet.greenlet(write, scheduler.hub).switch)
+    scheduler.call_later(0.01, lambda: turns.append(None))
     scheduler.run()
     assert results == [error]
