--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -206,7 +206,7 @@
         units = request.units(self.settings.max_units)
         customer = self._customer(request, plan, now)
         # Its timeout may have begun while this process stood still.
-        arrived_at = self.scheduler.since()
+        arrived_at = self.scheduler.earliest_arrival()
         timeout = min(request.timeout, method.deadline)
         rpc = Rpc(
             method,
--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -174,7 +174,7 @@
         taken = 0
         self.raise_if_broken()
         # Its bytes have waited to be accepted, or for a process that stood still.
-        has_waited = self in listener.silent or listener.scheduler.stood_still()
+        has_waited = self in listener.silent or listener.scheduler.has_stalled()
         if buffer and has_waited and self.stream.left():
             raise Closed("left before it was read")
         try:
--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -147,7 +147,9 @@
             or attempt.send_by < now
         ):
             return True
-        return bool(self.scheduler.unseen()) and pending.request.owner.is_client_gone()
+        return (
+            bool(self.scheduler.may_have_missed_events()) and pending.request.owner.is_client_gone()
+        )
 
     def cancel(self, attempt: SendAttempt) -> None:
         """Stop waiting for an attempt; its outcome is still reported."""
--- a/petrellane/net/scheduler.py
+++ b/petrellane/net/scheduler.py
@@ -57,12 +57,14 @@
         longest: The longest turn so far, without its poll, in seconds; the reader may reset it.
     """
 
-    def __init__(self, monotonic: Clock = time.monotonic, still: float = STALL_THRESHOLD) -> None:
+    def __init__(
+        self, monotonic: Clock = time.monotonic, stall_threshold: float = STALL_THRESHOLD
+    ) -> None:
         """Make a scheduler for this thread.
 
         Args:
             monotonic: Returns seconds that never go back.
-            still: Seconds between two polls that count as standing still.
+            stall_threshold: Seconds between two polls that count as standing still.
         """
         self.fault: Callable[[Exception], object] = print
         self.monotonic = monotonic
@@ -76,7 +78,7 @@
         self._urgent: set[int] = set()  # descriptors whose events go first in a turn
         self._timers: list[tuple[float, int, Timer]] = []  # a heap of (due time, order, timer)
         self._timer_order = itertools.count()
-        self._stall_threshold = still
+        self._stall_threshold = stall_threshold
         self._polled_at = monotonic()
         # When what is read in this turn may have arrived first; infinite: just now.
         self._earliest_arrival = self._polled_at
@@ -85,23 +87,23 @@
         """Return Unix time in seconds, anchored once and advanced by the monotonic clock."""
         return self.offset + self.monotonic()
 
-    def since(self) -> float:
+    def earliest_arrival(self) -> float:
         """Return the Unix time from which on what is read in this turn may have arrived.
 
         That is now, or where the process stood still, the time of the poll before.
         """
         return self.offset + min(self._earliest_arrival, self.monotonic())
 
-    def stood_still(self) -> bool:
+    def has_stalled(self) -> bool:
         """Return whether what is read in this turn may have arrived some time ago."""
         return self._earliest_arrival < math.inf
 
-    def unseen(self) -> bool:
+    def may_have_missed_events(self) -> bool:
         """Return whether a peer may have left a while ago although no poll has reported it.
 
         So it is where the process stood still, and where this turn takes long.
         """
-        return self.stood_still() or self.monotonic() - self._polled_at > self._stall_threshold
+        return self.has_stalled() or self.monotonic() - self._polled_at > self._stall_threshold
 
     def register(
         self, descriptor: int, events: int, call: EventHandler, urgent: bool = False
