--- a/benchmarks/scale_gateway.py
+++ b/benchmarks/scale_gateway.py
@@ -124,7 +124,7 @@
         self.process = self._build_process(raw_settings)
         self.executor = self.process.executor
         self.controller = self.executor.controller
-        self.process.scheduler.offset = 0.0
+        self.process.scheduler.unix_offset = 0.0
         self.executor.start(self.process.config.known)
         gc.collect()
         gc.freeze()  # as `serve` does
@@ -198,7 +198,7 @@
                     f"list: expected it taken over in {LIST_PATIENCE_S:g} s, "
                     f"found {len(self.executor.endpoints)} hosts"
                 )
-            turn_times.append(time_call(lambda: scheduler.turn(0)).milliseconds)
+            turn_times.append(time_call(lambda: scheduler.run_once(0)).milliseconds)
         self.clock.stop()
         return TakeoverTime(sum(turn_times), max(turn_times))
 
--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -60,7 +60,7 @@
         self.scheduler = scheduler or Scheduler()
         self.limits = limits or default_limits()
         self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
-        self.scheduler.fault = self.log.fault
+        self.scheduler.exception_handler = self.log.fault
         self.journal = Journal(config.journal)
         self.coordinator = Coordinator(
             config.name,
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -63,7 +63,7 @@
         self.config = config
         self.limits: Limits = limits or Limits.of(config)
         self.scheduler = scheduler or Scheduler()
-        self.scheduler.fault = self._log_fault
+        self.scheduler.exception_handler = self._log_fault
         self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
         self.runtime = Runtime(self.scheduler, self.limits, self.log)
         self.configuration = ConfigurationChanges(self)
@@ -267,14 +267,14 @@
                 "figures",
                 **figures,
                 cpu=round(time.process_time(), 3),
-                turn=round(self.scheduler.longest, 3),
+                turn=round(self.scheduler.longest_turn, 3),
                 clients=len(self.client_listener.clients),
                 connections=self.endpoint_pools.open_connections,
                 busy=sum(len(pool.busy) for pool in pools),
                 pressure=round(controller.overload, 3),
                 crowded=int(controller.lease_manager.counter.is_degraded(self.scheduler.now())),
             )
-        self.scheduler.longest = 0.0
+        self.scheduler.longest_turn = 0.0
 
     # Hot restart.
 
--- a/petrellane/net/scheduler.py
+++ b/petrellane/net/scheduler.py
@@ -46,15 +46,15 @@
     from `register` to `unregister`. A greenlet that waits is resumed by a call or by a timer.
 
     Attributes:
-        fault: Called with each exception that nothing else caught.
+        exception_handler: Called with each exception that nothing else caught.
         monotonic: The clock of timers, in seconds.
         hub: The greenlet that runs the turns; a greenlet waits by switching to it.
         poll: The poll object that watches the descriptors.
-        calls: The handler of each registered descriptor.
+        event_handlers: The handler of each registered descriptor.
         ready: Calls deferred to the end of this turn.
         running: Whether `run` goes on after this turn.
-        offset: Unix time minus the monotonic clock, taken once.
-        longest: The longest turn so far, without its poll, in seconds; the reader may reset it.
+        unix_offset: Unix time minus the monotonic clock, taken once.
+        longest_turn: Seconds of the longest turn so far, without its poll; the reader may reset it.
     """
 
     def __init__(
@@ -66,15 +66,15 @@
             monotonic: Returns seconds that never go back.
             stall_threshold: Seconds between two polls that count as standing still.
         """
-        self.fault: Callable[[Exception], object] = print
+        self.exception_handler: Callable[[Exception], object] = print
         self.monotonic = monotonic
         self.hub = greenlet.getcurrent()
         self.poll = select.poll()
-        self.calls: dict[int, EventHandler] = {}
+        self.event_handlers: dict[int, EventHandler] = {}
         self.ready: list[tuple[Callable[..., object], tuple[object, ...]]] = []
         self.running = False
-        self.offset = time.time() - monotonic()
-        self.longest = 0.0
+        self.unix_offset = time.time() - monotonic()
+        self.longest_turn = 0.0
         self._urgent: set[int] = set()  # descriptors whose events go first in a turn
         self._timers: list[tuple[float, int, Timer]] = []  # a heap of (due time, order, timer)
         self._timer_order = itertools.count()
@@ -85,14 +85,14 @@
 
     def now(self) -> float:
         """Return Unix time in seconds, anchored once and advanced by the monotonic clock."""
-        return self.offset + self.monotonic()
+        return self.unix_offset + self.monotonic()
 
     def earliest_arrival(self) -> float:
         """Return the Unix time from which on what is read in this turn may have arrived.
 
         That is now, or where the process stood still, the time of the poll before.
         """
-        return self.offset + min(self._earliest_arrival, self.monotonic())
+        return self.unix_offset + min(self._earliest_arrival, self.monotonic())
 
     def has_stalled(self) -> bool:
         """Return whether what is read in this turn may have arrived some time ago."""
@@ -106,17 +106,17 @@
         return self.has_stalled() or self.monotonic() - self._polled_at > self._stall_threshold
 
     def register(
-        self, descriptor: int, events: int, call: EventHandler, urgent: bool = False
+        self, descriptor: int, events: int, handler: EventHandler, urgent: bool = False
     ) -> None:
         """Watch a descriptor.
 
         Args:
             descriptor: An open descriptor that is not registered.
             events: A mask of poll events.
-            call: Called with the events that are ready, in each turn in which there are any.
+            handler: Called with the events that are ready, in each turn in which there are any.
             urgent: Whether its events go before those of others in a turn.
         """
-        self.calls[descriptor] = call
+        self.event_handlers[descriptor] = handler
         if urgent:
             self._urgent.add(descriptor)
         self.poll.register(descriptor, events)
@@ -131,7 +131,7 @@
         Raises:
             KeyError: It is not registered.
         """
-        del self.calls[descriptor]
+        del self.event_handlers[descriptor]
         self._urgent.discard(descriptor)
         self.poll.unregister(descriptor)
 
@@ -172,13 +172,13 @@
         """Run turns until `stop`."""
         self.running = True
         while self.running:
-            self.turn(self.pause())
+            self.run_once(self.poll_timeout_ms())
 
     def stop(self) -> None:
         """Let `run` return after this turn."""
         self.running = False
 
-    def turn(self, timeout_ms: int | None) -> None:
+    def run_once(self, timeout_ms: int | None) -> None:
         """Poll, then do all that is due.
 
         Args:
@@ -195,9 +195,9 @@
             self.ready = []
             for call, arguments in ready:
                 self._call(call, arguments)
-        self.longest = max(self.longest, self.monotonic() - now)
+        self.longest_turn = max(self.longest_turn, self.monotonic() - now)
 
-    def pause(self) -> int | None:
+    def poll_timeout_ms(self) -> int | None:
         """Return the milliseconds until the next timer is due; None where there is none."""
         while self._timers and self._timers[0][2].call is None:
             heapq.heappop(self._timers)
@@ -228,9 +228,9 @@
                 key=lambda event: (not event[1] & select.POLLRDHUP, event[0] not in self._urgent)
             )
         for descriptor, mask in events:
-            call = self.calls.get(descriptor)
-            if call:  # a call before it in this turn may have unregistered it
-                self._call(call, (mask,))
+            handler = self.event_handlers.get(descriptor)
+            if handler:  # one before it in this turn may have unregistered it
+                self._call(handler, (mask,))
 
     def _fire_timers(self) -> None:
         """Make the calls that are due; a timer that one of them sets fires in the next turn."""
@@ -247,4 +247,4 @@
         try:
             call(*arguments)
         except Exception as error:
-            self.fault(error)
+            self.exception_handler(error)
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -325,7 +325,7 @@
 
     def detach(self) -> None:
         """Stop watching and writing the socket, which is handed to somebody else."""
-        if self.sock.fileno() in self.scheduler.calls:
+        if self.sock.fileno() in self.scheduler.event_handlers:
             self.scheduler.unregister(self.sock.fileno())
 
     def attach(self) -> None:
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -235,7 +235,7 @@
         return listener
 
     def _resume_accepting(self) -> None:
-        if self._listener and self._listener.fileno() not in self._scheduler.calls:
+        if self._listener and self._listener.fileno() not in self._scheduler.event_handlers:
             self._scheduler.register(
                 self._listener.fileno(), select.POLLIN, self._accept, urgent=True
             )
@@ -351,7 +351,7 @@
             os.close(self._folder)
             self._folder = None
         if self._listener:
-            if self._listener.fileno() in self._scheduler.calls:
+            if self._listener.fileno() in self._scheduler.event_handlers:
                 self._scheduler.unregister(self._listener.fileno())
             self._listener.close()
             self._listener = None
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -99,7 +99,7 @@
         self.spec = spec
         self.settings: Settings = spec.settings or build_settings(SettingsSpec(spec.gateways))
         self.scheduler = Scheduler()
-        self.scheduler.fault = self._on_exception
+        self.scheduler.exception_handler = self._on_exception
         self.addresses = AddressPool(LAST_PORT)
         self.folder = tempfile.mkdtemp(
             prefix="petrellane-lab-", dir=MEMORY_DISK if MEMORY_DISK.is_dir() else None
@@ -174,11 +174,11 @@
         away = time.monotonic() - self._turned_at
         if away > SETTLE_S:
             self.records.last_stall = self.records.turns
-        pause = self.scheduler.pause()
-        self.scheduler.turn(TURN_MS if pause is None else min(TURN_MS, pause))
+        timeout_ms = self.scheduler.poll_timeout_ms()
+        self.scheduler.run_once(TURN_MS if timeout_ms is None else min(TURN_MS, timeout_ms))
         self.records.turns += 1
-        stall = away + self.scheduler.longest
-        self.scheduler.longest = 0.0
+        stall = away + self.scheduler.longest_turn
+        self.scheduler.longest_turn = 0.0
         self._turned_at = time.monotonic()
         if stall > SETTLE_S and (self.clients.on or self.clients.out):
             self.records.note(f"the rig stood still for {stall:.3f} s")
--- a/petrellane/testbed/hollow/group.py
+++ b/petrellane/testbed/hollow/group.py
@@ -179,8 +179,8 @@
 
     def figures(self) -> dict[str, Any]:
         """Return sums since the start, and the longest turn since the last call."""
-        longest_turn = self.scheduler.longest
-        self.scheduler.longest = 0.0
+        longest_turn = self.scheduler.longest_turn
+        self.scheduler.longest_turn = 0.0
         return {
             "rpcs": self.load.sent,
             "answers": self.answers,
--- a/petrellane/testbed/processes.py
+++ b/petrellane/testbed/processes.py
@@ -175,7 +175,7 @@
             self.popen.kill()
         self.popen.wait()
         if not self._stdout.closed:
-            if self._stdout.fileno() in self._scheduler.calls:
+            if self._stdout.fileno() in self._scheduler.event_handlers:
                 self._scheduler.unregister(self._stdout.fileno())
             self._stdout.close()
         self._stderr.close()
--- a/petrellane/testbed/relay_connection.py
+++ b/petrellane/testbed/relay_connection.py
@@ -103,7 +103,7 @@
     def _close(self, sock: socket.socket, reset: bool) -> None:
         if sock.fileno() < 0:
             return
-        if sock.fileno() in self._relay.scheduler.calls:
+        if sock.fileno() in self._relay.scheduler.event_handlers:
             self._relay.scheduler.unregister(sock.fileno())
         if reset:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -212,7 +212,7 @@
         self, sock: socket.socket, read: Direction, written: Direction, *, connecting: bool
     ) -> None:
         scheduler = self._relay.scheduler
-        if sock.fileno() < 0 or sock.fileno() not in scheduler.calls:
+        if sock.fileno() < 0 or sock.fileno() not in scheduler.event_handlers:
             return
         events = 0
         if not read.ended and read.held_bytes() <= MAXIMUM_HELD:
--- a/petrellane/testbed/services.py
+++ b/petrellane/testbed/services.py
@@ -74,7 +74,7 @@
     parameters = ServiceParameters.read(path)
     scheduler = Scheduler()
     log = Logger(STANDARD_OUTPUT, program, scheduler.now, MAXIMUM_LOG_LINES)
-    scheduler.fault = log.fault
+    scheduler.exception_handler = log.fault
     if program == "counter":
         handlers = _start_counter(scheduler, parameters, meter)
     else:
--- a/petrellane/testbed/testbed.py
+++ b/petrellane/testbed/testbed.py
@@ -64,7 +64,7 @@
         """
         self.parameters = parameters
         self.scheduler = Scheduler()
-        self.scheduler.fault = self._on_exception
+        self.scheduler.exception_handler = self._on_exception
         self.folder = tempfile.mkdtemp(
             prefix=f"petrellane-scale-{os.getpid()}-",
             dir=MEMORY_DISK if MEMORY_DISK.is_dir() else None,
@@ -207,8 +207,8 @@
 
     def _run_turn(self) -> None:
         began = time.monotonic()
-        pause = self.scheduler.pause()
-        self.scheduler.turn(TURN_MS if pause is None else min(TURN_MS, pause))
+        timeout_ms = self.scheduler.poll_timeout_ms()
+        self.scheduler.run_once(TURN_MS if timeout_ms is None else min(TURN_MS, timeout_ms))
         self.longest_turn_s = max(self.longest_turn_s, time.monotonic() - began)
 
     def _run_for(self, seconds: float) -> None:
--- a/tests/compatibility/build/control_process.py
+++ b/tests/compatibility/build/control_process.py
@@ -18,7 +18,7 @@
     def __init__(self, path: str, name: str, members: list[str], key: bytes, now: float) -> None:
         self.now = now
         scheduler = Scheduler(monotonic=lambda: self.now)
-        scheduler.offset = 0.0
+        scheduler.unix_offset = 0.0
         config = ControlConfig(
             name=name,
             listen=("127.0.0.1", 0),
--- a/tests/compatibility/build/hot_restart.py
+++ b/tests/compatibility/build/hot_restart.py
@@ -39,12 +39,12 @@
         self.now = 1000.0
         self.faults: list[Exception] = []
         self.scheduler = Scheduler(monotonic=lambda: self.now)
-        self.scheduler.fault = self.faults.append
+        self.scheduler.exception_handler = self.faults.append
 
     def take(self, number: int = 8) -> None:
         """Let the scheduler do what is due, for some turns; what fails there fails here."""
         for _ in range(number):
-            self.scheduler.turn(5)
+            self.scheduler.run_once(5)
             self.now += 0.005
         if self.faults:
             raise self.faults[0]
--- a/tests/compatibility/build/management.py
+++ b/tests/compatibility/build/management.py
@@ -46,7 +46,7 @@
             getattr(lifecycle, LIFECYCLE_STEPS[step])(*words)
     changes: list[None] = []
     scheduler = Scheduler(monotonic=lambda: now)
-    scheduler.offset = 0.0
+    scheduler.unix_offset = 0.0
     server = ManagementServer(
         scheduler, LIMITS, lifecycle, lambda: changes.append(None), lambda error: False
     )
--- a/tests/integration/gateway/check_steps.py
+++ b/tests/integration/gateway/check_steps.py
@@ -85,11 +85,11 @@
 
     def do_stays(self, number: str, maximum: str) -> None:
         """So many callers have their answers and stay; check how many of them are kept."""
-        before = len(self.gateway.scheduler.calls)
+        before = len(self.gateway.scheduler.event_handlers)
         for _ in range(int(number)):
             caller = self.call("GET", READY_PATH)
             self.until("an answer", lambda caller=caller: caller.buffer)
-        kept = len(self.gateway.scheduler.calls) - before
+        kept = len(self.gateway.scheduler.event_handlers) - before
         assert kept <= int(maximum), (before, kept)
 
     def do_callers(self, number: str) -> None:
@@ -151,7 +151,7 @@
 
     def do_at_once(self) -> None:
         """Check that no socket of the gateway delays small writes (TCP_NODELAY)."""
-        owners = [call.__self__ for call in self.gateway.scheduler.calls.values()]
+        owners = [call.__self__ for call in self.gateway.scheduler.event_handlers.values()]
         streams = [owner for owner in owners if isinstance(owner, Stream)]
         delayed = [
             stream.sock
--- a/tests/integration/gateway/harness.py
+++ b/tests/integration/gateway/harness.py
@@ -125,7 +125,7 @@
     def turn(self, timeout_ms: int = 1) -> None:
         """Let the gateway handle what is ready, then take in what came on all other sockets."""
         self.turn_count += 1
-        self.gateway.scheduler.turn(timeout_ms)
+        self.gateway.scheduler.run_once(timeout_ms)
         self._accept()
         for peer in self.peers:
             if peer.role != DEAF_LISTENER or self.deaf_reads:
--- a/tests/integration/testbed/test_scale.py
+++ b/tests/integration/testbed/test_scale.py
@@ -247,7 +247,7 @@
 
     def setUp(self):
         self.scheduler = Scheduler()
-        self.scheduler.fault = self.fail
+        self.scheduler.exception_handler = self.fail
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
         self.log = os.open(os.devnull, os.O_WRONLY)
@@ -302,7 +302,7 @@
         """What discovery and the counter hear of a gateway to which three RPCs of two customers come."""
         discovery, counter, answers = Recorder(self.scheduler), Adds(self.scheduler), []
         node = make(self.config(discovery, counter))
-        node.scheduler.fault = self.fail
+        node.scheduler.exception_handler = self.fail
         node.start()
         for number, customer in enumerate((1, 1, 2)):
             words = resp.encode_command(
@@ -330,7 +330,7 @@
         limit = self.scheduler.monotonic() + 10
         while not holds():
             self.assertLess(self.scheduler.monotonic(), limit)
-            self.scheduler.turn(min(10, self.scheduler.pause() or 0))
+            self.scheduler.run_once(min(10, self.scheduler.poll_timeout_ms() or 0))
 
     def test_discovery_and_the_counter_hear_the_same(self):
         of_real, of_hollow = self.seen(self.real), self.seen(self.hollow)
--- a/tests/integration/testbed/test_testbed.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -738,7 +738,7 @@
         self.scheduler.spawn(run)
         until = time.monotonic() + patience
         while not told and time.monotonic() < until:
-            self.scheduler.turn(10)
+            self.scheduler.run_once(10)
         return told[0]
 
     def dial(self):
