--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -123,8 +123,8 @@
 
     def is_client_gone(self) -> bool:
         """Return whether the client has left, also where no poll has reported it yet."""
-        if not self.stream.broken and self.stream.left():
-            self.stream.sock_failed()
+        if not self.stream.broken and self.stream.is_closed_by_peer():
+            self.stream.fail_closed_by_peer()
         return bool(self.stream.broken)
 
     def _on_client_left(self) -> None:
@@ -175,7 +175,7 @@
         self.raise_if_broken()
         # Its bytes have waited to be accepted, or for a process that stood still.
         has_waited = self in listener.silent or listener.scheduler.has_stalled()
-        if buffer and has_waited and self.stream.left():
+        if buffer and has_waited and self.stream.is_closed_by_peer():
             raise Closed("left before it was read")
         try:
             while taken < limits.commands and (
@@ -308,7 +308,7 @@
             and not self.pending_replies
             and not stream.buffer
             and not stream.unsent
-            and bool(stream.quiet())
+            and bool(stream.is_read_idle())
         )
 
     def close_if_done(self) -> None:
--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -159,7 +159,7 @@
         self.scheduler.spawn(client.run)
 
     def _stream(self, sock: socket.socket) -> Stream:
-        return Stream(self.scheduler, self.limits, sock, leaves=True)
+        return Stream(self.scheduler, self.limits, sock, break_on_half_close=True)
 
     def _reject(self, sock: socket.socket) -> None:
         """Close a new connection, with a line of the log a second at most."""
--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -217,7 +217,7 @@
         idle = [connection for connection in usable if not connection.pending]
         for connection in sorted(idle, key=_last_used_at, reverse=True):
             stream = connection.stream
-            if stream and stream.quiet() and not stream.buffer:
+            if stream and stream.is_read_idle() and not stream.buffer:
                 return connection
             connection.end()  # spoilt, or ended by the counter
             usable.remove(connection)
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -158,7 +158,7 @@
 
         It would pass for the answer to the next one.
         """
-        return not self.stream.buffer and bool(self.stream.quiet())
+        return not self.stream.buffer and bool(self.stream.is_read_idle())
 
     # Answers.
 
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -22,7 +22,7 @@
 
 READ = select.POLLIN
 WRITE = select.POLLOUT
-LEFT = select.POLLRDHUP  # the peer sends no more; reported also while there is more to read
+PEER_CLOSED = select.POLLRDHUP  # the peer sends no more; reported also while there is more to read
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
@@ -108,7 +108,7 @@
         limits: Limits,
         sock: socket.socket,
         urgent: bool = False,
-        leaves: bool = False,
+        break_on_half_close: bool = False,
     ) -> None:
         """Take over a socket and watch it.
 
@@ -117,8 +117,8 @@
             limits: Sizes and counts of the reads and writes.
             sock: An open socket; it is made non-blocking.
             urgent: Whether its events go before those of others in a turn.
-            leaves: Whether a peer that ends its sending has left: the stream breaks at once, also
-                while there is more to read and while nobody reads.
+            break_on_half_close: Whether the stream breaks at once where its peer ends its sending,
+                also while there is more to read and while nobody reads.
         """
         self.scheduler = scheduler
         self.limits = limits
@@ -134,7 +134,7 @@
         self.deserted: Callable[[], object] | None = None
         self.held = False
         self.finishing = False
-        self._always_watched = LEFT if leaves else 0
+        self._always_watched = PEER_CLOSED if break_on_half_close else 0
         self._dialing = False
         self._reads_in_row = 0  # since the socket last had nothing
         sock.setblocking(False)
@@ -202,7 +202,7 @@
 
     def _on_events(self, events: int) -> None:
         if events & self._always_watched or (self.held and events & ~(READ | WRITE)):
-            self.sock_failed()
+            self.fail_closed_by_peer()
             self._wake()
             return
         if not self._dialing:
@@ -304,7 +304,7 @@
                 break
             taken -= len(self.unsent.popleft())
 
-    def sock_failed(self) -> None:
+    def fail_closed_by_peer(self) -> None:
         """Break the stream and stop watching it.
 
         Both directions are over, and each poll would report so again for as long as nobody reads.
@@ -346,13 +346,13 @@
         elif self.deserted:
             self.deserted()
 
-    def left(self) -> bool:
-        """Return whether the peer has left, also where no poll has reported it yet."""
+    def is_closed_by_peer(self) -> bool:
+        """Return whether the peer has ended its sending, also where no poll has reported it yet."""
         poll = select.poll()
-        poll.register(self.sock.fileno(), LEFT)
+        poll.register(self.sock.fileno(), PEER_CLOSED)
         return bool(poll.poll(0))
 
-    def quiet(self) -> bool:
+    def is_read_idle(self) -> bool:
         """Return whether the peer has neither sent nor ended anything that is not read yet."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -225,7 +225,7 @@
         """Yield an idle connection where one stands, then a new one; with whether it was idle."""
         while front.idle:
             stream = front.idle.pop()
-            if stream.quiet() and not stream.buffer:
+            if stream.is_read_idle() and not stream.buffer:
                 yield stream, True
                 break
             stream.close()
