--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -42,7 +42,7 @@
     def __init__(self, listener: ClientListener, stream: Stream) -> None:
         self.listener = listener
         self.stream = stream
-        stream.deserted = self._on_client_left
+        stream.on_connection_lost = self._on_client_left
         self.pending_replies: deque[Reply] = deque()  # in the order of their commands
         self.connected_at: float = listener.scheduler.now()
         self.idle_since: float = self.connected_at
@@ -266,7 +266,7 @@
                 pieces += relay.take(stream)
                 if relay.state is not RelayState.COMPLETE:
                     break
-                stream.relief = None
+                stream.on_flushed = None
             if listener.buffer_budget.bodies:
                 listener.buffer_budget.reserve(reply, 0)
             replies.popleft()
@@ -291,11 +291,11 @@
             timeout: Seconds that this may take; 0 or less is no time, unless it is under way.
         """
         stream = self.stream
-        is_waiting = stream.relief == self._close_when_sent
+        is_waiting = stream.on_flushed == self._close_when_sent
         if not stream.unsent or (timeout <= 0 and not is_waiting):
             stream.close()
         elif not is_waiting:
-            stream.relief = self._close_when_sent
+            stream.on_flushed = self._close_when_sent
             self.listener.scheduler.call_later(timeout, stream.close)
 
     # The end.
--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -151,7 +151,7 @@
         if self.stream is None:
             self.stream = stream
             self.sent = stream.sent
-            stream.relief = self.adjust_reading
+            stream.on_flushed = self.adjust_reading
             stream.bound(socket.SO_SNDBUF)
         pieces = list(self.pieces)
         self.waiting = 0
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -96,8 +96,8 @@
         reader: The greenlet that waits for bytes, if one does.
         broken: Why the stream is over; None while it is not.
         unread: Whether it broke while writing, so that bytes that came before may still be read.
-        relief: Called after bytes have been written, if set.
-        deserted: Called when the stream breaks while nobody reads, if set.
+        on_flushed: Called after bytes have been written, if set.
+        on_connection_lost: Called when the stream breaks while nobody reads, if set.
         held: Whether reading is suspended.
         finishing: Whether our sending ends once all is written.
     """
@@ -130,8 +130,8 @@
         self.reader: Any = None  # a greenlet
         self.broken: Closed | None = None
         self.unread = False
-        self.relief: Callable[[], object] | None = None
-        self.deserted: Callable[[], object] | None = None
+        self.on_flushed: Callable[[], object] | None = None
+        self.on_connection_lost: Callable[[], object] | None = None
         self.held = False
         self.finishing = False
         self._always_watched = PEER_CLOSED if break_on_half_close else 0
@@ -290,8 +290,8 @@
         self._watch(self._wanted_events())
         if self.finishing and not self.unsent:
             self.shut()
-        if self.relief:
-            self.relief()
+        if self.on_flushed:
+            self.on_flushed()
 
     def _send_some(self) -> None:
         """Hand queued buffers to the socket once and drop what it took from the queue."""
@@ -343,8 +343,8 @@
     def _wake(self) -> None:
         if self.reader:
             self.reader.switch()
-        elif self.deserted:
-            self.deserted()
+        elif self.on_connection_lost:
+            self.on_connection_lost()
 
     def is_closed_by_peer(self) -> bool:
         """Return whether the peer has ended its sending, also where no poll has reported it yet."""
