--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -319,7 +319,7 @@
         now = self.listener.scheduler.now()
         if self.is_closing and not self.pending_replies and not self.stream.unsent:
             self.finished_at = self.finished_at or now
-            self.stream.finish()
+            self.stream.write_eof()
             if now - self.finished_at > self.listener.limits.linger:
                 self.stream.close()
         elif self.handoff.is_offered or (self.listener.successor and not self.is_closing):
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -231,7 +231,7 @@
         self.relay_bytes_left = length
         self.relay_parts = parts
         del buffer[:start]
-        self.stream.bound(socket.SO_RCVBUF)
+        self.stream.limit_kernel_buffer(socket.SO_RCVBUF)
         self.relay = ResponseRelay(
             pools.buffer_budget, pools.scheduler.now, self.stream.hold, self._on_relay_unwanted
         )
--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -152,7 +152,7 @@
             self.stream = stream
             self.sent = stream.sent
             stream.on_flushed = self.adjust_reading
-            stream.bound(socket.SO_SNDBUF)
+            stream.limit_kernel_buffer(socket.SO_SNDBUF)
         pieces = list(self.pieces)
         self.waiting = 0
         self.pieces.clear()
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -99,7 +99,7 @@
         on_flushed: Called after bytes have been written, if set.
         on_connection_lost: Called when the stream breaks while nobody reads, if set.
         held: Whether reading is suspended.
-        finishing: Whether our sending ends once all is written.
+        eof_requested: Whether our sending ends once all is written.
     """
 
     def __init__(
@@ -133,7 +133,7 @@
         self.on_flushed: Callable[[], object] | None = None
         self.on_connection_lost: Callable[[], object] | None = None
         self.held = False
-        self.finishing = False
+        self.eof_requested = False
         self._always_watched = PEER_CLOSED if break_on_half_close else 0
         self._dialing = False
         self._reads_in_row = 0  # since the socket last had nothing
@@ -288,8 +288,8 @@
             self.unread = not self._always_watched
             self.fail(str(error))
         self._watch(self._wanted_events())
-        if self.finishing and not self.unsent:
-            self.shut()
+        if self.eof_requested and not self.unsent:
+            self.shutdown_write()
         if self.on_flushed:
             self.on_flushed()
 
@@ -312,7 +312,7 @@
         self.scheduler.unregister(self.sock.fileno())
         self.fail("ended by the peer")
 
-    def bound(self, option: int) -> None:
+    def limit_kernel_buffer(self, option: int) -> None:
         """Limit a buffer of the kernel to the window of a long value.
 
         The kernel's memory counts as the process's, and grows to megabytes.
@@ -362,13 +362,13 @@
             pass
         return False
 
-    def finish(self) -> None:
+    def write_eof(self) -> None:
         """End our sending once all is written; what the peer still sends can be read."""
-        self.finishing = True
+        self.eof_requested = True
         if not self.unsent:
-            self.shut()
+            self.shutdown_write()
 
-    def shut(self) -> None:
+    def shutdown_write(self) -> None:
         """End our sending at once."""
         with contextlib.suppress(OSError):  # the connection is over, or was never up
             self.sock.shutdown(socket.SHUT_WR)
@@ -381,7 +381,7 @@
         """
         if self.sock.fileno() < 0:
             return
-        self.shut()
+        self.shutdown_write()
         with contextlib.suppress(OSError):  # nothing more has come
             for _ in range(self.limits.passed_over):
                 if not self.sock.recv(self.limits.receive):
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -122,7 +122,7 @@
             stream.write(self._answer(stream, deadline))
             self.callers.pop(stream, None)
             self.answered[stream] = None
-            stream.finish()
+            stream.write_eof()
             linger = self.limits.call if stream.unsent else self.limits.linger
             deadline = self._scheduler.now() + linger
             while (remaining := deadline - self._scheduler.now()) > 0:
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -264,7 +264,7 @@
         # Recorded first: the close takes some time, within which it may be seen.
         self._records.on_client_disconnected(rpc.name)
         if self.half_closing and self._random.random() < self.half_closing:
-            stream.finish()
+            stream.write_eof()
             self._scheduler.wait(GRACE_S)
         stream.close()
 
