--- a/petrellane/gateway/client_handoff.py
+++ b/petrellane/gateway/client_handoff.py
@@ -45,7 +45,7 @@
         """
         connection = self.connection
         listener = connection.listener
-        connection.stream.hold()
+        connection.stream.set_reading_paused(True)
         while (
             (connection.pending_replies or connection.stream.unsent)
             and not connection.stream.broken
@@ -57,7 +57,7 @@
         successor = listener.successor
         if successor and not connection.is_closing and self._offer(successor):
             return True
-        connection.stream.hold(False)
+        connection.stream.set_reading_paused(False)
         return False
 
     def _offer(self, successor: HotRestartTransport) -> bool:
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -233,7 +233,10 @@
         del buffer[:start]
         self.stream.limit_kernel_buffer(socket.SO_RCVBUF)
         self.relay = ResponseRelay(
-            pools.buffer_budget, pools.scheduler.now, self.stream.hold, self._on_relay_unwanted
+            pools.buffer_budget,
+            pools.scheduler.now,
+            self.stream.set_reading_paused,
+            self._on_relay_unwanted,
         )
         if pending.abandoned_as or not pools.begin_response(pending, self.relay, length):
             self.relay.drop()
--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -75,7 +75,7 @@
         self,
         budget: BufferBudget,
         now: Callable[[], float],
-        hold: Callable[[bool], object],
+        set_reading_paused: Callable[[bool], object],
         on_unwanted: Callable[[], object],
     ) -> None:
         """Begin a response.
@@ -83,19 +83,19 @@
         Args:
             budget: The memory that it shares with others.
             now: The clock, in seconds.
-            hold: Told whether reading from the endpoint's connection is to pause.
+            set_reading_paused: Told whether reading from the endpoint's connection is to pause.
             on_unwanted: Called once no client takes the response any more.
         """
         self.budget = budget
         self.now = now
-        self.hold = hold
+        self.set_reading_paused = set_reading_paused
         self.on_unwanted = on_unwanted
         self.on_data: Callable[[], object] = self._no_client
         self.pieces: deque[bytes] = deque()
         self.waiting = 0
         self.stream: Stream | None = None
         self.state = RelayState.OPEN
-        self.is_held = False
+        self.is_reading_paused = False
         self.is_discarding = False
         # When bytes moved last, and how many bytes the client's stream had sent then.
         self.last_progress = now()
@@ -139,9 +139,9 @@
         """
         self.fail()
         self._discard()
-        if self.is_held:
-            self.is_held = False
-            self.hold(False)
+        if self.is_reading_paused:
+            self.is_reading_paused = False
+            self.set_reading_paused(False)
         self.on_unwanted()
 
     # The client's side.
@@ -179,7 +179,7 @@
             if self.stream.sent > self.sent:
                 self.sent = self.stream.sent
                 self.last_progress = self.now()
-        should_hold = waiting > self.budget.window()
-        if should_hold != self.is_held and self.state is RelayState.OPEN:
-            self.is_held = should_hold
-            self.hold(should_hold)
+        should_pause = waiting > self.budget.window()
+        if should_pause != self.is_reading_paused and self.state is RelayState.OPEN:
+            self.is_reading_paused = should_pause
+            self.set_reading_paused(should_pause)
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -98,7 +98,7 @@
         unread: Whether it broke while writing, so that bytes that came before may still be read.
         on_flushed: Called after bytes have been written, if set.
         on_connection_lost: Called when the stream breaks while nobody reads, if set.
-        held: Whether reading is suspended.
+        is_reading_paused: Whether reading is suspended.
         eof_requested: Whether our sending ends once all is written.
     """
 
@@ -132,7 +132,7 @@
         self.unread = False
         self.on_flushed: Callable[[], object] | None = None
         self.on_connection_lost: Callable[[], object] | None = None
-        self.held = False
+        self.is_reading_paused = False
         self.eof_requested = False
         self._always_watched = PEER_CLOSED if break_on_half_close else 0
         self._dialing = False
@@ -191,17 +191,17 @@
             self.scheduler.modify(self.sock.fileno(), events)
 
     def _wanted_events(self) -> int:
-        reading = 0 if self.held else READ
+        reading = 0 if self.is_reading_paused else READ
         writing = WRITE if self.unsent else 0
         return reading | writing | self._always_watched
 
-    def hold(self, held: bool = True) -> None:
+    def set_reading_paused(self, paused: bool) -> None:
         """Suspend reading, or resume it; meanwhile the kernel slows the peer down."""
-        self.held = held
+        self.is_reading_paused = paused
         self._watch(self._wanted_events())
 
     def _on_events(self, events: int) -> None:
-        if events & self._always_watched or (self.held and events & ~(READ | WRITE)):
+        if events & self._always_watched or (self.is_reading_paused and events & ~(READ | WRITE)):
             self.fail_closed_by_peer()
             self._wake()
             return
@@ -243,7 +243,7 @@
 
     def _receive(self) -> bytes | None:
         """Return what the socket has, empty at the peer's end; None where it has nothing now."""
-        if self.held:
+        if self.is_reading_paused:
             return None
         try:
             return self.sock.recv(self.limits.receive)
