--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -14,7 +14,7 @@
 
 from petrellane.gateway.client_connection import ClientConnection
 from petrellane.gateway.idle_eviction import ClientTables, eviction_candidates
-from petrellane.net.stream import Stream, accepted, listening
+from petrellane.net.stream import Stream, accept_waiting, open_listener
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -99,7 +99,7 @@
             connectable: False binds the address alone: the kernel refuses whoever connects, as what
                 is accepted must be answered.
         """
-        self.listener = listening(address, self.limits.backlog if connectable else None)
+        self.listener = open_listener(address, self.limits.backlog if connectable else None)
         self.is_only_bound = not connectable
 
     def inherit(self, descriptor: int) -> None:
@@ -134,7 +134,7 @@
         if not self.make_room(1):
             self.free_descriptors("connections to hosts are all busy")
             return
-        for sock in accepted(self.listener, self.limits.accepts, self.free_descriptors):
+        for sock in accept_waiting(self.listener, self.limits.accepts, self.free_descriptors):
             if is_full or not self._has_room():
                 is_full = True  # for the rest of this turn
                 self._reject(sock)
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -1,7 +1,8 @@
 """Non-blocking TCP and Unix sockets with a read buffer and a write queue.
 
 A `Stream` is read by one greenlet, which waits in `fill`, and written by anybody without waiting.
-Listening sockets are made by `listening` and emptied by `accepted`. Framing is left to the codecs.
+Listening sockets are made by `open_listener` and emptied by `accept_waiting`. Framing is left to
+the codecs.
 """
 
 import contextlib
@@ -26,7 +27,7 @@
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-def listening(address: Address, backlog: int | None) -> socket.socket:
+def open_listener(address: Address, backlog: int | None) -> socket.socket:
     """Make a non-blocking socket that listens at an address.
 
     Args:
@@ -50,7 +51,7 @@
     return sock
 
 
-def accepted(
+def accept_waiting(
     listener: socket.socket, max_count: int, on_out_of_descriptors: Callable[[OSError], object]
 ) -> Iterator[socket.socket]:
     """Accept the connections that wait at a listening socket.
@@ -95,7 +96,8 @@
         sent: Bytes written so far.
         reader: The greenlet that waits for bytes, if one does.
         broken: Why the stream is over; None while it is not.
-        unread: Whether it broke while writing, so that bytes that came before may still be read.
+        is_broken_by_write: Whether it broke while writing, so that bytes that came before may still
+            be read.
         on_flushed: Called after bytes have been written, if set.
         on_connection_lost: Called when the stream breaks while nobody reads, if set.
         is_reading_paused: Whether reading is suspended.
@@ -129,7 +131,7 @@
         self.sent = 0
         self.reader: Any = None  # a greenlet
         self.broken: Closed | None = None
-        self.unread = False
+        self.is_broken_by_write = False
         self.on_flushed: Callable[[], object] | None = None
         self.on_connection_lost: Callable[[], object] | None = None
         self.is_reading_paused = False
@@ -225,7 +227,7 @@
             TimeoutError: Nothing came in time.
         """
         while True:
-            if self.broken and not self.unread:
+            if self.broken and not self.is_broken_by_write:
                 raise self.broken
             data = self._receive()
             if data is None:
@@ -285,7 +287,7 @@
         except BlockingIOError:
             pass
         except OSError as error:
-            self.unread = not self._always_watched
+            self.is_broken_by_write = not self._always_watched
             self.fail(str(error))
         self._watch(self._wanted_events())
         if self.eof_requested and not self.unsent:
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -16,7 +16,7 @@
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.net.stream import accepted
+from petrellane.net.stream import accept_waiting
 from petrellane.operation import hot_restart
 from petrellane.operation.hot_restart_link import MessageLink, Packet
 from petrellane.operation.hot_restart_messages import (
@@ -243,7 +243,7 @@
     def _accept(self, _events: int) -> None:
         if not self._listener:
             return
-        for sock in accepted(self._listener, 1, self._on_descriptor_shortage):
+        for sock in accept_waiting(self._listener, 1, self._on_descriptor_shortage):
             if len(self.links) >= self._limits.callers:  # the oldest that is no successor makes way
                 next(link for link in self.links if link is not self._successor).close()
             link = MessageLink(
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -11,7 +11,7 @@
 
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
-from petrellane.net.stream import Closed, Stream, accepted, listening
+from petrellane.net.stream import Closed, Stream, accept_waiting, open_listener
 from petrellane.operation import management_requests
 from petrellane.operation.lifecycle import Lifecycle
 from petrellane.operation.management_requests import RequestError, Response
@@ -68,7 +68,7 @@
         Raises:
             OSError: The address can't be had.
         """
-        self.listener = listening(address, self.limits.backlog)
+        self.listener = open_listener(address, self.limits.backlog)
         self.resume_accepting()
 
     def resume_accepting(self) -> None:
@@ -101,7 +101,9 @@
     def _accept(self, _events: int = 0) -> None:
         if not self.listener:
             return
-        for sock in accepted(self.listener, self.limits.accepts, self._on_descriptor_shortage):
+        for sock in accept_waiting(
+            self.listener, self.limits.accepts, self._on_descriptor_shortage
+        ):
             self._make_room()
             stream = Stream(self._scheduler, self.limits, sock, urgent=True)
             self.callers[stream] = None
--- a/petrellane/testbed/fake_discovery.py
+++ b/petrellane/testbed/fake_discovery.py
@@ -15,7 +15,7 @@
 
 from petrellane import invariants
 from petrellane.net.scheduler import Scheduler
-from petrellane.net.stream import Address, Stream, accepted, listening
+from petrellane.net.stream import Address, Stream, accept_waiting, open_listener
 from petrellane.testbed.addresses import ANY_PORT
 from petrellane.testbed.fake_server import BACKLOG, FakeServer, ignore_exhaustion
 from petrellane.testbed.records import Records
@@ -105,7 +105,7 @@
             sock.close()
         if self._is_unwatched() and self.listener is not None:
             # Kept open and silent, as those who dialed found them.
-            self._crowd += accepted(self.listener, BACKLOG, ignore_exhaustion)
+            self._crowd += accept_waiting(self.listener, BACKLOG, ignore_exhaustion)
             if self.fault is DiscoveryFault.FULL:
                 self.listener.listen(BACKLOG)
             self._watch_listener(self.listener)
@@ -131,7 +131,7 @@
 
     def _fill_queue(self) -> None:
         """Listen with a queue that is full, so that nobody's connection comes up."""
-        self.listener = listening(self.address, 0)
+        self.listener = open_listener(self.address, 0)
         for _ in range(CROWD):
             sock = socket.socket()
             self._crowd.append(sock)
--- a/petrellane/testbed/fake_server.py
+++ b/petrellane/testbed/fake_server.py
@@ -11,7 +11,7 @@
 from petrellane.net import resp
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
-from petrellane.net.stream import Address, Closed, Stream, accepted, listening
+from petrellane.net.stream import Address, Closed, Stream, accept_waiting, open_listener
 from petrellane.testbed.addresses import ANY_PORT, format_address
 
 LIMITS = Limits(1 << 16, 1.0, 1.0, 64, 1.0)
@@ -55,7 +55,7 @@
         """
         self.scheduler = scheduler
         self.streams: dict[Stream, Address | None] = {}
-        self.listener: socket.socket | None = listening(address, BACKLOG)
+        self.listener: socket.socket | None = open_listener(address, BACKLOG)
         self.address: Address = self.listener.getsockname()
         self._watch_listener(self.listener)
 
@@ -104,7 +104,7 @@
     def listen_again(self) -> None:
         """Listen at the same address after a crash; no effect while it listens."""
         if self.listener is None:
-            self.listener = listening(self.address, BACKLOG)
+            self.listener = open_listener(self.address, BACKLOG)
             self._watch_listener(self.listener)
 
     def widen_queue(self, backlog: int) -> None:
@@ -122,7 +122,7 @@
     def _on_connections(self, _: int) -> None:
         if self.listener is None:
             return
-        for sock in accepted(self.listener, ACCEPTED_PER_EVENT, ignore_exhaustion):
+        for sock in accept_waiting(self.listener, ACCEPTED_PER_EVENT, ignore_exhaustion):
             stream = Stream(self.scheduler, LIMITS, sock)
             self.streams[stream] = peer_of(sock)
             self.scheduler.spawn(self.handle_connection, stream)
--- a/tests/integration/gateway/peer_steps.py
+++ b/tests/integration/gateway/peer_steps.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 from petrellane.gateway.endpoint_watch import EndpointWatch
-from petrellane.net.stream import listening
+from petrellane.net.stream import open_listener
 from tests.integration.gateway.configuration import endpoint_row, unescape
 from tests.integration.gateway.harness import BACKLOG, BLOCKERS, FULL_LISTENER
 from tests.integration.gateway.race_steps import CLOCK_STEP_S, RaceSteps
@@ -45,7 +45,7 @@
         listener.close()
         if name in self.bound:
             self.bound.pop(name).close()
-        self.bound[name] = listening(address, None)
+        self.bound[name] = open_listener(address, None)
         for peer in self.connections_to(name):
             peer.reset()
         self.fence()
