--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -264,17 +264,17 @@
         return []
 
     def on_response_started(
-        self, now: float, attempt: SendAttempt, passing: bool = False
+        self, now: float, attempt: SendAttempt, is_relayed: bool = False
     ) -> list[Action]:
         """The response to an attempt has begun: its endpoint answers.
 
         Args:
             now: The time.
             attempt: What is answered.
-            passing: Whether it is relayed as it comes, and so as good as ended: how soon a client
-                reads says nothing of the endpoint.
+            is_relayed: Whether it is relayed as it comes, and so as good as ended: how soon a
+                client reads says nothing of the endpoint.
         """
-        if passing:
+        if is_relayed:
             self.load_balancer.on_attempt_ended(attempt, OK, now - attempt.sent_at, now)
         self.load_balancer.on_response_started(attempt, now)
         return []
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -294,7 +294,7 @@
         relay.on_data = request.owner.on_answered
         self.counts["long"] += 1
         self.controller.finish(attempt.rpc)
-        self.execute(self.controller.on_response_started(self.now(), attempt, passing=True))
+        self.execute(self.controller.on_response_started(self.now(), attempt, is_relayed=True))
         self._finish(attempt.rpc, b"$%d\r\n" % length)
         return True
 
