--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -198,11 +198,11 @@
     def _take_command(self, command: Command) -> None:
         """Answer one complete command in the buffer, or take its request in."""
         listener = self.listener
-        service = listener.service
+        lifecycle = listener.lifecycle
         verb = bytes(self.stream.buffer[slice(*command.spans[0])]).upper()
         if verb not in RPC_COMMANDS:
-            self._reply(answer_to(verb, is_welcoming=service.passes_health_check))
-        elif service.accepts_command(
+            self._reply(answer_to(verb, is_welcoming=lifecycle.passes_health_check))
+        elif lifecycle.accepts_command(
             listener.scheduler.now(), self.connected_at, bool(self.pending_replies)
         ):
             self.has_sent_rpc = True
@@ -331,15 +331,15 @@
 
     def _may_close(self, now: float) -> bool:
         """Return whether the connection has to go and nothing is owed on it."""
-        service = self.listener.service
-        if service.closes_idle_connections(now) and self._goes_when_idle(now) and self.is_idle():
+        lifecycle = self.listener.lifecycle
+        if lifecycle.closes_idle_connections(now) and self._goes_when_idle(now) and self.is_idle():
             return True
         return not (
             self.is_closing
             or self.pending_replies
             or self.stream.unsent
             or (self.stream.buffer and not self.command_deadline)
-            or service.accepts_command(now, self.connected_at)
+            or lifecycle.accepts_command(now, self.connected_at)
         )
 
     def _goes_when_idle(self, now: float) -> bool:
@@ -349,6 +349,6 @@
         """
         return (
             self.has_sent_rpc
-            or self.listener.service.state == LifecycleState.ENDING
+            or self.listener.lifecycle.state == LifecycleState.ENDING
             or now - self.idle_since >= self.listener.limits.drain_idle
         )
--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -54,7 +54,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        service: Lifecycle,
+        lifecycle: Lifecycle,
         requests: RequestHandler,
         make_room: Callable[[int], bool],
         buffer_budget: BufferBudget,
@@ -66,7 +66,7 @@
         self.scheduler = runtime.scheduler
         self.limits = runtime.limits
         self.log = runtime.log
-        self.service = service
+        self.lifecycle = lifecycle
         self.on_request = requests.on_request
         self.on_client_disconnected = requests.on_client_disconnected
         self.make_room = make_room
@@ -293,12 +293,12 @@
             self._poll_drain()
 
     def _poll_drain(self) -> None:
-        self.is_draining = not self.service.passes_health_check
+        self.is_draining = not self.lifecycle.passes_health_check
         if self.is_draining:
             for client in list(self.clients):
                 client.close_if_done()
-            if self.service.complete_drain(len(self.clients)):
-                self.log.event(self.service.state)
+            if self.lifecycle.complete_drain(len(self.clients)):
+                self.log.event(self.lifecycle.state)
             self.scheduler.call_later(self.limits.let_go, self._poll_drain)
 
     def end(self, on_ended: Callable[[], object]) -> None:
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -68,7 +68,7 @@
         self.runtime = Runtime(self.scheduler, self.limits, self.log)
         self.configuration = ConfigurationChanges(self)
         self.executor = ActionExecutor(config, self.runtime)
-        self.service = Lifecycle(
+        self.lifecycle = Lifecycle(
             self.limits.change_over,
             self.limits.last_command,
             self.limits.kill_after,
@@ -89,12 +89,12 @@
 
     def _make_client_side(self, buffer_budget: BufferBudget) -> None:
         self.client_listener = ClientListener(
-            self.runtime, self.service, self.executor, self._make_room, buffer_budget
+            self.runtime, self.lifecycle, self.executor, self._make_room, buffer_budget
         )
         self.management = ManagementServer(
             self.scheduler,
             self.limits,
-            self.service,
+            self.lifecycle,
             self._on_lifecycle_changed,
             self.client_listener.free_descriptors,
         )
@@ -238,7 +238,7 @@
 
     def _serve_clients(self) -> None:
         self.client_listener.start_accepting()
-        self.service.start()
+        self.lifecycle.start()
         host, port = self.config.listen
         self.log.event("started", listen=f"{host}:{port}", hosts=len(self.executor.endpoints))
 
@@ -296,7 +296,7 @@
 
     def _on_lifecycle_changed(self) -> None:
         """Note that operators have drained the gateway, or taken it into service again."""
-        self._log_open(self.service.state)
+        self._log_open(self.lifecycle.state)
         self.client_listener.drain()
 
     def _log_open(self, event: str) -> None:
@@ -307,17 +307,17 @@
         if self.is_ending:
             return
         self.is_ending = True
-        self.service.begin_shutdown(self.scheduler.now())
+        self.lifecycle.begin_shutdown(self.scheduler.now())
         self._log_open("ending")
         deadlines = [method.deadline for method in self.config.settings.methods.values()]
-        final_deadline = self.service.final_answer_time(max(deadlines, default=0.0))
+        final_deadline = self.lifecycle.final_answer_time(max(deadlines, default=0.0))
         time_left = max(0.0, final_deadline - self.scheduler.now())
         self.scheduler.call_later(time_left, self.executor.expire_open_requests)
         self.executor.final_deadline = final_deadline
         if self.client_listener.successor:  # clients go to the next process, not away
             self._end_clients()
             return
-        change_over = self.service.since + self.limits.change_over - self.scheduler.now()
+        change_over = self.lifecycle.since + self.limits.change_over - self.scheduler.now()
         self.scheduler.call_later(max(0.0, change_over), self._end_clients)
 
     def _end_clients(self) -> None:
--- a/petrellane/gateway/process_handover.py
+++ b/petrellane/gateway/process_handover.py
@@ -57,7 +57,7 @@
 
     def on_successor(self, successor: HotRestartTransport | None) -> None:
         """Give way to a successor, or go on when it is gone (None)."""
-        self.process.service.has_successor = bool(successor)
+        self.process.lifecycle.has_successor = bool(successor)
         self.process.client_listener.set_successor(successor)
         if successor:
             return
--- a/tests/integration/gateway/client_steps.py
+++ b/tests/integration/gateway/client_steps.py
@@ -51,7 +51,7 @@
         """Let the gateway handle all that has come, as far as it serves new clients."""
         for _ in range(SETTLING_TURNS):
             self.turn()
-        if self.gateway.is_ending or not self.gateway.service.passes_health_check:
+        if self.gateway.is_ending or not self.gateway.lifecycle.passes_health_check:
             return
         if FENCE not in self.clients:
             self.do_connect(FENCE)
