--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -71,9 +71,9 @@
     """Turns events of the sockets into calls of the controller, and its actions into I/O.
 
     Owned by `GatewayProcess`, for the life of the process. `endpoint_pools`, `counter_client`,
-    `handover` and `agent` are set by it before the first event; the last three stay None where the
-    configuration has no such part. Owns the open requests, the table of known endpoints and the
-    controller; opens no socket.
+    `handover` and `admission_gate` are set by it before the first event; the last three stay None
+    where the configuration has no such part. Owns the open requests, the table of known endpoints
+    and the controller; opens no socket.
     """
 
     def __init__(self, config: Config, runtime: Runtime) -> None:
@@ -103,7 +103,7 @@
         self.endpoint_pools: EndpointPools
         self.counter_client: CounterClient
         self.handover: HotRestartTransport | None = None
-        self.agent: AdmissionGate | None = None
+        self.admission_gate: AdmissionGate | None = None
         self.handlers: dict[type, Callable[[Any], None]] = {
             SendAttempt: self._send_attempt,
             Reject: self._reject,
@@ -198,7 +198,7 @@
         """
         now = self.now()
         # Asked before the request is looked at under settings that other gateways may have left.
-        if self.agent and not self.agent.may_admit():
+        if self.admission_gate and not self.admission_gate.may_admit():
             self.counts["pushed generation"] += 1
             request.finish(BUSY)
             return
--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -47,7 +47,7 @@
         moved = _moved_addresses(before, config)
         settings = config.settings
         file_settings = config.raw["settings"]
-        if process.agent and not process.agent.accept_file_settings(file_settings):
+        if process.participant and not process.participant.accept_file_settings(file_settings):
             settings = before.settings
         process.config = replace(
             before, discovery=config.discovery, counter=counter, raw=config.raw
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -77,9 +77,9 @@
         buffer_budget = BufferBudget(self.limits)
         self._make_client_side(buffer_budget)
         self._make_endpoint_side(buffer_budget)
-        self.agent: ParticipantService | None = None
+        self.participant: ParticipantService | None = None
         if config.consensus:
-            self._make_agent(config.consensus)
+            self._make_participant(config.consensus)
         self.is_ending = False
         self.is_taking_over = False
         self.handover: HotRestartTransport | None = None
@@ -113,7 +113,7 @@
             self.executor.counter_client = self.counter_client
         self.endpoint_watch = self.make_watch(config.known.index if config.known.entries else None)
 
-    def _make_agent(self, consensus: ConsensusConfig) -> None:
+    def _make_participant(self, consensus: ConsensusConfig) -> None:
         # Imported where it is asked for: a gateway alone starts without it.
         from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
         from petrellane.config_consensus.participant_service import (
@@ -121,7 +121,7 @@
             ParticipantService,
         )
 
-        self.agent = ParticipantService(
+        self.participant = ParticipantService(
             self.scheduler,
             self.limits,
             self.log,
@@ -134,8 +134,8 @@
                 random=self.executor.controller.random,
             ),
         )
-        self.executor.agent = self.agent
-        self.management.handlers[PARTICIPANT_PATH] = self.agent.handle_call
+        self.executor.admission_gate = self.participant
+        self.management.handlers[PARTICIPANT_PATH] = self.participant.handle_call
 
     def _make_handover(self) -> None:
         # Imported where it is needed: a gateway alone starts without it.
@@ -162,7 +162,7 @@
             self.management,
             self.endpoint_watch,
             self.counter_client,
-            self.agent,
+            self.participant,
         ]
         return [service for service in services if service]
 
@@ -210,8 +210,8 @@
     def start(self) -> None:
         """Listen, and watch the endpoint list; the scheduler does the rest."""
         self.executor.start(self.config.known)
-        if self.agent:
-            self.agent.load()
+        if self.participant:
+            self.participant.load()
         self.scheduler.spawn(self.endpoint_watch.run)
         if self.config.management:
             self.management.listen(self.config.management)
@@ -221,7 +221,7 @@
             self.client_listener.inherit(self.config.listen_fd)
             self.scheduler.call_later(self.limits.listed, self.take_over)
         else:
-            self.client_listener.listen(self.config.listen, connectable=not self.agent)
+            self.client_listener.listen(self.config.listen, connectable=not self.participant)
             self.begin_serving()
 
     def begin_serving(self) -> None:
@@ -230,9 +230,9 @@
         Operators and other gateways find this one listening before it asks: whoever goes on without
         it asks again after it has.
         """
-        if self.agent:
+        if self.participant:
             predecessor_state = self.handover.generation if self.handover else None
-            self.agent.start(self._serve_clients, predecessor_state)
+            self.participant.start(self._serve_clients, predecessor_state)
         else:
             self._serve_clients()
 
@@ -245,8 +245,8 @@
     def run_heartbeat(self) -> None:
         """Never let a poll last long: one that overruns shows that the process stood still."""
         self.scheduler.call_later(self.limits.beat, self.run_heartbeat)
-        if self.agent:
-            self.agent.check_stall()
+        if self.participant:
+            self.participant.check_stall()
 
     def log_figures(self) -> None:
         """Log what was counted since the last line, if anything; a line a second at most."""
@@ -329,8 +329,8 @@
             self.scheduler.call_later(self.limits.let_go, self._stop)
             return
         self.management.close()
-        if self.agent:
-            self.agent.stop()
+        if self.participant:
+            self.participant.stop()
         if self.handover:
             self.handover.close()
         self.scheduler.stop()
--- a/petrellane/gateway/process_handover.py
+++ b/petrellane/gateway/process_handover.py
@@ -49,10 +49,10 @@
         for pool in self.process.endpoint_pools.pools.values():
             pool.retire(math.inf)
         generation = None
-        agent = self.process.agent
-        if agent:
-            agent.hand_over()
-            generation = agent.state.to_dict()
+        participant = self.process.participant
+        if participant:
+            participant.hand_over()
+            generation = participant.state.to_dict()
         return hot_restart.export_leases(self.executor.controller, self.scheduler.now(), generation)
 
     def on_successor(self, successor: HotRestartTransport | None) -> None:
@@ -62,8 +62,8 @@
         if successor:
             return
         hot_restart.resume(self.executor.controller, self.scheduler.now())
-        if self.process.agent:
-            self.process.agent.resume()
+        if self.process.participant:
+            self.process.participant.resume()
 
     def import_leases(self, rows: list[dict[str, Any]]) -> int:
         """Take over the leases that the predecessor has given up; return how many."""
--- a/petrellane/testbed/hollow/gateway.py
+++ b/petrellane/testbed/hollow/gateway.py
@@ -171,19 +171,19 @@
     def start(self) -> None:
         """Start as any gateway does, but listen for no clients."""
         self.executor.start(self.known_part(self.first_list))
-        if self.agent:
-            self.agent.load()
+        if self.participant:
+            self.participant.load()
         self.scheduler.spawn(self.endpoint_watch.run)
         if self.config.management:
             self.management.listen(self.config.management)
         self.run_heartbeat()
         self.log_figures()
         self.begin_serving()
-        if self.agent and self.is_at_rest:
-            status = self.agent.status
+        if self.participant and self.is_at_rest:
+            status = self.participant.status
             status.responders.update(status.roster)
             status.set_roster(status.roster)
-            self.agent.notify_if_ready()
+            self.participant.notify_if_ready()
 
     def make_watch(self, index: int | None) -> EndpointWatch:
         """Return a watch of the endpoint list from a version on; None: from a complete list on."""
--- a/petrellane/testbed/hollow/process.py
+++ b/petrellane/testbed/hollow/process.py
@@ -11,7 +11,7 @@
 from petrellane.testbed.metered import STANDARD_OUTPUT, Meter
 from petrellane.testbed.services import MAXIMUM_LOG_LINES
 
-THREAD_SWITCH_S = 0.0005  # each agent has a thread that writes, and they wait for each other
+THREAD_SWITCH_S = 0.0005  # each participant has a thread that writes, and they wait for each other
 
 
 def run(path: str, meter: Meter) -> int:
