--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -71,9 +71,9 @@
     """Turns events of the sockets into calls of the controller, and its actions into I/O.
 
     Owned by `GatewayProcess`, for the life of the process. `endpoint_pools`, `counter_client`,
-    `handover` and `admission_gate` are set by it before the first event; the last three stay None
-    where the configuration has no such part. Owns the open requests, the table of known endpoints
-    and the controller; opens no socket.
+    `hot_restart_transport` and `admission_gate` are set by it before the first event; the last
+    three stay None where the configuration has no such part. Owns the open requests, the table of
+    known endpoints and the controller; opens no socket.
     """
 
     def __init__(self, config: Config, runtime: Runtime) -> None:
@@ -102,7 +102,7 @@
         self.final_deadline = math.inf  # when all open requests have ended, once we are ending
         self.endpoint_pools: EndpointPools
         self.counter_client: CounterClient
-        self.handover: HotRestartTransport | None = None
+        self.hot_restart_transport: HotRestartTransport | None = None
         self.admission_gate: AdmissionGate | None = None
         self.handlers: dict[type, Callable[[Any], None]] = {
             SendAttempt: self._send_attempt,
@@ -338,8 +338,8 @@
         if request:
             del self.requests_by_id[request.id]
             request.finish(*answer)
-            if self.handover:
-                self.handover.report_request_ended(rpc.customer.name)
+            if self.hot_restart_transport:
+                self.hot_restart_transport.report_request_ended(rpc.customer.name)
 
     # Handlers of actions.
 
--- a/petrellane/gateway/process_handover.py
+++ b/petrellane/gateway/hot_restart.py
@@ -19,7 +19,7 @@
     from petrellane.operation.hot_restart_messages import Message
 
 
-class ProcessHandover:
+class GatewayHotRestart:
     """Answers the steps of a hot restart; owned by its transport, for the life of the process."""
 
     def __init__(self, process: GatewayProcess) -> None:
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -82,9 +82,9 @@
             self._make_participant(config.consensus)
         self.is_ending = False
         self.is_taking_over = False
-        self.handover: HotRestartTransport | None = None
+        self.hot_restart_transport: HotRestartTransport | None = None
         if config.listen_fd is not None:
-            self._make_handover()
+            self._make_hot_restart_transport()
         self.signals: SignalWatch | None = None
 
     def _make_client_side(self, buffer_budget: BufferBudget) -> None:
@@ -137,12 +137,12 @@
         self.executor.admission_gate = self.participant
         self.management.handlers[PARTICIPANT_PATH] = self.participant.handle_call
 
-    def _make_handover(self) -> None:
+    def _make_hot_restart_transport(self) -> None:
         # Imported where it is needed: a gateway alone starts without it.
-        from petrellane.gateway.process_handover import ProcessHandover
+        from petrellane.gateway.hot_restart import GatewayHotRestart
 
-        self.handover = ProcessHandover(self).make_transport()
-        self.executor.handover = self.handover
+        self.hot_restart_transport = GatewayHotRestart(self).make_transport()
+        self.executor.hot_restart_transport = self.hot_restart_transport
 
     def make_watch(self, index: int | None) -> EndpointWatch:
         """Return a watch of the endpoint list from a version on; None: from a complete list on."""
@@ -231,7 +231,9 @@
         it asks again after it has.
         """
         if self.participant:
-            predecessor_state = self.handover.generation if self.handover else None
+            predecessor_state = (
+                self.hot_restart_transport.generation if self.hot_restart_transport else None
+            )
             self.participant.start(self._serve_clients, predecessor_state)
         else:
             self._serve_clients()
@@ -280,9 +282,9 @@
 
     def take_over(self) -> None:
         """Take over from the predecessor, if any: once, when it is known where endpoints are."""
-        if self.handover and not self.is_taking_over:
+        if self.hot_restart_transport and not self.is_taking_over:
             self.is_taking_over = True
-            self.handover.request_transfer(self.begin_serving)
+            self.hot_restart_transport.request_transfer(self.begin_serving)
 
     # Signals, drain and end.
 
@@ -325,14 +327,14 @@
 
     def _stop(self) -> None:
         """Stop the scheduler, as nothing is owed to anybody any more."""
-        if self.handover and self.handover.has_unsent:
+        if self.hot_restart_transport and self.hot_restart_transport.has_unsent:
             self.scheduler.call_later(self.limits.let_go, self._stop)
             return
         self.management.close()
         if self.participant:
             self.participant.stop()
-        if self.handover:
-            self.handover.close()
+        if self.hot_restart_transport:
+            self.hot_restart_transport.close()
         self.scheduler.stop()
 
 
