--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -91,7 +91,7 @@
                 return
             if self.command_deadline:
                 raise resp.Malformed("command not whole in time") from None
-            if self.is_idle() and self._idle_timeout() <= self.listener.limits.let_go:
+            if self.is_idle() and self._idle_timeout() <= self.listener.limits.client_poll_interval:
                 self.is_closing = True
 
     def _clean_up(self) -> None:
@@ -148,7 +148,7 @@
         timeout: float = limits.client_once if is_new else limits.client_idle_timeout
         if self.pending_replies:
             return timeout
-        return max(limits.let_go, self.idle_since + timeout - now)
+        return max(limits.client_poll_interval, self.idle_since + timeout - now)
 
     def _reserve_body(self) -> None:
         """Wait for room for a long command, which may take its time as long as it comes on."""
@@ -162,7 +162,7 @@
         while not listener.buffer_budget.has_room(self):
             if listener.scheduler.now() > until:
                 raise resp.Malformed("no room for a command of this length")
-            listener.scheduler.wait(listener.limits.let_go)
+            listener.scheduler.wait(listener.limits.client_poll_interval)
             self.raise_if_broken()
 
     def _read_commands(self) -> bool:
--- a/petrellane/gateway/client_handoff.py
+++ b/petrellane/gateway/client_handoff.py
@@ -52,7 +52,7 @@
             and not connection.is_closing
             and listener.successor
         ):
-            self._park(listener.limits.let_go)
+            self._park(listener.limits.client_poll_interval)
         connection.raise_if_broken()
         successor = listener.successor
         if successor and not connection.is_closing and self._offer(successor):
--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -87,7 +87,7 @@
         self.on_ended: Callable[[], object] | None = None
         self.end_deadline = 0.0
         self.successor: HotRestartTransport | None = None
-        self.scheduler.call_later(self.limits.look, self._close_stalled_clients)
+        self.scheduler.call_later(self.limits.check_interval, self._close_stalled_clients)
 
     # Listening.
 
@@ -166,7 +166,7 @@
         sock.close()
         self.rejected_connections += 1
         now = self.scheduler.now()
-        if now - self.last_rejection_log >= self.limits.look:
+        if now - self.last_rejection_log >= self.limits.check_interval:
             self.log.event(
                 "no_room",
                 clients=len(self.clients),
@@ -198,14 +198,14 @@
             Whether a client was evicted.
         """
         now = self.scheduler.now()
-        if now - self.last_shortage_log >= self.limits.look:
+        if now - self.last_shortage_log >= self.limits.check_interval:
             self.last_shortage_log = now
             self.log.event("no_descriptor", clients=len(self.clients), error=str(error))
         is_evicted = self._evict_idle_client()
         self.make_room(self.limits.reserve)
         if self.is_accepting:
             self._stop_accepting()
-            self.scheduler.call_later(self.limits.out_of_descriptors, self.start_accepting)
+            self.scheduler.call_later(self.limits.accept_retry_delay, self.start_accepting)
         return is_evicted
 
     def _evict_idle_client(self) -> bool:
@@ -234,7 +234,7 @@
 
     def _close_stalled_clients(self) -> None:
         """Close clients that are owed nothing more and have not taken their answers for long."""
-        self.scheduler.call_later(self.limits.look, self._close_stalled_clients)
+        self.scheduler.call_later(self.limits.check_interval, self._close_stalled_clients)
         now = self.scheduler.now()
         before = self.slow_readers
         self.slow_readers = {}
@@ -299,7 +299,7 @@
                 client.close_if_done()
             if self.lifecycle.complete_drain(len(self.clients)):
                 self.log.event(self.lifecycle.state)
-            self.scheduler.call_later(self.limits.let_go, self._poll_drain)
+            self.scheduler.call_later(self.limits.client_poll_interval, self._poll_drain)
 
     def end(self, on_ended: Callable[[], object]) -> None:
         """Close each client as soon as it has all its answers, then call `on_ended`."""
@@ -313,7 +313,7 @@
         if not self.clients and not self.successor:
             self._accept()  # whoever came in the meantime is served
         if self.clients and self.scheduler.now() < self.end_deadline:
-            self.scheduler.call_later(self.limits.let_go, self._poll_end)
+            self.scheduler.call_later(self.limits.client_poll_interval, self._poll_end)
             return
         self._stop_accepting()
         if self.listener:
--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -184,7 +184,7 @@
         self.address = address
         self.on_reply = on_reply
         self.connections: list[CounterConnection] = []
-        self.scheduler.call_later(self.limits.look, self._retire_idle)
+        self.scheduler.call_later(self.limits.check_interval, self._retire_idle)
 
     def send(self, add: CounterAdd) -> None:
         """Send an addition; its outcome is reported once."""
@@ -243,7 +243,7 @@
 
     def _retire_idle(self) -> None:
         """Retire idle connections before the counter does."""
-        self.scheduler.call_later(self.limits.look, self._retire_idle)
+        self.scheduler.call_later(self.limits.check_interval, self._retire_idle)
         before = self.scheduler.now() - self.limits.counter_idle_timeout
         for connection in list(self.connections):
             is_idle = not connection.pending or connection.address != self.address
--- a/petrellane/gateway/endpoint_pool.py
+++ b/petrellane/gateway/endpoint_pool.py
@@ -22,7 +22,7 @@
 
     Made by `EndpointPools` with the endpoint's first attempt, dropped when it holds nothing or the
     endpoint leaves the list; attempts in flight then still complete. Owns its connections, the
-    queue, and the timer for an idle connection to have rested.
+    queue, and the timer until an idle connection may be used again.
     """
 
     def __init__(self, pools: EndpointPools, endpoint: Endpoint, address: Address) -> None:
@@ -34,7 +34,7 @@
         self.queue: deque[PendingAttempt] = deque()
         self.dials = 0
         self.last_answer_at = 0.0
-        self.rest_timer: Timer | None = None
+        self.reuse_timer: Timer | None = None
 
     def assign(self, pending: PendingAttempt) -> None:
         """Write an attempt to an idle connection, let it wait for a new one, or pipeline it."""
@@ -44,24 +44,24 @@
     def dispatch(self) -> None:
         """Serve the queue, the oldest attempt first.
 
-        An attempt goes to an idle connection that has rested, else waits for a dial of its own,
-        else goes to any idle connection, else behind others. One that is not to be sent any more is
-        handed back, whichever way its turn comes.
+        An attempt goes to an idle connection that may be used again, else waits for a dial of its
+        own, else goes to any idle connection, else behind others. One that is not to be sent any
+        more is handed back, whichever way its turn comes.
         """
         while self._has_waiting():
-            connection = self._take_idle(self.pools.limits.rest)
+            connection = self._take_idle(self.pools.limits.reuse_delay)
             if connection:
                 self._write(connection)
             elif not self._dial_or_write():
                 break
-        # A dial may be late: an idle connection that has rested by then is as good.
-        if self.queue and self.idle and not self.rest_timer:
-            self.rest_timer = self.pools.scheduler.call_later(
-                self.pools.limits.rest, self._on_rest_timer
+        # A dial may be late: an idle connection that may be used again by then is as good.
+        if self.queue and self.idle and not self.reuse_timer:
+            self.reuse_timer = self.pools.scheduler.call_later(
+                self.pools.limits.reuse_delay, self._on_reuse_timer
             )
 
-    def _on_rest_timer(self) -> None:
-        self.rest_timer = None
+    def _on_reuse_timer(self) -> None:
+        self.reuse_timer = None
         self.dispatch()
 
     def _write(self, connection: EndpointConnection) -> None:
@@ -69,12 +69,12 @@
         connection.write(self.queue.popleft())
 
     def _dial_or_write(self) -> bool:
-        """Dial for the first attempt, or write it without a rest; return False if it must wait."""
+        """Dial for the first attempt, or write it without delay; return False if it must wait."""
         if len(self.queue) <= self.dials:
             return False
-        return self._dial() or self._write_without_rest()
+        return self._dial() or self._write_without_delay()
 
-    def _write_without_rest(self) -> bool:
+    def _write_without_delay(self) -> bool:
         """Write to any idle connection, or behind the fewest attempts; False if none takes it."""
         connection = self._take_idle(0.0)
         if connection:
@@ -93,17 +93,17 @@
             pools.scheduler.call_soon(pools.report, self.queue.popleft(), NEVER_SENT)
         return bool(self.queue)
 
-    def _take_idle(self, rest: float) -> EndpointConnection | None:
+    def _take_idle(self, reuse_delay: float) -> EndpointConnection | None:
         """Take the idle connection that was used last, of those that are still good.
 
         Args:
-            rest: Seconds since its last answer, at least. An endpoint may answer twice, some
+            reuse_delay: Seconds since its last answer, at least. An endpoint may answer twice, some
                 milliseconds apart: on a connection used again at once the second answer would pass
                 for that to the next attempt.
         """
-        before = self.pools.scheduler.now() - rest
-        rested = [connection for connection in self.idle if connection.last_answer_at <= before]
-        for connection in reversed(rested):
+        before = self.pools.scheduler.now() - reuse_delay
+        reusable = [connection for connection in self.idle if connection.last_answer_at <= before]
+        for connection in reversed(reusable):
             self.idle.remove(connection)
             if connection.is_clean():
                 return connection
@@ -169,7 +169,7 @@
 
     def is_unused(self) -> bool:
         """Return whether it holds nothing: a new one would be the same."""
-        return not (self.queue or self.dials or self.busy or self.idle or self.rest_timer)
+        return not (self.queue or self.dials or self.busy or self.idle or self.reuse_timer)
 
     def retire(self, before: float) -> None:
         """End idle connections that were last used before a time."""
--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -71,7 +71,7 @@
         self.open_connections = 0
         self.counts: Counter[str] = Counter()  # figures since the last line of the log
         self.pending_attempts: dict[SendAttempt, PendingAttempt] = {}
-        self.scheduler.call_later(self.limits.look, self._run_periodic_checks)
+        self.scheduler.call_later(self.limits.check_interval, self._run_periodic_checks)
 
     # Endpoints.
 
@@ -243,7 +243,7 @@
 
     def _run_periodic_checks(self) -> None:
         """Retire what has been idle for long, and dial for what waits without a dial."""
-        self.scheduler.call_later(self.limits.look, self._run_periodic_checks)
+        self.scheduler.call_later(self.limits.check_interval, self._run_periodic_checks)
         now = self.scheduler.now()
         stalled_before = now - self.limits.stall_timeout
         stalled = [
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -219,7 +219,7 @@
         self.log_figures()
         if self.config.listen_fd is not None:
             self.client_listener.inherit(self.config.listen_fd)
-            self.scheduler.call_later(self.limits.listed, self.take_over)
+            self.scheduler.call_later(self.limits.first_list_timeout, self.take_over)
         else:
             self.client_listener.listen(self.config.listen, connectable=not self.participant)
             self.begin_serving()
@@ -246,13 +246,13 @@
 
     def run_heartbeat(self) -> None:
         """Never let a poll last long: one that overruns shows that the process stood still."""
-        self.scheduler.call_later(self.limits.beat, self.run_heartbeat)
+        self.scheduler.call_later(self.limits.heartbeat_interval, self.run_heartbeat)
         if self.participant:
             self.participant.check_stall()
 
     def log_figures(self) -> None:
         """Log what was counted since the last line, if anything; a line a second at most."""
-        self.scheduler.call_later(self.limits.figures, self.log_figures)
+        self.scheduler.call_later(self.limits.figures_interval, self.log_figures)
         executor = self.executor
         counts = executor.counts
         executor.counts = Counter()
@@ -328,7 +328,7 @@
     def _stop(self) -> None:
         """Stop the scheduler, as nothing is owed to anybody any more."""
         if self.hot_restart_transport and self.hot_restart_transport.has_unsent:
-            self.scheduler.call_later(self.limits.let_go, self._stop)
+            self.scheduler.call_later(self.limits.client_poll_interval, self._stop)
             return
         self.management.close()
         if self.participant:
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -95,21 +95,20 @@
     command_timeout: float = 2.5  # a command that has begun is complete, or a long one progresses
     command_timeout_crowded: float = 1.0  # the same where descriptors are short
     linger: float = 0.5  # for what a client still sends after a malformed frame
-    let_go: float = 0.05  # between checks for clients that are owed nothing
+    client_poll_interval: float = 0.05  # between checks for clients that are owed nothing
 
     # Descriptors.
     reserve: int = 40  # never a client's or a host's; the sum is in docs/design.md
     host_floor: int = 128  # for hosts, never for clients; at most three fifths of all
-    out_of_descriptors: float = 0.01  # between attempts to accept when none is left
+    accept_retry_delay: float = 0.01  # between attempts to accept when none is left
 
     # Connections to hosts and to the counter.
     host_connections: int = 48  # connections to one host
-    rest: float = (
-        0.01  # a connection is not reused for so long after a reply, where another is free
-    )
+    # A connection is not reused for so long after a reply, where another is free.
+    reuse_delay: float = 0.01
     counter_connections: int = 8  # connections to the counter
     counter_idle_timeout: float = 4.0  # the counter closes idle ones after ten seconds or less
-    look: float = 1.0  # between checks for idle connections
+    check_interval: float = 1.0  # between checks for idle connections
 
     # Discovery.
     watch_next: float = 5.0  # between calls: a change counts after 6 s, a response takes up to 1
@@ -135,7 +134,7 @@
     take_back: float = 0.5  # a connection that the successor has not received by then stays here
     passed: int = 32 * 1024  # bytes of a command that go with a connection to the successor
     packet: int = 256 * 1024  # one message between predecessor and successor
-    listed: float = 1.0  # the successor waits so long for an endpoint list before it takes over
+    first_list_timeout: float = 1.0  # the successor takes over without an endpoint list after this
 
     # The management API.
     callers: int = 8  # requests in progress
@@ -144,8 +143,8 @@
     body: int = 1024 * 1024  # its body
 
     # The log.
-    beat: float = 0.1  # a timer's period, by which a stall within a poll is noticed
-    figures: float = 1.0  # between log lines with counts
+    heartbeat_interval: float = 0.1  # a timer's period, by which a stall within a poll is noticed
+    figures_interval: float = 1.0  # between log lines with counts
     log_lines: int = 1000  # lines that wait for a slow reader; what exceeds them is dropped
 
     @classmethod
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -259,7 +259,7 @@
         """Accept again soon: the listener would be ready at every poll."""
         if self._listener:
             self._scheduler.unregister(self._listener.fileno())
-            self._scheduler.call_later(self._limits.out_of_descriptors, self._resume_accepting)
+            self._scheduler.call_later(self._limits.accept_retry_delay, self._resume_accepting)
 
     def _on_successor_packet(self, link: MessageLink, packet: Packet) -> None:
         if packet.sock:
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -96,7 +96,7 @@
         """Accept again soon where no descriptor can be freed: every poll would report us ready."""
         if not self._free_descriptor(error):
             self.pause_accepting()
-            self._scheduler.call_later(self.limits.out_of_descriptors, self.resume_accepting)
+            self._scheduler.call_later(self.limits.accept_retry_delay, self.resume_accepting)
 
     def _accept(self, _events: int = 0) -> None:
         if not self.listener:
