--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -154,7 +154,7 @@
         """Wait for room for a long command, which may take its time as long as it comes on."""
         listener = self.listener
         size = len(self.stream.buffer)
-        if size <= listener.limits.value:
+        if size <= listener.limits.max_value_size:
             return
         self.command_deadline = None
         listener.buffer_budget.reserve(self, size)
@@ -190,7 +190,7 @@
             del buffer[:position]
             if self in listener.buffer_budget.bodies:
                 size = len(buffer)
-                listener.buffer_budget.reserve(self, size if size > limits.value else 0)
+                listener.buffer_budget.reserve(self, size if size > limits.max_value_size else 0)
         if taken:
             listener.on_command(self)
         return taken == limits.commands
@@ -219,7 +219,7 @@
             return
         self.pending_replies.append(request)
         size = command.end - command.start
-        if size > listener.limits.frame:
+        if size > listener.limits.max_frame_size:
             listener.buffer_budget.reserve(request, size)
         try:
             listener.on_request(request)
--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -36,8 +36,8 @@
 
     def window(self) -> int:
         """Return the bytes that may wait in one relay."""
-        share = (self.limits.waiting - self.reserved) // max(1, len(self.relays))
-        return max(self.limits.window_minimum, min(self.limits.window, share))
+        share = (self.limits.buffer_budget - self.reserved) // max(1, len(self.relays))
+        return max(self.limits.min_relay_window, min(self.limits.relay_window, share))
 
     def reserve(self, owner: object, size: int) -> None:
         """Set the bytes of a body that are kept for an owner; 0 ends its reservation."""
@@ -52,7 +52,7 @@
 
         It may while there is room, and always for the owner that came first, so that one completes.
         """
-        return self.reserved < self.limits.waiting or next(iter(self.bodies), owner) is owner
+        return self.reserved < self.limits.buffer_budget or next(iter(self.bodies), owner) is owner
 
 
 class RelayState(enum.Enum):
--- a/petrellane/net/http.py
+++ b/petrellane/net/http.py
@@ -53,7 +53,7 @@
     """
     end = buffer.find(END_OF_HEAD)
     if end < 0:
-        if len(buffer) > limits.line * limits.parts:
+        if len(buffer) > limits.max_line_size * limits.max_parts:
             raise Malformed("head too long")
         return None
     status_line, *lines = bytes(buffer[:end]).split(CRLF)
@@ -108,7 +108,7 @@
     Args:
         stream: Where the response comes from.
         fields: The header fields of its head.
-        limits: `list_size` bounds the body, `line` the line before a chunk.
+        limits: `list_size` bounds the body, `max_line_size` the line before a chunk.
         deadline: Unix time by which the body has to be complete.
 
     Raises:
@@ -177,7 +177,7 @@
 def _read_chunk_length(stream: Stream, limits: Limits, deadline: float, size_so_far: int) -> int:
     """Read the line before a chunk: its length, and extensions that are ignored."""
     while (end := stream.buffer.find(CRLF)) < 0:
-        if len(stream.buffer) > limits.line:
+        if len(stream.buffer) > limits.max_line_size:
             raise Malformed("bad chunk")
         read_more(stream, deadline)
     try:
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -65,14 +65,16 @@
     counter_timeout: float  # a request to the counter unanswered for so long is late
 
     # Values and frames of RESP.
-    value: int = 64 * 1024  # a value in a command or a reply
-    long: int = 4 * 1024 * 1024  # the longest value; one above `value` is relayed as it arrives
-    waiting: int = 16 * 1024 * 1024  # bytes of long values that may be buffered in all
-    window: int = 256 * 1024  # buffered bytes of one long value
-    window_minimum: int = 16 * 1024  # the same, however many long values share `waiting`
-    line: int = 1024  # a line of a head
-    parts: int = 16  # parts of a command or a reply
-    frame: int = 68 * 1024  # a command or a reply in all
+    max_value_size: int = 64 * 1024  # a value in a command or a reply
+    max_long_value_size: int = (
+        4 * 1024 * 1024
+    )  # the longest value; one above `max_value_size` is relayed as it arrives
+    buffer_budget: int = 16 * 1024 * 1024  # bytes of long values that may be buffered in all
+    relay_window: int = 256 * 1024  # buffered bytes of one long value
+    min_relay_window: int = 16 * 1024  # the same, however many long values share `buffer_budget`
+    max_line_size: int = 1024  # a line of a head
+    max_parts: int = 16  # parts of a command or a reply
+    max_frame_size: int = 68 * 1024  # a command or a reply in all
     stall_timeout: float = 10.0  # a long value or a client's replies without progress are given up
 
     # One stream.
@@ -159,7 +161,9 @@
             streams=settings.streams,
             counter_timeout=settings.counter_timeout,
             unsent=int(min(cls.unsent, config.memory_mb * MEBIBYTE / UNSENT_SHARE_OF_MEMORY)),
-            waiting=int(min(cls.waiting, config.memory_mb * MEBIBYTE / WAITING_SHARE_OF_MEMORY)),
+            buffer_budget=int(
+                min(cls.buffer_budget, config.memory_mb * MEBIBYTE / WAITING_SHARE_OF_MEMORY)
+            ),
         )
 
     def renewed(self, config: ProcessConfig) -> Self:
--- a/petrellane/net/resp.py
+++ b/petrellane/net/resp.py
@@ -12,7 +12,9 @@
 Buffer = bytes | bytearray
 Span = tuple[int, int]  # start and stop of a value in its buffer
 
-BODY: Final = 4  # index of the one part of a command that may be longer than `limits.value`
+BODY: Final = (
+    4  # index of the one part of a command that may be longer than `limits.max_value_size`
+)
 ARRAY: Final = ord("*")
 BULK_STRING: Final = ord("$")
 LINE_KINDS: Final = b"+-:"  # simple string, error, integer
@@ -55,8 +57,8 @@
 
 def _line_end(buffer: Buffer, start: int, limits: Limits) -> int:
     """Return where the line from `start` ends, without its CRLF; -1 while it is incomplete."""
-    end = buffer.find(CRLF, start, start + limits.line)
-    if end < 0 and len(buffer) - start >= limits.line:
+    end = buffer.find(CRLF, start, start + limits.max_line_size)
+    if end < 0 and len(buffer) - start >= limits.max_line_size:
         raise Malformed("line too long")
     return end
 
@@ -112,13 +114,13 @@
         return None
     count, position = array_head
     spans: list[Span] = []
-    max_size = limits.frame + limits.long
+    max_size = limits.max_frame_size + limits.max_long_value_size
     for index in range(count):
         if len(buffer) <= position:
             return None
         if buffer[position] != BULK_STRING:
             raise Malformed("expected a bulk string")
-        max_length = limits.long if index == BODY else limits.value
+        max_length = limits.max_long_value_size if index == BODY else limits.max_value_size
         part = _bulk_string(buffer, position, limits, max_length)
         if part is None:
             return None
@@ -141,8 +143,8 @@
     if end < 0:
         return None
     count = _integer(buffer, offset, end)
-    if not 1 <= count <= limits.parts:
-        raise Malformed(f"array of {count} parts, expected 1 to {limits.parts}")
+    if not 1 <= count <= limits.max_parts:
+        raise Malformed(f"array of {count} parts, expected 1 to {limits.max_parts}")
     return count, end + 2
 
 
@@ -159,7 +161,7 @@
         return None
     kind = buffer[offset]
     if kind == BULK_STRING:
-        value = _bulk_string(buffer, offset, limits, limits.value)
+        value = _bulk_string(buffer, offset, limits, limits.max_value_size)
         return None if value is None else Reply(kind, value[0], value[1])
     end = _line_end(buffer, offset, limits)
     if end < 0:
@@ -171,8 +173,8 @@
     count = _integer(buffer, offset, end)
     if count == NULL_LENGTH:
         return Reply(kind, None, end + 2)
-    if not 0 <= count <= limits.parts:
-        raise Malformed(f"array of {count} parts, expected at most {limits.parts}")
+    if not 0 <= count <= limits.max_parts:
+        raise Malformed(f"array of {count} parts, expected at most {limits.max_parts}")
     return _array_items(buffer, offset, end + 2, count, limits)
 
 
@@ -190,13 +192,13 @@
         is_bulk_string = item.kind == BULK_STRING
         items.append(item.content if is_bulk_string else None)  # type: ignore[arg-type]
         position = item.end
-        if position - begin > limits.frame:
-            raise Malformed(f"answer of more than {limits.frame} bytes")
+        if position - begin > limits.max_frame_size:
+            raise Malformed(f"answer of more than {limits.max_frame_size} bytes")
     return Reply(ARRAY, items, position)
 
 
 def parse_long_reply_head(buffer: Buffer, limits: Limits) -> LongReplyHead | None:
-    """Parse the head of an array reply whose first item is longer than `limits.value`.
+    """Parse the head of an array reply whose first item is longer than `limits.max_value_size`.
 
     Returns:
         The head; None for any other reply, and while the head is incomplete.
@@ -214,7 +216,10 @@
         return None
     count = _integer(buffer, 0, end)
     length = _integer(buffer, end + 2, stop)
-    if 1 <= count <= limits.parts and limits.value < length <= limits.long:
+    if (
+        1 <= count <= limits.max_parts
+        and limits.max_value_size < length <= limits.max_long_value_size
+    ):
         return LongReplyHead(count, length, stop + 2)
     return None
 
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -323,7 +323,7 @@
             option: SO_RCVBUF or SO_SNDBUF.
         """
         with contextlib.suppress(OSError):  # the connection is over, which its reader learns
-            self.sock.setsockopt(socket.SOL_SOCKET, option, self.limits.window)
+            self.sock.setsockopt(socket.SOL_SOCKET, option, self.limits.relay_window)
 
     def detach(self) -> None:
         """Stop watching and writing the socket, which is handed to somebody else."""
--- a/tests/unit/operation/test_buffer_budget.py
+++ b/tests/unit/operation/test_buffer_budget.py
@@ -9,7 +9,7 @@
 @pytest.fixture
 def budget() -> BufferBudget:
     """Return a budget of 1,000 bytes, which two growing bodies have filled."""
-    budget = BufferBudget(Limits(256, 1.0, 1.0, 1, 1.0, waiting=1000))
+    budget = BufferBudget(Limits(256, 1.0, 1.0, 1, 1.0, buffer_budget=1000))
     for size in (300, 600):
         budget.reserve("first", size)
         budget.reserve("second", size)
