--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -154,7 +154,7 @@
         try:
             for update in endpoint_updates(endpoint_list, self.endpoints):
                 chunk.append(update)
-                if yield_turn and len(chunk) == self.limits.list_rows:
+                if yield_turn and len(chunk) == self.limits.list_rows_per_turn:
                     self._apply_endpoint_updates(chunk)
                     chunk = []
                     yield_turn()
--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -178,7 +178,7 @@
         if buffer and has_waited and self.stream.is_closed_by_peer():
             raise Closed("left before it was read")
         try:
-            while taken < limits.commands and (
+            while taken < limits.commands_per_turn and (
                 found := resp.parse_command(buffer, position, limits)
             ):
                 spans, end = found
@@ -193,7 +193,7 @@
                 listener.buffer_budget.reserve(self, size if size > limits.max_value_size else 0)
         if taken:
             listener.on_command(self)
-        return taken == limits.commands
+        return taken == limits.commands_per_turn
 
     def _take_command(self, command: Command) -> None:
         """Answer one complete command in the buffer, or take its request in."""
--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -134,7 +134,9 @@
         if not self.make_room(1):
             self.free_descriptors("connections to hosts are all busy")
             return
-        for sock in accept_waiting(self.listener, self.limits.accepts, self.free_descriptors):
+        for sock in accept_waiting(
+            self.listener, self.limits.accepts_per_turn, self.free_descriptors
+        ):
             if is_full or not self._has_room():
                 is_full = True  # for the rest of this turn
                 self._reject(sock)
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -180,7 +180,7 @@
         endpoint_list = EndpointListUpdate(section.integer("index"), section.flag("snapshot"), [])
         for entry in iter_endpoint_entries(section):
             endpoint_list.entries.append(entry)
-            if not len(endpoint_list.entries) % self.limits.list_rows:
+            if not len(endpoint_list.entries) % self.limits.list_rows_per_turn:
                 self._yield_turn()
         return endpoint_list
 
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -78,16 +78,18 @@
     stall_timeout: float = 10.0  # a long value or a client's replies without progress are given up
 
     # One stream.
-    unsent: int = 2 * 1024 * 1024  # written bytes that a peer may leave unread
-    receive: int = 64 * 1024  # bytes asked of a socket in one call
-    reads: int = 4  # reads in a row of a stream that has more, before others have their turn
-    passed_over: int = 4  # reads that discard unread bytes of a stream that is closed
-    gathered: int = 64  # buffers that one call hands to a socket
+    max_unsent: int = 2 * 1024 * 1024  # written bytes that a peer may leave unread
+    receive_size: int = 64 * 1024  # bytes asked of a socket in one call
+    reads_per_turn: int = (
+        4  # reads in a row of a stream that has more, before others have their turn
+    )
+    max_discarding_reads: int = 4  # reads that discard unread bytes of a stream that is closed
+    buffers_per_send: int = 64  # buffers that one call hands to a socket
 
     # Clients.
     backlog: int = 1024  # connections that wait to be accepted
-    accepts: int = 16  # connections accepted in a row before others have their turn
-    commands: int = 16  # commands of one client in a row before others have their turn
+    accepts_per_turn: int = 16  # connections accepted in a row before others have their turn
+    commands_per_turn: int = 16  # commands of one client in a row before others have their turn
     client_idle_timeout: float = 10.0  # an idle client that is owed nothing is disconnected
     client_once: float = 2.0  # the same for a client that has sent one command or none
     client_settle: float = 0.25  # a new client is not evicted for its silence before this
@@ -121,7 +123,7 @@
     watch_pause: float = 0.02  # before the next watch, where nothing changed
     backoff_first: float = 0.1  # the wait after a first failed call, before jitter
     list_size: int = 8 * 1024 * 1024  # bytes of an endpoint list
-    list_rows: int = 128  # rows checked or applied in a row before others have their turn
+    list_rows_per_turn: int = 128  # rows checked or applied in a row before others have their turn
     figure: float = 1e9  # a greater value in a load report counts as none
 
     # Draining, shutdown and hot restart.
@@ -160,7 +162,9 @@
             host_floor=min(cls.host_floor, (config.sockets - cls.reserve) * 3 // 5),
             streams=settings.streams,
             counter_timeout=settings.counter_timeout,
-            unsent=int(min(cls.unsent, config.memory_mb * MEBIBYTE / UNSENT_SHARE_OF_MEMORY)),
+            max_unsent=int(
+                min(cls.max_unsent, config.memory_mb * MEBIBYTE / UNSENT_SHARE_OF_MEMORY)
+            ),
             buffer_budget=int(
                 min(cls.buffer_budget, config.memory_mb * MEBIBYTE / WAITING_SHARE_OF_MEMORY)
             ),
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -238,7 +238,7 @@
                 raise self.broken or Ended("ended by the peer")
             self.buffer += data
             self._reads_in_row += 1
-            if self._reads_in_row >= self.limits.reads:
+            if self._reads_in_row >= self.limits.reads_per_turn:
                 self._reads_in_row = 0
                 self.scheduler.wait(0)
             return
@@ -248,7 +248,7 @@
         if self.is_reading_paused:
             return None
         try:
-            return self.sock.recv(self.limits.receive)
+            return self.sock.recv(self.limits.receive_size)
         except BlockingIOError:
             return None
         except OSError as error:
@@ -269,7 +269,7 @@
 
         A peer that leaves too much unread, or is gone, breaks the stream, which its reader learns.
         """
-        if self.unsent and self.queued - self.sent > self.limits.unsent:
+        if self.unsent and self.queued - self.sent > self.limits.max_unsent:
             self.fail("the peer reads nothing")
             return
         for piece in pieces:
@@ -297,7 +297,7 @@
 
     def _send_some(self) -> None:
         """Hand queued buffers to the socket once and drop what it took from the queue."""
-        taken = self.sock.sendmsg(list(itertools.islice(self.unsent, self.limits.gathered)))
+        taken = self.sock.sendmsg(list(itertools.islice(self.unsent, self.limits.buffers_per_send)))
         self.sent += taken
         while taken:
             piece = self.unsent[0]
@@ -385,8 +385,8 @@
             return
         self.shutdown_write()
         with contextlib.suppress(OSError):  # nothing more has come
-            for _ in range(self.limits.passed_over):
-                if not self.sock.recv(self.limits.receive):
+            for _ in range(self.limits.max_discarding_reads):
+                if not self.sock.recv(self.limits.receive_size):
                     break
         self.release()
 
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -102,7 +102,7 @@
         if not self.listener:
             return
         for sock in accept_waiting(
-            self.listener, self.limits.accepts, self._on_descriptor_shortage
+            self.listener, self.limits.accepts_per_turn, self._on_descriptor_shortage
         ):
             self._make_room()
             stream = Stream(self._scheduler, self.limits, sock, urgent=True)
--- a/tests/integration/gateway/endpoint_list_play.py
+++ b/tests/integration/gateway/endpoint_list_play.py
@@ -35,7 +35,7 @@
 
     def start(self) -> None:
         """Start the gateway and observe what it does with endpoint lists."""
-        self.scenario.do_limits(f"list_rows={SHARE}")
+        self.scenario.do_limits(f"list_rows_per_turn={SHARE}")
         self.scenario.do_world("a", "b")
         self.scenario.do_connect(CLIENT)
         self.gateway = self.scenario.gateway
