--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -72,8 +72,8 @@
         self._limits = Limits(
             sockets=MAX_DESCRIPTORS,
             dial_timeout=timeout_s,
-            host_idle_timeout=IDLE_TIMEOUT_S,
-            streams=STREAMS_PER_CONNECTION,
+            endpoint_idle_timeout=IDLE_TIMEOUT_S,
+            attempts_per_connection=STREAMS_PER_CONNECTION,
             counter_timeout=timeout_s,
         )
 
--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -192,7 +192,7 @@
     return Limits(
         sockets=MAX_DESCRIPTORS,
         dial_timeout=CALL_TIMEOUT_S,
-        host_idle_timeout=IDLE_TIMEOUT_S,
-        streams=STREAMS_PER_CONNECTION,
+        endpoint_idle_timeout=IDLE_TIMEOUT_S,
+        attempts_per_connection=STREAMS_PER_CONNECTION,
         counter_timeout=CALL_TIMEOUT_S,
     )
--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -145,7 +145,7 @@
             return max(0.0, self.command_deadline - now)
         self.command_deadline = None
         is_new = self in listener.silent or self in listener.single_command
-        timeout: float = limits.client_once if is_new else limits.client_idle_timeout
+        timeout: float = limits.new_client_idle_timeout if is_new else limits.client_idle_timeout
         if self.pending_replies:
             return timeout
         return max(limits.client_poll_interval, self.idle_since + timeout - now)
@@ -240,11 +240,11 @@
                 if not self.pending_replies:
                     # What a slow client has not taken yet has the time of a long value.
                     limits = listener.limits
-                    time_left = limits.stall_timeout if stream.unsent else limits.linger
+                    time_left = limits.stall_timeout if stream.unsent else limits.linger_timeout
                     until = min(until, now + time_left)
                 stream.buffer.clear()
                 with contextlib.suppress(TimeoutError):
-                    stream.fill(listener.limits.linger)
+                    stream.fill(listener.limits.linger_timeout)
 
     # Writing.
 
@@ -320,7 +320,7 @@
         if self.is_closing and not self.pending_replies and not self.stream.unsent:
             self.finished_at = self.finished_at or now
             self.stream.write_eof()
-            if now - self.finished_at > self.listener.limits.linger:
+            if now - self.finished_at > self.listener.limits.linger_timeout:
                 self.stream.close()
         elif self.handoff.is_offered or (self.listener.successor and not self.is_closing):
             pass  # it goes to another process
--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -182,9 +182,9 @@
 
     def _has_room(self) -> bool:
         """Return whether there is room for one more client, which an idle one may make."""
-        if len(self.clients) >= self.limits.client_room:
+        if len(self.clients) >= self.limits.client_capacity:
             return self._evict_idle_client()
-        if len(self.single_command) > self.limits.once_room:
+        if len(self.single_command) > self.limits.single_command_capacity:
             self._evict_first(self.single_command)
         return True
 
@@ -204,7 +204,7 @@
             self.last_shortage_log = now
             self.log.event("no_descriptor", clients=len(self.clients), error=str(error))
         is_evicted = self._evict_idle_client()
-        self.make_room(self.limits.reserve)
+        self.make_room(self.limits.reserved_descriptors)
         if self.is_accepting:
             self._stop_accepting()
             self.scheduler.call_later(self.limits.accept_retry_delay, self.start_accepting)
@@ -230,7 +230,7 @@
     def _is_stalled(self, client: ClientConnection) -> bool:
         """Return whether a client is in the middle of a command for too long, and owed nothing."""
         since = self.partial_commands.get(client, math.inf)
-        return self.scheduler.now() - since >= self.limits.command_timeout_crowded and not (
+        return self.scheduler.now() - since >= self.limits.command_timeout_on_shortage and not (
             client.pending_replies or client.handoff.is_offered
         )
 
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -150,7 +150,7 @@
             or self.stream.unsent
             or self.stream.broken
             or self.address != self.pool.address
-            or len(self.in_flight) >= self.pool.pools.limits.streams
+            or len(self.in_flight) >= self.pool.pools.limits.attempts_per_connection
         )
 
     def is_clean(self) -> bool:
--- a/petrellane/gateway/endpoint_pool.py
+++ b/petrellane/gateway/endpoint_pool.py
@@ -114,7 +114,7 @@
         """Begin a new connection; return False where there is no room for one."""
         pools = self.pools
         connections = self.dials + len(self.busy) + len(self.idle)
-        if connections >= pools.limits.host_connections:
+        if connections >= pools.limits.connections_per_endpoint:
             return False
         if not pools.make_room(1):
             return False
--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -232,7 +232,7 @@
         Returns:
             Whether they fit.
         """
-        room = self.limits.host_room(self.client_count()) - number
+        room = self.limits.endpoint_capacity(self.client_count()) - number
         while self.open_connections > room:
             idle = [pool.idle[0] for pool in self.pools.values() if pool.idle]
             if not idle:
@@ -253,7 +253,7 @@
             self.counts["stood still"] += 1
             relay.expire()
         for endpoint, pool in list(self.pools.items()):
-            pool.retire(now - self.limits.host_idle_timeout)
+            pool.retire(now - self.limits.endpoint_idle_timeout)
             pool.dispatch()
             if pool.is_unused():
                 del self.pools[endpoint]
--- a/petrellane/gateway/idle_eviction.py
+++ b/petrellane/gateway/idle_eviction.py
@@ -54,9 +54,9 @@
         tables: The clients.
     """
     clients, silent, single_command, partial_commands = tables
-    settled = now - limits.client_settle
-    stalled = now - limits.command_timeout_crowded
-    rested = now - limits.client_rested
+    settled = now - limits.new_client_grace
+    stalled = now - limits.command_timeout_on_shortage
+    rested = now - limits.eviction_idle_time
     yield from itertools.takewhile(lambda client: client.connected_at <= settled, silent)
     for client in single_command:
         if not client.has_sent_rpc or client.idle_since <= rested:
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -58,17 +58,14 @@
     # Set by the configuration.
     sockets: int  # descriptors that the process may hold
     dial_timeout: float  # a connection to a host that is not up by then is given up
-    host_idle_timeout: (
-        float  # idle connections to hosts are closed after this, before the host does
-    )
-    streams: int  # attempts on one connection to a host at the same time
+    endpoint_idle_timeout: float  # idle connections to hosts are closed before the host does so
+    attempts_per_connection: int  # attempts on one connection to a host at the same time
     counter_timeout: float  # a request to the counter unanswered for so long is late
 
     # Values and frames of RESP.
     max_value_size: int = 64 * 1024  # a value in a command or a reply
-    max_long_value_size: int = (
-        4 * 1024 * 1024
-    )  # the longest value; one above `max_value_size` is relayed as it arrives
+    # The longest value; one above `max_value_size` is relayed as it arrives.
+    max_long_value_size: int = 4 * 1024 * 1024
     buffer_budget: int = 16 * 1024 * 1024  # bytes of long values that may be buffered in all
     relay_window: int = 256 * 1024  # buffered bytes of one long value
     min_relay_window: int = 16 * 1024  # the same, however many long values share `buffer_budget`
@@ -91,23 +88,22 @@
     accepts_per_turn: int = 16  # connections accepted in a row before others have their turn
     commands_per_turn: int = 16  # commands of one client in a row before others have their turn
     client_idle_timeout: float = 10.0  # an idle client that is owed nothing is disconnected
-    client_once: float = 2.0  # the same for a client that has sent one command or none
-    client_settle: float = 0.25  # a new client is not evicted for its silence before this
-    client_rested: float = (
-        1.0  # a client that comes back with RPCs may be evicted when idle so long
-    )
+    new_client_idle_timeout: float = 2.0  # the same for a client that has sent one command or none
+    new_client_grace: float = 0.25  # a new client is not evicted for its silence before this
+    # A client that comes back with RPCs may be evicted when idle so long.
+    eviction_idle_time: float = 1.0
     command_timeout: float = 2.5  # a command that has begun is complete, or a long one progresses
-    command_timeout_crowded: float = 1.0  # the same where descriptors are short
-    linger: float = 0.5  # for what a client still sends after a malformed frame
+    command_timeout_on_shortage: float = 1.0  # the same where descriptors are short
+    linger_timeout: float = 0.5  # for what a client still sends after a malformed frame
     client_poll_interval: float = 0.05  # between checks for clients that are owed nothing
 
     # Descriptors.
-    reserve: int = 40  # never a client's or a host's; the sum is in docs/design.md
-    host_floor: int = 128  # for hosts, never for clients; at most three fifths of all
+    reserved_descriptors: int = 40  # never a client's or a host's; the sum is in docs/design.md
+    min_endpoint_descriptors: int = 128  # for hosts, never for clients; at most three fifths of all
     accept_retry_delay: float = 0.01  # between attempts to accept when none is left
 
     # Connections to hosts and to the counter.
-    host_connections: int = 48  # connections to one host
+    connections_per_endpoint: int = 48  # connections to one host
     # A connection is not reused for so long after a reply, where another is free.
     reuse_delay: float = 0.01
     counter_connections: int = 8  # connections to the counter
@@ -158,9 +154,11 @@
         return cls(
             sockets=config.sockets,
             dial_timeout=settings.dial_timeout,
-            host_idle_timeout=settings.conn_idle / 2,
-            host_floor=min(cls.host_floor, (config.sockets - cls.reserve) * 3 // 5),
-            streams=settings.streams,
+            endpoint_idle_timeout=settings.conn_idle / 2,
+            min_endpoint_descriptors=min(
+                cls.min_endpoint_descriptors, (config.sockets - cls.reserved_descriptors) * 3 // 5
+            ),
+            attempts_per_connection=settings.streams,
             counter_timeout=settings.counter_timeout,
             max_unsent=int(
                 min(cls.max_unsent, config.memory_mb * MEBIBYTE / UNSENT_SHARE_OF_MEMORY)
@@ -176,24 +174,24 @@
         return replace(
             self,
             dial_timeout=settings.dial_timeout,
-            host_idle_timeout=settings.conn_idle / 2,
-            streams=settings.streams,
+            endpoint_idle_timeout=settings.conn_idle / 2,
+            attempts_per_connection=settings.streams,
             counter_timeout=settings.counter_timeout,
         )
 
-    def host_room(self, clients: int) -> int:
+    def endpoint_capacity(self, clients: int) -> int:
         """Return how many descriptors are left for connections to hosts beside so many clients."""
-        return max(0, self.sockets - self.reserve - clients)
+        return max(0, self.sockets - self.reserved_descriptors - clients)
 
     @property
-    def once_room(self) -> int:
+    def single_command_capacity(self) -> int:
         """How many clients that sent one command may keep their connection for a while."""
         return self.sockets // 6
 
     @property
-    def client_room(self) -> int:
+    def client_capacity(self) -> int:
         """How many clients may be connected.
 
         One more is accepted where an idle client can be evicted for it.
         """
-        return self.sockets - self.reserve - self.host_floor
+        return self.sockets - self.reserved_descriptors - self.min_endpoint_descriptors
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -125,7 +125,7 @@
             self.callers.pop(stream, None)
             self.answered[stream] = None
             stream.write_eof()
-            linger = self.limits.call if stream.unsent else self.limits.linger
+            linger = self.limits.call if stream.unsent else self.limits.linger_timeout
             deadline = self._scheduler.now() + linger
             while (remaining := deadline - self._scheduler.now()) > 0:
                 stream.buffer.clear()
