--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -59,7 +59,9 @@
         self.config = config
         self.scheduler = scheduler or Scheduler()
         self.limits = limits or default_limits()
-        self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
+        self.log = Logger(
+            log_descriptor, config.name, self.scheduler.now, self.limits.max_log_lines
+        )
         self.scheduler.exception_handler = self.log.fault
         self.journal = Journal(config.journal)
         self.coordinator = Coordinator(
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -312,7 +312,7 @@
         if outcome == OK:
             self._finish(attempt.rpc, b"$%d\r\n" % len(value), value, b"\r\n")
         is_over = attempt.rpc not in self.requests
-        figures = parse_load_report(report, self.limits.figure)
+        figures = parse_load_report(report, self.limits.max_load_figure)
         cost = figures.pop("cost", 0.0)
         self._notify_controller(
             attempt.rpc,
--- a/petrellane/gateway/client_handoff.py
+++ b/petrellane/gateway/client_handoff.py
@@ -30,7 +30,7 @@
         listener = self.connection.listener
         return (
             listener.successor is not None
-            and len(self.connection.stream.buffer) <= listener.limits.passed
+            and len(self.connection.stream.buffer) <= listener.limits.max_handoff_data
             and listener.scheduler.now() >= self.stays_until
         )
 
@@ -76,7 +76,7 @@
         if self.is_passed_on:
             return True
         self.is_offered = False
-        self.stays_until = listener.scheduler.now() + listener.limits.take_back
+        self.stays_until = listener.scheduler.now() + listener.limits.handoff_timeout
         stream.attach()
         return False
 
--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -90,7 +90,7 @@
     def _apply(self, settings: Settings) -> None:
         process = self.process
         process.config = replace(process.config, settings=settings)
-        process.limits = process.limits.renewed(process.config)
+        process.limits = process.limits.with_settings_of(process.config)
         for service in process.services_with_limits():
             service.limits = process.limits
         process.executor.reconfigure(settings, process.limits)
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -72,18 +72,18 @@
         self.address = address
         self.index = index
         self.consumer = consumer
-        first_interval = self.limits.watch_first
+        first_interval = self.limits.first_watch_interval
         if index is not None:
-            first_interval = self.limits.watch_next
+            first_interval = self.limits.watch_interval
         self.backoff = Backoff(
             random,
             PollTimes(
-                max_interval=self.limits.watch_next,
+                max_interval=self.limits.watch_interval,
                 first_interval=first_interval,
-                max_hold=self.limits.watch_hold,
+                max_hold=self.limits.max_watch_hold,
                 grace=self.limits.watch_grace,
                 poll_timeout=self.limits.watch_timeout,
-                initial_pause=self.limits.backoff_first,
+                initial_pause=self.limits.initial_backoff,
             ),
         )
         self.stream: Stream | None = None
@@ -205,5 +205,5 @@
         self.consumer.on_endpoint_list(endpoint_list)
         self.index = index
         if not endpoint_list.entries:  # guards against answers without end
-            self.scheduler.wait(self.limits.watch_pause)
+            self.scheduler.wait(self.limits.unchanged_watch_delay)
         return is_lasting
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -61,10 +61,12 @@
         Without `limits`, those that the configuration sets are taken.
         """
         self.config = config
-        self.limits: Limits = limits or Limits.of(config)
+        self.limits: Limits = limits or Limits.from_config(config)
         self.scheduler = scheduler or Scheduler()
         self.scheduler.exception_handler = self._log_fault
-        self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
+        self.log = Logger(
+            log_descriptor, config.name, self.scheduler.now, self.limits.max_log_lines
+        )
         self.runtime = Runtime(self.scheduler, self.limits, self.log)
         self.configuration = ConfigurationChanges(self)
         self.executor = ActionExecutor(config, self.runtime)
@@ -72,7 +74,7 @@
             self.limits.change_over,
             self.limits.last_command,
             self.limits.kill_after,
-            self.limits.kill_longest,
+            self.limits.max_deadline,
         )
         buffer_budget = BufferBudget(self.limits)
         self._make_client_side(buffer_budget)
--- a/petrellane/net/http.py
+++ b/petrellane/net/http.py
@@ -108,7 +108,7 @@
     Args:
         stream: Where the response comes from.
         fields: The header fields of its head.
-        limits: `list_size` bounds the body, `max_line_size` the line before a chunk.
+        limits: `max_list_size` bounds the body, `max_line_size` the line before a chunk.
         deadline: Unix time by which the body has to be complete.
 
     Raises:
@@ -124,7 +124,7 @@
     if b"content-length" not in fields:
         return _read_to_end(stream, limits, deadline)
     length = fields[b"content-length"]
-    if not length.isdigit() or int(length) > limits.list_size:
+    if not length.isdigit() or int(length) > limits.max_list_size:
         raise Malformed("bad length")
     return _read_exactly(stream, int(length), deadline)
 
@@ -139,7 +139,7 @@
 def _read_to_end(stream: Stream, limits: Limits, deadline: float) -> bytes:
     """Read up to the orderly end of the connection."""
     try:
-        _fill_past(stream, limits.list_size, deadline)
+        _fill_past(stream, limits.max_list_size, deadline)
     except Ended:
         data = bytes(stream.buffer)
         stream.buffer.clear()
@@ -184,7 +184,7 @@
         length = int(bytes(stream.buffer[:end]).split(b";")[0], HEXADECIMAL)
     except ValueError:
         raise Malformed("bad chunk") from None
-    if length < 0 or size_so_far + length > limits.list_size:
+    if length < 0 or size_so_far + length > limits.max_list_size:
         raise Malformed("list too long")
     del stream.buffer[: end + len(CRLF)]
     return length
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -52,7 +52,7 @@
 class Limits:
     """Bounds of the network code. Sizes are bytes and times are seconds.
 
-    One instance is made at start; a reload of the settings replaces it by `renewed`.
+    One instance is made at start; a reload of the settings replaces it by `with_settings_of`.
     """
 
     # Set by the configuration.
@@ -77,9 +77,8 @@
     # One stream.
     max_unsent: int = 2 * 1024 * 1024  # written bytes that a peer may leave unread
     receive_size: int = 64 * 1024  # bytes asked of a socket in one call
-    reads_per_turn: int = (
-        4  # reads in a row of a stream that has more, before others have their turn
-    )
+    # Reads in a row of a stream that has more, before others have their turn.
+    reads_per_turn: int = 4
     max_discarding_reads: int = 4  # reads that discard unread bytes of a stream that is closed
     buffers_per_send: int = 64  # buffers that one call hands to a socket
 
@@ -111,16 +110,18 @@
     check_interval: float = 1.0  # between checks for idle connections
 
     # Discovery.
-    watch_next: float = 5.0  # between calls: a change counts after 6 s, a response takes up to 1
-    watch_first: float = 3.0  # before the first list: at another address it counts after 4 s
-    watch_hold: float = 3.8  # how long discovery may hold a watch
+    # Between calls: a change counts after 6 s, a response takes up to 1.
+    watch_interval: float = 5.0
+    # Before the first list: at another address it counts after 4 s.
+    first_watch_interval: float = 3.0
+    max_watch_hold: float = 3.8  # how long discovery may hold a watch
     watch_grace: float = 1.0  # how much later than that its response may arrive
     watch_timeout: float = 2.0  # of a call that is not held, with its dialing
-    watch_pause: float = 0.02  # before the next watch, where nothing changed
-    backoff_first: float = 0.1  # the wait after a first failed call, before jitter
-    list_size: int = 8 * 1024 * 1024  # bytes of an endpoint list
+    unchanged_watch_delay: float = 0.02  # before the next watch, where nothing changed
+    initial_backoff: float = 0.1  # the wait after a first failed call, before jitter
+    max_list_size: int = 8 * 1024 * 1024  # bytes of an endpoint list
     list_rows_per_turn: int = 128  # rows checked or applied in a row before others have their turn
-    figure: float = 1e9  # a greater value in a load report counts as none
+    max_load_figure: float = 1e9  # a greater value in a load report counts as none
 
     # Draining, shutdown and hot restart.
     change_over: float = 0.5  # clients are served as before for so long after SIGTERM or a drain
@@ -129,26 +130,28 @@
     shutdown_timeout: float = 15.0  # for clients that never disconnect
     # The kill comes 0.7 s and the longest deadline after SIGTERM: all is answered by then.
     kill_after: float = 0.5  # seconds beyond the longest deadline until the last answers go out
-    kill_longest: float = 3.0  # a longer deadline counts as this
-    hand_over: float = 3.0  # the predecessor has handed over its state by then
-    take_back: float = 0.5  # a connection that the successor has not received by then stays here
-    passed: int = 32 * 1024  # bytes of a command that go with a connection to the successor
-    packet: int = 256 * 1024  # one message between predecessor and successor
+    max_deadline: float = 3.0  # a longer deadline counts as this
+    transfer_timeout: float = 3.0  # the predecessor has handed over its state by then
+    # A connection that the successor has not received by then stays here.
+    handoff_timeout: float = 0.5
+    # Bytes of a command that go with a connection to the successor.
+    max_handoff_data: int = 32 * 1024
+    max_packet_size: int = 256 * 1024  # one message between predecessor and successor
     first_list_timeout: float = 1.0  # the successor takes over without an endpoint list after this
 
     # The management API.
-    callers: int = 8  # requests in progress
-    call: float = 5.0  # the time of one request
-    head: int = 8 * 1024  # its head
-    body: int = 1024 * 1024  # its body
+    max_callers: int = 8  # requests in progress
+    call_timeout: float = 5.0  # the time of one request
+    max_head_size: int = 8 * 1024  # its head
+    max_body_size: int = 1024 * 1024  # its body
 
     # The log.
     heartbeat_interval: float = 0.1  # a timer's period, by which a stall within a poll is noticed
     figures_interval: float = 1.0  # between log lines with counts
-    log_lines: int = 1000  # lines that wait for a slow reader; what exceeds them is dropped
+    max_log_lines: int = 1000  # lines that wait for a slow reader; what exceeds them is dropped
 
     @classmethod
-    def of(cls, config: ProcessConfig) -> Self:
+    def from_config(cls, config: ProcessConfig) -> Self:
         """Return the limits that a configuration sets."""
         settings = config.settings
         return cls(
@@ -168,7 +171,7 @@
             ),
         )
 
-    def renewed(self, config: ProcessConfig) -> Self:
+    def with_settings_of(self, config: ProcessConfig) -> Self:
         """Return these limits with those values that may change while the gateway runs."""
         settings = config.settings
         return replace(
--- a/petrellane/operation/hot_restart_link.py
+++ b/petrellane/operation/hot_restart_link.py
@@ -98,7 +98,7 @@
             self._flush()
         while self._is_open():
             try:
-                received = socket.recv_fds(self._sock, self._limits.packet, 1)
+                received = socket.recv_fds(self._sock, self._limits.max_packet_size, 1)
             except BlockingIOError:
                 return
             except OSError:
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -150,7 +150,7 @@
             self._on_predecessor_lost,
         )
         self._predecessor.send(TransferRequest(PROTOCOL_VERSION))
-        self._scheduler.call_later(self._limits.hand_over, self._on_transfer_timeout)
+        self._scheduler.call_later(self._limits.transfer_timeout, self._on_transfer_timeout)
 
     def _on_predecessor_packet(self, link: MessageLink, packet: Packet) -> None:
         message = packet.message
@@ -244,7 +244,9 @@
         if not self._listener:
             return
         for sock in accept_waiting(self._listener, 1, self._on_descriptor_shortage):
-            if len(self.links) >= self._limits.callers:  # the oldest that is no successor makes way
+            if (
+                len(self.links) >= self._limits.max_callers
+            ):  # the oldest that is no successor makes way
                 next(link for link in self.links if link is not self._successor).close()
             link = MessageLink(
                 self._scheduler,
@@ -323,7 +325,7 @@
         number = sender.offer(on_settled)
         self._successor.send(ConnectionOffer(number, has_asked), data, sock.fileno())
         self._scheduler.call_later(
-            self._limits.take_back, partial(self._withdraw_offer, sender, number, on_settled)
+            self._limits.handoff_timeout, partial(self._withdraw_offer, sender, number, on_settled)
         )
 
     @staticmethod
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -112,20 +112,20 @@
     def _make_room(self) -> None:
         """Close the oldest connection, one that got its answer before one that did not."""
         for streams in (self.answered, self.callers):
-            if streams and len(self.callers) + len(self.answered) >= self.limits.callers:
+            if streams and len(self.callers) + len(self.answered) >= self.limits.max_callers:
                 oldest = next(iter(streams))
                 del streams[oldest]
                 oldest.close()
 
     def _serve(self, stream: Stream) -> None:
         """Answer one request, then end; what follows its head is read and ignored."""
-        deadline = self._scheduler.now() + self.limits.call
+        deadline = self._scheduler.now() + self.limits.call_timeout
         try:
             stream.write(self._answer(stream, deadline))
             self.callers.pop(stream, None)
             self.answered[stream] = None
             stream.write_eof()
-            linger = self.limits.call if stream.unsent else self.limits.linger_timeout
+            linger = self.limits.call_timeout if stream.unsent else self.limits.linger_timeout
             deadline = self._scheduler.now() + linger
             while (remaining := deadline - self._scheduler.now()) > 0:
                 stream.buffer.clear()
@@ -156,7 +156,7 @@
     def _read_head(self, stream: Stream, deadline: float) -> bytes:
         """Read up to the empty line, which stays in the buffer with all before it."""
         while (end := stream.buffer.find(_HEAD_END)) < 0:
-            if len(stream.buffer) > self.limits.head:
+            if len(stream.buffer) > self.limits.max_head_size:
                 raise RequestError(431)
             stream.fill(max(0.0, deadline - self._scheduler.now()))
         return bytes(stream.buffer[:end])
@@ -165,7 +165,7 @@
         self, stream: Stream, path: bytes, head: bytes, deadline: float
     ) -> bytes:
         headers = management_requests.parse_headers(head)
-        length = management_requests.parse_body_length(headers, self.limits.body)
+        length = management_requests.parse_body_length(headers, self.limits.max_body_size)
         start = len(head) + len(_HEAD_END)
         while len(stream.buffer) < start + length:
             stream.fill(max(0.0, deadline - self._scheduler.now()))
--- a/petrellane/testbed/capacity/workload.py
+++ b/petrellane/testbed/capacity/workload.py
@@ -46,7 +46,7 @@
 
     The length of each call is drawn from SPREAD_DRAW_MINIMUM of the longest to the longest.
     """
-    return Figure(2 / ((1 + SPREAD_DRAW_MINIMUM) * Limits.watch_hold), ("backoff.py",))
+    return Figure(2 / ((1 + SPREAD_DRAW_MINIMUM) * Limits.max_watch_hold), ("backoff.py",))
 
 
 def settings_change_bytes(inputs: Measurements) -> Figure:
--- a/petrellane/testbed/hollow/group.py
+++ b/petrellane/testbed/hollow/group.py
@@ -62,7 +62,7 @@
         self.last_list: EndpointListUpdate | None = None
         self.last_entries: dict[int, EndpointEntry] = {}
         base = parse_config(orjson.loads(Path(parameters.config_path).read_bytes()))
-        self.limits = Limits.of(base)
+        self.limits = Limits.from_config(base)
         self.gateways = [self._make_gateway(base, number) for number in parameters.numbers]
         self.unreachable_gateways = [
             gateway for gateway in self.gateways if gateway.number < parameters.unreachable_count
--- a/tests/compatibility/build/hot_restart.py
+++ b/tests/compatibility/build/hot_restart.py
@@ -17,7 +17,7 @@
 
 Json = Any
 
-LIMITS = Limits(256, 1.0, 1.0, 1, 1.0, take_back=0.05)
+LIMITS = Limits(256, 1.0, 1.0, 1, 1.0, handoff_timeout=0.05)
 
 
 class _Log:
@@ -167,7 +167,7 @@
     with theirs:
         theirs.settimeout(5.0)
         link.send(typed(message))
-        sent = theirs.recv(LIMITS.packet)
+        sent = theirs.recv(LIMITS.max_packet_size)
         link.close()
     return sent.decode("latin-1")
 
@@ -178,7 +178,7 @@
     sock.setblocking(False)
     while True:
         try:
-            data, descriptors, _, _ = socket.recv_fds(sock, LIMITS.packet, 1)
+            data, descriptors, _, _ = socket.recv_fds(sock, LIMITS.max_packet_size, 1)
         except BlockingIOError:
             return found
         for descriptor in descriptors:
--- a/tests/integration/gateway/setup_steps.py
+++ b/tests/integration/gateway/setup_steps.py
@@ -62,7 +62,7 @@
 
     def _start_gateway(self) -> None:
         parsed = config.parse_config(self.config)
-        limits = Limits(**{**vars(Limits.of(parsed)), **self.limits})
+        limits = Limits(**{**vars(Limits.from_config(parsed)), **self.limits})
         scheduler = Scheduler(lambda: self.now)
         self.gateway = GatewayProcess(parsed, self.log.fileno(), limits, scheduler)
         self.is_started = True
--- a/tests/unit/operation/test_backoff.py
+++ b/tests/unit/operation/test_backoff.py
@@ -19,15 +19,15 @@
 OUTCOMES = [PollFailure.FAILED, PollFailure.TIMED_OUT, PollFailure.REJECTED, NEWS, NO_NEWS]
 
 
-def backoff_of(draw: Callable[[], float], at_first: float = Limits.watch_next) -> Backoff:
+def backoff_of(draw: Callable[[], float], at_first: float = Limits.watch_interval) -> Backoff:
     """Return a backoff with the gateway's times."""
     times = PollTimes(
-        Limits.watch_next,
+        Limits.watch_interval,
         at_first,
-        Limits.watch_hold,
+        Limits.max_watch_hold,
         Limits.watch_grace,
         Limits.watch_timeout,
-        Limits.backoff_first,
+        Limits.initial_backoff,
     )
     return Backoff(draw, times)
 
@@ -47,18 +47,18 @@
 
     It is never at once after a failure, and a poll that may be held leaves its grace period.
     """
-    maximum = Limits.watch_first if has_moved else Limits.watch_next
+    maximum = Limits.first_watch_interval if has_moved else Limits.watch_interval
     backoff = backoff_of(chance.random, maximum)
     now = 100.0
     began: float | None = None
     for outcome, share, watches in polls:
         if began is not None:
-            bound = Limits.watch_first if has_moved else Limits.watch_next
+            bound = Limits.first_watch_interval if has_moved else Limits.watch_interval
             assert now - began <= bound + 1e-9
         began = now
         # At another address the complete list is asked for.
         until = backoff.start_poll(now, watches and not has_moved)
-        assert until - began <= Limits.watch_next
+        assert until - began <= Limits.watch_interval
         dialed = began + share * share * (until - began)
         hold_end = dialed + backoff.remaining_hold(dialed)
         assert hold_end <= max(dialed, until - backoff.times.grace) + 1e-9
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -115,12 +115,12 @@
         self.assertEqual(
             POLL_TIMES,
             PollTimes(
-                max_interval=Limits.watch_next,
-                first_interval=Limits.watch_next,
-                max_hold=Limits.watch_hold,
+                max_interval=Limits.watch_interval,
+                first_interval=Limits.watch_interval,
+                max_hold=Limits.max_watch_hold,
                 grace=Limits.watch_grace,
                 poll_timeout=Limits.watch_timeout,
-                initial_pause=Limits.backoff_first,
+                initial_pause=Limits.initial_backoff,
             ),
         )
         for trouble in ("refused", "silent", "turned away"):
