--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -245,8 +245,8 @@
         ]
         for client in clients:
             progress = before.get(client)
-            if progress is None or progress.sent != client.stream.sent:
-                progress = SendProgress(client.stream.sent, now)
+            if progress is None or progress.sent != client.stream.bytes_sent:
+                progress = SendProgress(client.stream.bytes_sent, now)
             self.slow_readers[client] = progress
             if now - progress.since >= self.limits.stall_timeout:
                 client.stream.close()
--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -102,7 +102,7 @@
         stream.write(
             resp.encode_command(b"CNT.ADD", b"%d" % add.name, amount.encode(), b"%d" % ttl_ms)
         )
-        pending.end_offset = stream.queued
+        pending.end_offset = stream.bytes_queued
         self.last_used_at = self.client.scheduler.now()
 
     def _read_answers(self, stream: Stream) -> None:
@@ -154,7 +154,7 @@
             is_written = (
                 self.stream is not None
                 and pending.end_offset is not None
-                and pending.end_offset <= self.stream.sent
+                and pending.end_offset <= self.stream.bytes_sent
             )
             self.client.report(pending, RESET if is_written else UNREACHABLE, 0.0)
 
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -137,7 +137,7 @@
         pending.end_offset = None
         self.in_flight.append(pending)
         self.stream.write(*pending.request.encode(pending.deadline - now))
-        pending.end_offset = self.stream.queued
+        pending.end_offset = self.stream.bytes_queued
 
     def can_pipeline(self) -> bool:
         """Return whether one more attempt may be written behind those in flight.
@@ -275,7 +275,9 @@
         self.in_flight = deque()
         self.pool.remove(self)
         for pending in in_flight:
-            is_written = pending.end_offset is not None and pending.end_offset <= self.stream.sent
+            is_written = (
+                pending.end_offset is not None and pending.end_offset <= self.stream.bytes_sent
+            )
             outcome: Outcome = RESET if is_written else UNREACHABLE
             if pending.abandoned_as and (is_written or pending.abandoned_as == NEVER_SENT):
                 outcome = pending.abandoned_as
--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -173,7 +173,7 @@
                     self.scheduler.call_soon(self.report, pending, NEVER_SENT)
             elif (
                 pending.end_offset is not None
-                and pending.end_offset > connection.stream.sent
+                and pending.end_offset > connection.stream.bytes_sent
                 and not pending.abandoned_as
             ):
                 connection.stream.unsent.clear()  # nothing is written behind it: see can_pipeline
--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -150,7 +150,7 @@
         """Return all that waits, for a stream to which more will go."""
         if self.stream is None:
             self.stream = stream
-            self.sent = stream.sent
+            self.sent = stream.bytes_sent
             stream.on_flushed = self.adjust_reading
             stream.limit_kernel_buffer(socket.SO_SNDBUF)
         pieces = list(self.pieces)
@@ -175,9 +175,9 @@
         """Pause or resume reading from the endpoint, by what waits here and in the stream."""
         waiting = self.waiting
         if self.stream and not self.is_discarding:
-            waiting += self.stream.queued - self.stream.sent
-            if self.stream.sent > self.sent:
-                self.sent = self.stream.sent
+            waiting += self.stream.bytes_queued - self.stream.bytes_sent
+            if self.stream.bytes_sent > self.sent:
+                self.sent = self.stream.bytes_sent
                 self.last_progress = self.now()
         should_pause = waiting > self.budget.window()
         if should_pause != self.is_reading_paused and self.state is RelayState.OPEN:
--- a/petrellane/net/log.py
+++ b/petrellane/net/log.py
@@ -32,13 +32,13 @@
         self.name = name
         self.clock = clock
         self.max_lines = max_lines
-        self.waiting: deque[bytes] = deque()
+        self.pending_lines: deque[bytes] = deque()
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def event(self, event: str, **figures: object) -> None:
         """Log an event with its figures; what is not JSON is written as its `str`."""
-        if len(self.waiting) >= self.max_lines:
+        if len(self.pending_lines) >= self.max_lines:
             self.dropped += 1
             return
         if self.dropped and event != "log_dropped":
@@ -46,7 +46,7 @@
             self.dropped = 0
             self.event("log_dropped", lines=dropped)
         line = {"at": round(self.clock(), 6), "gateway": self.name, "event": event, **figures}
-        self.waiting.append(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
+        self.pending_lines.append(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
         self.flush()
 
     def fault(self, error: BaseException) -> None:
@@ -59,14 +59,14 @@
 
     def flush(self) -> None:
         """Write what the descriptor takes now; the rest goes with a later event or flush."""
-        while self.waiting:
+        while self.pending_lines:
             try:
-                written = os.write(self.descriptor, self.waiting[0])
+                written = os.write(self.descriptor, self.pending_lines[0])
             except BlockingIOError:
                 return
             except OSError:  # nobody reads the log any more
-                self.waiting.clear()
+                self.pending_lines.clear()
                 return
-            line = self.waiting.popleft()
+            line = self.pending_lines.popleft()
             if written < len(line):
-                self.waiting.appendleft(line[written:])
+                self.pending_lines.appendleft(line[written:])
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -92,8 +92,8 @@
         sock: The socket, which the stream owns.
         buffer: Bytes read and not yet consumed; the reader deletes what it consumes.
         unsent: Buffers that the socket has not taken yet.
-        queued: Bytes handed over for writing so far.
-        sent: Bytes written so far.
+        bytes_queued: Bytes handed over for writing so far.
+        bytes_sent: Bytes written so far.
         reader: The greenlet that waits for bytes, if one does.
         broken: Why the stream is over; None while it is not.
         is_broken_by_write: Whether it broke while writing, so that bytes that came before may still
@@ -127,8 +127,8 @@
         self.sock = sock
         self.buffer = bytearray()
         self.unsent: deque[memoryview] = deque()
-        self.queued = 0
-        self.sent = 0
+        self.bytes_queued = 0
+        self.bytes_sent = 0
         self.reader: Any = None  # a greenlet
         self.broken: Closed | None = None
         self.is_broken_by_write = False
@@ -269,13 +269,13 @@
 
         A peer that leaves too much unread, or is gone, breaks the stream, which its reader learns.
         """
-        if self.unsent and self.queued - self.sent > self.limits.max_unsent:
+        if self.unsent and self.bytes_queued - self.bytes_sent > self.limits.max_unsent:
             self.fail("the peer reads nothing")
             return
         for piece in pieces:
             if len(piece):  # an empty one would never be gone: the socket takes nothing of it
                 self.unsent.append(memoryview(piece))
-                self.queued += len(piece)
+                self.bytes_queued += len(piece)
         if not self._dialing and not self._watched_events & WRITE:
             self.flush()
 
@@ -298,7 +298,7 @@
     def _send_some(self) -> None:
         """Hand queued buffers to the socket once and drop what it took from the queue."""
         taken = self.sock.sendmsg(list(itertools.islice(self.unsent, self.limits.buffers_per_send)))
-        self.sent += taken
+        self.bytes_sent += taken
         while taken:
             piece = self.unsent[0]
             if taken < len(piece):
--- a/petrellane/testbed/metered.py
+++ b/petrellane/testbed/metered.py
@@ -132,10 +132,10 @@
         write = Stream.write
 
         def counting_flush(stream: Stream) -> None:
-            before = stream.sent
+            before = stream.bytes_sent
             flush(stream)
-            if stream.sent != before:
-                self.counts_of(stream).row[BYTES_OUT] += stream.sent - before
+            if stream.bytes_sent != before:
+                self.counts_of(stream).row[BYTES_OUT] += stream.bytes_sent - before
 
         def counting_write(stream: Stream, *pieces: bytes | bytearray | memoryview) -> None:
             counts = self.counts_of(stream)
--- a/tests/integration/gateway/load_steps.py
+++ b/tests/integration/gateway/load_steps.py
@@ -117,7 +117,7 @@
             self.turn(0)
         self.stalled_after = sent
         (relay,) = self.gateway.endpoint_pools.buffer_budget.relays
-        assert relay.stream.sent < int(limit), relay.stream.sent
+        assert relay.stream.bytes_sent < int(limit), relay.stream.bytes_sent
 
     def do_drains(self, rpc: str) -> None:
         """The endpoint sends all that is left of the long value, and ends the answer."""
@@ -130,6 +130,6 @@
         for relay in self.gateway.endpoint_pools.buffer_budget.relays:
             waiting += relay.waiting
             if relay.stream:
-                waiting += relay.stream.queued - relay.stream.sent
+                waiting += relay.stream.bytes_queued - relay.stream.bytes_sent
         assert waiting <= int(number), waiting
         assert bool(waiting) == bool(int(number)), waiting
