--- a/petrellane/gateway/endpoint_pool.py
+++ b/petrellane/gateway/endpoint_pool.py
@@ -54,7 +54,10 @@
                 self._write(connection)
             elif not self._dial_or_write():
                 break
-        # A dial may be late: an idle connection that may be used again by then is as good.
+        self._set_reuse_timer()
+
+    def _set_reuse_timer(self) -> None:
+        """Dispatch again once idle connections may be used, as they may be ready before a dial."""
         if self.queue and self.idle and not self.reuse_timer:
             self.reuse_timer = self.pools.scheduler.call_later(
                 self.pools.limits.reuse_delay, self._on_reuse_timer
