--- a/petrellane/config_consensus/rpc_client.py
+++ b/petrellane/config_consensus/rpc_client.py
@@ -33,8 +33,8 @@
     return Limits(
         sockets=descriptors,
         dial_timeout=timeout_s,
-        host_idle_timeout=IDLE_TIMEOUT_S,
-        streams=STREAMS_PER_CONNECTION,
+        endpoint_idle_timeout=IDLE_TIMEOUT_S,
+        attempts_per_connection=STREAMS_PER_CONNECTION,
         counter_timeout=timeout_s,
     )
 
@@ -108,11 +108,11 @@
             raise NoAnswerError(address, f"no connection: {error}") from None
 
     def _read_answer(self, stream: Stream, request_signature: bytes, deadline: float) -> JsonObject:
-        while not (response := http.head(stream.buffer, self.limits)):
-            http.more(stream, deadline)
+        while not (response := http.parse_response_head(stream.buffer, self.limits)):
+            http.read_more(stream, deadline)
         status, fields, head_length = response
         del stream.buffer[:head_length]
-        body = http.body(stream, fields, self.limits, deadline)
+        body = http.read_body(stream, fields, self.limits, deadline)
         if SIGNATURE_FIELD not in fields:
             shown = body[:SHOWN_BYTES].decode("latin-1").strip()
             raise AuthenticationError(f"status {status} without a seal: {shown}")
@@ -122,4 +122,4 @@
 def _encode_request(address: Address, path: bytes, request: SignedMessage) -> bytes:
     host, port = address
     fields = {SIGNATURE_FIELD.decode(): request.signature.decode()}
-    return http.post(path.decode(), f"{host}:{port}", fields, request.body)
+    return http.encode_post(path.decode(), f"{host}:{port}", fields, request.body)
--- a/tests/unit/simulation/test_fleet.py
+++ b/tests/unit/simulation/test_fleet.py
@@ -60,12 +60,12 @@
 def test_simulated_polls_have_the_times_of_the_gateway() -> None:
     assert (
         PollTimes(
-            max_interval=Limits.watch_next,
-            first_interval=Limits.watch_next,
-            max_hold=Limits.watch_hold,
+            max_interval=Limits.watch_interval,
+            first_interval=Limits.watch_interval,
+            max_hold=Limits.max_watch_hold,
             grace=Limits.watch_grace,
             poll_timeout=Limits.watch_timeout,
-            initial_pause=Limits.backoff_first,
+            initial_pause=Limits.initial_backoff,
         )
         == POLL_TIMES
     )
