--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -11,18 +11,9 @@
 import math
 from collections import Counter
 from dataclasses import replace
-from typing import TYPE_CHECKING, Any, Protocol
-
-from petrellane.decisions.actions import (
-    Abort,
-    CancelAttempt,
-    CounterAdd,
-    Reject,
-    SendAttempt,
-    SetTimer,
-    WatchEndpoints,
-    WriteLog,
-)
+from typing import TYPE_CHECKING, Protocol
+
+from petrellane.decisions.actions import ActionDispatcher
 from petrellane.decisions.controller import AdmissionController
 from petrellane.decisions.types import (
     DEDUPLICATED,
@@ -41,6 +32,17 @@
     from collections.abc import Callable, Iterable
 
     from petrellane.config import Config, EndpointListUpdate, Settings
+    from petrellane.decisions.actions import (
+        Abort,
+        Action,
+        CancelAttempt,
+        CounterAdd,
+        Reject,
+        SendAttempt,
+        SetTimer,
+        WatchEndpoints,
+        WriteLog,
+    )
     from petrellane.decisions.types import Customer, Endpoint, Method, Outcome, Plan
     from petrellane.gateway.client_request import ClientRequest
     from petrellane.gateway.counter_client import CounterClient
@@ -67,7 +69,7 @@
         """Return False while other gateways may have left these settings behind."""
 
 
-class ActionExecutor:
+class ActionExecutor(ActionDispatcher):
     """Turns events of the sockets into calls of the controller, and its actions into I/O.
 
     Owned by `GatewayProcess`, for the life of the process. `endpoint_pools`, `counter_client`,
@@ -77,6 +79,7 @@
     """
 
     def __init__(self, config: Config, runtime: Runtime) -> None:
+        super().__init__()
         self.settings: Settings = config.settings
         self.scheduler = runtime.scheduler
         self.limits: Limits = runtime.limits
@@ -104,21 +107,6 @@
         self.counter_client: CounterClient
         self.handover: HotRestartTransport | None = None
         self.agent: AdmissionGate | None = None
-        self.handlers: dict[type, Callable[[Any], None]] = {
-            SendAttempt: self._send_attempt,
-            Reject: self._reject,
-            Abort: self._abort,
-            CancelAttempt: self._cancel_attempt,
-            CounterAdd: self._add_to_counter,
-            SetTimer: self._set_timer,
-            WriteLog: self._write_log,
-            WatchEndpoints: self._watch_endpoints,
-        }
-
-    def execute(self, actions: Iterable[object]) -> None:
-        """Execute the controller's actions in their order."""
-        for action in actions:
-            self.handlers[type(action)](action)
 
     def start(self, known: EndpointListUpdate) -> None:
         """Start the controller with the endpoints that the configuration knows."""
@@ -248,7 +236,7 @@
         return self.customers.get_or_create(name, plan, first_gateway, gateway_count, now)
 
     def _notify_controller(
-        self, rpc: Rpc, call: Callable[..., Iterable[object]], *args: object, **named: object
+        self, rpc: Rpc, call: Callable[..., Iterable[Action]], *args: object, **named: object
     ) -> None:
         """Make a call of the controller about an RPC and execute its actions.
 
--- a/petrellane/simulation/gateway_actions.py
+++ b/petrellane/simulation/gateway_actions.py
@@ -5,25 +5,24 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
-from typing import TYPE_CHECKING, Any
-
-from petrellane.decisions.actions import (
-    Abort,
-    Action,
-    CancelAttempt,
-    CounterAdd,
-    Reject,
-    SendAttempt,
-    SetTimer,
-    WatchEndpoints,
-    WriteLog,
-)
+from typing import TYPE_CHECKING
+
+from petrellane.decisions.actions import ActionDispatcher
 from petrellane.decisions.types import CANCELLED, LATE, UNREACHABLE, Rpc
 from petrellane.invariants import ABORTED, OK, REJECTED, AttemptSent, RpcAnswered
 from petrellane.simulation.endpoints import PendingAttempt
 
 if TYPE_CHECKING:
+    from petrellane.decisions.actions import (
+        Abort,
+        CancelAttempt,
+        CounterAdd,
+        Reject,
+        SendAttempt,
+        SetTimer,
+        WatchEndpoints,
+        WriteLog,
+    )
     from petrellane.simulation.gateways import SimulatedGateway
 
 CONNECT_TIMEOUT = 0.25  # seconds until an endpoint without an answer counts as unreachable
@@ -32,27 +31,13 @@
 SLOW_CANCEL_DELAY = 0.05  # seconds that these take
 
 
-class ActionExecutor:
+class ActionExecutor(ActionDispatcher):
     """Executes the actions of one gateway, which owns it."""
 
     def __init__(self, gateway: SimulatedGateway) -> None:
+        super().__init__()
         self._gateway = gateway
         self._simulation = gateway.simulation
-        self._handlers: dict[type, Callable[[Any], None]] = {
-            SendAttempt: self._send_attempt,
-            Reject: self._reject,
-            Abort: self._abort,
-            CancelAttempt: self._cancel_attempt,
-            CounterAdd: self._add_to_counter,
-            SetTimer: self._set_timer,
-            WriteLog: self._write_log,
-            WatchEndpoints: self._watch_endpoints,
-        }
-
-    def execute(self, actions: Iterable[Action]) -> None:
-        """Execute actions in their order."""
-        for action in actions:
-            self._handlers[type(action)](action)
 
     def answer_ok(self, rpc: Rpc) -> None:
         """Relay the answer of an endpoint to the client, if it still waits."""
@@ -82,21 +67,21 @@
             simulation.world.latency, client_rpc.on_answer, answer, retry_after
         )
 
-    def _send_attempt(self, attempt: SendAttempt) -> None:
+    def _send_attempt(self, action: SendAttempt) -> None:
         """Send an attempt to its endpoint, on an open connection or on a new one."""
         gateway = self._gateway
         simulation = self._simulation
         now = simulation.events.now
-        client_rpc = gateway.open_rpcs.get(attempt.rpc)
-        endpoint = simulation.endpoints_by_name[attempt.endpoint.address]
+        client_rpc = gateway.open_rpcs.get(action.rpc)
+        endpoint = simulation.endpoints_by_name[action.endpoint.address]
         if client_rpc is None:
-            name = simulation.name_of(attempt.rpc)
-            simulation.record(AttemptSent(now, gateway.name, name, attempt.number, endpoint.name))
+            name = simulation.name_of(action.rpc)
+            simulation.record(AttemptSent(now, gateway.name, name, action.number, endpoint.name))
             return
-        pending = PendingAttempt(gateway, attempt, client_rpc.call, client_rpc.name, endpoint)
+        pending = PendingAttempt(gateway, action, client_rpc.call, client_rpc.name, endpoint)
         gateway.pending_attempts[pending] = None
         simulation.record(
-            AttemptSent(now, gateway.name, client_rpc.name, attempt.number, endpoint.name)
+            AttemptSent(now, gateway.name, client_rpc.name, action.number, endpoint.name)
         )
         self._deliver_attempt(pending)
 
@@ -145,8 +130,8 @@
                     delay, gateway.report_outcome, pending, CANCELLED
                 )
 
-    def _add_to_counter(self, add: CounterAdd) -> None:
-        self._simulation.counter.send(self._gateway, add)
+    def _add_to_counter(self, action: CounterAdd) -> None:
+        self._simulation.counter.send(self._gateway, action)
 
     def _set_timer(self, action: SetTimer) -> None:
         gateway = self._gateway
@@ -157,5 +142,5 @@
     def _write_log(self, action: WriteLog) -> None:
         self._simulation.trace(self._gateway.name, action.text)
 
-    def _watch_endpoints(self, _action: WatchEndpoints) -> None:
+    def _watch_endpoints(self, action: WatchEndpoints) -> None:
         """Do nothing: the watch is on from the start."""
