--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -210,6 +210,16 @@
     def start(self) -> None:
         """Listen, and watch the endpoint list; the scheduler does the rest."""
         self.executor.start(self.config.known)
+        self.start_background_work()
+        if self.config.listen_fd is not None:
+            self.client_listener.inherit(self.config.listen_fd)
+            self.scheduler.after(self.limits.listed, self.take_over)
+        else:
+            self.client_listener.listen(self.config.listen, connectable=not self.agent)
+            self.begin_serving()
+
+    def start_background_work(self) -> None:
+        """Start all that needs no clients: consensus state, watch, management API and timers."""
         if self.agent:
             self.agent.load()
         self.scheduler.spawn(self.endpoint_watch.run)
@@ -217,12 +227,6 @@
             self.management.listen(self.config.management)
         self.run_heartbeat()
         self.log_figures()
-        if self.config.listen_fd is not None:
-            self.client_listener.inherit(self.config.listen_fd)
-            self.scheduler.after(self.limits.listed, self.take_over)
-        else:
-            self.client_listener.listen(self.config.listen, connectable=not self.agent)
-            self.begin_serving()
 
     def begin_serving(self) -> None:
         """Serve clients, once it is known which settings are in force.
--- a/petrellane/testbed/hollow/gateway.py
+++ b/petrellane/testbed/hollow/gateway.py
@@ -171,13 +171,7 @@
     def start(self) -> None:
         """Start as any gateway does, but listen for no clients."""
         self.executor.start(self.known_part(self.first_list))
-        if self.agent:
-            self.agent.load()
-        self.scheduler.spawn(self.endpoint_watch.run)
-        if self.config.management:
-            self.management.listen(self.config.management)
-        self.run_heartbeat()
-        self.log_figures()
+        self.start_background_work()
         self.begin_serving()
         if self.agent and self.is_at_rest:
             status = self.agent.status
