--- a/benchmarks/descriptors_gateway.py
+++ b/benchmarks/descriptors_gateway.py
@@ -10,6 +10,8 @@
 import time
 from typing import Any, NamedTuple
 
+from petrellane.testbed.fleet_spec import LOOK
+
 Event = dict[str, Any]
 
 START_PATIENCE_S = 20.0
@@ -32,16 +34,7 @@
 app()
 """
 SETTINGS = {
-    "classes": [
-        {
-            "name": "look",
-            "effect": "pure",
-            "goalTime": 1000000,
-            "giveUp": 2000000,
-            "worth": 1.0,
-            "lateWorth": 0.5,
-        }
-    ],
+    "classes": [LOOK],
     "contracts": [{"name": "basic", "quotaRate": 500, "storeSize": 1000, "pays": 1.0}],
     "familyInfo": {"mayCount": True, "counterTimeout": 80000},
     "limits": {
--- a/benchmarks/descriptors_peers.py
+++ b/benchmarks/descriptors_peers.py
@@ -6,10 +6,10 @@
 import time
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
-from typing import Any
 
 from petrellane.net import resp
 from petrellane.net.limits import Limits
+from petrellane.testbed.endpoint_rows import EndpointRow, build_endpoint_row
 
 LIMITS = Limits(1 << 16, 1.0, 1.0, 64, 1.0)
 READ_BYTES = 1 << 16
@@ -111,23 +111,14 @@
             is_watch = f"from={listed.index}&" in path
             if is_watch:
                 await asyncio.sleep(int(path.split("hold_ms=")[1]) / 1e3)
-            endpoints = [] if is_watch else [self.entry(host) for host in listed.hosts]
+            endpoints = [] if is_watch else [self.endpoint_row(host) for host in listed.hosts]
             content = {"index": listed.index, "snapshot": not is_watch, "endpoints": endpoints}
             body = json.dumps(content).encode()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
-    def entry(self, name: str) -> dict[str, Any]:
+    def endpoint_row(self, name: str) -> EndpointRow:
         """Return a host's row of an endpoint list."""
-        return {
-            "name": name,
-            "address": self.address[name],
-            "zone": "z",
-            "type": "k",
-            "group": 1,
-            "status": "in_service",
-            "weight": 1.0,
-            "since_ms": 0,
-        }
+        return build_endpoint_row(name, self.address[name])
 
     def _mark(self, event: str) -> None:
         self.first_seen.setdefault(event, time.monotonic())
--- a/benchmarks/descriptors_run.py
+++ b/benchmarks/descriptors_run.py
@@ -151,7 +151,11 @@
 
     def _build_config(self) -> dict[str, Any]:
         peers = self.peers
-        endpoint_list = {"index": 5, "snapshot": True, "endpoints": [peers.entry("host old")]}
+        endpoint_list = {
+            "index": 5,
+            "snapshot": True,
+            "endpoints": [peers.endpoint_row("host old")],
+        }
         return build_config(self.options.sockets) | {
             "listen": self.listen,
             "discovery": peers.address["discovery old"],
--- a/benchmarks/start_up_single.py
+++ b/benchmarks/start_up_single.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 from benchmarks.start_up_rounds import ROOT
+from petrellane.testbed.endpoint_rows import build_endpoint_row
 from petrellane.testbed.fleet_spec import SettingsSpec, build_settings
 
 KNOWN_HOSTS = 200
@@ -23,16 +24,7 @@
 def build_config(extra_methods: int) -> dict[str, Any]:
     """Return a configuration with 200 known endpoints."""
     endpoints = [
-        {
-            "name": f"h{number}",
-            "address": f"127.99.0.1:{3000 + number}",
-            "zone": "z",
-            "type": "k",
-            "group": 1,
-            "status": "in_service",
-            "weight": 1.0,
-            "since_ms": 0,
-        }
+        build_endpoint_row(f"h{number}", f"127.99.0.1:{3000 + number}")
         for number in range(KNOWN_HOSTS)
     ]
     names = [f"m{number}" for number in range(extra_methods)]
--- a/petrellane/testbed/fake_discovery.py
+++ b/petrellane/testbed/fake_discovery.py
@@ -9,7 +9,7 @@
 import socket
 from collections import deque
 from collections.abc import Callable, Iterable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import orjson
 
@@ -17,11 +17,10 @@
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Address, Stream, accepted, listening
 from petrellane.testbed.addresses import ANY_PORT
+from petrellane.testbed.endpoint_rows import IN_SERVICE, EndpointRow, build_endpoint_row
 from petrellane.testbed.fake_server import BACKLOG, FakeServer, ignore_exhaustion
 from petrellane.testbed.records import Records
 
-Row = dict[str, Any]  # a host as the endpoint list has it on the wire
-
 MAXIMUM_CHANGES = 1000  # changes remembered for gateways that have not polled on
 MAXIMUM_HOLD_S = 60.0  # for which a watch is held
 WATCH_CHECK_S = 0.02  # between two looks at a watch
@@ -139,7 +138,7 @@
             sock.connect_ex(self.address)
 
 
-def _same_row(_: str, row: Row) -> Row:
+def _same_row(_: str, row: EndpointRow) -> EndpointRow:
     """Show a host to all gateways alike."""
     return row
 
@@ -163,7 +162,7 @@
         self,
         scheduler: Scheduler,
         records: Records | None,
-        row_seen_by: Callable[[str, Row], Row] = _same_row,
+        row_seen_by: Callable[[str, EndpointRow], EndpointRow] = _same_row,
     ) -> None:
         """Make an empty list.
 
@@ -174,7 +173,7 @@
         """
         self.scheduler = scheduler
         self.index = 1
-        self.rows: dict[str, Row] = {}
+        self.rows: dict[str, EndpointRow] = {}
         self.watches: dict[Stream, Watch] = {}
         self.listeners: dict[str, DiscoveryListener] = {}
         self.notice_delay_s = 0.0
@@ -195,7 +194,7 @@
             self.listeners[gateway] = DiscoveryListener(self, gateway, address)
         return self.listeners[gateway]
 
-    def put(self, name: str, address: str, state: str = "in_service", since: float = 0.0) -> None:
+    def put(self, name: str, address: str, state: str = IN_SERVICE, since: float = 0.0) -> None:
         """Add a host to the list, or change it.
 
         Args:
@@ -205,16 +204,7 @@
             since: The Unix time of its start; 0 for long ago.
         """
         self.index += 1
-        self.rows[name] = {
-            "name": name,
-            "address": address,
-            "zone": "z",
-            "type": "k",
-            "group": 1,
-            "status": state,
-            "weight": 1.0,
-            "since_ms": int(since * 1e3),
-        }
+        self.rows[name] = build_endpoint_row(name, address, state, since)
         self._changed_at[name] = self.index
         self._changes.append(Change(self.index, name, state, since))
         self.scheduler.after(self.notice_delay_s, self.notify)
@@ -268,7 +258,7 @@
         """Drop the watch of a connection that has ended."""
         self.watches.pop(stream, None)
 
-    def rows_seen_by(self, gateway: str) -> list[Row]:
+    def rows_seen_by(self, gateway: str) -> list[EndpointRow]:
         """Return the list as a gateway sees it."""
         return [self._row_seen_by(gateway, row) for row in self.rows.values()]
 
@@ -296,7 +286,7 @@
             return
         for change in self._changes:
             if before < change.list_index <= index:
-                state = invariants.READY if change.status == "in_service" else change.status
+                state = invariants.READY if change.status == IN_SERVICE else change.status
                 since = change.since and change.since - self._records.began
                 self._records.add(
                     invariants.EndpointNotified(
@@ -304,7 +294,9 @@
                     )
                 )
 
-    def _answer(self, stream: Stream, gateway: str, is_snapshot: bool, rows: Iterable[Row]) -> None:
+    def _answer(
+        self, stream: Stream, gateway: str, is_snapshot: bool, rows: Iterable[EndpointRow]
+    ) -> None:
         if self.away:
             return
         seen = [self._row_seen_by(gateway, row) for row in rows]
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -22,8 +22,9 @@
 from petrellane.net.stream import Address
 from petrellane.testbed.addresses import AddressPool, format_address
 from petrellane.testbed.clients import Clients, Front, Load
+from petrellane.testbed.endpoint_rows import EndpointRow
 from petrellane.testbed.fake_counter import FakeCounter
-from petrellane.testbed.fake_discovery import FakeDiscovery, Row
+from petrellane.testbed.fake_discovery import FakeDiscovery
 from petrellane.testbed.fake_host import FakeHost
 from petrellane.testbed.fleet_control import FleetControl
 from petrellane.testbed.fleet_gateway import FleetGateway
@@ -378,7 +379,7 @@
     def _host(self, name: str) -> FakeHost:
         return next(host for host in self.hosts if host.name == name)
 
-    def _row_seen_by(self, gateway: str, row: Row) -> Row:
+    def _row_seen_by(self, gateway: str, row: EndpointRow) -> EndpointRow:
         """Return a host of the list with the address at which a gateway is to reach it."""
         route = Route(RouteKind.HOST, gateway, row["name"])
         return {**row, "address": self.reach(route)} if self.relays.has_relay(route) else row
--- a/petrellane/testbed/scale_discovery.py
+++ b/petrellane/testbed/scale_discovery.py
@@ -15,12 +15,12 @@
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Stream
+from petrellane.testbed.endpoint_rows import IN_SERVICE, EndpointRow
 from petrellane.testbed.fake_discovery import (
     BUSY_RESPONSE,
     MAXIMUM_HOLD_S,
     DiscoveryListener,
     FakeDiscovery,
-    Row,
     read_request,
 )
 
@@ -30,7 +30,7 @@
 class ScaleDiscovery(FakeDiscovery):
     """Discovery of a scale run, for as long as its process lives."""
 
-    def __init__(self, scheduler: Scheduler, rows: Iterable[Row], rate: float) -> None:
+    def __init__(self, scheduler: Scheduler, rows: Iterable[EndpointRow], rate: float) -> None:
         """Make discovery with a list of hosts.
 
         Args:
@@ -156,6 +156,6 @@
             return
         self._scheduler.after(1 / self._rate, self._change)
         name = self._random.choice(self._names)
-        is_in_service = self._discovery.rows[name]["status"] == "in_service"
-        self._discovery.change(name, "terminating" if is_in_service else "in_service")
+        is_in_service = self._discovery.rows[name]["status"] == IN_SERVICE
+        self._discovery.change(name, "terminating" if is_in_service else IN_SERVICE)
         self._log.event("changed", index=self._discovery.index)
--- a/petrellane/testbed/scale_files.py
+++ b/petrellane/testbed/scale_files.py
@@ -7,7 +7,7 @@
 import orjson
 
 from petrellane.testbed.addresses import AddressPool
-from petrellane.testbed.fake_discovery import Row
+from petrellane.testbed.endpoint_rows import IN_SERVICE, EndpointRow
 from petrellane.testbed.fleet_spec import Settings
 
 KEY = b"key of one run only"
@@ -180,7 +180,7 @@
         return config
 
 
-def _make_row(number: int) -> Row:
+def _make_row(number: int) -> EndpointRow:
     """Return a host of the endpoint list, which nobody dials."""
     return {
         "name": f"h{number}",
@@ -188,7 +188,7 @@
         "zone": f"z{number % ZONES}",
         "type": "k",
         "group": number % PODS,
-        "status": "in_service",
+        "status": IN_SERVICE,
         "weight": 1.0,
         "since_ms": 0,
     }
