--- a/tests/integration/gateway/configuration.py
+++ b/tests/integration/gateway/configuration.py
@@ -7,6 +7,14 @@
 
 Config: TypeAlias = dict[str, Any]
 
+LOOK: Config = {
+    "name": "look",
+    "effect": "pure",
+    "goalTime": 1000000,
+    "giveUp": 4000000,
+    "worth": 1.0,
+    "lateWorth": 0.5,
+}
 BASE_CONFIG: Config = {
     "name": "g1",
     "listen": "127.0.0.1:0",
@@ -17,14 +25,7 @@
     "known": {"index": 1, "snapshot": True, "endpoints": []},
     "settings": {
         "classes": [
-            {
-                "name": "look",
-                "effect": "pure",
-                "goalTime": 1000000,
-                "giveUp": 4000000,
-                "worth": 1.0,
-                "lateWorth": 0.5,
-            },
+            LOOK,
             {
                 "name": "lodge",
                 "effect": "token",
--- a/tests/integration/operation/deployment.py
+++ b/tests/integration/operation/deployment.py
@@ -5,7 +5,6 @@
 
 import contextlib
 import json
-import os
 import signal
 import socket
 import subprocess
@@ -26,6 +25,13 @@
     endpoint_row,
     with_changes,
 )
+from tests.loopback import (
+    Address,
+    address_text,
+    free_address,
+    gateway_environment,
+    serve_connections,
+)
 
 LIMITS = Limits(256, 1.0, 1.0, 1, 1.0)
 LONG_RPC = b"big"  # the id of the RPC with a long value
@@ -40,8 +46,6 @@
 BULK = ord("$")
 READY_PATH = "/-/ready"
 
-Address = tuple[str, int]
-
 
 def commands(sock: socket.socket) -> Iterator[list[bytes]]:
     """Yield the commands that come on a connection, each as its parts."""
@@ -76,12 +80,6 @@
     return b"$%d\r\n%b\r\n" % (len(data), data)
 
 
-def address_text(sock: socket.socket) -> str:
-    """Return HOST:PORT of a socket."""
-    host, port = sock.getsockname()
-    return f"{host}:{port}"
-
-
 class GatewayProcess(subprocess.Popen[bytes]):
     """A process of the gateway; the deployment that started it ends it.
 
@@ -162,7 +160,7 @@
         self.config = with_changes(BASE_CONFIG, [counter_timeout, *changes])
         endpoint = self.serve(self._serve_endpoint)
         self.config |= {
-            "listen": address_text(self.listener),
+            "listen": address_text(self.address),
             "counter": self.serve(self._serve_counter),
             "discovery": self.serve(self._serve_discovery),
         }
@@ -181,21 +179,7 @@
 
     def serve(self, handler: Callable[[socket.socket], None]) -> str:
         """Serve connections, a thread each, and return the address."""
-        listener = self.resources.enter_context(socket.create_server(("127.0.0.1", 0)))
-
-        def accept() -> None:
-            with contextlib.suppress(OSError):
-                while True:
-                    sock, _ = listener.accept()
-                    threading.Thread(target=handle, args=(sock,), daemon=True).start()
-
-        def handle(sock: socket.socket) -> None:
-            with sock, contextlib.suppress(OSError):
-                handler(sock)
-
-        threading.Thread(target=accept, daemon=True).start()
-        self.resources.callback(listener.shutdown, socket.SHUT_RDWR)
-        return address_text(listener)
+        return serve_connections(self.resources, handler)
 
     def _serve_endpoint(self, sock: socket.socket) -> None:
         """Answer each RPC with its id, once the gate of that id is open, where it has one.
@@ -234,16 +218,8 @@
 
     def start(self, **variables: str) -> GatewayProcess:
         """Start a process of the gateway, with a management address of its own."""
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            management: Address = free.getsockname()
-        environment = {
-            **os.environ,
-            "PROXY_CONFIG": str(self.file),
-            "PROXY_MANAGEMENT": "{}:{}".format(*management),
-            "TMPDIR": str(self.folder),
-            "PROXY_LISTEN_FD": str(self.listener.fileno()),
-            **variables,
-        }
+        management = free_address()
+        environment = gateway_environment(self.file, management, self.listener) | variables
         process = GatewayProcess(
             [sys.executable, "-m", "petrellane", "serve"],
             env=environment,
