--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -0,0 +1,1 @@
+"""What an earlier build stored, sent and decided, against the present build."""
--- a/tests/compatibility/build/hot_restart.py
+++ b/tests/compatibility/build/hot_restart.py
@@ -5,7 +5,7 @@
 import socket
 import sys
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NoReturn
 
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
@@ -58,9 +58,9 @@
     return message
 
 
-def never(*words: Any) -> Any:
+def never(*arguments: object) -> NoReturn:
     """Stand for what the other end of a hot restart is asked for."""
-    raise AssertionError(f"expected no call at this end, found one with {words}")
+    raise AssertionError(f"expected no call at this end, found one with {arguments}")
 
 
 class Predecessor:
@@ -160,10 +160,10 @@
     return [sys.executable, "-m", "petrellane", "serve"]
 
 
-def packet(message: Json) -> str:
+def encode_packet(message: Json) -> str:
     """The packet that a message is sent as, without data."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    link = hot_restart_link.MessageLink(Scheduler(), LIMITS, ours, never, lambda link: None)
+    link = hot_restart_link.MessageLink(Scheduler(), LIMITS, ours, never, lambda _link: None)
     with theirs:
         theirs.settimeout(5.0)
         link.send(typed(message))
--- a/tests/compatibility/build/leases.py
+++ b/tests/compatibility/build/leases.py
@@ -67,7 +67,7 @@
         return self.customers[name]
 
     def play(self, script: list[Json]) -> None:
-        """Carry out steps.
+        """Take the steps of a script.
 
         These are ["rpc", at, name, plan, first, spread, units], ["count", at, outcome] and
         ["end", at, index].
@@ -97,16 +97,16 @@
             answered = total if outcome == "ok" else 0.0
             self._take(self.controller.on_counter_reply(now, add, outcome, answered))
 
-    def given(self, now: float, generation: Json = None) -> list[Json]:
+    def export_state(self, now: float, generation: Json = None) -> list[Json]:
         """The messages that give all leases up."""
         exported = hot_restart.export_leases(self.controller, now, generation)
         return [hot_restart_messages.encode(message) for message in exported]
 
-    def taken(self, now: float, rows: list[Json]) -> int:
+    def import_state(self, now: float, rows: list[Json]) -> int:
         """Take leases over; how many."""
         return hot_restart.import_leases(self.controller, now, rows, self.customer)
 
-    def settled(self, now: float, name: str, number: int) -> int:
+    def release_in_flight(self, now: float, name: str, number: int) -> int:
         """End RPCs that the process before had in flight; how many the lease counted."""
         return hot_restart.release_in_flight(self.controller, now, self.customers[name], number)
 
--- a/tests/compatibility/build/management.py
+++ b/tests/compatibility/build/management.py
@@ -25,7 +25,7 @@
     def __init__(self, data: bytes, ends: bool) -> None:
         self.buffer, self.ends = bytearray(data), ends
 
-    def fill(self, seconds: float) -> None:
+    def fill(self, _seconds: float) -> None:
         """Nothing more comes."""
         if self.ends:
             raise Closed("the end")
@@ -48,7 +48,7 @@
     scheduler = Scheduler(monotonic=lambda: now)
     scheduler.offset = 0.0
     server = ManagementServer(
-        scheduler, LIMITS, lifecycle, lambda: changes.append(None), lambda error: False
+        scheduler, LIMITS, lifecycle, lambda: changes.append(None), lambda _error: False
     )
     server.handlers[b"/-/agreement"] = lambda fields, body: (
         200,
--- a/tests/compatibility/build/participant.py
+++ b/tests/compatibility/build/participant.py
@@ -1,6 +1,5 @@
 """A participant of the consensus on settings: messages, stored state."""
 
-import os
 import pathlib
 import tempfile
 from typing import Any
@@ -57,7 +56,7 @@
     """
     state, status = state_of(remembered), 200
     try:
-        state, answer = participant.handle_message(state, message, lambda content: wrong)
+        state, answer = participant.handle_message(state, message, lambda _content: wrong)
         body = answer.to_dict()
     except MessageRejected as rejection:
         status, body = rejection.status, rejection.to_dict()
@@ -77,13 +76,13 @@
         for ballot in participant.missing_ballots(state, peer)
     ]
     got = [ballots.parse_generation(one, safe_settings.digest) for one in fetched]
-    after = participant.merge_peer_state(state, peer, got, lambda content: None)
+    after = participant.merge_peer_state(state, peer, got, lambda _content: None)
     return {"missing": missing, "after": stored(after)}
 
 
 def state_files(gateway: str) -> list[str]:
     """The names of a participant's files."""
-    return [os.path.basename(path) for path in state_store.StateStore("", gateway).paths]
+    return [pathlib.Path(path).name for path in state_store.StateStore("", gateway).paths]
 
 
 def load_state(folder: str, gateway: str) -> Json:
--- a/tests/compatibility/build/signatures.py
+++ b/tests/compatibility/build/signatures.py
@@ -44,7 +44,7 @@
     return http.post(path, host, {field: signature.decode()}, body)
 
 
-def agreement_paths() -> list[str]:
+def consensus_paths() -> list[str]:
     """Where participants and control processes are asked."""
     paths = (message_authentication.PARTICIPANT_PATH, message_authentication.STAFF_PATH)
     return [path.decode() for path in paths]
--- a/tests/compatibility/build/simulation.py
+++ b/tests/compatibility/build/simulation.py
@@ -1,12 +1,16 @@
 """The simulated fleet: its scenarios, records and decisions."""
 
-from typing import Any
+from collections.abc import Callable, Sequence
+from typing import TypeAlias
 
 from petrellane import invariants
 from petrellane.decisions import actions
 from petrellane.decisions.controller import AdmissionController
 from petrellane.simulation import fleet, scenario_generation
-from tests.compatibility.build.values import plain
+from petrellane.simulation.scenario import Scenario
+from tests.compatibility.build.values import Json, plain
+
+Entry: TypeAlias = Callable[..., Sequence[actions.Action]]  # an event method of the decisions
 
 # The label of each kind of record in the recorded digests.
 RECORD_LABELS = {
@@ -38,7 +42,7 @@
 )
 
 
-def scenario(name: str) -> Any:
+def scenario(name: str) -> Scenario:
     """A scenario by its name: "draw 17", "followed 17" or "neighbour 17"."""
     kind, seed = name.split()
     drawn = scenario_generation.generate_scenario(int(seed))
@@ -49,7 +53,7 @@
     return drawn
 
 
-def step_values(step: Any) -> list[Any]:
+def step_values(step: actions.Action) -> list[Json]:
     """A step that the decisions answer with, as a label and its figures."""
     if isinstance(step, actions.SendAttempt):
         figures = [step.endpoint.address, step.number, step.sent_at, step.timeout, step.send_by]
@@ -68,20 +72,23 @@
     return [others.get(type(step), "log")]
 
 
-def noted_decisions(log: list[list[Any]]) -> Any:
+def noted_decisions(log: list[list[Json]]) -> type[AdmissionController]:
     """The decisions, with all steps that they answer to each event noted in a log."""
-    depth = [0]
+    depth = 0
 
-    def noted(entry: str) -> Any:
-        inner = getattr(AdmissionController, entry)
+    def noted(entry: str) -> Entry:
+        inner: Entry = getattr(AdmissionController, entry)
 
-        def call(self: Any, *words: Any, **more: Any) -> Any:
-            depth[0] += 1
+        def call(
+            controller: AdmissionController, *arguments: object, **named: object
+        ) -> Sequence[actions.Action]:
+            nonlocal depth
+            depth += 1
             try:
-                steps = inner(self, *words, **more)
+                steps = inner(controller, *arguments, **named)
             finally:
-                depth[0] -= 1
-            if not depth[0]:
+                depth -= 1
+            if not depth:  # what an entry calls itself is part of its own answer
                 log.extend(step_values(step) for step in steps)
             return steps
 
@@ -92,14 +99,14 @@
     )
 
 
-def played(name: str) -> tuple[list[tuple[str, list[Any]]], list[Any], list[list[Any]]]:
+def played(name: str) -> tuple[list[tuple[str, list[Json]]], list[Json], list[list[Json]]]:
     """Play a scenario.
 
     Returns:
         Its records, each as a label and plain values; what the rules say: counts and distances;
         and all steps that were decided.
     """
-    log: list[list[Any]] = []
+    log: list[list[Json]] = []
     run = fleet.FleetSimulation(scenario(name), noted_decisions(log), keep_records=True).play()
     records = [(RECORD_LABELS[type(one)], [plain(value) for value in one]) for one in run.records]
     verdict = [
--- a/tests/compatibility/build/values.py
+++ b/tests/compatibility/build/values.py
@@ -2,13 +2,15 @@
 
 import dataclasses
 import enum
-from typing import Any
+from typing import Any, TypeAlias
+
+Json: TypeAlias = Any
 
 # Words that records hold here, and those that stand in the recorded digests, where they differ.
 RECORD_WORDS: dict[str, str] = {}
 
 
-def plain(value: Any) -> Any:
+def plain(value: object) -> Json:
     """A value without any type of the program."""
     if isinstance(value, enum.Enum):
         return plain(value.value)
--- a/tests/compatibility/digests.py
+++ b/tests/compatibility/digests.py
@@ -9,23 +9,29 @@
 import json
 import multiprocessing
 import os
+from collections.abc import Iterator
 from concurrent.futures import ProcessPoolExecutor
-from typing import Any
+from contextlib import contextmanager
 
 from tests.compatibility import build
+from tests.compatibility.files import Json
 
 NAMES = (
     *(f"draw {seed}" for seed in range(140)),
     *(f"followed {seed}" for seed in range(30)),
     *(f"neighbour {seed}" for seed in range(10)),
 )
+PARTS = ("happened", "remains", "rules", "decided")
+RETAINED_LABEL = "remains"  # of records of what gateways still hold at the end
+
 WORKERS = 2
+SCENARIOS_PER_TASK = 5
 HASH_SEED = "0"
-PARTS = ("happened", "remains", "rules", "decided")
+HASH_SEED_VARIABLE = "PYTHONHASHSEED"
 
 
-def text_of(value: Any) -> str:
-    """A plain value as canonical text."""
+def text_of(value: Json) -> str:
+    """Return a plain value as canonical text."""
     if isinstance(value, (list, tuple)):
         return "[" + " ".join(map(text_of, value)) + "]"
     if isinstance(value, float):
@@ -33,45 +39,50 @@
     return json.dumps(value)
 
 
-def digest_of(lines: list[str]) -> str:
-    """The digest of some lines."""
+def digest_lines(lines: list[str]) -> str:
+    """Return the digest of some lines."""
     return hashlib.sha256("\n".join(lines).encode()).hexdigest()
 
 
-def of_scenario(name: str) -> list[str]:
-    """The digests of one scenario, one for each of PARTS."""
+def digest_scenario(name: str) -> list[str]:
+    """Return the digests of one scenario, one for each of PARTS."""
     records, verdict, decisions = build.played(name)
     lines = [(label, f"{label} {text_of(values)}") for label, values in records]
     return [
-        digest_of([line for label, line in lines if label != "remains"]),
-        digest_of([line for label, line in lines if label == "remains"]),
-        digest_of([text_of(verdict)]),
-        digest_of([text_of(step) for step in decisions]),
+        digest_lines([line for label, line in lines if label != RETAINED_LABEL]),
+        digest_lines([line for label, line in lines if label == RETAINED_LABEL]),
+        digest_lines([text_of(verdict)]),
+        digest_lines([text_of(step) for step in decisions]),
     ]
 
 
-def of_all() -> dict[str, list[str]]:
-    """The digests of all scenarios, by name."""
-    # One scenario's run depends on the order of a set of texts: workers hash texts alike.
-    before = os.environ.get("PYTHONHASHSEED")
-    os.environ["PYTHONHASHSEED"] = HASH_SEED
+@contextmanager
+def fixed_hash_seed() -> Iterator[None]:
+    """Have processes that are started within hash texts alike.
+
+    One scenario's run depends on the order of a set of texts.
+    """
+    before = os.environ.get(HASH_SEED_VARIABLE)
+    os.environ[HASH_SEED_VARIABLE] = HASH_SEED
     try:
-        return _of_all()
+        yield
     finally:
-        del os.environ["PYTHONHASHSEED"]
+        del os.environ[HASH_SEED_VARIABLE]
         if before is not None:
-            os.environ["PYTHONHASHSEED"] = before
+            os.environ[HASH_SEED_VARIABLE] = before
 
 
-def _of_all() -> dict[str, list[str]]:
+def digest_all_scenarios() -> dict[str, list[str]]:
+    """Return the digests of all scenarios, by name."""
     spawn = multiprocessing.get_context("spawn")
-    with ProcessPoolExecutor(WORKERS, mp_context=spawn) as pool:
-        return dict(zip(NAMES, pool.map(of_scenario, NAMES, chunksize=5), strict=True))
+    with fixed_hash_seed(), ProcessPoolExecutor(WORKERS, mp_context=spawn) as pool:
+        digests = pool.map(digest_scenario, NAMES, chunksize=SCENARIOS_PER_TASK)
+        return dict(zip(NAMES, digests, strict=True))
 
 
-def of_parts(digests: dict[str, list[str]]) -> dict[str, str]:
-    """One digest for each of PARTS over all scenarios."""
+def digest_parts(digests: dict[str, list[str]]) -> dict[str, str]:
+    """Return one digest for each of PARTS over all scenarios."""
     return {
-        part: digest_of([f"{name} {digests[name][index]}" for name in NAMES])
+        part: digest_lines([f"{name} {digests[name][index]}" for name in NAMES])
         for index, part in enumerate(PARTS)
     }
--- a/tests/compatibility/test_cases.py
+++ b/tests/compatibility/test_cases.py
@@ -11,23 +11,27 @@
 from tests.compatibility import files
 
 FOLDER = pathlib.Path(__file__).parent
+CASE_COUNT = 367  # of the build before
 BEFORE = [line.split()[1] for line in (FOLDER / "cases-before.txt").read_text().splitlines()]
 NOW = [line.split() for line in (FOLDER / "cases-now.txt").read_text().splitlines()]
 
+COLLECT = ["-m", "pytest", "--collect-only", "-q", "-o", "addopts=", "-p", "no:cacheprovider"]
+SHOWN = 2000  # characters of a failed collection's output
 
-def collected() -> set[str]:
-    """The node ids that pytest collects from the repository's root, with and without parameters."""
-    words = ["-m", "pytest", "--collect-only", "-q", "-o", "addopts=", "-p", "no:cacheprovider"]
-    ended = subprocess.run(
-        [sys.executable, *words], cwd=files.ROOT, capture_output=True, text=True, check=False
+
+def collect_node_ids() -> set[str]:
+    """Return the node ids that pytest collects, with and without parameters."""
+    collection = subprocess.run(
+        [sys.executable, *COLLECT], cwd=files.ROOT, capture_output=True, text=True, check=False
     )
-    assert ended.returncode == 0, ended.stdout[-2000:] + ended.stderr[-2000:]
-    ids = [line for line in ended.stdout.splitlines() if "::" in line]
+    output = collection.stdout
+    assert collection.returncode == 0, output[-SHOWN:] + collection.stderr[-SHOWN:]
+    ids = [line for line in output.splitlines() if "::" in line]
     return {*ids, *(node_id.partition("[")[0] for node_id in ids)}
 
 
 def test_each_case_of_the_build_before_is_listed_once() -> None:
-    assert len(BEFORE) == 367
+    assert len(BEFORE) == CASE_COUNT
     assert sorted(case for case, *_ in NOW) == sorted(BEFORE)
 
 
@@ -37,6 +41,6 @@
 
 
 def test_each_case_of_the_build_before_has_a_successor() -> None:
-    found = collected()
-    lost = [[case, *ids] for case, *ids in NOW if not ids or not found.issuperset(ids)]
+    collected = collect_node_ids()
+    lost = [[case, *ids] for case, *ids in NOW if not ids or not collected.issuperset(ids)]
     assert not lost
