--- a/tests/unit/operation/settings.py
+++ b/tests/unit/controller_settings.py
@@ -1,9 +1,9 @@
-"""Settings of an admission controller that tests of operation have in common."""
+"""Settings of an admission controller that tests have in common."""
 
 from typing import Any
 
-SETTINGS: dict[str, Any] = {
-    "zone": "z",
+CONTROLLER_SETTINGS: dict[str, Any] = {
+    "zone": "z1",
     "uses_counter": True,
     "counter_timeout": 0.05,
     "may_cancel": True,
--- a/tests/unit/decisions/random_play.py
+++ b/tests/unit/decisions/random_play.py
@@ -4,24 +4,15 @@
 import itertools
 import random
 from collections.abc import Iterable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
+from tests.unit.controller_settings import CONTROLLER_SETTINGS
 from tests.unit.decisions.plain_reference import PlainEndpointList, PlainLoadBalancer
 
-SETTINGS: dict[str, Any] = {
-    "zone": "z1",
-    "uses_counter": False,
-    "counter_timeout": 0.05,
-    "may_cancel": True,
-    "max_retry_after": 0.5,
-    "slow_start": 10.0,
-    "slow_start_minimum": 0.25,
-    "cross_zone_price": 0.5,
-    "must_watch": False,
-}
+SETTINGS = {**CONTROLLER_SETTINGS, "uses_counter": False, "cross_zone_price": 0.5}
 RELOADED = ("zone", "counter_timeout", "may_cancel", "max_retry_after", "cross_zone_price")
 METHODS = (
     ("look", api.IDEMPOTENT, ""),
--- a/tests/unit/decisions/scenario_setup.py
+++ b/tests/unit/decisions/scenario_setup.py
@@ -7,18 +7,8 @@
 from petrellane.decisions import actions
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
+from tests.unit.controller_settings import CONTROLLER_SETTINGS
 
-SETTINGS: dict[str, Any] = {
-    "zone": "z1",
-    "uses_counter": True,
-    "counter_timeout": 0.05,
-    "may_cancel": True,
-    "max_retry_after": 0.5,
-    "slow_start": 10.0,
-    "slow_start_minimum": 0.25,
-    "cross_zone_price": 0.0,
-    "must_watch": False,
-}
 # Words of scenario files that are not the names of fields.
 PLAN_FIELDS = {
     "ceiling": "hard_limit_rate",
@@ -79,7 +69,7 @@
     def __init__(self, seed: int) -> None:
         self.seed = seed
         self.now = 1000.0
-        self.settings = dict(SETTINGS)
+        self.settings = dict(CONTROLLER_SETTINGS)
         self.methods: dict[str, api.Method] = {}
         self.plans: dict[str, api.Plan] = {}
         self.customers: dict[str, api.Customer] = {}
--- a/tests/unit/operation/test_hot_restart.py
+++ b/tests/unit/operation/test_hot_restart.py
@@ -13,7 +13,7 @@
 from petrellane.decisions.controller import AdmissionController
 from petrellane.decisions.leases import Lease
 from petrellane.operation import hot_restart, hot_restart_messages
-from tests.unit.operation.settings import SETTINGS
+from tests.unit.controller_settings import CONTROLLER_SETTINGS
 
 LIMITED_PLAN = api.Plan("p", rate=5.0, burst=10.0, hard_limit_rate=2.0, hard_limit_burst=8.0)
 METHOD = api.Method("m", 1.0, 2.0)
@@ -122,7 +122,7 @@
 
 def controller_at(now: float, seed: int) -> AdmissionController:
     """Return a controller that started at this time."""
-    controller = AdmissionController(**SETTINGS, seed=seed)
+    controller = AdmissionController(**CONTROLLER_SETTINGS, seed=seed)
     controller.start(now)
     return controller
 
--- a/tests/unit/operation/test_settings_reload.py
+++ b/tests/unit/operation/test_settings_reload.py
@@ -10,7 +10,7 @@
 from petrellane.decisions import types as api
 from petrellane.decisions.controller import AdmissionController
 from tests.integration.gateway.configuration import BASE_CONFIG
-from tests.unit.operation.settings import SETTINGS
+from tests.unit.controller_settings import CONTROLLER_SETTINGS
 
 OLD_PLAN = api.Plan("p", rate=5.0, burst=10.0, hard_limit_rate=2.0, hard_limit_burst=8.0)
 SLOWER_PLAN = api.Plan("p", rate=1.0, burst=10.0, hard_limit_rate=1.0, hard_limit_burst=8.0)
@@ -24,7 +24,7 @@
     is the new plan's.
     """
     customer = api.Customer("c", OLD_PLAN)
-    controller = AdmissionController(**SETTINGS, seed=1)
+    controller = AdmissionController(**CONTROLLER_SETTINGS, seed=1)
     controller.start(100.0)
     leases = controller.lease_manager
     lease = leases.lease_of(customer, 101.0)
