--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -207,6 +207,16 @@
         self.log.event("ended")
         self.log.flush()
 
+    def start_background_work(self) -> None:
+        """Start all that needs no clients: consensus state, watch, management API and timers."""
+        if self.agent:
+            self.agent.load()
+        self.scheduler.spawn(self.endpoint_watch.run)
+        if self.config.management:
+            self.management.listen(self.config.management)
+        self.run_heartbeat()
+        self.log_figures()
+
     def start(self) -> None:
         """Listen, and watch the endpoint list; the scheduler does the rest."""
         self.executor.start(self.config.known)
@@ -218,16 +228,6 @@
             self.client_listener.listen(self.config.listen, connectable=not self.agent)
             self.begin_serving()
 
-    def start_background_work(self) -> None:
-        """Start all that needs no clients: consensus state, watch, management API and timers."""
-        if self.agent:
-            self.agent.load()
-        self.scheduler.spawn(self.endpoint_watch.run)
-        if self.config.management:
-            self.management.listen(self.config.management)
-        self.run_heartbeat()
-        self.log_figures()
-
     def begin_serving(self) -> None:
         """Serve clients, once it is known which settings are in force.
 
