--- a/petrellane/decisions/__init__.py
+++ b/petrellane/decisions/__init__.py
@@ -1,7 +1,8 @@
 """Every decision of the gateway, free of I/O: events in, actions out.
 
 `controller` is the entry: its `AdmissionController` takes events and returns `actions`, with the
-values of `types`. The concerns behind it, a module each:
+values of `types`. What executes the actions derives from `action_dispatcher`. The concerns behind
+the controller, a module each:
 
 - quota: `lease_manager` over `leases`, with `counter_health` and the escrow of `hard_limits`;
 - overload: `load_shedding`;
--- a/petrellane/decisions/actions.py
+++ b/petrellane/decisions/actions.py
@@ -6,11 +6,9 @@
 
 from __future__ import annotations
 
-from abc import ABC, abstractmethod
-from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from math import inf
-from typing import TYPE_CHECKING, Any, NamedTuple, TypeAlias
+from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
 from petrellane.decisions.types import Endpoint, Outcome, Rpc
 
@@ -129,52 +127,3 @@
 Action: TypeAlias = (
     SendAttempt | Reject | Abort | CancelAttempt | CounterAdd | SetTimer | WriteLog | WatchEndpoints
 )
-
-
-class ActionDispatcher(ABC):
-    """Has each action executed by the method for its type.
-
-    The base of what executes actions: a gateway does it on sockets, the simulation in simulated
-    time.
-    """
-
-    def __init__(self) -> None:
-        self._handlers: dict[type[Action], Callable[[Any], None]] = {
-            SendAttempt: self._send_attempt,
-            Reject: self._reject,
-            Abort: self._abort,
-            CancelAttempt: self._cancel_attempt,
-            CounterAdd: self._add_to_counter,
-            SetTimer: self._set_timer,
-            WriteLog: self._write_log,
-            WatchEndpoints: self._watch_endpoints,
-        }
-
-    def execute(self, actions: Iterable[Action]) -> None:
-        """Execute the controller's actions in their order."""
-        for action in actions:
-            self._handlers[type(action)](action)
-
-    @abstractmethod
-    def _send_attempt(self, action: SendAttempt) -> None: ...
-
-    @abstractmethod
-    def _reject(self, action: Reject) -> None: ...
-
-    @abstractmethod
-    def _abort(self, action: Abort) -> None: ...
-
-    @abstractmethod
-    def _cancel_attempt(self, action: CancelAttempt) -> None: ...
-
-    @abstractmethod
-    def _add_to_counter(self, action: CounterAdd) -> None: ...
-
-    @abstractmethod
-    def _set_timer(self, action: SetTimer) -> None: ...
-
-    @abstractmethod
-    def _write_log(self, action: WriteLog) -> None: ...
-
-    @abstractmethod
-    def _watch_endpoints(self, action: WatchEndpoints) -> None: ...
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -13,7 +13,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Protocol
 
-from petrellane.decisions.actions import ActionDispatcher
+from petrellane.decisions.action_dispatcher import ActionDispatcher
 from petrellane.decisions.controller import AdmissionController
 from petrellane.decisions.types import (
     DEDUPLICATED,
--- a/petrellane/simulation/gateway_actions.py
+++ b/petrellane/simulation/gateway_actions.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING
 
-from petrellane.decisions.actions import ActionDispatcher
+from petrellane.decisions.action_dispatcher import ActionDispatcher
 from petrellane.decisions.types import CANCELLED, LATE, UNREACHABLE, Rpc
 from petrellane.invariants import ABORTED, OK, REJECTED, AttemptSent, RpcAnswered
 from petrellane.simulation.endpoints import PendingAttempt
