--- a/tests/unit/config_consensus/test_participant.py
+++ b/tests/unit/config_consensus/test_participant.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from petrellane.config_consensus import errors, participant, safe_settings
+from petrellane.config_consensus import canonical_settings, errors, participant, safe_settings
 from petrellane.config_consensus.ballots import Ballot, Generation
 from petrellane.config_consensus.messages import JsonObject
 from petrellane.config_consensus.participant import ParticipantState
@@ -20,7 +20,7 @@
 
 BASE = Ballot(0, EPOCH)
 # As a coordinator proposes it that has no roster yet.
-PROPOSED = Generation(Ballot(1, EPOCH), safe_settings.digest(NEW_SETTINGS), NEW_SETTINGS)
+PROPOSED = Generation(Ballot(1, EPOCH), canonical_settings.digest(NEW_SETTINGS), NEW_SETTINGS)
 
 NUMBERS = st.integers(0, 5)
 FIELDS = ["do", "epoch_of", "number", "epoch", "digest", "content", "base"]
--- a/tests/unit/config_consensus/test_safe_settings.py
+++ b/tests/unit/config_consensus/test_safe_settings.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from petrellane.config_consensus import safe_settings
-from petrellane.config_consensus.safe_settings import Settings
+from petrellane.config_consensus import canonical_settings, safe_settings, settings_diff
+from petrellane.config_consensus.canonical_settings import Settings
 
 NUMBERS = st.integers(0, 5)
 METHODS = st.fixed_dictionaries(
@@ -58,7 +58,7 @@
     """It is commutative, associative and idempotent, and both settings allow it."""
     met = safe_settings.meet(left, right)
     assert met == safe_settings.meet(right, left)
-    assert safe_settings.meet(left, left) == safe_settings.with_defaults(left)
+    assert safe_settings.meet(left, left) == canonical_settings.with_defaults(left)
     regrouped = safe_settings.meet(left, safe_settings.meet(right, third))
     assert safe_settings.meet(met, third) == regrouped
     assert safe_settings.allows(left, met)
@@ -69,7 +69,10 @@
 def test_the_meet_allows_nothing_that_either_forbids(left: Settings, right: Settings) -> None:
     """Each method, plan and limit of the meet is within those of both."""
     met = safe_settings.meet(left, right)
-    for settings in (safe_settings.with_defaults(left), safe_settings.with_defaults(right)):
+    for settings in (
+        canonical_settings.with_defaults(left),
+        canonical_settings.with_defaults(right),
+    ):
         methods = {row["name"]: row for row in settings["classes"]}
         for row in met["classes"]:
             check_method_is_narrower(row, methods[row["name"]])
@@ -103,15 +106,15 @@
     shuffled = dict(chance.sample(list(settings.items()), len(settings)))
     shuffled["classes"] = chance.sample(settings["classes"], len(settings["classes"]))
     shuffled = {"locality": "own", **shuffled, "unsaid": None}
-    assert safe_settings.digest(settings) == safe_settings.digest(shuffled)
-    assert safe_settings.describe_changes(settings, shuffled) == []
+    assert canonical_settings.digest(settings) == canonical_settings.digest(shuffled)
+    assert settings_diff.describe_changes(settings, shuffled) == []
 
 
 @given(SETTINGS, SETTINGS)
 def test_changes_are_described_where_settings_differ(left: Settings, right: Settings) -> None:
     """There is a description where settings differ, and none where they do not."""
-    is_equal = safe_settings.with_defaults(left) == safe_settings.with_defaults(right)
-    assert (not safe_settings.describe_changes(left, right)) == is_equal
+    is_equal = canonical_settings.with_defaults(left) == canonical_settings.with_defaults(right)
+    assert (not settings_diff.describe_changes(left, right)) == is_equal
 
 
 def test_description_of_changes() -> None:
@@ -125,7 +128,7 @@
         "contracts": [{"name": "sold", "ceilingRate": 20}],
         "limits": {"maxAttempts": 2},
     }
-    assert safe_settings.describe_changes(before, after) == [
+    assert settings_diff.describe_changes(before, after) == [
         "method look: gone",
         "method post: new, effect non-idempotent",
         "plan sold: ceiling 40 to 20",
