--- a/petrellane/config/endpoints.py
+++ b/petrellane/config/endpoints.py
@@ -37,7 +37,7 @@
     started_at: float
 
 
-@dataclass(frozen=True)
+@dataclass(eq=False, slots=True)
 class EndpointListUpdate:
     """An endpoint list, or changes to one.
 
--- a/petrellane/config/process.py
+++ b/petrellane/config/process.py
@@ -9,8 +9,7 @@
 import os
 import socket
 from collections.abc import Mapping
-from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from petrellane.config.endpoints import EndpointListUpdate, parse_endpoint_list
 from petrellane.config.reload import check_no_key_removed, reload_settings
@@ -38,8 +37,7 @@
 _NO_ENDPOINTS: JsonObject = {"index": 0, "snapshot": True, "endpoints": []}
 
 
-@dataclass(frozen=True)
-class Config:
+class Config(NamedTuple):
     """All that a gateway process is configured with; replaced as a whole at a reload.
 
     Attributes:
@@ -81,7 +79,7 @@
             ConfigError: The settings are wrong, or can't follow those in force.
         """
         parsed = parse_settings(Section(settings, "settings"))
-        return replace(self, settings=reload_settings(self.settings, parsed))
+        return self._replace(settings=reload_settings(self.settings, parsed))
 
 
 def load(environment: Mapping[str, str], current: Config | None = None) -> Config:
--- a/petrellane/config/reload.py
+++ b/petrellane/config/reload.py
@@ -55,7 +55,7 @@
     identities = {method.identity for method in methods.values()}
     options = new.controller_options.copy()
     options["method_identities"] = identities
-    return replace(new, methods=methods, plans=plans, controller_options=options)
+    return new._replace(methods=methods, plans=plans, controller_options=options)
 
 
 def _check_unchanged(key: str, current: bool, new: bool) -> None:
--- a/petrellane/config/settings.py
+++ b/petrellane/config/settings.py
@@ -6,8 +6,7 @@
 """
 
 from collections.abc import Iterable
-from dataclasses import dataclass
-from typing import TypedDict
+from typing import NamedTuple, TypedDict
 
 from petrellane.config.section import REQUIRED, ConfigError, Section, abbreviate
 from petrellane.decisions.types import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, Method, Plan
@@ -39,8 +38,7 @@
     method_identities: set[object]
 
 
-@dataclass(frozen=True)
-class Settings:
+class Settings(NamedTuple):
     """Settings that are checked; replaced as a whole when they change.
 
     Attributes:
--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
 from petrellane.config import ConfigError
@@ -49,8 +48,8 @@
         file_settings = config.raw["settings"]
         if process.agent and not process.agent.accept_file_settings(file_settings):
             settings = before.settings
-        process.config = replace(
-            before, discovery=config.discovery, counter=counter, raw=config.raw
+        process.config = before._replace(
+            discovery=config.discovery, counter=counter, raw=config.raw
         )
         self._apply(settings)
         if "counter" in moved and counter:
@@ -89,7 +88,7 @@
 
     def _apply(self, settings: Settings) -> None:
         process = self.process
-        process.config = replace(process.config, settings=settings)
+        process.config = process.config._replace(settings=settings)
         process.limits = process.limits.renewed(process.config)
         for service in process.services_with_limits():
             service.limits = process.limits
--- a/petrellane/operation/backoff.py
+++ b/petrellane/operation/backoff.py
@@ -14,7 +14,7 @@
 
 import enum
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 SPREADING_DRAW_MINIMUM = 0.2
 """Lower end of a draw, as a fraction of its maximum, that spreads gateways which are in step."""
@@ -31,8 +31,7 @@
     REJECTED = "turned away"
 
 
-@dataclass(frozen=True)
-class PollTimes:
+class PollTimes(NamedTuple):
     """The times of polls, all in seconds.
 
     Attributes:
@@ -51,24 +50,6 @@
     poll_timeout: float
     initial_pause: float
 
-    def __post_init__(self) -> None:
-        """Check that there is room for a pause between polls.
-
-        Raises:
-            ValueError: There is none.
-        """
-        longest_poll = max(self.max_hold + self.grace, self.poll_timeout)
-        longest_pause = 1.5 * self.initial_pause
-        if (
-            longest_poll + longest_pause > self.max_interval
-            or self.poll_timeout + longest_pause > self.first_interval
-        ):
-            raise ValueError(
-                f"expected calls of {self.max_hold} + {self.grace} and {self.poll_timeout} s that "
-                f"leave room for a pause of {longest_pause} within {self.max_interval} and "
-                f"{self.first_interval} s"
-            )
-
 
 class Backoff:
     """The poll schedule of one gateway; its discovery client owns it.
@@ -80,7 +61,16 @@
     """
 
     def __init__(self, random: Callable[[], float], times: PollTimes) -> None:
-        """Start before the first poll; `random` draws from 0 to 1."""
+        """Start before the first poll.
+
+        Args:
+            random: Draws from 0 to 1.
+            times: The times that polls keep.
+
+        Raises:
+            ValueError: There is no room for a pause between polls.
+        """
+        _check_room_for_pause(times)
         self.times = times
         self.is_failing = False
         self.deadline = 0.0
@@ -163,3 +153,17 @@
         minimum = SPREAD_DRAW_MINIMUM if self._is_spread else SPREADING_DRAW_MINIMUM
         self._is_spread = True
         return maximum * (minimum + (1 - minimum) * self._random())
+
+
+def _check_room_for_pause(times: PollTimes) -> None:
+    longest_poll = max(times.max_hold + times.grace, times.poll_timeout)
+    longest_pause = 1.5 * times.initial_pause
+    if (
+        longest_poll + longest_pause > times.max_interval
+        or times.poll_timeout + longest_pause > times.first_interval
+    ):
+        raise ValueError(
+            f"expected calls of {times.max_hold} + {times.grace} and {times.poll_timeout} s that "
+            f"leave room for a pause of {longest_pause} within {times.max_interval} and "
+            f"{times.first_interval} s"
+        )
--- a/petrellane/testbed/hollow/group.py
+++ b/petrellane/testbed/hollow/group.py
@@ -72,12 +72,11 @@
     def _make_gateway(self, base: Config, number: int) -> HollowGateway:
         name = f"g{number}"
         seed = self.parameters.load.seed * SEED_STEP + number
-        config = replace(base, name=name, seed=seed, management=None)
+        config = base._replace(name=name, seed=seed, management=None)
         if base.consensus:
             state = Path(self.parameters.state_folder, name)
             state.mkdir(parents=True, exist_ok=True)
-            config = replace(
-                config,
+            config = config._replace(
                 management=base.consensus.members[name][0],
                 consensus=replace(base.consensus, state=str(state)),
             )
