--- a/petrellane/decisions/actions.py
+++ b/petrellane/decisions/actions.py
@@ -4,8 +4,6 @@
 The caller reports what became of them as events; only `WriteLog` has no consequence.
 """
 
-from __future__ import annotations
-
 from dataclasses import dataclass
 from math import inf
 from typing import TYPE_CHECKING, NamedTuple, TypeAlias
@@ -16,7 +14,7 @@
     from petrellane.decisions.leases import Lease
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(eq=False, repr=False, slots=True)
 class SendAttempt:
     """Send an RPC to an endpoint; the value stands for the attempt until its end is reported.
 
@@ -67,7 +65,7 @@
     attempt: SendAttempt
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(eq=False, repr=False, slots=True)
 class CounterAdd:
     """Add an amount to a named count of the shared counter and report the total.
 
@@ -87,12 +85,12 @@
     name: int
     amount: float
     ttl: float
-    lease: Lease | None = None
+    lease: "Lease | None" = None
     window: int | None = 0
     unreported: float = 0.0
     is_retry: bool = False
     is_settled: bool = False
-    escrow_lease: Lease | None = None
+    escrow_lease: "Lease | None" = None
 
 
 class SetTimer(NamedTuple):
--- a/petrellane/decisions/types.py
+++ b/petrellane/decisions/types.py
@@ -4,9 +4,10 @@
 decisions ask for in return is in `petrellane.decisions.actions`. Times are seconds with fractions,
 on whatever clock the caller hands in. The values of the enumerations are stable: they go into
 logs, records and the adapters of the wire formats.
-"""
 
-from __future__ import annotations
+The dataclasses have identity in place of equality, and no generated `repr`: an RPC, its attempts
+and its customer refer to each other, and each generated method slows down the start of `serve`.
+"""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -76,7 +77,7 @@
 LONG_AGO = float("-inf")  # seconds: earlier than any time of the clock
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(eq=False, repr=False, slots=True)
 class Method:
     """What the settings say of one method; lives as long as the settings.
 
@@ -111,7 +112,7 @@
         self.identity = self.identity or object()
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(eq=False, repr=False, slots=True)
 class Plan:
     """What the settings say of one plan; lives as long as the settings.
 
@@ -140,7 +141,7 @@
     over_quota_cost: float = 0.0
 
 
-@dataclass(eq=False, slots=True, weakref_slot=True)
+@dataclass(eq=False, repr=False, slots=True, weakref_slot=True)
 class Customer:
     """One customer, as long as its gateway knows it.
 
@@ -160,7 +161,7 @@
     known_since: float = LONG_AGO
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(eq=False, repr=False, slots=True)
 class Endpoint:
     """One endpoint as the endpoint list last described it.
 
@@ -195,7 +196,7 @@
     started_at: float
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(eq=False, repr=False, slots=True)
 class Rpc:
     """One RPC of a client, until its last attempt has ended.
 
@@ -219,4 +220,4 @@
     is_client_retry: bool = False
     is_write: bool = False
     is_finished: bool = False
-    attempts: list[SendAttempt] = field(default_factory=list)
+    attempts: list["SendAttempt"] = field(default_factory=list)
