--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -48,11 +48,12 @@
         """Memory that the process may use, in MiB."""
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, eq=False, repr=False)
 class Limits:
     """Bounds of the network code. Sizes are bytes and times are seconds.
 
-    One instance is made at start; a reload of the settings replaces it by `renewed`.
+    One instance is made at start; a reload of the settings replaces it by `renewed`. It has no
+    generated equality and `repr`: with so many fields these would slow down the start of `serve`.
     """
 
     # Set by the configuration.
