--- a/petrellane/net/log.py
+++ b/petrellane/net/log.py
@@ -5,7 +5,6 @@
 """
 
 import os
-import traceback
 from collections import deque
 from collections.abc import Callable
 
@@ -54,7 +53,7 @@
         self.event(
             "fault",
             error=f"{type(error).__name__}: {error}",
-            trace="".join(traceback.format_exception(error)[-TRACE_ENTRIES:]),
+            trace=_format_trace(error),
         )
 
     def flush(self) -> None:
@@ -70,3 +69,13 @@
             line = self.waiting.popleft()
             if written < len(line):
                 self.waiting.appendleft(line[written:])
+
+
+def _format_trace(error: BaseException) -> str:
+    """Return the last entries of an exception's traceback."""
+    try:
+        # Imported where it is needed: few processes ever log a fault, and each starts faster.
+        import traceback
+    except OSError as import_error:  # no descriptor is left to read the module
+        return f"not available: {import_error}"
+    return "".join(traceback.format_exception(error)[-TRACE_ENTRIES:])
--- /dev/null
+++ b/tests/unit/test_log.py
@@ -0,0 +1,67 @@
+"""What the log writes of an exception that nothing caught."""
+
+import builtins
+import errno
+import json
+import os
+import sys
+from collections.abc import Iterator
+
+import pytest
+
+from petrellane.net.log import Logger
+
+
+class LoggedLines:
+    """A log on a pipe, and what was written to it."""
+
+    def __init__(self) -> None:
+        self.reader, self.writer = os.pipe()
+        self.logger = Logger(self.writer, "gateway", lambda: 0.0, 9)
+
+    def event(self) -> dict[str, object]:
+        """Return the one event that was written."""
+        event: dict[str, object] = json.loads(os.read(self.reader, 1 << 16))
+        return event
+
+
+@pytest.fixture
+def lines() -> Iterator[LoggedLines]:
+    logged = LoggedLines()
+    yield logged
+    os.close(logged.reader)
+    os.close(logged.writer)
+
+
+def raised_error() -> Exception:
+    leases: dict[str, float] = {}
+    with pytest.raises(KeyError) as caught:
+        leases["lease"]
+    return caught.value
+
+
+def test_fault_has_the_end_of_its_traceback(lines: LoggedLines) -> None:
+    lines.logger.fault(raised_error())
+    event = lines.event()
+    assert (event["event"], event["error"]) == ("fault", "KeyError: 'lease'")
+    trace = str(event["trace"])
+    assert "in raised_error\n" in trace
+    assert trace.endswith("KeyError: 'lease'\n")
+
+
+def test_fault_is_logged_where_no_descriptor_is_left(
+    lines: LoggedLines, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    import_module = builtins.__import__
+
+    def import_without_files(name: str, *arguments: object, **named: object) -> object:
+        if name == "traceback":
+            raise OSError(errno.EMFILE, "Too many open files")
+        return import_module(name, *arguments, **named)  # type: ignore[arg-type]
+
+    monkeypatch.delitem(sys.modules, "traceback", raising=False)
+    monkeypatch.setattr(builtins, "__import__", import_without_files)
+    lines.logger.fault(raised_error())
+    event = lines.event()
+    assert event["error"] == "KeyError: 'lease'"
+    assert event["trace"] == "not available: [Errno 24] Too many open files"
