--- a/petrellane/decisions/numeric.py
+++ b/petrellane/decisions/numeric.py
@@ -1,15 +1,21 @@
 """Small calculations that several of the decisions share; free of state that outlives a call."""
 
-import hashlib
 from collections import deque
 from collections.abc import Iterable
 
+try:
+    # `hashlib` loads OpenSSL, which slows down the start of `serve`; the standard library's
+    # `random` takes its hash in the same way.
+    from _blake2 import blake2b
+except ImportError:
+    from hashlib import blake2b
+
 MAXIMUM_VALUES = 4096  # values that a sliding maximum keeps: a bound on memory, ours
 
 
 def stable_hash(text: str) -> int:
     """A hash below 2**63 that is the same in every process and at every start."""
-    digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
+    digest = blake2b(text.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") >> 1
 
 
--- a/tests/unit/decisions/test_numeric.py
+++ b/tests/unit/decisions/test_numeric.py
@@ -1,11 +1,18 @@
 """Numeric helpers of the decisions."""
 
+import hashlib
+import runpy
+import sys
+
+import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
+from petrellane.decisions import numeric
 from petrellane.decisions.numeric import SlidingMaximum
 
 WINDOW = 5.0
+HASHED_TEXTS = ["", "a", "customer 17", "Zürich", "x" * 10_000]
 
 
 @given(st.lists(st.tuples(st.floats(0, 3), st.integers(0, 9)), max_size=40))
@@ -22,3 +29,19 @@
         values.append((now, value))
         expected = max(value for time, value in values if now - time <= WINDOW)
         assert sliding.maximum(now) == expected
+
+
+@pytest.mark.parametrize("text", HASHED_TEXTS)
+def test_stable_hash_is_the_one_that_gateways_share(text: str) -> None:
+    """All gateways, of older builds too, have to draw the same from a text."""
+    digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
+    assert numeric.stable_hash(text) == int.from_bytes(digest, "big") >> 1
+
+
+def test_stable_hash_without_the_internal_module(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An interpreter without `_blake2` takes `hashlib`, with the same result."""
+    monkeypatch.setitem(sys.modules, "_blake2", None)
+    module = runpy.run_path(numeric.__file__)
+    assert module["blake2b"] is hashlib.blake2b
+    for text in HASHED_TEXTS:
+        assert module["stable_hash"](text) == numeric.stable_hash(text)
