--- a/petrellane/operation/backoff.py
+++ b/petrellane/operation/backoff.py
@@ -16,12 +16,18 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-SPREADING_DRAW_MINIMUM = 0.2
+DESYNCHRONIZING_DRAW_MINIMUM = 0.2
 """Lower end of a draw, as a fraction of its maximum, that spreads gateways which are in step."""
 
-SPREAD_DRAW_MINIMUM = 0.8
+STEADY_DRAW_MINIMUM = 0.8
 """Lower end of a draw, as a fraction of its maximum, of a gateway that is out of step."""
 
+JITTER_MINIMUM = 0.5
+"""The shortest jittered pause, as a fraction of the pause before jitter."""
+
+JITTER_MAXIMUM = 1.5
+"""The longest jittered pause, as a fraction of the pause before jitter."""
+
 
 class PollFailure(enum.Enum):
     """Why a poll brought no endpoint list."""
@@ -80,7 +86,7 @@
         # The next poll waits for no changes: an answer to it proves that discovery is reachable.
         self._probes_next = False
         # We have drawn a time of our own since the last event that all gateways met at once.
-        self._is_spread = False
+        self._is_desynchronized = False
         self._started_at = 0.0
         self._hold = 0.0
 
@@ -114,7 +120,7 @@
         Changes reach all watching gateways at the same time; a gateway whose polls failed before
         gets them at a time of its own.
         """
-        self._is_spread = self._is_spread and (self.is_failing or not has_changes)
+        self._is_desynchronized = self._is_desynchronized and (self.is_failing or not has_changes)
         self.is_failing = False
         self._probes_next = False
         self._next_pause = self.times.initial_pause
@@ -132,12 +138,12 @@
             self._next_pause = self.times.initial_pause
         else:
             self._next_pause = min(2 * pause, self.times.max_interval)
-        self._is_spread = self._is_spread and self.is_failing
+        self._is_desynchronized = self._is_desynchronized and self.is_failing
         self.is_failing = True
         self._probes_next = failure is not PollFailure.REJECTED
         remaining = max(self.times.initial_pause / 2, self._started_at + self._interval - now)
-        if 1.5 * pause <= remaining:
-            return pause * (0.5 + self._random())
+        if JITTER_MAXIMUM * pause <= remaining:
+            return pause * (JITTER_MINIMUM + self._random())
         return self._draw(remaining)
 
     def _pause_length(self, failure: PollFailure) -> float:
@@ -150,14 +156,14 @@
 
     def _draw(self, maximum: float) -> float:
         """A time of our own, up to so many seconds."""
-        minimum = SPREAD_DRAW_MINIMUM if self._is_spread else SPREADING_DRAW_MINIMUM
-        self._is_spread = True
+        minimum = STEADY_DRAW_MINIMUM if self._is_desynchronized else DESYNCHRONIZING_DRAW_MINIMUM
+        self._is_desynchronized = True
         return maximum * (minimum + (1 - minimum) * self._random())
 
 
 def _check_room_for_pause(times: PollTimes) -> None:
     longest_poll = max(times.max_hold + times.grace, times.poll_timeout)
-    longest_pause = 1.5 * times.initial_pause
+    longest_pause = JITTER_MAXIMUM * times.initial_pause
     if (
         longest_poll + longest_pause > times.max_interval
         or times.poll_timeout + longest_pause > times.first_interval
