--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -42,7 +42,7 @@
     def __init__(self, listener: ClientListener, stream: Stream) -> None:
         self.listener = listener
         self.stream = stream
-        stream.deserted = self._on_client_left
+        stream.on_connection_lost = self._on_client_left
         self.pending_replies: deque[Reply] = deque()  # in the order of their commands
         self.connected_at: float = listener.scheduler.now()
         self.idle_since: float = self.connected_at
@@ -91,7 +91,7 @@
                 return
             if self.command_deadline:
                 raise resp.Malformed("command not whole in time") from None
-            if self.is_idle() and self._idle_timeout() <= self.listener.limits.let_go:
+            if self.is_idle() and self._idle_timeout() <= self.listener.limits.client_poll_interval:
                 self.is_closing = True
 
     def _clean_up(self) -> None:
@@ -123,8 +123,8 @@
 
     def is_client_gone(self) -> bool:
         """Return whether the client has left, also where no poll has reported it yet."""
-        if not self.stream.broken and self.stream.left():
-            self.stream.sock_failed()
+        if not self.stream.broken and self.stream.is_closed_by_peer():
+            self.stream.fail_closed_by_peer()
         return bool(self.stream.broken)
 
     def _on_client_left(self) -> None:
@@ -145,16 +145,16 @@
             return max(0.0, self.command_deadline - now)
         self.command_deadline = None
         is_new = self in listener.silent or self in listener.single_command
-        timeout: float = limits.client_once if is_new else limits.client_idle_timeout
+        timeout: float = limits.new_client_idle_timeout if is_new else limits.client_idle_timeout
         if self.pending_replies:
             return timeout
-        return max(limits.let_go, self.idle_since + timeout - now)
+        return max(limits.client_poll_interval, self.idle_since + timeout - now)
 
     def _reserve_body(self) -> None:
         """Wait for room for a long command, which may take its time as long as it comes on."""
         listener = self.listener
         size = len(self.stream.buffer)
-        if size <= listener.limits.value:
+        if size <= listener.limits.max_value_size:
             return
         self.command_deadline = None
         listener.buffer_budget.reserve(self, size)
@@ -162,7 +162,7 @@
         while not listener.buffer_budget.has_room(self):
             if listener.scheduler.now() > until:
                 raise resp.Malformed("no room for a command of this length")
-            listener.scheduler.wait(listener.limits.let_go)
+            listener.scheduler.wait(listener.limits.client_poll_interval)
             self.raise_if_broken()
 
     def _read_commands(self) -> bool:
@@ -174,11 +174,13 @@
         taken = 0
         self.raise_if_broken()
         # Its bytes have waited to be accepted, or for a process that stood still.
-        has_waited = self in listener.silent or listener.scheduler.stood_still()
-        if buffer and has_waited and self.stream.left():
+        has_waited = self in listener.silent or listener.scheduler.has_stalled()
+        if buffer and has_waited and self.stream.is_closed_by_peer():
             raise Closed("left before it was read")
         try:
-            while taken < limits.commands and (found := resp.command(buffer, position, limits)):
+            while taken < limits.commands_per_turn and (
+                found := resp.parse_command(buffer, position, limits)
+            ):
                 spans, end = found
                 self.command_deadline = None
                 self._take_command(Command(position, spans, end))
@@ -188,19 +190,19 @@
             del buffer[:position]
             if self in listener.buffer_budget.bodies:
                 size = len(buffer)
-                listener.buffer_budget.reserve(self, size if size > limits.value else 0)
+                listener.buffer_budget.reserve(self, size if size > limits.max_value_size else 0)
         if taken:
             listener.on_command(self)
-        return taken == limits.commands
+        return taken == limits.commands_per_turn
 
     def _take_command(self, command: Command) -> None:
         """Answer one complete command in the buffer, or take its request in."""
         listener = self.listener
-        service = listener.service
+        lifecycle = listener.lifecycle
         verb = bytes(self.stream.buffer[slice(*command.spans[0])]).upper()
         if verb not in RPC_COMMANDS:
-            self._reply(answer_to(verb, is_welcoming=service.passes_health_check))
-        elif service.accepts_command(
+            self._reply(answer_to(verb, is_welcoming=lifecycle.passes_health_check))
+        elif lifecycle.accepts_command(
             listener.scheduler.now(), self.connected_at, bool(self.pending_replies)
         ):
             self.has_sent_rpc = True
@@ -217,7 +219,7 @@
             return
         self.pending_replies.append(request)
         size = command.end - command.start
-        if size > listener.limits.frame:
+        if size > listener.limits.max_frame_size:
             listener.buffer_budget.reserve(request, size)
         try:
             listener.on_request(request)
@@ -238,11 +240,11 @@
                 if not self.pending_replies:
                     # What a slow client has not taken yet has the time of a long value.
                     limits = listener.limits
-                    time_left = limits.stall_timeout if stream.unsent else limits.linger
+                    time_left = limits.stall_timeout if stream.unsent else limits.linger_timeout
                     until = min(until, now + time_left)
                 stream.buffer.clear()
                 with contextlib.suppress(TimeoutError):
-                    stream.fill(listener.limits.linger)
+                    stream.fill(listener.limits.linger_timeout)
 
     # Writing.
 
@@ -264,7 +266,7 @@
                 pieces += relay.take(stream)
                 if relay.state is not RelayState.COMPLETE:
                     break
-                stream.relief = None
+                stream.on_flushed = None
             if listener.buffer_budget.bodies:
                 listener.buffer_budget.reserve(reply, 0)
             replies.popleft()
@@ -277,7 +279,7 @@
             self._close_when_sent(until - listener.scheduler.now())
         elif pieces:
             if not replies and self.handoff.parked:
-                listener.scheduler.soon(self.handoff.wake)
+                listener.scheduler.call_soon(self.handoff.wake)
             self.close_if_done()
 
     def _close_when_sent(self, timeout: float = 0.0) -> None:
@@ -289,12 +291,12 @@
             timeout: Seconds that this may take; 0 or less is no time, unless it is under way.
         """
         stream = self.stream
-        is_waiting = stream.relief == self._close_when_sent
+        is_waiting = stream.on_flushed == self._close_when_sent
         if not stream.unsent or (timeout <= 0 and not is_waiting):
             stream.close()
         elif not is_waiting:
-            stream.relief = self._close_when_sent
-            self.listener.scheduler.after(timeout, stream.close)
+            stream.on_flushed = self._close_when_sent
+            self.listener.scheduler.call_later(timeout, stream.close)
 
     # The end.
 
@@ -306,7 +308,7 @@
             and not self.pending_replies
             and not stream.buffer
             and not stream.unsent
-            and bool(stream.quiet())
+            and bool(stream.is_read_idle())
         )
 
     def close_if_done(self) -> None:
@@ -317,8 +319,8 @@
         now = self.listener.scheduler.now()
         if self.is_closing and not self.pending_replies and not self.stream.unsent:
             self.finished_at = self.finished_at or now
-            self.stream.finish()
-            if now - self.finished_at > self.listener.limits.linger:
+            self.stream.write_eof()
+            if now - self.finished_at > self.listener.limits.linger_timeout:
                 self.stream.close()
         elif self.handoff.is_offered or (self.listener.successor and not self.is_closing):
             pass  # it goes to another process
@@ -329,15 +331,15 @@
 
     def _may_close(self, now: float) -> bool:
         """Return whether the connection has to go and nothing is owed on it."""
-        service = self.listener.service
-        if service.closes_idle_connections(now) and self._goes_when_idle(now) and self.is_idle():
+        lifecycle = self.listener.lifecycle
+        if lifecycle.closes_idle_connections(now) and self._goes_when_idle(now) and self.is_idle():
             return True
         return not (
             self.is_closing
             or self.pending_replies
             or self.stream.unsent
             or (self.stream.buffer and not self.command_deadline)
-            or service.accepts_command(now, self.connected_at)
+            or lifecycle.accepts_command(now, self.connected_at)
         )
 
     def _goes_when_idle(self, now: float) -> bool:
@@ -347,6 +349,6 @@
         """
         return (
             self.has_sent_rpc
-            or self.listener.service.state == LifecycleState.ENDING
+            or self.listener.lifecycle.state == LifecycleState.ENDING
             or now - self.idle_since >= self.listener.limits.drain_idle
         )
--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -14,7 +14,7 @@
 
 from petrellane.gateway.client_connection import ClientConnection
 from petrellane.gateway.idle_eviction import ClientTables, eviction_candidates
-from petrellane.net.stream import Stream, accepted, listening
+from petrellane.net.stream import Stream, accept_waiting, open_listener
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -54,7 +54,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        service: Lifecycle,
+        lifecycle: Lifecycle,
         requests: RequestHandler,
         make_room: Callable[[int], bool],
         buffer_budget: BufferBudget,
@@ -66,7 +66,7 @@
         self.scheduler = runtime.scheduler
         self.limits = runtime.limits
         self.log = runtime.log
-        self.service = service
+        self.lifecycle = lifecycle
         self.on_request = requests.on_request
         self.on_client_disconnected = requests.on_client_disconnected
         self.make_room = make_room
@@ -87,7 +87,7 @@
         self.on_ended: Callable[[], object] | None = None
         self.end_deadline = 0.0
         self.successor: HotRestartTransport | None = None
-        self.scheduler.after(self.limits.look, self._close_stalled_clients)
+        self.scheduler.call_later(self.limits.check_interval, self._close_stalled_clients)
 
     # Listening.
 
@@ -99,7 +99,7 @@
             connectable: False binds the address alone: the kernel refuses whoever connects, as what
                 is accepted must be answered.
         """
-        self.listener = listening(address, self.limits.backlog if connectable else None)
+        self.listener = open_listener(address, self.limits.backlog if connectable else None)
         self.is_only_bound = not connectable
 
     def inherit(self, descriptor: int) -> None:
@@ -134,7 +134,9 @@
         if not self.make_room(1):
             self.free_descriptors("connections to hosts are all busy")
             return
-        for sock in accepted(self.listener, self.limits.accepts, self.free_descriptors):
+        for sock in accept_waiting(
+            self.listener, self.limits.accepts_per_turn, self.free_descriptors
+        ):
             if is_full or not self._has_room():
                 is_full = True  # for the rest of this turn
                 self._reject(sock)
@@ -159,14 +161,14 @@
         self.scheduler.spawn(client.run)
 
     def _stream(self, sock: socket.socket) -> Stream:
-        return Stream(self.scheduler, self.limits, sock, leaves=True)
+        return Stream(self.scheduler, self.limits, sock, break_on_half_close=True)
 
     def _reject(self, sock: socket.socket) -> None:
         """Close a new connection, with a line of the log a second at most."""
         sock.close()
         self.rejected_connections += 1
         now = self.scheduler.now()
-        if now - self.last_rejection_log >= self.limits.look:
+        if now - self.last_rejection_log >= self.limits.check_interval:
             self.log.event(
                 "no_room",
                 clients=len(self.clients),
@@ -180,9 +182,9 @@
 
     def _has_room(self) -> bool:
         """Return whether there is room for one more client, which an idle one may make."""
-        if len(self.clients) >= self.limits.client_room:
+        if len(self.clients) >= self.limits.client_capacity:
             return self._evict_idle_client()
-        if len(self.single_command) > self.limits.once_room:
+        if len(self.single_command) > self.limits.single_command_capacity:
             self._evict_first(self.single_command)
         return True
 
@@ -198,14 +200,14 @@
             Whether a client was evicted.
         """
         now = self.scheduler.now()
-        if now - self.last_shortage_log >= self.limits.look:
+        if now - self.last_shortage_log >= self.limits.check_interval:
             self.last_shortage_log = now
             self.log.event("no_descriptor", clients=len(self.clients), error=str(error))
         is_evicted = self._evict_idle_client()
-        self.make_room(self.limits.reserve)
+        self.make_room(self.limits.reserved_descriptors)
         if self.is_accepting:
             self._stop_accepting()
-            self.scheduler.after(self.limits.out_of_descriptors, self.start_accepting)
+            self.scheduler.call_later(self.limits.accept_retry_delay, self.start_accepting)
         return is_evicted
 
     def _evict_idle_client(self) -> bool:
@@ -228,13 +230,13 @@
     def _is_stalled(self, client: ClientConnection) -> bool:
         """Return whether a client is in the middle of a command for too long, and owed nothing."""
         since = self.partial_commands.get(client, math.inf)
-        return self.scheduler.now() - since >= self.limits.command_timeout_crowded and not (
+        return self.scheduler.now() - since >= self.limits.command_timeout_on_shortage and not (
             client.pending_replies or client.handoff.is_offered
         )
 
     def _close_stalled_clients(self) -> None:
         """Close clients that are owed nothing more and have not taken their answers for long."""
-        self.scheduler.after(self.limits.look, self._close_stalled_clients)
+        self.scheduler.call_later(self.limits.check_interval, self._close_stalled_clients)
         now = self.scheduler.now()
         before = self.slow_readers
         self.slow_readers = {}
@@ -243,8 +245,8 @@
         ]
         for client in clients:
             progress = before.get(client)
-            if progress is None or progress.sent != client.stream.sent:
-                progress = SendProgress(client.stream.sent, now)
+            if progress is None or progress.sent != client.stream.bytes_sent:
+                progress = SendProgress(client.stream.bytes_sent, now)
             self.slow_readers[client] = progress
             if now - progress.since >= self.limits.stall_timeout:
                 client.stream.close()
@@ -284,7 +286,7 @@
         elif not self.on_ended:
             self.start_accepting()
         for client in self.clients:
-            self.scheduler.soon(client.handoff.wake)
+            self.scheduler.call_soon(client.handoff.wake)
 
     def drain(self) -> None:
         """Close clients that may go, for as long as a drain lasts."""
@@ -293,13 +295,13 @@
             self._poll_drain()
 
     def _poll_drain(self) -> None:
-        self.is_draining = not self.service.passes_health_check
+        self.is_draining = not self.lifecycle.passes_health_check
         if self.is_draining:
             for client in list(self.clients):
                 client.close_if_done()
-            if self.service.complete_drain(len(self.clients)):
-                self.log.event(self.service.state)
-            self.scheduler.after(self.limits.let_go, self._poll_drain)
+            if self.lifecycle.complete_drain(len(self.clients)):
+                self.log.event(self.lifecycle.state)
+            self.scheduler.call_later(self.limits.client_poll_interval, self._poll_drain)
 
     def end(self, on_ended: Callable[[], object]) -> None:
         """Close each client as soon as it has all its answers, then call `on_ended`."""
@@ -313,7 +315,7 @@
         if not self.clients and not self.successor:
             self._accept()  # whoever came in the meantime is served
         if self.clients and self.scheduler.now() < self.end_deadline:
-            self.scheduler.after(self.limits.let_go, self._poll_end)
+            self.scheduler.call_later(self.limits.client_poll_interval, self._poll_end)
             return
         self._stop_accepting()
         if self.listener:
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -61,40 +61,42 @@
         Without `limits`, those that the configuration sets are taken.
         """
         self.config = config
-        self.limits: Limits = limits or Limits.of(config)
+        self.limits: Limits = limits or Limits.from_config(config)
         self.scheduler = scheduler or Scheduler()
-        self.scheduler.fault = self._log_fault
-        self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
+        self.scheduler.exception_handler = self._log_fault
+        self.log = Logger(
+            log_descriptor, config.name, self.scheduler.now, self.limits.max_log_lines
+        )
         self.runtime = Runtime(self.scheduler, self.limits, self.log)
         self.configuration = ConfigurationChanges(self)
         self.executor = ActionExecutor(config, self.runtime)
-        self.service = Lifecycle(
+        self.lifecycle = Lifecycle(
             self.limits.change_over,
             self.limits.last_command,
             self.limits.kill_after,
-            self.limits.kill_longest,
+            self.limits.max_deadline,
         )
         buffer_budget = BufferBudget(self.limits)
         self._make_client_side(buffer_budget)
         self._make_endpoint_side(buffer_budget)
-        self.agent: ParticipantService | None = None
+        self.participant: ParticipantService | None = None
         if config.consensus:
-            self._make_agent(config.consensus)
+            self._make_participant(config.consensus)
         self.is_ending = False
         self.is_taking_over = False
-        self.handover: HotRestartTransport | None = None
+        self.hot_restart_transport: HotRestartTransport | None = None
         if config.listen_fd is not None:
-            self._make_handover()
+            self._make_hot_restart_transport()
         self.signals: SignalWatch | None = None
 
     def _make_client_side(self, buffer_budget: BufferBudget) -> None:
         self.client_listener = ClientListener(
-            self.runtime, self.service, self.executor, self._make_room, buffer_budget
+            self.runtime, self.lifecycle, self.executor, self._make_room, buffer_budget
         )
         self.management = ManagementServer(
             self.scheduler,
             self.limits,
-            self.service,
+            self.lifecycle,
             self._on_lifecycle_changed,
             self.client_listener.free_descriptors,
         )
@@ -113,7 +115,7 @@
             self.executor.counter_client = self.counter_client
         self.endpoint_watch = self.make_watch(config.known.index if config.known.entries else None)
 
-    def _make_agent(self, consensus: ConsensusConfig) -> None:
+    def _make_participant(self, consensus: ConsensusConfig) -> None:
         # Imported where it is asked for: a gateway alone starts without it.
         from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
         from petrellane.config_consensus.participant_service import (
@@ -121,7 +123,7 @@
             ParticipantService,
         )
 
-        self.agent = ParticipantService(
+        self.participant = ParticipantService(
             self.scheduler,
             self.limits,
             self.log,
@@ -134,15 +136,15 @@
                 random=self.executor.controller.random,
             ),
         )
-        self.executor.agent = self.agent
-        self.management.handlers[PARTICIPANT_PATH] = self.agent.handle_call
+        self.executor.admission_gate = self.participant
+        self.management.handlers[PARTICIPANT_PATH] = self.participant.handle_call
 
-    def _make_handover(self) -> None:
+    def _make_hot_restart_transport(self) -> None:
         # Imported where it is needed: a gateway alone starts without it.
-        from petrellane.gateway.process_handover import ProcessHandover
+        from petrellane.gateway.hot_restart import GatewayHotRestart
 
-        self.handover = ProcessHandover(self).make_transport()
-        self.executor.handover = self.handover
+        self.hot_restart_transport = GatewayHotRestart(self).make_transport()
+        self.executor.hot_restart_transport = self.hot_restart_transport
 
     def make_watch(self, index: int | None) -> EndpointWatch:
         """Return a watch of the endpoint list from a version on; None: from a complete list on."""
@@ -162,7 +164,7 @@
             self.management,
             self.endpoint_watch,
             self.counter_client,
-            self.agent,
+            self.participant,
         ]
         return [service for service in services if service]
 
@@ -210,8 +212,8 @@
     def start(self) -> None:
         """Listen, and watch the endpoint list; the scheduler does the rest."""
         self.executor.start(self.config.known)
-        if self.agent:
-            self.agent.load()
+        if self.participant:
+            self.participant.load()
         self.scheduler.spawn(self.endpoint_watch.run)
         if self.config.management:
             self.management.listen(self.config.management)
@@ -219,9 +221,9 @@
         self.log_figures()
         if self.config.listen_fd is not None:
             self.client_listener.inherit(self.config.listen_fd)
-            self.scheduler.after(self.limits.listed, self.take_over)
+            self.scheduler.call_later(self.limits.first_list_timeout, self.take_over)
         else:
-            self.client_listener.listen(self.config.listen, connectable=not self.agent)
+            self.client_listener.listen(self.config.listen, connectable=not self.participant)
             self.begin_serving()
 
     def begin_serving(self) -> None:
@@ -230,27 +232,29 @@
         Operators and other gateways find this one listening before it asks: whoever goes on without
         it asks again after it has.
         """
-        if self.agent:
-            predecessor_state = self.handover.generation if self.handover else None
-            self.agent.start(self._serve_clients, predecessor_state)
+        if self.participant:
+            predecessor_state = (
+                self.hot_restart_transport.generation if self.hot_restart_transport else None
+            )
+            self.participant.start(self._serve_clients, predecessor_state)
         else:
             self._serve_clients()
 
     def _serve_clients(self) -> None:
         self.client_listener.start_accepting()
-        self.service.start()
+        self.lifecycle.start()
         host, port = self.config.listen
         self.log.event("started", listen=f"{host}:{port}", hosts=len(self.executor.endpoints))
 
     def run_heartbeat(self) -> None:
         """Never let a poll last long: one that overruns shows that the process stood still."""
-        self.scheduler.after(self.limits.beat, self.run_heartbeat)
-        if self.agent:
-            self.agent.check_stall()
+        self.scheduler.call_later(self.limits.heartbeat_interval, self.run_heartbeat)
+        if self.participant:
+            self.participant.check_stall()
 
     def log_figures(self) -> None:
         """Log what was counted since the last line, if anything; a line a second at most."""
-        self.scheduler.after(self.limits.figures, self.log_figures)
+        self.scheduler.call_later(self.limits.figures_interval, self.log_figures)
         executor = self.executor
         counts = executor.counts
         executor.counts = Counter()
@@ -267,22 +271,22 @@
                 "figures",
                 **figures,
                 cpu=round(time.process_time(), 3),
-                turn=round(self.scheduler.longest, 3),
+                turn=round(self.scheduler.longest_turn, 3),
                 clients=len(self.client_listener.clients),
                 connections=self.endpoint_pools.open_connections,
                 busy=sum(len(pool.busy) for pool in pools),
                 pressure=round(controller.overload, 3),
                 crowded=int(controller.lease_manager.counter.is_degraded(self.scheduler.now())),
             )
-        self.scheduler.longest = 0.0
+        self.scheduler.longest_turn = 0.0
 
     # Hot restart.
 
     def take_over(self) -> None:
         """Take over from the predecessor, if any: once, when it is known where endpoints are."""
-        if self.handover and not self.is_taking_over:
+        if self.hot_restart_transport and not self.is_taking_over:
             self.is_taking_over = True
-            self.handover.request_transfer(self.begin_serving)
+            self.hot_restart_transport.request_transfer(self.begin_serving)
 
     # Signals, drain and end.
 
@@ -296,7 +300,7 @@
 
     def _on_lifecycle_changed(self) -> None:
         """Note that operators have drained the gateway, or taken it into service again."""
-        self._log_open(self.service.state)
+        self._log_open(self.lifecycle.state)
         self.client_listener.drain()
 
     def _log_open(self, event: str) -> None:
@@ -307,32 +311,32 @@
         if self.is_ending:
             return
         self.is_ending = True
-        self.service.begin_shutdown(self.scheduler.now())
+        self.lifecycle.begin_shutdown(self.scheduler.now())
         self._log_open("ending")
         deadlines = [method.deadline for method in self.config.settings.methods.values()]
-        final_deadline = self.service.final_answer_time(max(deadlines, default=0.0))
+        final_deadline = self.lifecycle.final_answer_time(max(deadlines, default=0.0))
         time_left = max(0.0, final_deadline - self.scheduler.now())
-        self.scheduler.after(time_left, self.executor.expire_open_requests)
+        self.scheduler.call_later(time_left, self.executor.expire_open_requests)
         self.executor.final_deadline = final_deadline
         if self.client_listener.successor:  # clients go to the next process, not away
             self._end_clients()
             return
-        change_over = self.service.since + self.limits.change_over - self.scheduler.now()
-        self.scheduler.after(max(0.0, change_over), self._end_clients)
+        change_over = self.lifecycle.since + self.limits.change_over - self.scheduler.now()
+        self.scheduler.call_later(max(0.0, change_over), self._end_clients)
 
     def _end_clients(self) -> None:
         self.client_listener.end(self._stop)
 
     def _stop(self) -> None:
         """Stop the scheduler, as nothing is owed to anybody any more."""
-        if self.handover and self.handover.has_unsent:
-            self.scheduler.after(self.limits.let_go, self._stop)
+        if self.hot_restart_transport and self.hot_restart_transport.has_unsent:
+            self.scheduler.call_later(self.limits.client_poll_interval, self._stop)
             return
         self.management.close()
-        if self.agent:
-            self.agent.stop()
-        if self.handover:
-            self.handover.close()
+        if self.participant:
+            self.participant.stop()
+        if self.hot_restart_transport:
+            self.hot_restart_transport.close()
         self.scheduler.stop()
 
 
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -16,7 +16,7 @@
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
-from petrellane.net.stream import accepted
+from petrellane.net.stream import accept_waiting
 from petrellane.operation import hot_restart
 from petrellane.operation.hot_restart_link import MessageLink, Packet
 from petrellane.operation.hot_restart_messages import (
@@ -140,7 +140,7 @@
         except OSError:  # no predecessor, or only its file is left, or we have no descriptor
             if sock:
                 sock.close()
-            self._scheduler.soon(self._finish_transfer, "none before")
+            self._scheduler.call_soon(self._finish_transfer, "none before")
             return
         self._predecessor = MessageLink(
             self._scheduler,
@@ -150,7 +150,7 @@
             self._on_predecessor_lost,
         )
         self._predecessor.send(TransferRequest(PROTOCOL_VERSION))
-        self._scheduler.after(self._limits.hand_over, self._on_transfer_timeout)
+        self._scheduler.call_later(self._limits.transfer_timeout, self._on_transfer_timeout)
 
     def _on_predecessor_packet(self, link: MessageLink, packet: Packet) -> None:
         message = packet.message
@@ -235,7 +235,7 @@
         return listener
 
     def _resume_accepting(self) -> None:
-        if self._listener and self._listener.fileno() not in self._scheduler.calls:
+        if self._listener and self._listener.fileno() not in self._scheduler.event_handlers:
             self._scheduler.register(
                 self._listener.fileno(), select.POLLIN, self._accept, urgent=True
             )
@@ -243,8 +243,10 @@
     def _accept(self, _events: int) -> None:
         if not self._listener:
             return
-        for sock in accepted(self._listener, 1, self._on_descriptor_shortage):
-            if len(self.links) >= self._limits.callers:  # the oldest that is no successor makes way
+        for sock in accept_waiting(self._listener, 1, self._on_descriptor_shortage):
+            if (
+                len(self.links) >= self._limits.max_callers
+            ):  # the oldest that is no successor makes way
                 next(link for link in self.links if link is not self._successor).close()
             link = MessageLink(
                 self._scheduler,
@@ -259,7 +261,7 @@
         """Accept again soon: the listener would be ready at every poll."""
         if self._listener:
             self._scheduler.unregister(self._listener.fileno())
-            self._scheduler.after(self._limits.out_of_descriptors, self._resume_accepting)
+            self._scheduler.call_later(self._limits.accept_retry_delay, self._resume_accepting)
 
     def _on_successor_packet(self, link: MessageLink, packet: Packet) -> None:
         if packet.sock:
@@ -322,8 +324,8 @@
             raise RuntimeError("no successor to offer a connection to")
         number = sender.offer(on_settled)
         self._successor.send(ConnectionOffer(number, has_asked), data, sock.fileno())
-        self._scheduler.after(
-            self._limits.take_back, partial(self._withdraw_offer, sender, number, on_settled)
+        self._scheduler.call_later(
+            self._limits.handoff_timeout, partial(self._withdraw_offer, sender, number, on_settled)
         )
 
     @staticmethod
@@ -351,7 +353,7 @@
             os.close(self._folder)
             self._folder = None
         if self._listener:
-            if self._listener.fileno() in self._scheduler.calls:
+            if self._listener.fileno() in self._scheduler.event_handlers:
                 self._scheduler.unregister(self._listener.fileno())
             self._listener.close()
             self._listener = None
--- a/tests/integration/testbed/test_testbed.py
+++ b/tests/integration/testbed/test_testbed.py
@@ -582,7 +582,7 @@
             )
             self.addCleanup(process.close)
             process.popen.wait()
-            scheduler.turn(0)
+            scheduler.run_once(0)
             self.assertEqual(len(events), 1)
             self.assertEqual(ends, [process])
 
@@ -774,7 +774,7 @@
         self.scheduler.spawn(run)
         until = time.monotonic() + patience
         while not told and time.monotonic() < until:
-            self.scheduler.turn(10)
+            self.scheduler.run_once(10)
         return told[0]
 
     def dial(self):
