--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -137,7 +137,7 @@
         pending.end_offset = None
         self.in_flight.append(pending)
         self.stream.write(*pending.request.encode(pending.deadline - now))
-        pending.end_offset = self.stream.queued
+        pending.end_offset = self.stream.bytes_queued
 
     def can_pipeline(self) -> bool:
         """Return whether one more attempt may be written behind those in flight.
@@ -150,7 +150,7 @@
             or self.stream.unsent
             or self.stream.broken
             or self.address != self.pool.address
-            or len(self.in_flight) >= self.pool.pools.limits.streams
+            or len(self.in_flight) >= self.pool.pools.limits.attempts_per_connection
         )
 
     def is_clean(self) -> bool:
@@ -158,7 +158,7 @@
 
         It would pass for the answer to the next one.
         """
-        return not self.stream.buffer and bool(self.stream.quiet())
+        return not self.stream.buffer and bool(self.stream.is_read_idle())
 
     # Answers.
 
@@ -172,10 +172,10 @@
                     return
                 self._relay_data(buffer)
                 continue
-            if not self.relay and (head := resp.long_answer(buffer, limits)):
+            if not self.relay and (head := resp.parse_long_reply_head(buffer, limits)):
                 self._begin_relay(buffer, *head)
                 continue
-            reply = resp.answer(buffer, 0, limits)
+            reply = resp.parse_reply(buffer, 0, limits)
             if not reply:
                 return
             kind, content, end = reply
@@ -231,9 +231,12 @@
         self.relay_bytes_left = length
         self.relay_parts = parts
         del buffer[:start]
-        self.stream.bound(socket.SO_RCVBUF)
+        self.stream.limit_kernel_buffer(socket.SO_RCVBUF)
         self.relay = ResponseRelay(
-            pools.buffer_budget, pools.scheduler.now, self.stream.hold, self._on_relay_unwanted
+            pools.buffer_budget,
+            pools.scheduler.now,
+            self.stream.set_reading_paused,
+            self._on_relay_unwanted,
         )
         if pending.abandoned_as or not pools.begin_response(pending, self.relay, length):
             self.relay.drop()
@@ -252,7 +255,7 @@
         """End the connection, at once or when the attempts behind are abandoned as well."""
         self.in_flight[0].abandoned_as = self.in_flight[0].abandoned_as or CANCELLED
         if self.is_abandoned():
-            self.pool.pools.scheduler.soon(self.end)
+            self.pool.pools.scheduler.call_soon(self.end)
 
     # The end.
 
@@ -272,7 +275,9 @@
         self.in_flight = deque()
         self.pool.remove(self)
         for pending in in_flight:
-            is_written = pending.end_offset is not None and pending.end_offset <= self.stream.sent
+            is_written = (
+                pending.end_offset is not None and pending.end_offset <= self.stream.bytes_sent
+            )
             outcome: Outcome = RESET if is_written else UNREACHABLE
             if pending.abandoned_as and (is_written or pending.abandoned_as == NEVER_SENT):
                 outcome = pending.abandoned_as
--- a/petrellane/gateway/process_handover.py
+++ b/petrellane/gateway/hot_restart.py
@@ -19,7 +19,7 @@
     from petrellane.operation.hot_restart_messages import Message
 
 
-class ProcessHandover:
+class GatewayHotRestart:
     """Answers the steps of a hot restart; owned by its transport, for the life of the process."""
 
     def __init__(self, process: GatewayProcess) -> None:
@@ -49,21 +49,21 @@
         for pool in self.process.endpoint_pools.pools.values():
             pool.retire(math.inf)
         generation = None
-        agent = self.process.agent
-        if agent:
-            agent.hand_over()
-            generation = agent.state.to_dict()
+        participant = self.process.participant
+        if participant:
+            participant.hand_over()
+            generation = participant.state.to_dict()
         return hot_restart.export_leases(self.executor.controller, self.scheduler.now(), generation)
 
     def on_successor(self, successor: HotRestartTransport | None) -> None:
         """Give way to a successor, or go on when it is gone (None)."""
-        self.process.service.has_successor = bool(successor)
+        self.process.lifecycle.has_successor = bool(successor)
         self.process.client_listener.set_successor(successor)
         if successor:
             return
         hot_restart.resume(self.executor.controller, self.scheduler.now())
-        if self.process.agent:
-            self.process.agent.resume()
+        if self.process.participant:
+            self.process.participant.resume()
 
     def import_leases(self, rows: list[dict[str, Any]]) -> int:
         """Take over the leases that the predecessor has given up; return how many."""
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -1,7 +1,8 @@
 """Non-blocking TCP and Unix sockets with a read buffer and a write queue.
 
 A `Stream` is read by one greenlet, which waits in `fill`, and written by anybody without waiting.
-Listening sockets are made by `listening` and emptied by `accepted`. Framing is left to the codecs.
+Listening sockets are made by `open_listener` and emptied by `accept_waiting`. Framing is left to
+the codecs.
 """
 
 import contextlib
@@ -22,11 +23,11 @@
 
 READ = select.POLLIN
 WRITE = select.POLLOUT
-LEFT = select.POLLRDHUP  # the peer sends no more; reported also while there is more to read
+PEER_CLOSED = select.POLLRDHUP  # the peer sends no more; reported also while there is more to read
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-def listening(address: Address, backlog: int | None) -> socket.socket:
+def open_listener(address: Address, backlog: int | None) -> socket.socket:
     """Make a non-blocking socket that listens at an address.
 
     Args:
@@ -50,7 +51,7 @@
     return sock
 
 
-def accepted(
+def accept_waiting(
     listener: socket.socket, max_count: int, on_out_of_descriptors: Callable[[OSError], object]
 ) -> Iterator[socket.socket]:
     """Accept the connections that wait at a listening socket.
@@ -91,15 +92,16 @@
         sock: The socket, which the stream owns.
         buffer: Bytes read and not yet consumed; the reader deletes what it consumes.
         unsent: Buffers that the socket has not taken yet.
-        queued: Bytes handed over for writing so far.
-        sent: Bytes written so far.
+        bytes_queued: Bytes handed over for writing so far.
+        bytes_sent: Bytes written so far.
         reader: The greenlet that waits for bytes, if one does.
         broken: Why the stream is over; None while it is not.
-        unread: Whether it broke while writing, so that bytes that came before may still be read.
-        relief: Called after bytes have been written, if set.
-        deserted: Called when the stream breaks while nobody reads, if set.
-        held: Whether reading is suspended.
-        finishing: Whether our sending ends once all is written.
+        is_broken_by_write: Whether it broke while writing, so that bytes that came before may still
+            be read.
+        on_flushed: Called after bytes have been written, if set.
+        on_connection_lost: Called when the stream breaks while nobody reads, if set.
+        is_reading_paused: Whether reading is suspended.
+        eof_requested: Whether our sending ends once all is written.
     """
 
     def __init__(
@@ -108,7 +110,7 @@
         limits: Limits,
         sock: socket.socket,
         urgent: bool = False,
-        leaves: bool = False,
+        break_on_half_close: bool = False,
     ) -> None:
         """Take over a socket and watch it.
 
@@ -117,24 +119,24 @@
             limits: Sizes and counts of the reads and writes.
             sock: An open socket; it is made non-blocking.
             urgent: Whether its events go before those of others in a turn.
-            leaves: Whether a peer that ends its sending has left: the stream breaks at once, also
-                while there is more to read and while nobody reads.
+            break_on_half_close: Whether the stream breaks at once where its peer ends its sending,
+                also while there is more to read and while nobody reads.
         """
         self.scheduler = scheduler
         self.limits = limits
         self.sock = sock
         self.buffer = bytearray()
         self.unsent: deque[memoryview] = deque()
-        self.queued = 0
-        self.sent = 0
+        self.bytes_queued = 0
+        self.bytes_sent = 0
         self.reader: Any = None  # a greenlet
         self.broken: Closed | None = None
-        self.unread = False
-        self.relief: Callable[[], object] | None = None
-        self.deserted: Callable[[], object] | None = None
-        self.held = False
-        self.finishing = False
-        self._always_watched = LEFT if leaves else 0
+        self.is_broken_by_write = False
+        self.on_flushed: Callable[[], object] | None = None
+        self.on_connection_lost: Callable[[], object] | None = None
+        self.is_reading_paused = False
+        self.eof_requested = False
+        self._always_watched = PEER_CLOSED if break_on_half_close else 0
         self._dialing = False
         self._reads_in_row = 0  # since the socket last had nothing
         sock.setblocking(False)
@@ -191,18 +193,18 @@
             self.scheduler.modify(self.sock.fileno(), events)
 
     def _wanted_events(self) -> int:
-        reading = 0 if self.held else READ
+        reading = 0 if self.is_reading_paused else READ
         writing = WRITE if self.unsent else 0
         return reading | writing | self._always_watched
 
-    def hold(self, held: bool = True) -> None:
+    def set_reading_paused(self, paused: bool) -> None:
         """Suspend reading, or resume it; meanwhile the kernel slows the peer down."""
-        self.held = held
+        self.is_reading_paused = paused
         self._watch(self._wanted_events())
 
     def _on_events(self, events: int) -> None:
-        if events & self._always_watched or (self.held and events & ~(READ | WRITE)):
-            self.sock_failed()
+        if events & self._always_watched or (self.is_reading_paused and events & ~(READ | WRITE)):
+            self.fail_closed_by_peer()
             self._wake()
             return
         if not self._dialing:
@@ -225,7 +227,7 @@
             TimeoutError: Nothing came in time.
         """
         while True:
-            if self.broken and not self.unread:
+            if self.broken and not self.is_broken_by_write:
                 raise self.broken
             data = self._receive()
             if data is None:
@@ -236,17 +238,17 @@
                 raise self.broken or Ended("ended by the peer")
             self.buffer += data
             self._reads_in_row += 1
-            if self._reads_in_row >= self.limits.reads:
+            if self._reads_in_row >= self.limits.reads_per_turn:
                 self._reads_in_row = 0
                 self.scheduler.wait(0)
             return
 
     def _receive(self) -> bytes | None:
         """Return what the socket has, empty at the peer's end; None where it has nothing now."""
-        if self.held:
+        if self.is_reading_paused:
             return None
         try:
-            return self.sock.recv(self.limits.receive)
+            return self.sock.recv(self.limits.receive_size)
         except BlockingIOError:
             return None
         except OSError as error:
@@ -267,13 +269,13 @@
 
         A peer that leaves too much unread, or is gone, breaks the stream, which its reader learns.
         """
-        if self.unsent and self.queued - self.sent > self.limits.unsent:
+        if self.unsent and self.bytes_queued - self.bytes_sent > self.limits.max_unsent:
             self.fail("the peer reads nothing")
             return
         for piece in pieces:
             if len(piece):  # an empty one would never be gone: the socket takes nothing of it
                 self.unsent.append(memoryview(piece))
-                self.queued += len(piece)
+                self.bytes_queued += len(piece)
         if not self._dialing and not self._watched_events & WRITE:
             self.flush()
 
@@ -285,18 +287,18 @@
         except BlockingIOError:
             pass
         except OSError as error:
-            self.unread = not self._always_watched
+            self.is_broken_by_write = not self._always_watched
             self.fail(str(error))
         self._watch(self._wanted_events())
-        if self.finishing and not self.unsent:
-            self.shut()
-        if self.relief:
-            self.relief()
+        if self.eof_requested and not self.unsent:
+            self.shutdown_write()
+        if self.on_flushed:
+            self.on_flushed()
 
     def _send_some(self) -> None:
         """Hand queued buffers to the socket once and drop what it took from the queue."""
-        taken = self.sock.sendmsg(list(itertools.islice(self.unsent, self.limits.gathered)))
-        self.sent += taken
+        taken = self.sock.sendmsg(list(itertools.islice(self.unsent, self.limits.buffers_per_send)))
+        self.bytes_sent += taken
         while taken:
             piece = self.unsent[0]
             if taken < len(piece):
@@ -304,7 +306,7 @@
                 break
             taken -= len(self.unsent.popleft())
 
-    def sock_failed(self) -> None:
+    def fail_closed_by_peer(self) -> None:
         """Break the stream and stop watching it.
 
         Both directions are over, and each poll would report so again for as long as nobody reads.
@@ -312,7 +314,7 @@
         self.scheduler.unregister(self.sock.fileno())
         self.fail("ended by the peer")
 
-    def bound(self, option: int) -> None:
+    def limit_kernel_buffer(self, option: int) -> None:
         """Limit a buffer of the kernel to the window of a long value.
 
         The kernel's memory counts as the process's, and grows to megabytes.
@@ -321,11 +323,11 @@
             option: SO_RCVBUF or SO_SNDBUF.
         """
         with contextlib.suppress(OSError):  # the connection is over, which its reader learns
-            self.sock.setsockopt(socket.SOL_SOCKET, option, self.limits.window)
+            self.sock.setsockopt(socket.SOL_SOCKET, option, self.limits.relay_window)
 
     def detach(self) -> None:
         """Stop watching and writing the socket, which is handed to somebody else."""
-        if self.sock.fileno() in self.scheduler.calls:
+        if self.sock.fileno() in self.scheduler.event_handlers:
             self.scheduler.unregister(self.sock.fileno())
 
     def attach(self) -> None:
@@ -338,21 +340,21 @@
         self.unsent.clear()
         if not self.broken:
             self.broken = Closed(reason)
-            self.scheduler.soon(self._wake)
+            self.scheduler.call_soon(self._wake)
 
     def _wake(self) -> None:
         if self.reader:
             self.reader.switch()
-        elif self.deserted:
-            self.deserted()
+        elif self.on_connection_lost:
+            self.on_connection_lost()
 
-    def left(self) -> bool:
-        """Return whether the peer has left, also where no poll has reported it yet."""
+    def is_closed_by_peer(self) -> bool:
+        """Return whether the peer has ended its sending, also where no poll has reported it yet."""
         poll = select.poll()
-        poll.register(self.sock.fileno(), LEFT)
+        poll.register(self.sock.fileno(), PEER_CLOSED)
         return bool(poll.poll(0))
 
-    def quiet(self) -> bool:
+    def is_read_idle(self) -> bool:
         """Return whether the peer has neither sent nor ended anything that is not read yet."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -362,13 +364,13 @@
             pass
         return False
 
-    def finish(self) -> None:
+    def write_eof(self) -> None:
         """End our sending once all is written; what the peer still sends can be read."""
-        self.finishing = True
+        self.eof_requested = True
         if not self.unsent:
-            self.shut()
+            self.shutdown_write()
 
-    def shut(self) -> None:
+    def shutdown_write(self) -> None:
         """End our sending at once."""
         with contextlib.suppress(OSError):  # the connection is over, or was never up
             self.sock.shutdown(socket.SHUT_WR)
@@ -381,10 +383,10 @@
         """
         if self.sock.fileno() < 0:
             return
-        self.shut()
+        self.shutdown_write()
         with contextlib.suppress(OSError):  # nothing more has come
-            for _ in range(self.limits.passed_over):
-                if not self.sock.recv(self.limits.receive):
+            for _ in range(self.limits.max_discarding_reads):
+                if not self.sock.recv(self.limits.receive_size):
                     break
         self.release()
 
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -11,7 +11,7 @@
 
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
-from petrellane.net.stream import Closed, Stream, accepted, listening
+from petrellane.net.stream import Closed, Stream, accept_waiting, open_listener
 from petrellane.operation import management_requests
 from petrellane.operation.lifecycle import Lifecycle
 from petrellane.operation.management_requests import HttpResponse, RequestError
@@ -68,7 +68,7 @@
         Raises:
             OSError: The address can't be had.
         """
-        self.listener = listening(address, self.limits.backlog)
+        self.listener = open_listener(address, self.limits.backlog)
         self.resume_accepting()
 
     def resume_accepting(self) -> None:
@@ -96,12 +96,14 @@
         """Accept again soon where no descriptor can be freed: every poll would report us ready."""
         if not self._free_descriptor(error):
             self.pause_accepting()
-            self._scheduler.after(self.limits.out_of_descriptors, self.resume_accepting)
+            self._scheduler.call_later(self.limits.accept_retry_delay, self.resume_accepting)
 
     def _accept(self, _events: int = 0) -> None:
         if not self.listener:
             return
-        for sock in accepted(self.listener, self.limits.accepts, self._on_descriptor_shortage):
+        for sock in accept_waiting(
+            self.listener, self.limits.accepts_per_turn, self._on_descriptor_shortage
+        ):
             self._make_room()
             stream = Stream(self._scheduler, self.limits, sock, urgent=True)
             self.callers[stream] = None
@@ -110,20 +112,20 @@
     def _make_room(self) -> None:
         """Close the oldest connection, one that got its answer before one that did not."""
         for streams in (self.answered, self.callers):
-            if streams and len(self.callers) + len(self.answered) >= self.limits.callers:
+            if streams and len(self.callers) + len(self.answered) >= self.limits.max_callers:
                 oldest = next(iter(streams))
                 del streams[oldest]
                 oldest.close()
 
     def _serve(self, stream: Stream) -> None:
         """Answer one request, then end; what follows its head is read and ignored."""
-        deadline = self._scheduler.now() + self.limits.call
+        deadline = self._scheduler.now() + self.limits.call_timeout
         try:
             stream.write(self._answer(stream, deadline))
             self.callers.pop(stream, None)
             self.answered[stream] = None
-            stream.finish()
-            linger = self.limits.call if stream.unsent else self.limits.linger
+            stream.write_eof()
+            linger = self.limits.call_timeout if stream.unsent else self.limits.linger_timeout
             deadline = self._scheduler.now() + linger
             while (remaining := deadline - self._scheduler.now()) > 0:
                 stream.buffer.clear()
@@ -154,7 +156,7 @@
     def _read_head(self, stream: Stream, deadline: float) -> bytes:
         """Read up to the empty line, which stays in the buffer with all before it."""
         while (end := stream.buffer.find(_HEAD_END)) < 0:
-            if len(stream.buffer) > self.limits.head:
+            if len(stream.buffer) > self.limits.max_head_size:
                 raise RequestError(431)
             stream.fill(max(0.0, deadline - self._scheduler.now()))
         return bytes(stream.buffer[:end])
@@ -163,7 +165,7 @@
         self, stream: Stream, path: bytes, head: bytes, deadline: float
     ) -> bytes:
         headers = management_requests.parse_headers(head)
-        length = management_requests.parse_body_length(headers, self.limits.body)
+        length = management_requests.parse_body_length(headers, self.limits.max_body_size)
         start = len(head) + len(_HEAD_END)
         while len(stream.buffer) < start + length:
             stream.fill(max(0.0, deadline - self._scheduler.now()))
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -22,8 +22,9 @@
 from petrellane.net.stream import Address
 from petrellane.testbed.addresses import AddressPool, format_address
 from petrellane.testbed.clients import Clients, Front, Load
+from petrellane.testbed.endpoint_rows import EndpointRow
 from petrellane.testbed.fake_counter import FakeCounter
-from petrellane.testbed.fake_discovery import FakeDiscovery, Row
+from petrellane.testbed.fake_discovery import FakeDiscovery
 from petrellane.testbed.fake_host import FakeHost
 from petrellane.testbed.fleet_control import FleetControl
 from petrellane.testbed.fleet_gateway import FleetGateway
@@ -99,7 +100,7 @@
         self.spec = spec
         self.settings: Settings = spec.settings or build_settings(SettingsSpec(spec.gateways))
         self.scheduler = Scheduler()
-        self.scheduler.fault = self._on_exception
+        self.scheduler.exception_handler = self._on_exception
         self.addresses = AddressPool(LAST_PORT)
         self.folder = tempfile.mkdtemp(
             prefix="petrellane-lab-", dir=MEMORY_DISK if MEMORY_DISK.is_dir() else None
@@ -112,7 +113,7 @@
         self.longest_stall_s = 0.0
         self._turned_at = time.monotonic()
         terms = build_terms(spec, self.settings)
-        self.records = Records(terms, self.scheduler.now, self.scheduler.after)
+        self.records = Records(terms, self.scheduler.now, self.scheduler.call_later)
         self.records.generation_by_method = spec.proves
         self.relays = FleetRelays(
             self.scheduler, spec.relays, spec.seed, self.addresses, self._is_gateway
@@ -174,11 +175,11 @@
         away = time.monotonic() - self._turned_at
         if away > SETTLE_S:
             self.records.last_stall = self.records.turns
-        pause = self.scheduler.pause()
-        self.scheduler.turn(TURN_MS if pause is None else min(TURN_MS, pause))
+        timeout_ms = self.scheduler.poll_timeout_ms()
+        self.scheduler.run_once(TURN_MS if timeout_ms is None else min(TURN_MS, timeout_ms))
         self.records.turns += 1
-        stall = away + self.scheduler.longest
-        self.scheduler.longest = 0.0
+        stall = away + self.scheduler.longest_turn
+        self.scheduler.longest_turn = 0.0
         self._turned_at = time.monotonic()
         if stall > SETTLE_S and (self.clients.on or self.clients.out):
             self.records.note(f"the rig stood still for {stall:.3f} s")
@@ -378,7 +379,7 @@
     def _host(self, name: str) -> FakeHost:
         return next(host for host in self.hosts if host.name == name)
 
-    def _row_seen_by(self, gateway: str, row: Row) -> Row:
+    def _row_seen_by(self, gateway: str, row: EndpointRow) -> EndpointRow:
         """Return a host of the list with the address at which a gateway is to reach it."""
         route = Route(RouteKind.HOST, gateway, row["name"])
         return {**row, "address": self.reach(route)} if self.relays.has_relay(route) else row
--- a/tests/compatibility/build/hot_restart.py
+++ b/tests/compatibility/build/hot_restart.py
@@ -5,7 +5,7 @@
 import socket
 import sys
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NoReturn
 
 from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
@@ -17,7 +17,7 @@
 
 Json = Any
 
-LIMITS = Limits(256, 1.0, 1.0, 1, 1.0, take_back=0.05)
+LIMITS = Limits(256, 1.0, 1.0, 1, 1.0, handoff_timeout=0.05)
 
 
 class _Log:
@@ -39,12 +39,12 @@
         self.now = 1000.0
         self.faults: list[Exception] = []
         self.scheduler = Scheduler(monotonic=lambda: self.now)
-        self.scheduler.fault = self.faults.append
+        self.scheduler.exception_handler = self.faults.append
 
     def take(self, number: int = 8) -> None:
         """Let the scheduler do what is due, for some turns; what fails there fails here."""
         for _ in range(number):
-            self.scheduler.turn(5)
+            self.scheduler.run_once(5)
             self.now += 0.005
         if self.faults:
             raise self.faults[0]
@@ -58,9 +58,9 @@
     return message
 
 
-def never(*words: Any) -> Any:
+def never(*arguments: object) -> NoReturn:
     """Stand for what the other end of a hot restart is asked for."""
-    raise AssertionError(f"expected no call at this end, found one with {words}")
+    raise AssertionError(f"expected no call at this end, found one with {arguments}")
 
 
 class Predecessor:
@@ -160,14 +160,14 @@
     return [sys.executable, "-m", "petrellane", "serve"]
 
 
-def packet(message: Json) -> str:
+def encode_packet(message: Json) -> str:
     """The packet that a message is sent as, without data."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    link = hot_restart_link.MessageLink(Scheduler(), LIMITS, ours, never, lambda link: None)
+    link = hot_restart_link.MessageLink(Scheduler(), LIMITS, ours, never, lambda _link: None)
     with theirs:
         theirs.settimeout(5.0)
         link.send(typed(message))
-        sent = theirs.recv(LIMITS.packet)
+        sent = theirs.recv(LIMITS.max_packet_size)
         link.close()
     return sent.decode("latin-1")
 
@@ -178,7 +178,7 @@
     sock.setblocking(False)
     while True:
         try:
-            data, descriptors, _, _ = socket.recv_fds(sock, LIMITS.packet, 1)
+            data, descriptors, _, _ = socket.recv_fds(sock, LIMITS.max_packet_size, 1)
         except BlockingIOError:
             return found
         for descriptor in descriptors:
--- a/tests/integration/testbed/test_fleet_gateway_kills.py
+++ b/tests/integration/testbed/test_fleet_gateway_kills.py
@@ -96,7 +96,7 @@
     scheduler: Scheduler, writer: WriterProcess
 ) -> None:
     """Else clients of a gateway that logs and ends see its connections close before that."""
-    scheduler.turn(0)
+    scheduler.run_once(0)
     assert len(writer.events) == 1
     assert writer.ends == [writer.process]
 
--- a/tests/integration/testbed/test_fleet_relay_faults.py
+++ b/tests/integration/testbed/test_fleet_relay_faults.py
@@ -57,7 +57,7 @@
         self.scheduler.spawn(lambda: results.append(call()))
         limit = time.monotonic() + PATIENCE_S
         while not results and time.monotonic() < limit:
-            self.scheduler.turn(TURN_MS)
+            self.scheduler.run_once(TURN_MS)
         return results[0]
 
     def dial(self) -> Stream:
--- a/tests/integration/testbed/test_fleet_starts.py
+++ b/tests/integration/testbed/test_fleet_starts.py
@@ -18,7 +18,7 @@
 SERVED = (METHOD, invariants.OK)
 READY_REQUEST = b"GET /-/ready HTTP/1.1\r\n\r\n"
 IMPORTED_PACKAGES = {"config", "decisions", "gateway", "net", "operation"}
-COMMAND_LINE_LIBRARIES = {"typer", "click", "rich", "msgspec", "tomllib"}
+COSTLY_MODULES = {"typer", "click", "rich", "msgspec", "tomllib", "hashlib", "traceback"}
 
 
 def make_fleet() -> LoopbackFleet:
@@ -102,4 +102,4 @@
     assert "petrellane.gateway.process" in modules
     packages = {name.split(".")[1] for name in modules if name.startswith("petrellane.")}
     assert packages <= IMPORTED_PACKAGES
-    assert not {name.partition(".")[0] for name in modules} & COMMAND_LINE_LIBRARIES
+    assert not {name.partition(".")[0] for name in modules} & COSTLY_MODULES
--- a/tests/integration/testbed/test_scale_hollow_gateways.py
+++ b/tests/integration/testbed/test_scale_hollow_gateways.py
@@ -93,7 +93,7 @@
         self.log = log
         self.cleanup = cleanup
         self.scheduler = Scheduler()
-        self.scheduler.fault = fail
+        self.scheduler.exception_handler = fail
 
     def make_hollow(self, config: Config) -> HollowGateway:
         """Make a hollow gateway."""
@@ -130,7 +130,7 @@
         limit = self.scheduler.monotonic() + PATIENCE_S
         while not condition():
             assert self.scheduler.monotonic() < limit
-            self.scheduler.turn(min(TURN_MS, self.scheduler.pause() or 0))
+            self.scheduler.run_once(min(TURN_MS, self.scheduler.poll_timeout_ms() or 0))
 
 
 def close_listener(gateway: GatewayProcess) -> None:
@@ -172,14 +172,14 @@
     answers: list[bool] = []
     for number, customer in enumerate(CUSTOMERS):
         buffer = bytearray(
-            resp.words(
+            resp.encode_command(
                 b"SVC.QUERY",
                 b"%016X" % customer,
                 b"r%d" % number,
                 b"c=look,t=sold,d=1000,first=0,spread=1",
             )
         )
-        parsed = resp.command(buffer, 0, gateway.limits)
+        parsed = resp.parse_command(buffer, 0, gateway.limits)
         assert parsed is not None
         command = Command(0, *parsed)
         owner = SimpleNamespace(
@@ -197,7 +197,7 @@
     discovery = RecordingDiscovery(bench.scheduler)
     counter = RecordingCounter(bench.scheduler)
     gateway = make_gateway(make_config(discovery, counter))
-    gateway.scheduler.fault = fail
+    gateway.scheduler.exception_handler = fail
     gateway.start()
     answers = send_rpcs(gateway)
     bench.run_until(
