--- a/petrellane/net/log.py
+++ b/petrellane/net/log.py
@@ -5,6 +5,7 @@
 """
 
 import os
+import traceback
 from collections import deque
 from collections.abc import Callable
 
@@ -73,9 +74,4 @@
 
 def _format_trace(error: BaseException) -> str:
     """Return the last entries of an exception's traceback."""
-    try:
-        # Imported where it is needed: few processes ever log a fault, and each starts faster.
-        import traceback
-    except OSError as import_error:  # no descriptor is left to read the module
-        return f"not available: {import_error}"
     return "".join(traceback.format_exception(error)[-TRACE_ENTRIES:])
