--- a/petrellane/decisions/__init__.py
+++ b/petrellane/decisions/__init__.py
@@ -10,5 +10,6 @@
 - what may be sent again: `retries`, with what `outcomes` prove.
 
 Nothing here reads a clock, draws from a generator of its own or does I/O. Each tuned value is a
-named constant with its unit; its comment says whether it is the design source's or ours.
+named constant with its unit. It was chosen for this gateway, for the reasons in `docs/design.md`,
+where its comment does not name another source.
 """
--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -33,7 +33,7 @@
 from petrellane.decisions.load_shedding import LoadShedder
 from petrellane.decisions.types import OK, EndpointEvent, Outcome, RejectionReason, Rpc
 
-CHECK_INTERVAL = 0.1  # seconds between periodic checks, while anything is in flight; ours
+CHECK_INTERVAL = 0.1  # seconds between periodic checks, while anything is in flight
 
 
 class AdmissionController:
@@ -194,7 +194,7 @@
         *,
         over: bool,
         took: float = 0.0,
-        usage: float = 0,  # noqa: ARG002 - reported by every caller, and not decided on yet
+        usage: float = 0,  # noqa: ARG002 - reported by callers, and decides nothing
         units: float = 0.0,
         report: object = None,  # noqa: ARG002 - as above
     ) -> list[Action]:
@@ -206,9 +206,9 @@
             outcome: How.
             over: Whether the RPC needs no answer any more.
             took: Seconds that it took.
-            usage: What the endpoint says that it used.
+            usage: What the endpoint says that it used; decides nothing.
             units: What the RPC cost in the end; 0 for what it was admitted with.
-            report: The endpoint's load report.
+            report: The endpoint's load report; decides nothing.
         """
         rpc = attempt.rpc
         attempt.outcome = outcome
--- a/petrellane/decisions/counter_health.py
+++ b/petrellane/decisions/counter_health.py
@@ -11,11 +11,11 @@
 from petrellane.decisions.actions import WriteLog
 from petrellane.decisions.endpoint_health import SAMPLE_LIFETIME
 
-SILENT_AFTER = 2  # failed top-ups in a row after which the counter counts as silent; ours
-DEGRADED_SHARE = 0.05  # share of failed top-ups from which the counter counts as degraded; ours
-PROBE_INTERVAL = 1.0  # mean seconds between top-ups while the counter is silent; ours
-TIMEOUT_SHARE = 0.6  # our deadline for a top-up, as a share of the counter's own timeout; ours
-RESULTS_KEPT = 32  # the last top-ups that are looked at; ours
+SILENT_AFTER = 2  # failed top-ups in a row after which the counter counts as silent
+DEGRADED_SHARE = 0.05  # share of failed top-ups from which the counter counts as degraded
+PROBE_INTERVAL = 1.0  # mean seconds between top-ups while the counter is silent
+TIMEOUT_SHARE = 0.6  # our deadline for a top-up, as a share of the counter's own timeout
+RESULTS_KEPT = 32  # the last top-ups that are looked at
 
 
 class CounterHealth:
--- a/petrellane/decisions/endpoint_health.py
+++ b/petrellane/decisions/endpoint_health.py
@@ -12,11 +12,12 @@
 from petrellane.decisions.numeric import mean
 from petrellane.decisions.types import FULL, OK, UNREACHABLE, Outcome
 
-SAMPLE_LIFETIME = 10.0  # seconds for which an endpoint's samples speak for it; ours
-SAMPLES_KEPT = 16  # the last samples of an endpoint that are kept; ours
-LATENCY_SAMPLES = 8  # of these, the last that its latency is estimated from; ours
-PRIOR_LATENCIES = [0.1, 0.1]  # relative latencies assumed where little is known; ours
-PRIOR_IN_FLIGHT = 3  # attempts in flight added to both sides of a growth, so that few say little
+SAMPLE_LIFETIME = 10.0  # seconds for which a sample counts
+SAMPLES_KEPT = 16  # the last samples of an endpoint that are kept
+LATENCY_SAMPLES = 8  # of these, the last that its latency is estimated from
+PRIOR_LATENCIES = [0.1, 0.1]  # relative latencies assumed where little is known
+# Attempts in flight added to both sides of the growth ratio, so that small numbers do not swing it.
+PRIOR_IN_FLIGHT = 3
 
 
 class LatencySample(NamedTuple):
--- a/petrellane/decisions/hard_limits.py
+++ b/petrellane/decisions/hard_limits.py
@@ -13,9 +13,11 @@
 from petrellane.decisions.outcomes import PROVEN_NOT_RUN
 from petrellane.decisions.types import OK, Outcome
 
-ESCROW_TTL_WINDOWS = 2  # windows that an escrow's count is kept for; ours
-ESCROW_TTL_MAXIMUM = 60.0  # seconds that it is kept for at most; ours
-RETRY_BASE = 1.0  # seconds; WORTHWHILE_SHARE of this or of the window before a retry; ours
+ESCROW_TTL_WINDOWS = 2  # windows that an escrow's count is kept for
+ESCROW_TTL_MAXIMUM = 60.0  # seconds that it is kept for at most
+# Seconds: an escrow that gave nothing is asked again after WORTHWHILE_SHARE of this, or of the
+# window where that is shorter.
+RETRY_BASE = 1.0
 
 
 class HardLimitEscrow:
--- a/petrellane/decisions/lease_manager.py
+++ b/petrellane/decisions/lease_manager.py
@@ -23,10 +23,10 @@
 # This last part of an allowance goes only to RPCs that wait for it; from the decision package of
 # the design's source.
 RESERVE = 0.3
-COUNT_TTL_WINDOWS = 4  # windows that a window's count is kept for; ours
-COUNT_TTL_MAXIMUM = 60.0  # seconds that it is kept for at most; ours
-LOST_COUNT_TOLERANCE = 0.5  # units by which a total may be below what we added, for rounding; ours
-FIRST_CLEAN_UP = 100  # leases from which idle ones are dropped; ours
+COUNT_TTL_WINDOWS = 4  # windows that a window's count is kept for
+COUNT_TTL_MAXIMUM = 60.0  # seconds that it is kept for at most
+LOST_COUNT_TOLERANCE = 0.5  # units by which a total may be below what we added, for rounding
+FIRST_CLEAN_UP = 100  # leases from which idle ones are dropped
 
 
 class Credit(Enum):
@@ -240,7 +240,7 @@
     def _on_failed_add(
         self, now: float, lease: Lease, add: CounterAdd, outcome: Outcome
     ) -> list[Action]:
-        """Book a top-up that failed, by what its outcome proves."""
+        """Update the lease after a failed top-up, by whether the amount may have been added."""
         if lease.window == add.window:
             is_first = lease.pending_add is add and not add.is_retry
             if outcome == ERROR and is_first and lease.waiting:
--- a/petrellane/decisions/leases.py
+++ b/petrellane/decisions/leases.py
@@ -15,15 +15,15 @@
 from petrellane.decisions.numeric import mean, stable_hash
 from petrellane.decisions.types import Customer, Plan, Rpc
 
-WINDOW_FILLS = 1.0  # length of a window, as a multiple of the time in which a burst refills; ours
+WINDOW_FILLS = 1.0  # length of a window, as a multiple of the time in which a burst refills
 # Leases are this multiple of recent demand; from the decision package of the design's source.
 HEADROOM = 1.25
-LEASE_AHEAD = 0.25  # part of a window that a lease covers: unused credit elsewhere is lost; ours
-WORTHWHILE_SHARE = 0.1  # share of the allowance that is worth a top-up when credit is short; ours
-ESCROW_SHARE = 0.5  # of a hard limit's slack, what may lie in escrow for gateways in need; ours
-DEMAND_KEPT = 256  # the last RPCs that demand is estimated from; ours
-DEMAND_EXPORTED = 32  # of these, the last that another process is given; ours
-DEMAND_WINDOWS = 2  # windows that demand is estimated over; ours
+LEASE_AHEAD = 0.25  # part of a window that a lease covers: unused credit elsewhere is lost
+WORTHWHILE_SHARE = 0.1  # share of the allowance that is worth a top-up when credit is short
+ESCROW_SHARE = 0.5  # of a hard limit's slack, what may lie in escrow for gateways in need
+DEMAND_KEPT = 256  # the last RPCs that demand is estimated from
+DEMAND_EXPORTED = 32  # of these, the last that another process is given
+DEMAND_WINDOWS = 2  # windows that demand is estimated over
 
 # Where each key of the stored form of a lease goes, in the order of the keys. The keys are part of
 # the format in which one process hands its leases to the next.
@@ -121,7 +121,8 @@
         self.pending_add: CounterAdd | None = None
         self.demand: deque[tuple[float, float]] = deque(maxlen=DEMAND_KEPT)
         self.demand_since = now
-        self.hard_limit = 0.0  # starts in a row never add up
+        # Starts empty, so that repeated restarts cannot multiply the hard limit.
+        self.hard_limit = 0.0
         self.hard_limit_filled_at = hard_limit_from
         self.hard_limit_waiting: list[Rpc] = []
         self.escrowed = 0.0
@@ -146,7 +147,8 @@
         else:
             self.window_end = now
         if now < self.window_end:
-            # The count that runs goes on to its end: the allowances of two would add up.
+            # The current window runs to its end under its old length; cutting a new one now
+            # would grant two allowances.
             before = self.allowance
             self.exhausted_until = 0.0
             self.allowance = min(max(before, plan.burst), plan.rate * self.window_length)
--- a/petrellane/decisions/load_balancing.py
+++ b/petrellane/decisions/load_balancing.py
@@ -40,16 +40,18 @@
     Rpc,
 )
 
-SUBSET_MINIMUM = 12  # endpoints that a gateway uses at least; ours
-SAMPLES_PER_ENDPOINT = 4  # samples that each used endpoint gets while they speak for it; ours
-SUBSET_ROTATION = 5.0  # seconds after which one of a subset is exchanged; ours
-OVERDUE_MULTIPLE = 8.0  # an attempt is overdue at this multiple of its method's typical time; ours
-OVERDUE_SHARE = 0.75  # or at this share of its latency objective, if that comes sooner; ours
-TYPICAL_SHARE = 8  # a method of which nothing is known takes its latency objective by this; ours
-SAME_ZONE_ODDS = 3.0  # odds of an endpoint in our zone, where crossing zones has a price; ours
-ANSWER_TIMES_KEPT = 64  # the last times of ok answers of a method; ours
-PRIOR_SUCCESSES = 2  # ok answers assumed beside an endpoint's samples, so that few say little; ours
-LATENCY_SAMPLES_KEPT = 1024  # the last attempts of all endpoints: a bound on memory, ours
+SUBSET_MINIMUM = 12  # endpoints that a gateway uses at least
+SAMPLES_PER_ENDPOINT = 4  # samples for each endpoint of the subset within SAMPLE_LIFETIME
+SUBSET_ROTATION = 5.0  # seconds after which one of a subset is exchanged
+OVERDUE_MULTIPLE = 8.0  # an attempt is overdue at this multiple of its method's typical time
+OVERDUE_SHARE = 0.75  # or at this share of its method's latency objective, if that comes sooner
+# The typical time assumed of a method without answers: its latency objective divided by this.
+UNKNOWN_METHOD_DIVISOR = 8
+SAME_ZONE_ODDS = 3.0  # odds of an endpoint in our zone, where crossing zones has a price
+ANSWER_TIMES_KEPT = 64  # the last times of ok answers of a method
+# Successes assumed beside an endpoint's samples, so that one failure among few weighs little.
+PRIOR_SUCCESSES = 2
+LATENCY_SAMPLES_KEPT = 1024  # the last attempts of all endpoints: a bound on memory
 
 Candidate: TypeAlias = tuple[Endpoint, EndpointHealth]
 
@@ -150,7 +152,8 @@
 
     def typical_time(self, method: Method) -> float:
         """Seconds that an ok answer of this method usually takes."""
-        return self.typical_times.get(method.identity, method.latency_objective / TYPICAL_SHARE)
+        assumed = method.latency_objective / UNKNOWN_METHOD_DIVISOR
+        return self.typical_times.get(method.identity, assumed)
 
     def is_overdue(self, attempt: SendAttempt, now: float) -> bool:
         """Whether an attempt is in flight for so long that its endpoint must be silent.
--- a/petrellane/decisions/load_shedding.py
+++ b/petrellane/decisions/load_shedding.py
@@ -12,13 +12,13 @@
 from petrellane.decisions.endpoint_health import SAMPLE_LIFETIME, LatencySample, relative_latency
 from petrellane.decisions.types import Rpc
 
-OVERLOAD_ONSET = 0.2  # relative latency from which endpoints count as overloaded; ours
-OVERLOAD_FULL = 0.6  # relative latency of full overload, and of an endpoint that gets no more; ours
-MAXIMUM_OVERLOAD = 0.9  # share of RPCs shed at most: the rest shows when overload ends; ours
-VALUES_KEPT = 64  # RPCs whose worth an RPC is ranked among; ours
+OVERLOAD_ONSET = 0.2  # relative latency from which endpoints count as overloaded
+OVERLOAD_FULL = 0.6  # relative latency of full overload, and of an endpoint that gets no more
+MAXIMUM_OVERLOAD = 0.9  # share of RPCs shed at most: the rest shows when overload ends
+VALUES_KEPT = 64  # RPCs whose worth an RPC is ranked among
 
-# Samples that overload is estimated from: at least so many, and all of so many seconds; ours. The
-# higher of the two estimates counts, so overload rises sooner than it falls.
+# Samples that overload is estimated from: at least so many, and all of so many seconds. The higher
+# of the two estimates counts, so overload rises sooner than it falls.
 OVERLOAD_SPANS = (
     (64, 2.5),
     (64, 0.6),
--- a/petrellane/decisions/numeric.py
+++ b/petrellane/decisions/numeric.py
@@ -4,7 +4,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-MAXIMUM_VALUES = 4096  # values that a sliding maximum keeps: a bound on memory, ours
+MAXIMUM_VALUES = 4096  # values that a sliding maximum keeps: a bound on memory
 
 
 def stable_hash(text: str) -> int:
--- a/petrellane/decisions/retries.py
+++ b/petrellane/decisions/retries.py
@@ -13,9 +13,9 @@
 from petrellane.decisions.outcomes import PROVEN_NOT_RUN
 from petrellane.decisions.types import DEDUPLICATED, IDEMPOTENT, Rpc
 
-RETRY_BUDGET = 0.2  # retries, as a share of the last attempts; ours
-BUDGET_ATTEMPTS = 100  # the last attempts that the budget counts; ours
-KEY_WINDOW_MARGIN = 0.1  # seconds before a key is forgotten from which a retry is too late; ours
+RETRY_BUDGET = 0.2  # retries, as a share of the last attempts
+BUDGET_ATTEMPTS = 100  # the last attempts that the budget counts
+KEY_WINDOW_MARGIN = 0.1  # seconds before a key is forgotten from which a retry is too late
 
 
 class RetryTargets(NamedTuple):
--- a/petrellane/decisions/types.py
+++ b/petrellane/decisions/types.py
@@ -90,7 +90,7 @@
         key_window: Seconds for which an endpoint remembers an idempotency key.
         priority_weight: Worth of an answer in time.
         late_priority_weight: Worth of an answer after the latency objective; 0 for none.
-        is_streaming: Whether the response is relayed as it comes.
+        is_streaming: Read from the settings, and decides nothing.
         max_attempts: The maximum of attempts for one RPC.
         identity: Shared by the values that stand for the same method before and after new settings.
     """
@@ -124,8 +124,9 @@
         hard_limit_slack: Units of the hard limit that gateways may lend each other.
         max_in_flight: Maximum of attempts in flight at once; 0 for no maximum.
         price: What one unit is worth.
-        over_quota_weight: Worth of an RPC beyond the quota.
-        over_quota_cost: Cost of an RPC beyond the quota.
+        over_quota_weight: Worth of an RPC beyond the quota; read from the settings, and decides
+            nothing.
+        over_quota_cost: Cost of an RPC beyond the quota; decides nothing either.
     """
 
     name: str
@@ -167,7 +168,7 @@
     Attributes:
         address: Where it listens; for logs and callers, never looked into here.
         zone: The zone it runs in.
-        kind: Its kind of machine.
+        kind: Its kind of machine; reported by callers, and decides nothing.
         pod: The number of its pod.
         state: Whether it takes attempts.
         weight: Its capacity, as a multiple of an ordinary endpoint's.
@@ -205,8 +206,9 @@
         units: Units that it costs of quota and hard limit.
         deadline: The time at which the client gives up.
         arrived_at: The time at which it came.
-        is_client_retry: Whether the client says that it sent it before.
-        is_write: Whether it changes something.
+        is_client_retry: Whether the client says that it sent it before; reported by callers, and
+            decides nothing.
+        is_write: Whether it changes something; decides nothing either.
         is_finished: Whether it has its final answer, or nobody to give it to.
         attempts: Its attempts so far, oldest first.
     """
--- a/petrellane/decisions/warm_up.py
+++ b/petrellane/decisions/warm_up.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Sequence
 
-# What warming endpoints may take over of those just gone, as a multiple of what each had; ours.
+# What warming endpoints may take over of those just gone, as a multiple of what each had.
 DEPARTED_CAPACITY_FACTOR = 1.5
 
 
