--- a/petrellane/config/settings.py
+++ b/petrellane/config/settings.py
@@ -10,7 +10,14 @@
 from typing import TypedDict
 
 from petrellane.config.section import REQUIRED, ConfigError, Section, abbreviate
-from petrellane.decisions.types import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, Method, Plan
+from petrellane.decisions.types import (
+    DEDUPLICATED,
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    KeyScope,
+    Method,
+    Plan,
+)
 
 EFFECTS = {
     "pure": IDEMPOTENT,
@@ -138,7 +145,7 @@
         effect=EFFECTS[effect],
         latency_objective=row.seconds("goalTime", REQUIRED),
         deadline=row.number("giveUp", is_exclusive=True) / _MICROSECONDS,
-        key_scope=row.text("keyScope", ""),
+        key_scope=KeyScope.parse(row.text("keyScope", "")),
         key_window=row.seconds("window"),
         priority_weight=row.number("worth", 0.0),
         late_priority_weight=row.number("lateWorth", 0.0),
--- a/petrellane/decisions/endpoint_list.py
+++ b/petrellane/decisions/endpoint_list.py
@@ -9,13 +9,36 @@
 from bisect import bisect_right
 from collections.abc import Callable, Iterable, Sequence
 from enum import Enum, auto
-from typing import Generic, NamedTuple, Protocol, TypeVar
+from typing import Generic, NamedTuple, Protocol, TypeAlias, TypeVar
 
 from petrellane.decisions.endpoint_index import IndexedGroups, StartTimes
 from petrellane.decisions.types import GONE, READY, Endpoint, EndpointEvent
 
 Health = TypeVar("Health")
-Scope = str | int | None  # all endpoints (None), those of a zone (str) or those of a pod (int)
+
+
+class ZoneScope(NamedTuple):
+    """The endpoints of one zone."""
+
+    zone: str
+
+    def includes(self, endpoint: Endpoint) -> bool:
+        """Whether an endpoint is one of them."""
+        return endpoint.zone == self.zone
+
+
+class PodScope(NamedTuple):
+    """The endpoints of one pod."""
+
+    pod: int
+
+    def includes(self, endpoint: Endpoint) -> bool:
+        """Whether an endpoint is one of them."""
+        return endpoint.pod == self.pod
+
+
+Scope: TypeAlias = ZoneScope | PodScope | None
+"""Which endpoints an attempt may go to; None for any."""
 
 
 class Sampler(Protocol):
@@ -56,7 +79,8 @@
         self._reset_index()
 
     def _reset_index(self) -> None:
-        # Ready endpoints are under READY, those of them that are warm also under each scope.
+        # Ready endpoints are under READY, those of them that are warm also under each scope: under
+        # None for any endpoint, and under their zone and pod.
         self.groups: IndexedGroups[Endpoint] = IndexedGroups()
         self.ready_weight = 0.0  # of all ready endpoints, warm or not
         self.starts: StartTimes[Endpoint] = StartTimes()  # of the warming ones, oldest first
@@ -176,7 +200,7 @@
         self, sampler: Sampler, number: int, scope: Scope
     ) -> list[tuple[Endpoint, Health]]:
         """Draw so many of a scope's endpoints that were warm when the warm-up last advanced."""
-        return self._sample_from(sampler, number, self.groups.members_of(scope))
+        return self._sample_from(sampler, number, self.groups.members_of(_group_key(scope)))
 
     def _sample_from(
         self, sampler: Sampler, number: int, endpoints: Sequence[Endpoint]
@@ -218,6 +242,15 @@
         return warming + self.ready_weight - warming_weight
 
 
+def _group_key(scope: Scope) -> str | int | None:
+    """The key in the index of the endpoints of a scope."""
+    if isinstance(scope, ZoneScope):
+        return scope.zone
+    if isinstance(scope, PodScope):
+        return scope.pod
+    return None
+
+
 def _describes(event: EndpointEvent, endpoint: Endpoint) -> bool:
     """Whether an event says of an endpoint what is known already."""
     return event[1:] == (
--- a/petrellane/decisions/load_balancing.py
+++ b/petrellane/decisions/load_balancing.py
@@ -220,7 +220,7 @@
         if point >= warming:
             return None
         endpoint = self.endpoints.warming_endpoint_at(point, now)
-        if endpoint in tried or scope not in (None, endpoint.zone, endpoint.pod):
+        if endpoint in tried or not _is_in_scope(endpoint, scope):
             return None
         if self.is_outlier(self.endpoints[endpoint], method, now):
             return None
@@ -370,10 +370,15 @@
         candidate
         for candidate in candidates
         if candidate[0].started_at <= warm_before
-        and (scope is None or scope in (candidate[0].zone, candidate[0].pod))
+        and (scope is None or scope.includes(candidate[0]))
     ]
 
 
+def _is_in_scope(endpoint: Endpoint, scope: Scope) -> bool:
+    """Whether an attempt that may go to a scope may go to an endpoint."""
+    return scope is None or scope.includes(endpoint)
+
+
 def _answered_since(health: EndpointHealth, attempt: SendAttempt) -> bool:
     """Whether an endpoint has answered anything since an attempt was sent."""
     return any(at > attempt.sent_at for at in health.answered_at.values())
--- a/petrellane/decisions/retries.py
+++ b/petrellane/decisions/retries.py
@@ -9,9 +9,9 @@
 from typing import NamedTuple
 
 from petrellane.decisions.actions import SendAttempt
-from petrellane.decisions.endpoint_list import Scope
+from petrellane.decisions.endpoint_list import PodScope, Scope, ZoneScope
 from petrellane.decisions.outcomes import PROVEN_NOT_RUN
-from petrellane.decisions.types import DEDUPLICATED, IDEMPOTENT, Rpc
+from petrellane.decisions.types import DEDUPLICATED, IDEMPOTENT, KeyScope, Rpc
 
 RETRY_BUDGET = 0.2  # retries, as a share of the last attempts
 BUDGET_ATTEMPTS = 100  # the last attempts that the budget counts
@@ -60,16 +60,16 @@
     send_by = first.sent_at + method.key_window - KEY_WINDOW_MARGIN
     if method.effect != DEDUPLICATED or now > send_by:
         return None
-    if method.key_scope == "all":
+    if method.key_scope is KeyScope.ALL:
         return RetryTargets(None, send_by)
-    if method.key_scope == "zone":
-        return RetryTargets(first.endpoint.zone, send_by)
-    return RetryTargets(first.endpoint.pod, send_by)
+    if method.key_scope is KeyScope.ZONE:
+        return RetryTargets(ZoneScope(first.endpoint.zone), send_by)
+    return RetryTargets(PodScope(first.endpoint.pod), send_by)
 
 
 def is_safe_to_reject(rpc: Rpc) -> bool:
     """Whether the client may send an RPC that has failed again, wherever that goes."""
     effect = rpc.method.effect
     scope = rpc.method.key_scope
-    repeats_anywhere = effect == DEDUPLICATED and scope == "all"
+    repeats_anywhere = effect == DEDUPLICATED and scope is KeyScope.ALL
     return effect == IDEMPOTENT or repeats_anywhere or not attempts_that_may_have_run(rpc)
--- a/petrellane/decisions/types.py
+++ b/petrellane/decisions/types.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple, Self
 
 if TYPE_CHECKING:
     from petrellane.decisions.actions import SendAttempt
@@ -24,6 +24,19 @@
     NON_IDEMPOTENT = "non-idempotent"
 
 
+class KeyScope(StrEnum):
+    """Which endpoints share an idempotency key."""
+
+    ALL = "all"
+    ZONE = "zone"  # those in the zone of the first attempt
+    POD = "pod"  # those in the pod of the first attempt
+
+    @classmethod
+    def parse(cls, word: str) -> Self:
+        """The scope of a word of the settings: any other word, or none, means the pod."""
+        return cls(word) if word in (cls.ALL, cls.ZONE) else cls.POD
+
+
 class Outcome(StrEnum):
     """How an attempt, or an add to the counter, ended."""
 
@@ -85,8 +98,7 @@
         latency_objective: Seconds within which an answer is worth `priority_weight`.
         deadline: Seconds after which the client gives up.
         effect: What running it twice does.
-        key_scope: Which endpoints share an idempotency key: "all", "zone", or any other word for
-            the pod. Means something for `DEDUPLICATED` alone.
+        key_scope: Which endpoints share an idempotency key; for `DEDUPLICATED` alone.
         key_window: Seconds for which an endpoint remembers an idempotency key.
         priority_weight: Worth of an answer in time.
         late_priority_weight: Worth of an answer after the latency objective; 0 for none.
@@ -99,7 +111,7 @@
     latency_objective: float
     deadline: float
     effect: Effect = NON_IDEMPOTENT
-    key_scope: str = ""
+    key_scope: KeyScope = KeyScope.POD
     key_window: float = 0.0
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0
--- a/petrellane/simulation/clients.py
+++ b/petrellane/simulation/clients.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING
 
-from petrellane.decisions.types import DEDUPLICATED, IDEMPOTENT
+from petrellane.decisions.types import DEDUPLICATED, IDEMPOTENT, KeyScope
 from petrellane.decisions.types import Method as MethodSettings
 from petrellane.invariants import ABORTED, OK, REJECTED
 from petrellane.simulation.event_queue import seeded_random
@@ -151,7 +151,7 @@
         self._simulation.figures.on_answer(call, answer)
         method = call.method
         is_safe = method.effect == IDEMPOTENT or (
-            method.effect == DEDUPLICATED and method.key_scope == "all"
+            method.effect == DEDUPLICATED and method.key_scope is KeyScope.ALL
         )
         if answer == REJECTED or (answer == ABORTED and is_safe):
             self.retry(call, max(MIN_RETRY_PAUSE, retry_after), is_free=False)
--- a/petrellane/simulation/endpoints.py
+++ b/petrellane/simulation/endpoints.py
@@ -10,7 +10,16 @@
 from typing import TYPE_CHECKING
 
 from petrellane.decisions.actions import SendAttempt
-from petrellane.decisions.types import DEDUPLICATED, ERROR, FULL, OK, RESET, UNREACHABLE, Outcome
+from petrellane.decisions.types import (
+    DEDUPLICATED,
+    ERROR,
+    FULL,
+    OK,
+    RESET,
+    UNREACHABLE,
+    KeyScope,
+    Outcome,
+)
 from petrellane.invariants import AttemptArrived, EndpointStarted, RpcExecuted
 from petrellane.simulation.event_queue import seeded_random
 
@@ -189,9 +198,9 @@
         if method.effect != DEDUPLICATED:
             return None
         group: KeyGroup = ("pod", self.pod)
-        if method.key_scope == "all":
+        if method.key_scope is KeyScope.ALL:
             group = ("all", 0)
-        elif method.key_scope == "zone":
+        elif method.key_scope is KeyScope.ZONE:
             group = ("zone", self.zone)
         return self._simulation.idempotency_keys.setdefault(group, {})
 
--- a/petrellane/simulation/fleet.py
+++ b/petrellane/simulation/fleet.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from petrellane.decisions.controller import AdmissionController
-from petrellane.decisions.types import Effect, Method, Plan, Rpc
+from petrellane.decisions.types import Effect, KeyScope, Method, Plan, Rpc
 from petrellane.invariants import (
     HardLimit,
     InvariantChecker,
@@ -79,7 +79,7 @@
         settings.latency_objective,
         settings.deadline,
         Effect(settings.effect),
-        settings.key_scope,
+        KeyScope.parse(settings.key_scope),
         settings.key_window,
         settings.priority_weight,
         settings.late_priority_weight,
--- a/tests/integration/testbed/planted.py
+++ b/tests/integration/testbed/planted.py
@@ -135,7 +135,7 @@
 
     def planted(self, now, rpc, scope):
         newest = max(self.endpoints, key=lambda host: host.started_at)
-        fits = newest.started_at and scope in (None, newest.zone, newest.pod)
+        fits = newest.started_at and (scope is None or scope.includes(newest))
         return newest if fits else pick_endpoint(self, now, rpc, scope)
 
     LoadBalancer.pick_endpoint = planted
--- a/tests/unit/decisions/plain_reference.py
+++ b/tests/unit/decisions/plain_reference.py
@@ -9,19 +9,22 @@
 
 from petrellane.decisions import types as api
 from petrellane.decisions.endpoint_health import EndpointHealth, relative_latency
-from petrellane.decisions.endpoint_list import EndpointList, Sampler
+from petrellane.decisions.endpoint_list import EndpointList, PodScope, Sampler, Scope, ZoneScope
 from petrellane.decisions.load_balancing import SUBSET_MINIMUM, LoadBalancer
 from petrellane.decisions.load_shedding import OVERLOAD_FULL
 from petrellane.decisions.numeric import mean
 
-Scope = str | int | None
 Candidate = tuple[api.Endpoint, EndpointHealth]
 TYPICAL_SHARE = 8  # of a method's latency objective, while its answer times are unknown
 
 
 def is_in_scope(endpoint: api.Endpoint, scope: Scope) -> bool:
     """Return whether an endpoint is in the zone or pod, where one is asked for."""
-    return scope in (None, endpoint.zone, endpoint.pod)
+    if isinstance(scope, ZoneScope):
+        return endpoint.zone == scope.zone
+    if isinstance(scope, PodScope):
+        return endpoint.pod == scope.pod
+    return scope is None
 
 
 class PlainEndpointList(EndpointList[EndpointHealth]):
@@ -80,7 +83,8 @@
             if endpoint.state == api.READY and is_in_scope(endpoint, scope)
         }
         warm = ready - set(self.warming(self.advanced_to))
-        assert set(self.groups.members_of(scope)) == warm
+        key = scope[0] if scope else None
+        assert set(self.groups.members_of(key)) == warm
         return super().sample_warm(sampler, number, scope)
 
     def advance_warm_up(self, now: float) -> float:
--- a/tests/unit/decisions/random_play.py
+++ b/tests/unit/decisions/random_play.py
@@ -24,9 +24,9 @@
 }
 RELOADED = ("zone", "counter_timeout", "may_cancel", "max_retry_after", "cross_zone_price")
 METHODS = (
-    ("look", api.IDEMPOTENT, ""),
-    ("lodge", api.DEDUPLICATED, "zone"),
-    ("file", api.DEDUPLICATED, "pod"),
+    ("look", api.IDEMPOTENT, api.KeyScope.POD),
+    ("lodge", api.DEDUPLICATED, api.KeyScope.ZONE),
+    ("file", api.DEDUPLICATED, api.KeyScope.POD),
 )
 OUTCOMES = (api.OK, api.ERROR, api.FULL, api.UNREACHABLE, api.RESET, api.LATE)
 OUTCOME_WEIGHTS = (80, 4, 6, 4, 3, 3)
--- a/tests/unit/decisions/scenario_setup.py
+++ b/tests/unit/decisions/scenario_setup.py
@@ -115,7 +115,9 @@
     def do_method(self, name: str, effect: str, *words: str) -> None:
         """Add a method."""
         fields = {"latency_objective": 1.0, "deadline": 4.0, "effect": effect}
-        self.methods[name] = api.Method(name, **{**fields, **as_fields(words, METHOD_FIELDS)})
+        fields |= as_fields(words, METHOD_FIELDS)
+        fields["key_scope"] = api.KeyScope.parse(fields.get("key_scope", ""))
+        self.methods[name] = api.Method(name, **fields)
 
     def do_plan(self, name: str, *words: str) -> None:
         """Add a plan."""
