--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -98,7 +98,7 @@
         total = max(0.0, request.amount)
         return self.controller.on_counter_reply(at, request, api.OK, total)
 
-    def _fire_timer(self, subject: object, at: float) -> list[actions.Action]:
+    def _fire_timer(self, subject: actions.TimerSubject, at: float) -> list[actions.Action]:
         return self.controller.on_timer(at, subject)
 
 
--- a/benchmarks/scale_traffic.py
+++ b/benchmarks/scale_traffic.py
@@ -150,5 +150,5 @@
         call = self.call(controller, controller.on_counter_reply, self.now, request, api.OK, total)
         self._settle(call)
 
-    def _fire_timer(self, controller: AdmissionController, subject: object) -> None:
+    def _fire_timer(self, controller: AdmissionController, subject: actions.TimerSubject) -> None:
         self._settle(self.call(controller, controller.on_timer, self.now, subject))
--- a/petrellane/benchlink/instance.py
+++ b/petrellane/benchlink/instance.py
@@ -72,7 +72,7 @@
         self._handles: dict[api.Rpc, str] = {}
         self._maybe_settled: list[api.Rpc] = []  # to be looked at once the event is answered
         self._counter_adds: defaultdict[int, deque[act.CounterAdd]] = defaultdict(deque)
-        self._timer_subjects: dict[int, object] = {}  # by nonce
+        self._timer_subjects: dict[int, act.TimerSubject] = {}  # by nonce
         self._last_nonce = 0
 
     def start(self, now: float) -> list[str]:
@@ -98,7 +98,7 @@
         """Handle PEERS_KNOWN: an endpoint list, changes to it, or a failed call to discovery."""
         kind = event.fields.get("kind")
         if kind == FAILED_LIST:
-            return self.controller.on_endpoint_events(now, False, None)
+            return self.controller.on_watch_failed(now)
         events = [self._endpoint_event(row) for row in event.rows]
         is_complete = kind in COMPLETE_LISTS
         return self.controller.on_endpoint_events(now, is_complete, events)
--- a/petrellane/decisions/actions.py
+++ b/petrellane/decisions/actions.py
@@ -95,11 +95,22 @@
     escrow_lease: Lease | None = None
 
 
+class PeriodicCheck:
+    """The subject of the timer of one controller's periodic checks."""
+
+    __slots__ = ()
+
+
+TimerSubject: TypeAlias = PeriodicCheck | Rpc | CounterAdd
+"""What a timer is for: periodic checks, the deadline of an RPC that waits for credit, or the
+timeout of an add to the counter."""
+
+
 class SetTimer(NamedTuple):
     """Report that `delay` seconds have passed, with the subject."""
 
     delay: float
-    subject: object
+    subject: TimerSubject
 
 
 class WriteLog(NamedTuple):
--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -1,10 +1,11 @@
 """The admission controller: events in, actions out.
 
 Make one `AdmissionController` per gateway from its settings, then report what happens: the process
-has started, the endpoint list has changed, an RPC has come, an attempt has ended, the counter has
-answered, a timer has run out, a client has gone. Each call takes the time first and answers with
-the actions that the caller executes, in their order. Nothing here reads a clock or does I/O, and
-all random numbers come from one seeded generator, so a run can be repeated to the digit.
+has started, the endpoint list has changed or its watch has failed, an RPC has come, an attempt has
+ended, the counter has answered, a timer has run out, a client has gone. Each call takes the time
+first and answers with the actions that the caller executes, in their order. Nothing here reads a
+clock or does I/O, and all random numbers come from one seeded generator, so a run can be repeated
+to the digit.
 
 The parts decide one concern each: `lease_manager` and `hard_limits` quota, `load_shedding`
 overload, `load_balancing` and `warm_up` the endpoint, `retries` what may be sent again.
@@ -21,9 +22,11 @@
     Action,
     CancelAttempt,
     CounterAdd,
+    PeriodicCheck,
     Reject,
     SendAttempt,
     SetTimer,
+    TimerSubject,
     WatchEndpoints,
     WriteLog,
 )
@@ -75,6 +78,7 @@
         self.load_balancer = LoadBalancer(rng)
         self.load_shedder = LoadShedder(rng.random)
         self.retry_budget = retries.RetryBudget()
+        self._periodic_check = PeriodicCheck()
         self._has_check_timer = False
         self.reconfigure(**settings)
 
@@ -121,20 +125,22 @@
         return [WatchEndpoints()] if self.must_watch else []
 
     def on_endpoint_events(
-        self, now: float, is_full: bool, events: Iterable[EndpointEvent] | None
+        self, now: float, is_full: bool, events: Iterable[EndpointEvent]
     ) -> list[Action]:
         """The endpoint list or changes to it have come.
 
         Args:
             now: The time.
             is_full: Whether endpoints that no event names are gone.
-            events: The rows; None where the watch failed and is to be renewed.
+            events: The rows.
         """
-        if events is None:
-            return [WatchEndpoints()] if self.must_watch else []
         self.load_balancer.on_endpoint_events(now, is_full, events)
         return []
 
+    def on_watch_failed(self, _now: float) -> list[Action]:
+        """The watch of the endpoint list has failed: renew it, and keep what is known."""
+        return [WatchEndpoints()] if self.must_watch else []
+
     def admit(self, now: float, rpc: Rpc) -> list[Action]:
         """An RPC has come: send it, have it wait for credit, or reject it."""
         typical_time = self.load_balancer.typical_time(rpc.method)
@@ -184,7 +190,7 @@
         if self._has_check_timer:
             return [attempt]
         self._has_check_timer = True
-        return [attempt, SetTimer(CHECK_INTERVAL, self.load_balancer)]
+        return [attempt, SetTimer(CHECK_INTERVAL, self._periodic_check)]
 
     def on_attempt_ended(  # noqa: PLR0913 - an event's fields, by keyword
         self,
@@ -285,9 +291,9 @@
         """The counter has answered an add, or failed to."""
         return self.lease_manager.on_counter_reply(now, add, outcome, total)
 
-    def on_timer(self, now: float, subject: object) -> list[Action]:
-        """The time that a `SetTimer` asked for has come."""
-        if subject is self.load_balancer:
+    def on_timer(self, now: float, subject: TimerSubject) -> list[Action]:
+        """The time that a `SetTimer` asked for has come; no actions where it is out of date."""
+        if subject is self._periodic_check:
             return self._run_periodic_checks(now)
         if isinstance(subject, Rpc) and not (subject.is_finished or subject.attempts):
             return self._dispatch(now, subject, False)
@@ -307,7 +313,7 @@
             actions.append(WriteLog(f"hosts {state}: {before:.2f} to {shedder.overload:.2f}"))
         self._has_check_timer = bool(self.load_balancer.in_flight or shedder.overload)
         if self._has_check_timer:
-            actions.append(SetTimer(CHECK_INTERVAL, self.load_balancer))
+            actions.append(SetTimer(CHECK_INTERVAL, self._periodic_check))
         return actions
 
     def _cancel_overdue(self, now: float) -> list[CancelAttempt]:
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -135,19 +135,16 @@
 
     def on_endpoint_list(
         self,
-        endpoint_list: EndpointListUpdate | None,
+        endpoint_list: EndpointListUpdate,
         yield_turn: Callable[[], object] | None = None,
     ) -> None:
         """Apply an endpoint list or changes to it, in chunks.
 
         First come the rows that the list names, then, for a complete list, the end of the endpoints
-        that it leaves out. No other list may be given while `applying_endpoint_list` is set. None
-        in place of a list says that the request for it failed. `yield_turn` is called between
-        chunks, so that other work has its turn; without it all is applied at once.
+        that it leaves out. No other list may be given while `applying_endpoint_list` is set.
+        `yield_turn` is called between chunks, so that other work has its turn; without it all is
+        applied at once.
         """
-        if endpoint_list is None:
-            self.execute(self.controller.on_endpoint_events(self.now(), False, None))
-            return
         has_news = bool(endpoint_list.entries or (endpoint_list.full and self.endpoints))
         self.applying_endpoint_list = True
         chunk: list[EndpointUpdate] = []
@@ -171,6 +168,10 @@
                 ready=len(self.ready_endpoints),
             )
 
+    def on_watch_failed(self) -> None:
+        """Report that a request for the endpoint list failed."""
+        self.execute(self.controller.on_watch_failed(self.now()))
+
     def _apply_endpoint_updates(self, updates: list[EndpointUpdate]) -> None:
         """Report some updates to the controller, then what became of the endpoints to the pools."""
         if not updates:
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -34,8 +34,11 @@
 class EndpointListConsumer(Protocol):
     """Whom the lists are for."""
 
-    def on_endpoint_list(self, endpoint_list: EndpointListUpdate | None) -> None:
-        """Apply a list, which may wait for other turns; None says that a request failed."""
+    def on_endpoint_list(self, endpoint_list: EndpointListUpdate) -> None:
+        """Apply a list, which may wait for other turns."""
+
+    def on_watch_failed(self) -> None:
+        """Note the first failed request in a row."""
 
     def is_applying_endpoint_list(self) -> bool:
         """Return whether a list is being applied, during which no other may be given."""
@@ -139,7 +142,7 @@
         """Report the first failure in a row."""
         if not self.backoff.is_failing:
             self.log.event("discovery_unreachable", error=str(error))
-            self.consumer.on_endpoint_list(None)
+            self.consumer.on_watch_failed()
 
     def _pause_after(self, error: Exception) -> float:
         """Return how long to wait after a failure, in seconds."""
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -177,11 +177,14 @@
 
     # The endpoint list.
 
-    def on_endpoint_list(self, endpoint_list: EndpointListUpdate | None) -> None:
-        """Apply a list from discovery, or note that a request for it failed (None)."""
+    def on_endpoint_list(self, endpoint_list: EndpointListUpdate) -> None:
+        """Apply a list from discovery."""
         self.executor.on_endpoint_list(endpoint_list, self._yield_turn)
-        if endpoint_list:
-            self.take_over()
+        self.take_over()
+
+    def on_watch_failed(self) -> None:
+        """Report that a request for the endpoint list failed."""
+        self.executor.on_watch_failed()
 
     def is_applying_endpoint_list(self) -> bool:
         """Return whether a list is being applied, during which no other may be given."""
--- a/petrellane/simulation/baseline_controller.py
+++ b/petrellane/simulation/baseline_controller.py
@@ -10,7 +10,14 @@
 from collections.abc import Iterable, Sequence
 from typing import TYPE_CHECKING, ClassVar
 
-from petrellane.decisions.actions import Abort, Action, CounterAdd, Reject, SendAttempt
+from petrellane.decisions.actions import (
+    Abort,
+    Action,
+    CounterAdd,
+    Reject,
+    SendAttempt,
+    TimerSubject,
+)
 from petrellane.decisions.types import (
     FULL,
     IDEMPOTENT,
@@ -128,7 +135,7 @@
         """Do nothing."""
         return []
 
-    def on_timer(self, _now: float, _subject: object) -> list[Action]:
+    def on_timer(self, _now: float, _subject: TimerSubject) -> list[Action]:
         """Do nothing."""
         return []
 
--- a/petrellane/simulation/controllers.py
+++ b/petrellane/simulation/controllers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from petrellane.decisions.actions import Action, CounterAdd, SendAttempt
+from petrellane.decisions.actions import Action, CounterAdd, SendAttempt, TimerSubject
 from petrellane.decisions.types import EndpointEvent, Outcome, Rpc
 
 
@@ -42,7 +42,7 @@
     ) -> list[Action]:
         """The counter has answered an add, or failed to."""
 
-    def on_timer(self, now: float, subject: object, /) -> list[Action]:
+    def on_timer(self, now: float, subject: TimerSubject, /) -> list[Action]:
         """The time that a `SetTimer` asked for has come."""
 
 
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from petrellane.decisions.actions import CounterAdd
+from petrellane.decisions.actions import CounterAdd, TimerSubject
 from petrellane.decisions.controller import AdmissionController
 from petrellane.decisions.types import (
     GONE,
@@ -360,7 +360,7 @@
             )
         self._executor.execute(self.controller.on_counter_reply(self.clock(), add, outcome, total))
 
-    def on_timer(self, subject: object) -> None:
+    def on_timer(self, subject: TimerSubject) -> None:
         """The time that a `SetTimer` asked for has come."""
         self._executor.execute(self.controller.on_timer(self.clock(), subject))
 
--- a/petrellane/testbed/hollow/gateway.py
+++ b/petrellane/testbed/hollow/gateway.py
@@ -204,11 +204,12 @@
         known = [entries[number] for number in known_numbers if number in entries]
         return replace(endpoint_list, entries=known)
 
-    def on_endpoint_list(self, endpoint_list: EndpointListUpdate | None) -> None:
-        """Apply a list from discovery, or note that a request for it failed (None)."""
-        if endpoint_list is None:
-            self.executor.on_endpoint_list(None)
-            return
+    def on_watch_failed(self) -> None:
+        """Report that a request for the endpoint list failed."""
+        self.executor.on_watch_failed()
+
+    def on_endpoint_list(self, endpoint_list: EndpointListUpdate) -> None:
+        """Apply a list from discovery."""
         self.executor.on_endpoint_list(self.known_part(endpoint_list))
         previous_index = self.list_index
         self.list_index = endpoint_list.index
--- a/tests/compatibility/build/simulation.py
+++ b/tests/compatibility/build/simulation.py
@@ -29,6 +29,7 @@
 ENTRIES = (
     "start",
     "on_endpoint_events",
+    "on_watch_failed",
     "admit",
     "on_attempt_ended",
     "on_client_disconnected",
--- a/tests/integration/gateway/endpoint_list_play.py
+++ b/tests/integration/gateway/endpoint_list_play.py
@@ -48,10 +48,9 @@
         self.monkeypatch.setattr(endpoints, "parse_endpoint_entry", self._parse_entry)
 
     def _on_endpoint_events(
-        self, now: float, is_full: bool, rows: list[api.EndpointEvent] | None
+        self, now: float, is_full: bool, rows: list[api.EndpointEvent]
     ) -> list[Action]:
-        if rows is not None:
-            self.applied.append((self.scenario.turn_count, rows))
+        self.applied.append((self.scenario.turn_count, rows))
         return self.on_endpoint_events(now, is_full, rows)
 
     def _parse_entry(self, row: config.Section) -> object:
--- a/tests/integration/gateway/peer_steps.py
+++ b/tests/integration/gateway/peer_steps.py
@@ -209,7 +209,9 @@
 
     def _spawn_watch(self, chance: random.Random) -> None:
         consumer = SimpleNamespace(
-            on_endpoint_list=lambda _endpoint_list: None, is_applying_endpoint_list=lambda: False
+            on_endpoint_list=lambda _endpoint_list: None,
+            on_watch_failed=lambda: None,
+            is_applying_endpoint_list=lambda: False,
         )
         watch = EndpointWatch(
             self.gateway.runtime, self.gateway.config.discovery, 1, consumer, chance.random
--- a/tests/unit/decisions/scenario_setup.py
+++ b/tests/unit/decisions/scenario_setup.py
@@ -67,7 +67,7 @@
 
     due: float
     number: int
-    subject: object
+    subject: actions.TimerSubject
     controller: AdmissionController
 
 
