--- a/petrellane/decisions/hard_limits.py
+++ b/petrellane/decisions/hard_limits.py
@@ -6,6 +6,8 @@
 that is given twice gives at most the slack that the shares leave.
 """
 
+from typing import NamedTuple
+
 from petrellane.decisions.actions import Action, CounterAdd
 from petrellane.decisions.counter_health import CounterHealth
 from petrellane.decisions.leases import WORTHWHILE_SHARE, Lease
@@ -20,6 +22,13 @@
 RETRY_BASE = 1.0
 
 
+class EscrowCount(NamedTuple):
+    """The count at the counter that is the escrow of one customer and window."""
+
+    name: int
+    ttl: float  # seconds
+
+
 class HardLimitEscrow:
     """Moves units between leases and escrow; owned by the lease manager."""
 
@@ -29,7 +38,7 @@
     def exchange(self, now: float, lease: Lease, units: float) -> list[Action]:
         """Lend a piece where the share is full, or borrow where it does not cover `units`."""
         piece = lease.hard_limit_escrow * lease.fair_share
-        if not piece or lease.escrow_pending or now < lease.next_escrow_at:
+        if not piece or lease.has_escrow_pending() or now < lease.next_escrow_at:
             return []
         if self._counter.is_silent or self._counter.is_degraded(now):
             return []
@@ -39,16 +48,12 @@
         has_space = lease.escrowed + piece <= lease.hard_limit_escrow
         if (lease.was_busy or lease.is_busy()) and is_full and has_space:
             lease.hard_limit -= piece
-        elif level < units and now >= lease.exhausted_until:
+            return [_lend(lease, _escrow_count(lease), piece)]
+        if level < units and now >= lease.exhausted_until:
             # No more than fits, or it is lost.
-            piece = -min(lease.hard_limit_escrow, maximum - level)
-        else:
-            return []
-        lease.escrow_pending = piece
-        # The word is part of the count's name, which all versions of the gateway share.
-        name = stable_hash(f"{lease.customer.name} {lease.window} ceiling")
-        ttl = min(ESCROW_TTL_MAXIMUM, ESCROW_TTL_WINDOWS * lease.window_length)
-        return [CounterAdd(name, piece, ttl, window=lease.window, escrow_lease=lease)]
+            missing = min(lease.hard_limit_escrow, maximum - level)
+            return [_borrow(lease, _escrow_count(lease), missing)]
+        return []
 
     def on_reply(
         self, now: float, lease: Lease, add: CounterAdd, outcome: Outcome, total: float
@@ -58,50 +63,78 @@
         Args:
             now: The time.
             lease: The lease that made the add.
-            add: A piece that was lent, or where negative to be borrowed.
+            add: Units that were lent, or where negative were to be borrowed.
             outcome: How the add ended.
             total: The count's total after it.
         """
-        lease.escrow_pending = 0.0
+        lease.escrow_lending = 0.0
+        lease.escrow_borrowing = 0.0
         actions: list[Action] = []
         taken = 0.0
-        if outcome == OK and add.amount < 0:
+        is_borrowing = add.amount < 0
+        if outcome == OK and is_borrowing:
+            borrowed = -add.amount
             taken = min(-add.amount, max(0.0, total - add.amount))
-            if taken < -add.amount:
-                excess = -add.amount - taken
-                actions.append(CounterAdd(add.name, excess, lease.window_length))
-        elif outcome in PROVEN_NOT_RUN and add.amount > 0:
+            if taken < borrowed:
+                # What was not there goes back, so that the count is not left below zero.
+                actions.append(CounterAdd(add.name, borrowed - taken, lease.window_length))
+        elif outcome in PROVEN_NOT_RUN and not is_borrowing:
             taken = add.amount  # it never went there
         lease.hard_limit += taken
-        if not taken and (add.amount < 0 or outcome != OK):
+        if not taken and (is_borrowing or outcome != OK):
             pause = WORTHWHILE_SHARE * min(lease.window_length, RETRY_BASE)
             lease.next_escrow_at = now + pause
         if outcome == OK and add.window == lease.window:
-            actions += self._follow_up(now, lease, add, total)
+            lease.escrowed = total
+            level = lease.refill_hard_limit(now)
+            if add.is_retry:
+                actions += _take_back_excess(lease, add, total)
+            elif not is_borrowing:
+                actions += _lend_more(lease, add, level, total)
         return actions
 
-    def _follow_up(self, now: float, lease: Lease, add: CounterAdd, total: float) -> list[Action]:
-        """Lend more after a piece was lent, or take back what several lent at once."""
-        lease.escrowed = total
-        piece = lease.hard_limit_escrow * lease.fair_share
-        amount = min(
-            lease.refill_hard_limit(now) - lease.waiting_units(),
-            (lease.hard_limit_escrow - total) / 2,
-        )
-        if add.is_retry and total > lease.hard_limit_escrow:
-            amount = -min(add.amount, total - lease.hard_limit_escrow)
-        elif add.is_retry or add.amount < 0 or amount < piece:
-            return []
-        if not amount:
-            return []
-        lease.hard_limit -= max(0.0, amount)
-        lease.escrow_pending = amount
-        follow_up = CounterAdd(
-            add.name,
-            amount,
-            add.ttl,
-            window=lease.window,
-            is_retry=amount > 0,
-            escrow_lease=lease,
-        )
-        return [follow_up]
+
+def _lend_more(lease: Lease, add: CounterAdd, level: float, total: float) -> list[Action]:
+    """After a piece was lent: lend half of what the escrow still has space for.
+
+    Units that waiting RPCs need stay, and less than a piece is not worth an add.
+    """
+    units = min(level - lease.waiting_units(), (lease.hard_limit_escrow - total) / 2)
+    if units < lease.hard_limit_escrow * lease.fair_share or not units:
+        return []
+    lease.hard_limit -= units
+    return [_lend(lease, EscrowCount(add.name, add.ttl), units, is_retry=True)]
+
+
+def _take_back_excess(lease: Lease, add: CounterAdd, total: float) -> list[Action]:
+    """After more was lent: take back what several gateways lent at once beyond the escrow."""
+    if total > lease.hard_limit_escrow:
+        excess = min(add.amount, total - lease.hard_limit_escrow)
+        return [_borrow(lease, EscrowCount(add.name, add.ttl), excess)]
+    return []
+
+
+def _escrow_count(lease: Lease) -> EscrowCount:
+    """The count of the escrow of the lease's window."""
+    # The word is part of the count's name, which all versions of the gateway share.
+    name = stable_hash(f"{lease.customer.name} {lease.window} ceiling")
+    return EscrowCount(name, min(ESCROW_TTL_MAXIMUM, ESCROW_TTL_WINDOWS * lease.window_length))
+
+
+def _lend(lease: Lease, count: EscrowCount, units: float, *, is_retry: bool = False) -> CounterAdd:
+    """Move units that the share no longer holds into escrow."""
+    lease.escrow_lending = units
+    return CounterAdd(
+        count.name,
+        units,
+        count.ttl,
+        window=lease.window,
+        is_retry=is_retry,
+        escrow_lease=lease,
+    )
+
+
+def _borrow(lease: Lease, count: EscrowCount, units: float) -> CounterAdd:
+    """Ask for units from escrow; the share gets them with the answer."""
+    lease.escrow_borrowing = units
+    return CounterAdd(count.name, -units, count.ttl, window=lease.window, escrow_lease=lease)
--- a/petrellane/decisions/lease_manager.py
+++ b/petrellane/decisions/lease_manager.py
@@ -109,30 +109,44 @@
         actions = self.escrow.exchange(now, lease, rpc.units)
         if not lease.has_room(now, rpc.units):
             return self._wait_for_escrow(now, lease, rpc, actions)
-        counter = self.counter
-        if lease.available < rpc.units and (counter.is_silent or counter.is_degraded(now)):
-            needed = rpc.units * counter.is_silent
-            lease.use_fair_share(now, needed, is_silent=counter.is_silent)
-        is_covered = lease.available >= rpc.units or lease.allowance == math.inf
-        if is_covered:
+        self._stand_in_for_counter(now, lease, rpc)
+        is_probe = self._claim_probe(now, lease)
+        if lease.available >= rpc.units or lease.allowance == math.inf:
             lease.available -= rpc.units
-        # While the counter is silent an RPC now and then brings a top-up: so these follow demand.
-        is_probe = counter.is_silent and now >= counter.next_probe_at and not lease.pending_add
-        if is_probe:
-            counter.schedule_probe(now)
-        if is_covered:
             if is_probe and lease.allowance < math.inf:
                 actions += self._top_up(lease, now)
             return CreditDecision(Credit.SPENT, actions)
-        if now < lease.exhausted_until or (counter.is_silent and not is_probe):
+        has_no_answer = self.counter.is_silent and not is_probe
+        if has_no_answer or now < lease.exhausted_until:
             return CreditDecision(Credit.REFUSED, actions)
         return self._wait_for_top_up(now, lease, rpc, actions)
 
+    def _stand_in_for_counter(self, now: float, lease: Lease, rpc: Rpc) -> None:
+        """Grant a fair share where the lease does not cover an RPC and the counter fails."""
+        is_silent = self.counter.is_silent
+        if lease.available >= rpc.units:
+            return
+        if is_silent or self.counter.is_degraded(now):
+            needed = rpc.units if is_silent else 0.0
+            lease.use_fair_share(now, needed, is_silent=is_silent)
+
+    def _claim_probe(self, now: float, lease: Lease) -> bool:
+        """Whether this RPC's top-up probes the counter; if so, the next probe is scheduled.
+
+        A silent counter is probed by an occasional top-up, so probes follow demand.
+        """
+        counter = self.counter
+        is_due = counter.is_silent and now >= counter.next_probe_at
+        if not is_due or lease.pending_add is not None:
+            return False
+        counter.schedule_probe(now)
+        return True
+
     def _wait_for_escrow(
         self, now: float, lease: Lease, rpc: Rpc, actions: list[Action]
     ) -> CreditDecision:
         """Have an RPC wait where the hard limit is what it lacks, and some is on its way."""
-        is_borrowing = lease.escrow_pending < 0
+        is_borrowing = lease.escrow_borrowing > 0
         if not is_borrowing or lease.refill_hard_limit(now) >= rpc.units:
             return CreditDecision(Credit.REFUSED, actions)
         lease.hard_limit_waiting.append(rpc)
@@ -259,34 +273,30 @@
     def _take_grant(
         self, now: float, lease: Lease, add: CounterAdd, total: float, *, was_settled: bool
     ) -> list[Action]:
-        """Keep what lies within the limit of what was added, and give the excess back."""
+        """Keep what lies within the limit of what was added, and return the excess."""
         if not add.amount and not add.unreported:
-            # A look at what the window before left.
-            lease.carryover = max(0.0, lease.allowance - total)
-            lease.mark_exhausted(now)
+            _read_carryover(now, lease, total)
             return []
-        actions: list[Action] = []
-        limit = lease.limit(now, lease.carryover or 0.0)
-        if total < lease.reported - LOST_COUNT_TOLERANCE:
-            # Less than we added ourselves: counts were lost, so put ours back.
-            lost = lease.reported - total
-            actions.append(CounterAdd(add.name, lost, lease.window_length))
+        actions = _restore_lost_count(lease, add, total)
+        if actions:
             total = lease.reported
         asked = add.amount - add.unreported  # what was unreported is spent, and stays
-        kept = _grant_to_keep(lease, asked, total, limit)
-        replaced = min(lease.unreported, kept) if was_settled else 0.0  # a fair share stood in
-        new = kept - replaced
-        lease.available = lease.available + new
-        lease.granted = lease.granted + new
-        lease.unreported = lease.unreported - kept + new
+        kept = _grant_to_keep(now, lease, asked, total)
+        _book_grant(lease, kept, was_settled=was_settled)
         lease.ledger_total = total - asked + kept
         if kept < asked:
-            lease.reported -= asked - kept
-            if not self.counter.is_degraded(now):
-                actions.append(CounterAdd(add.name, kept - asked, lease.window_length))
-            lease.mark_exhausted(now)
+            actions += self._return_excess(now, lease, add, asked - kept)
         return actions
 
+    def _return_excess(
+        self, now: float, lease: Lease, add: CounterAdd, excess: float
+    ) -> list[Action]:
+        """Take back what was added beyond the limit, unless a degraded counter is to be spared."""
+        lease.reported -= excess
+        is_degraded = self.counter.is_degraded(now)
+        lease.mark_exhausted(now)
+        return [] if is_degraded else [CounterAdd(add.name, -excess, lease.window_length)]
+
     def _on_escrow_reply(
         self, now: float, lease: Lease, add: CounterAdd, outcome: Outcome, total: float
     ) -> list[Action]:
@@ -319,8 +329,38 @@
     return SetTimer(max(0.0, rpc.deadline - now), rpc)
 
 
-def _grant_to_keep(lease: Lease, asked: float, total: float, limit: float) -> float:
-    """How much of what was asked for is kept: the reserve goes to RPCs that wait alone."""
-    granted = max(0.0, min(asked, limit - total + asked))
+def _read_carryover(now: float, lease: Lease, total: float) -> None:
+    """Take over what the window before left, out of that window's total."""
+    lease.carryover = max(0.0, lease.allowance - total)
+    lease.mark_exhausted(now)
+
+
+def _restore_lost_count(lease: Lease, add: CounterAdd, total: float) -> list[Action]:
+    """Add again what the counter has lost, where the total is less than our own additions."""
+    if total < lease.reported - LOST_COUNT_TOLERANCE:
+        return [CounterAdd(add.name, lease.reported - total, lease.window_length)]
+    return []
+
+
+def _grant_to_keep(now: float, lease: Lease, asked: float, total: float) -> float:
+    """How much of what was asked for is kept, given the total that includes it.
+
+    The last part of the limit is a reserve for RPCs that wait. So what lies within the limit is
+    kept as far as waiting RPCs lack it, or as far as it does not reach into the reserve, whichever
+    is more.
+    """
+    limit = lease.limit(now, lease.carryover or 0.0)
+    within_limit = max(0.0, min(asked, limit - total + asked))
+    for_waiting = min(within_limit, lease.missing_units())
     into_reserve = total - limit * (1 - RESERVE)
-    return max(min(granted, lease.missing_units()), min(granted, granted - into_reserve), 0.0)
+    outside_reserve = min(within_limit, within_limit - into_reserve)
+    return max(for_waiting, outside_reserve, 0.0)
+
+
+def _book_grant(lease: Lease, kept: float, *, was_settled: bool) -> None:
+    """Make what is kept available; what a fair share granted in its place is only reported."""
+    replaced = min(lease.unreported, kept) if was_settled else 0.0
+    new = kept - replaced
+    lease.available = lease.available + new
+    lease.granted = lease.granted + new
+    lease.unreported = lease.unreported - kept + new
--- a/petrellane/decisions/leases.py
+++ b/petrellane/decisions/leases.py
@@ -91,7 +91,8 @@
         hard_limit_escrow: Units that may lie in escrow, over all gateways.
         hard_limit_waiting: RPCs that wait for units from escrow, oldest first.
         escrowed: Units in this window's escrow as we last knew it.
-        escrow_pending: Units that are on the way: to the escrow, or from it where negative.
+        escrow_lending: Units that are on the way to the escrow.
+        escrow_borrowing: Units that were asked for from the escrow, with the answer still to come.
         next_escrow_at: From when the escrow is asked again.
         was_busy: Whether the last window's total was above our share of the hard limit's rate.
     """
@@ -126,7 +127,8 @@
         self.hard_limit_filled_at = hard_limit_from
         self.hard_limit_waiting: list[Rpc] = []
         self.escrowed = 0.0
-        self.escrow_pending = 0.0
+        self.escrow_lending = 0.0
+        self.escrow_borrowing = 0.0
         self.next_escrow_at = now
         self.was_busy = False
         self.window: int | None = None
@@ -282,13 +284,17 @@
         """The most of the hard limit that we hold: our share, less what may lie in escrow."""
         return (self.customer.plan.hard_limit_burst - 2 * self.hard_limit_escrow) * self.fair_share
 
+    def has_escrow_pending(self) -> bool:
+        """Whether an add to the escrow, or a take from it, waits for its answer."""
+        return bool(self.escrow_lending or self.escrow_borrowing)
+
     def is_idle(self, now: float) -> bool:
         """Whether a new lease would hold no less and no more, so that this one may be dropped."""
         is_over = now >= self.window_end + min(self.window_length, SAMPLE_LIFETIME)
         if not is_over or self.refill_hard_limit(now) < self.hard_limit_maximum():
             return False
         has_rpcs = self.in_flight or self.waiting or self.hard_limit_waiting
-        return not (has_rpcs or self.pending_add or self.escrow_pending)
+        return not (has_rpcs or self.pending_add or self.has_escrow_pending())
 
     def export_state(self, now: float) -> dict[str, Any]:
         """The stored form, for the process that follows; what it holds is given up here.
