--- a/petrellane/config/__init__.py
+++ b/petrellane/config/__init__.py
@@ -16,13 +16,12 @@
 from petrellane.config.process import Config, load, load_settings_file, parse_config
 from petrellane.config.reload import check_no_key_removed, reload_settings
 from petrellane.config.section import Address, ConfigError, JsonObject, Section
-from petrellane.config.settings import ControllerOptions, Settings, parse_settings
+from petrellane.config.settings import Settings, parse_settings
 
 __all__ = [
     "Address",
     "Config",
     "ConfigError",
-    "ControllerOptions",
     "EndpointEntry",
     "EndpointListUpdate",
     "JsonObject",
--- a/petrellane/config/settings.py
+++ b/petrellane/config/settings.py
@@ -7,13 +7,13 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import TypedDict
 
 from petrellane.config.section import REQUIRED, ConfigError, Section, abbreviate
 from petrellane.decisions.types import (
     DEDUPLICATED,
     IDEMPOTENT,
     NON_IDEMPOTENT,
+    ControllerSettings,
     KeyScope,
     Method,
     Plan,
@@ -33,19 +33,6 @@
 _MICROSECONDS = 1e6
 
 
-class ControllerOptions(TypedDict):
-    """The settings that `AdmissionController` takes as keywords, at its start and at a reload."""
-
-    zone: str
-    counter_timeout: float
-    may_cancel: bool
-    max_retry_after: float
-    slow_start: float
-    slow_start_minimum: float
-    cross_zone_price: float
-    method_identities: set[object]
-
-
 @dataclass(frozen=True)
 class Settings:
     """Settings that are checked; replaced as a whole when they change.
@@ -69,7 +56,7 @@
     plans: dict[str, Plan]
     uses_counter: bool
     must_watch: bool
-    controller_options: ControllerOptions
+    controller_options: ControllerSettings
     report_fields: list[str]
     counter_timeout: float
     dial_timeout: float
@@ -108,7 +95,7 @@
         streams=limits.integer("streamsPerConn", 1, 1),
         max_units=family.number("maxUnits", _DEFAULT_MAX_UNITS),
         gateway_count=section.integer("replicasOfMe", _DEFAULT_GATEWAY_COUNT, 1),
-        controller_options=ControllerOptions(
+        controller_options=ControllerSettings(
             zone=section.text("locality", ""),
             counter_timeout=counter_timeout,
             may_cancel=limits.flag("mayCancel"),
--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -14,7 +14,7 @@
 import random
 from collections.abc import Collection, Iterable
 from math import inf
-from typing import Any
+from typing import Unpack
 
 from petrellane.decisions import retries
 from petrellane.decisions.actions import (
@@ -36,7 +36,14 @@
 from petrellane.decisions.lease_manager import Credit, LeaseManager
 from petrellane.decisions.load_balancing import SAME_ZONE_ODDS, LoadBalancer
 from petrellane.decisions.load_shedding import LoadShedder
-from petrellane.decisions.types import OK, EndpointEvent, Outcome, RejectionReason, Rpc
+from petrellane.decisions.types import (
+    OK,
+    ControllerSettings,
+    EndpointEvent,
+    Outcome,
+    RejectionReason,
+    Rpc,
+)
 
 CHECK_INTERVAL = 0.1  # seconds between periodic checks, while anything is in flight
 
@@ -63,7 +70,7 @@
         seed: int,
         uses_counter: bool,
         must_watch: bool,
-        **settings: Any,  # noqa: ANN401 - `reconfigure` names them
+        **settings: Unpack[ControllerSettings],
     ) -> None:
         """Make a controller that knows no endpoints.
 
--- a/petrellane/decisions/types.py
+++ b/petrellane/decisions/types.py
@@ -10,9 +10,11 @@
 
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import TYPE_CHECKING, NamedTuple, Self
+from typing import TYPE_CHECKING, NamedTuple, NotRequired, Self, TypedDict
 
 if TYPE_CHECKING:
+    from collections.abc import Collection
+
     from petrellane.decisions.actions import SendAttempt
 
 
@@ -153,6 +155,22 @@
     over_quota_cost: float = 0.0
 
 
+class ControllerSettings(TypedDict):
+    """The settings that `AdmissionController` takes by keyword, at its start and anew.
+
+    `AdmissionController.reconfigure` says what each means.
+    """
+
+    zone: str
+    counter_timeout: float
+    may_cancel: bool
+    max_retry_after: float
+    slow_start: float
+    slow_start_minimum: float
+    cross_zone_price: float
+    method_identities: NotRequired[Collection[object]]
+
+
 @dataclass(eq=False, slots=True, weakref_slot=True)
 class Customer:
     """One customer, as long as its gateway knows it.
