--- a/petrellane/decisions/actions.py
+++ b/petrellane/decisions/actions.py
@@ -67,6 +67,43 @@
     attempt: SendAttempt
 
 
+class PendingTopUp:
+    """The purpose of an add to the count of a window: more credit for a lease, or its total.
+
+    Attributes:
+        lease: What is topped up.
+        window: The window of the lease in which it was made.
+        unreported: The part of the amount that was spent already.
+        is_reread: Whether it only asks for the total again, as an answer could not be read.
+        is_settled: Whether the RPCs that waited for its answer were decided without it.
+    """
+
+    __slots__ = ("is_reread", "is_settled", "lease", "unreported", "window")
+
+    def __init__(
+        self, lease: Lease, window: int | None, unreported: float, *, is_reread: bool
+    ) -> None:
+        self.lease = lease
+        self.window = window
+        self.unreported = unreported
+        self.is_reread = is_reread
+        self.is_settled = False
+
+
+class PendingEscrowMove(NamedTuple):
+    """The purpose of an add to the escrow's count: to lend units of a hard limit, or borrow some.
+
+    Attributes:
+        lease: Whose hard limit it is.
+        window: The window of the lease in which it was made.
+        is_follow_up: Whether it lends more, after a first piece.
+    """
+
+    lease: Lease
+    window: int | None
+    is_follow_up: bool
+
+
 @dataclass(eq=False, slots=True)
 class CounterAdd:
     """Add an amount to a named count of the shared counter and report the total.
@@ -75,24 +112,14 @@
         name: The count.
         amount: What to add: negative to give back, 0 to read.
         ttl: Seconds after which the counter may forget the count.
-        lease: Whose lease it tops up; None where it gives something back. This and what follows
-            belong to the decisions.
-        window: The window of the lease in which it was made.
-        unreported: The part of the amount that was spent already.
-        is_retry: Whether it follows an add in the same matter that is not to be followed again.
-        is_settled: Whether what waited for its answer was decided without it.
-        escrow_lease: The lease whose hard limit it moves to or from escrow; None for a top-up.
+        purpose: What its answer is for, private to the decisions; None where nothing waits for it,
+            as where something is given back.
     """
 
     name: int
     amount: float
     ttl: float
-    lease: Lease | None = None
-    window: int | None = 0
-    unreported: float = 0.0
-    is_retry: bool = False
-    is_settled: bool = False
-    escrow_lease: Lease | None = None
+    purpose: PendingTopUp | PendingEscrowMove | None = None
 
 
 class PeriodicCheck:
--- a/petrellane/decisions/hard_limits.py
+++ b/petrellane/decisions/hard_limits.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from petrellane.decisions.actions import Action, CounterAdd
+from petrellane.decisions.actions import Action, CounterAdd, PendingEscrowMove
 from petrellane.decisions.counter_health import CounterHealth
 from petrellane.decisions.leases import WORTHWHILE_SHARE, Lease
 from petrellane.decisions.numeric import stable_hash
@@ -56,17 +56,23 @@
         return []
 
     def on_reply(
-        self, now: float, lease: Lease, add: CounterAdd, outcome: Outcome, total: float
+        self,
+        now: float,
+        add: CounterAdd,
+        move: PendingEscrowMove,
+        outcome: Outcome,
+        total: float,
     ) -> list[Action]:
         """Take what the total proves was in escrow, and no more.
 
         Args:
             now: The time.
-            lease: The lease that made the add.
             add: Units that were lent, or where negative were to be borrowed.
+            move: Its purpose.
             outcome: How the add ended.
             total: The count's total after it.
         """
+        lease = move.lease
         lease.escrow_lending = 0.0
         lease.escrow_borrowing = 0.0
         actions: list[Action] = []
@@ -84,10 +90,10 @@
         if not taken and (is_borrowing or outcome != OK):
             pause = WORTHWHILE_SHARE * min(lease.window_length, RETRY_BASE)
             lease.next_escrow_at = now + pause
-        if outcome == OK and add.window == lease.window:
+        if outcome == OK and move.window == lease.window:
             lease.escrowed = total
             level = lease.refill_hard_limit(now)
-            if add.is_retry:
+            if move.is_follow_up:
                 actions += _take_back_excess(lease, add, total)
             elif not is_borrowing:
                 actions += _lend_more(lease, add, level, total)
@@ -103,7 +109,7 @@
     if units < lease.hard_limit_escrow * lease.fair_share or not units:
         return []
     lease.hard_limit -= units
-    return [_lend(lease, EscrowCount(add.name, add.ttl), units, is_retry=True)]
+    return [_lend(lease, EscrowCount(add.name, add.ttl), units, is_follow_up=True)]
 
 
 def _take_back_excess(lease: Lease, add: CounterAdd, total: float) -> list[Action]:
@@ -121,20 +127,17 @@
     return EscrowCount(name, min(ESCROW_TTL_MAXIMUM, ESCROW_TTL_WINDOWS * lease.window_length))
 
 
-def _lend(lease: Lease, count: EscrowCount, units: float, *, is_retry: bool = False) -> CounterAdd:
+def _lend(
+    lease: Lease, count: EscrowCount, units: float, *, is_follow_up: bool = False
+) -> CounterAdd:
     """Move units that the share no longer holds into escrow."""
     lease.escrow_lending = units
-    return CounterAdd(
-        count.name,
-        units,
-        count.ttl,
-        window=lease.window,
-        is_retry=is_retry,
-        escrow_lease=lease,
-    )
+    move = PendingEscrowMove(lease, lease.window, is_follow_up)
+    return CounterAdd(count.name, units, count.ttl, move)
 
 
 def _borrow(lease: Lease, count: EscrowCount, units: float) -> CounterAdd:
     """Ask for units from escrow; the share gets them with the answer."""
     lease.escrow_borrowing = units
-    return CounterAdd(count.name, -units, count.ttl, window=lease.window, escrow_lease=lease)
+    move = PendingEscrowMove(lease, lease.window, is_follow_up=False)
+    return CounterAdd(count.name, -units, count.ttl, move)
--- a/petrellane/decisions/lease_manager.py
+++ b/petrellane/decisions/lease_manager.py
@@ -12,7 +12,13 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-from petrellane.decisions.actions import Action, CounterAdd, SetTimer
+from petrellane.decisions.actions import (
+    Action,
+    CounterAdd,
+    PendingEscrowMove,
+    PendingTopUp,
+    SetTimer,
+)
 from petrellane.decisions.counter_health import CounterHealth
 from petrellane.decisions.hard_limits import HardLimitEscrow
 from petrellane.decisions.leases import WORTHWHILE_SHARE, Lease
@@ -165,15 +171,15 @@
             return CreditDecision(Credit.REFUSED, actions)
         return CreditDecision(Credit.WAITING, [*actions, _deadline_timer(now, rpc)])
 
-    def _top_up(self, lease: Lease, now: float, *, is_retry: bool = False) -> list[Action]:
+    def _top_up(self, lease: Lease, now: float, *, is_reread: bool = False) -> list[Action]:
         """Ask the counter for more; at most one top-up is pending per customer and window."""
         unreported = lease.unreported
         lease.unreported = 0.0
         amount = max(0.0, lease.wanted(now) - lease.available) + unreported
         lease.reported += amount
-        if not (amount or unreported or is_retry):
+        if not (amount or unreported or is_reread):
             return []
-        return self._add_to_count(lease, lease.window, amount, unreported, is_retry=is_retry)
+        return self._add_to_count(lease, lease.window, amount, unreported, is_reread=is_reread)
 
     def _add_to_count(
         self,
@@ -182,23 +188,27 @@
         amount: float,
         unreported: float = 0.0,
         *,
-        is_retry: bool = False,
+        is_reread: bool = False,
     ) -> list[Action]:
         """Add to the count of a window, bounded by our own deadline; an amount of 0 only reads."""
         # The same name at every gateway and every start.
         name = stable_hash(f"{lease.customer.name} {counted_window}")
         ttl = min(COUNT_TTL_MAXIMUM, COUNT_TTL_WINDOWS * lease.window_length)
-        add = CounterAdd(name, amount, ttl, lease, lease.window, unreported, is_retry)
+        top_up = PendingTopUp(lease, lease.window, unreported, is_reread=is_reread)
+        add = CounterAdd(name, amount, ttl, top_up)
         lease.pending_add = add
         return [add, SetTimer(self.counter.timeout, add)]
 
     def on_timeout(self, now: float, add: CounterAdd) -> list[Action]:
         """Give up on a top-up without an answer in time: what it added counts as spent."""
-        lease = add.lease
-        if lease is None or add.is_settled or lease.pending_add is not add:
+        top_up = add.purpose
+        if not isinstance(top_up, PendingTopUp) or top_up.is_settled:
+            return []
+        lease = top_up.lease
+        if lease.pending_add is not add:
             return []
         lease.pending_add = None
-        add.is_settled = True
+        top_up.is_settled = True
         actions: list[Action] = [*self.counter.on_failure(now)]
         if self.counter.is_degraded(now):
             lease.use_fair_share(now, lease.waiting_units(), is_silent=self.counter.is_silent)
@@ -216,29 +226,36 @@
             outcome: How it ended.
             total: The count's total after it, where the outcome is OK.
         """
-        if add.escrow_lease is not None:
-            return self._on_escrow_reply(now, add.escrow_lease, add, outcome, total)
-        lease = add.lease
+        if isinstance(add.purpose, PendingEscrowMove):
+            return self._on_escrow_reply(now, add, add.purpose, outcome, total)
+        top_up = add.purpose
         if outcome != OK:
-            return [] if lease is None else self._on_failed_add(now, lease, add, outcome)
+            return [] if top_up is None else self._on_failed_top_up(now, add, top_up, outcome)
         actions: list[Action] = [*self.counter.on_success(now)]
-        if lease is None or (add.is_settled and add.amount <= 0):
+        if top_up is None or (top_up.is_settled and add.amount <= 0):
             return actions
-        was_settled = add.is_settled
-        add.is_settled = True
+        lease = top_up.lease
+        was_settled = top_up.is_settled
+        top_up.is_settled = True
         lease.enter_window(now)
-        if lease.window == add.window:
-            actions += self._take_grant(now, lease, add, total, was_settled=was_settled)
+        is_current = lease.window == top_up.window
+        if is_current:
+            actions += self._take_grant(now, add, top_up, total, was_settled=was_settled)
             actions += self.escrow.exchange(now, lease, lease.waiting_units())
         if lease.pending_add is add:
-            actions += self._after_grant(now, lease, add)
+            actions += self._after_grant(now, lease, is_current=is_current)
         return actions
 
-    def _after_grant(self, now: float, lease: Lease, add: CounterAdd) -> list[Action]:
-        """Ask on for what is still missing, or decide the RPCs that wait."""
+    def _after_grant(self, now: float, lease: Lease, *, is_current: bool) -> list[Action]:
+        """Ask on for what is still missing, or decide the RPCs that wait.
+
+        Args:
+            now: The time.
+            lease: What was topped up.
+            is_current: Whether the top-up was of the window that runs.
+        """
         lease.pending_add = None
         is_short = lease.missing_units() > 0
-        is_current = lease.window == add.window
         is_carryover_unknown = is_short and lease.carryover is None and is_current
         if is_carryover_unknown and not self.counter.is_degraded(now):
             needed = lease.ledger_total + lease.missing_units()
@@ -251,36 +268,44 @@
             actions = self._top_up(lease, now)
         return actions or self._decide_waiting(lease, now)
 
-    def _on_failed_add(
-        self, now: float, lease: Lease, add: CounterAdd, outcome: Outcome
+    def _on_failed_top_up(
+        self, now: float, add: CounterAdd, top_up: PendingTopUp, outcome: Outcome
     ) -> list[Action]:
         """Update the lease after a failed top-up, by whether the amount may have been added."""
-        if lease.window == add.window:
-            is_first = lease.pending_add is add and not add.is_retry
+        lease = top_up.lease
+        if lease.window == top_up.window:
+            is_first = lease.pending_add is add and not top_up.is_reread
             if outcome == ERROR and is_first and lease.waiting:
                 # It was added: ask once more, for the total alone.
-                lease.unreported += add.unreported - add.amount
-                return self._top_up(lease, now, is_retry=True)
+                lease.unreported += top_up.unreported - add.amount
+                return self._top_up(lease, now, is_reread=True)
             if outcome in PROVEN_NOT_RUN:
                 lease.reported -= add.amount
-                lease.unreported = max(0.0, lease.unreported + add.unreported)
+                lease.unreported = max(0.0, lease.unreported + top_up.unreported)
             else:
                 # The amount may have been added, and stands for what a fair share let in.
-                unreported = lease.unreported + (add.unreported - add.amount)
+                unreported = lease.unreported + (top_up.unreported - add.amount)
                 lease.unreported = max(0.0, unreported)
         return self.on_timeout(now, add)
 
     def _take_grant(
-        self, now: float, lease: Lease, add: CounterAdd, total: float, *, was_settled: bool
+        self,
+        now: float,
+        add: CounterAdd,
+        top_up: PendingTopUp,
+        total: float,
+        *,
+        was_settled: bool,
     ) -> list[Action]:
         """Keep what lies within the limit of what was added, and return the excess."""
-        if not add.amount and not add.unreported:
+        lease = top_up.lease
+        if not add.amount and not top_up.unreported:
             _read_carryover(now, lease, total)
             return []
         actions = _restore_lost_count(lease, add, total)
         if actions:
             total = lease.reported
-        asked = add.amount - add.unreported  # what was unreported is spent, and stays
+        asked = add.amount - top_up.unreported  # what was unreported is spent, and stays
         kept = _grant_to_keep(now, lease, asked, total)
         _book_grant(lease, kept, was_settled=was_settled)
         lease.ledger_total = total - asked + kept
@@ -298,10 +323,16 @@
         return [] if is_degraded else [CounterAdd(add.name, -excess, lease.window_length)]
 
     def _on_escrow_reply(
-        self, now: float, lease: Lease, add: CounterAdd, outcome: Outcome, total: float
+        self,
+        now: float,
+        add: CounterAdd,
+        move: PendingEscrowMove,
+        outcome: Outcome,
+        total: float,
     ) -> list[Action]:
         """Take what came from escrow, and decide the RPCs that wait for it."""
-        actions = self.escrow.on_reply(now, lease, add, outcome, total)
+        actions = self.escrow.on_reply(now, add, move, outcome, total)
+        lease = move.lease
         waiting = lease.hard_limit_waiting
         lease.hard_limit_waiting = []
         for rpc in [rpc for rpc in waiting if not rpc.is_finished]:
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from petrellane.decisions.actions import CounterAdd, TimerSubject
+from petrellane.decisions.actions import CounterAdd, PendingTopUp, TimerSubject
 from petrellane.decisions.controller import AdmissionController
 from petrellane.decisions.types import (
     GONE,
@@ -351,12 +351,13 @@
 
     def on_counter_reply(self, add: CounterAdd, outcome: Outcome, total: float) -> None:
         """The counter has answered an add, or its time limit has passed."""
-        if add.lease is not None and self.simulation.keeps_records:
+        if isinstance(add.purpose, PendingTopUp) and self.simulation.keeps_records:
+            customer = add.purpose.lease.customer.name
             result = f"a total of {total:g}" if outcome == OK else outcome
             self.simulation.trace(
                 self.name,
-                f"asked for {add.amount:g} units of "
-                f"{add.lease.customer.name} in window {add.window}: {result}",
+                f"asked for {add.amount:g} units of {customer} in window {add.purpose.window}: "
+                f"{result}",
             )
         self._executor.execute(self.controller.on_counter_reply(self.clock(), add, outcome, total))
 
--- a/tests/compatibility/build/simulation.py
+++ b/tests/compatibility/build/simulation.py
@@ -56,7 +56,8 @@
         figures = [step.endpoint.address, step.number, step.sent_at, step.timeout, step.send_by]
         return ["attempt", *figures]
     if isinstance(step, actions.CounterAdd):
-        return ["add", step.name, step.amount, step.ttl, step.window]
+        window = step.purpose.window if step.purpose else 0
+        return ["add", step.name, step.amount, step.ttl, window]
     if isinstance(step, actions.SetTimer):
         return ["timer", step.delay]
     if isinstance(step, actions.Reject):
