--- a/petrellane/decisions/lease_manager.py
+++ b/petrellane/decisions/lease_manager.py
@@ -115,37 +115,28 @@
         actions = self.escrow.exchange(now, lease, rpc.units)
         if not lease.has_room(now, rpc.units):
             return self._wait_for_escrow(now, lease, rpc, actions)
-        self._stand_in_for_counter(now, lease, rpc)
-        is_probe = self._claim_probe(now, lease)
+        counter = self.counter
+        if lease.available < rpc.units and (counter.is_silent or counter.is_degraded(now)):
+            needed = rpc.units if counter.is_silent else 0.0
+            lease.use_fair_share(now, needed, is_silent=counter.is_silent)
+        is_probe = counter.is_silent and self._claim_probe(now, lease)
         if lease.available >= rpc.units or lease.allowance == math.inf:
             lease.available -= rpc.units
             if is_probe and lease.allowance < math.inf:
                 actions += self._top_up(lease, now)
             return CreditDecision(Credit.SPENT, actions)
-        has_no_answer = self.counter.is_silent and not is_probe
-        if has_no_answer or now < lease.exhausted_until:
+        if (counter.is_silent and not is_probe) or now < lease.exhausted_until:
             return CreditDecision(Credit.REFUSED, actions)
         return self._wait_for_top_up(now, lease, rpc, actions)
 
-    def _stand_in_for_counter(self, now: float, lease: Lease, rpc: Rpc) -> None:
-        """Grant a fair share where the lease does not cover an RPC and the counter fails."""
-        is_silent = self.counter.is_silent
-        if lease.available >= rpc.units:
-            return
-        if is_silent or self.counter.is_degraded(now):
-            needed = rpc.units if is_silent else 0.0
-            lease.use_fair_share(now, needed, is_silent=is_silent)
-
     def _claim_probe(self, now: float, lease: Lease) -> bool:
-        """Whether this RPC's top-up probes the counter; if so, the next probe is scheduled.
+        """Whether this RPC's top-up probes the silent counter; if so, the next is scheduled.
 
         A silent counter is probed by an occasional top-up, so probes follow demand.
         """
-        counter = self.counter
-        is_due = counter.is_silent and now >= counter.next_probe_at
-        if not is_due or lease.pending_add is not None:
+        if now < self.counter.next_probe_at or lease.pending_add is not None:
             return False
-        counter.schedule_probe(now)
+        self.counter.schedule_probe(now)
         return True
 
     def _wait_for_escrow(
