--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -14,27 +14,29 @@
 
 from petrellane.config import load_settings_file
 from petrellane.config.consensus import ControlConfig
-from petrellane.config_consensus import safe_settings
-from petrellane.config_consensus.changes import ChangeOutcome
+from petrellane.config_consensus import settings_diff
+from petrellane.config_consensus.changes import ChangeOutcome, is_rejection
 from petrellane.config_consensus.errors import ConsensusError
 from petrellane.config_consensus.message_authentication import STAFF_PATH
 from petrellane.config_consensus.messages import JsonObject
-from petrellane.config_consensus.rpc_client import NotListeningError, RpcClient, RpcError
+from petrellane.config_consensus.rpc_client import (
+    NotListeningError,
+    RpcClient,
+    RpcError,
+    call_limits,
+)
 from petrellane.config_consensus.staff_messages import (
     CONTROL_RECIPIENT,
     ChangeProgress,
     StaffCall,
     StaffRejection,
 )
-from petrellane.net.limits import Limits
 from petrellane.net.scheduler import Scheduler
 
 CALL_TIMEOUT_S = 3.0
 FOLLOW_INTERVAL_S = 0.1  # between two questions for a change that is followed
 PROGRESS_COLUMNS = 78
 MAX_DESCRIPTORS = 64
-IDLE_TIMEOUT_S = 1.0
-STREAMS_PER_CONNECTION = 1
 USER_ERRORS = (StaffRejection.SETTINGS, StaffRejection.UNKNOWN, StaffRejection.MALFORMED)
 
 
@@ -69,13 +71,7 @@
     def __init__(self, config: ControlConfig, timeout_s: float = CALL_TIMEOUT_S) -> None:
         self.config = config
         self._timeout_s = timeout_s
-        self._limits = Limits(
-            sockets=MAX_DESCRIPTORS,
-            dial_timeout=timeout_s,
-            host_idle_timeout=IDLE_TIMEOUT_S,
-            streams=STREAMS_PER_CONNECTION,
-            counter_timeout=timeout_s,
-        )
+        self._limits = call_limits(MAX_DESCRIPTORS, timeout_s)
 
     def call(self, kind: StaffCall, **arguments: object) -> JsonObject:
         """Return the answer to one call, which may be a rejection. Raises RpcError."""
@@ -160,7 +156,7 @@
             after: The same.
         """
         contents = [self._read_settings(source) for source in (before, after)]
-        lines = safe_settings.describe_changes(*contents)
+        lines = settings_diff.describe_changes(*contents)
         self._print({"lines": lines}, "\n".join(lines) or "they say the same")
         return ExitCode.DONE
 
@@ -253,6 +249,5 @@
     if progress.outcome == ChangeOutcome.COMMITTED:
         return ExitCode.IN_DOUBT if progress.owed else ExitCode.DONE
     if progress.outcome == ChangeOutcome.ABORTED:
-        is_rejected = progress.reason.startswith("refused by")
-        return ExitCode.REJECTED if is_rejected else ExitCode.ABORTED
+        return ExitCode.REJECTED if is_rejection(progress.reason) else ExitCode.ABORTED
     return ExitCode.IN_DOUBT
--- a/petrellane/config_consensus/ledger.py
+++ b/petrellane/config_consensus/ledger.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, Protocol
 
-from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus import canonical_settings
 from petrellane.config_consensus.ballots import Ballot, Epoch, Generation
 from petrellane.config_consensus.changes import (
     Change,
@@ -22,10 +22,8 @@
     parse_record,
 )
 
-ALREADY_IN_FORCE = "in force already"
 
-
-class Journal(Protocol):
+class RecordLog(Protocol):
     """Where records become durable."""
 
     def append(self, record: dict[str, Any], at: float, /) -> None:
@@ -49,7 +47,7 @@
         claimed_epoch: the number of the highest epoch claimed.
     """
 
-    def __init__(self, journal: Journal, records: Iterable[Mapping[str, Any]]) -> None:
+    def __init__(self, journal: RecordLog, records: Iterable[Mapping[str, Any]]) -> None:
         """Replay the journal's records. Raises ValueError or KeyError where one is malformed."""
         self.journal = journal
         self.in_force: Generation | None = None
@@ -108,7 +106,7 @@
 
     def begin(self, change: Change, now: float) -> Change:
         """Begin a change; it is under way from then on."""
-        record = Proposed(change.generation, change.excluded, change.author, change.reason)
+        record = Proposed(change.generation, change.excluded, change.author, change.purpose)
         self.journal.append(record.to_dict(), now)
         self.highest_number = change.generation.number
         self.last_change_at = now
@@ -126,7 +124,7 @@
         record = Decided(change.ballot, outcome, reason, absent, prepared)
         self.journal.append(record.to_dict(), now)
         change.outcome = outcome
-        change.reason = reason
+        change.decision_reason = reason
         self.decisions[change.ballot] = outcome
         self.change = None
         if outcome == ChangeOutcome.COMMITTED:
@@ -138,13 +136,13 @@
         for change in self.history.values():
             if change.outcome == ChangeOutcome.UNKNOWN and change.ballot < committed:
                 change.outcome = ChangeOutcome.SUPERSEDED
-                change.reason = f"by generation {committed.number}"
+                change.decision_reason = f"by generation {committed.number}"
 
     def abandon(self, reason: str) -> None:
         """Leave the change under way to another coordinator; its outcome is unknown here."""
         if self.change:
             self.change.outcome = ChangeOutcome.UNKNOWN
-            self.change.reason = reason
+            self.change.decision_reason = reason
             self.change = None
 
     # Questions.
@@ -165,7 +163,7 @@
         """Settings under the next free number."""
         in_force_number = self.in_force.number if self.in_force else 0
         ballot = Ballot(max(self.highest_number, in_force_number) + 1, epoch)
-        return Generation(ballot, safe_settings.digest(content), content, roster)
+        return Generation(ballot, canonical_settings.digest(content), content, roster)
 
     def change_in_force(self, digest: str, roster: Sequence[str], now: float) -> Change | None:
         """The change that brought these settings in force for this roster, None for others."""
@@ -175,8 +173,4 @@
         if set(roster) != set(in_force.roster):
             return None
         known = self.history.get(in_force.ballot)
-        if known:
-            return known
-        outcome = ChangeOutcome.COMMITTED
-        ballot = in_force.ballot
-        return Change(in_force, ballot, (), (), now, (), outcome=outcome, reason=ALREADY_IN_FORCE)
+        return known or Change.already_in_force(in_force, now)
--- a/petrellane/config_consensus/message_authentication.py
+++ b/petrellane/config_consensus/message_authentication.py
@@ -19,15 +19,15 @@
 
 import orjson
 
-from petrellane.config_consensus.errors import ConsensusError
+from petrellane.config_consensus.errors import ConsensusError, shorten
 from petrellane.config_consensus.messages import JsonObject
+from petrellane.operation.management_requests import HttpResponse
 
 PARTICIPANT_PATH = b"/-/agreement"  # of a participant's calls, on a gateway's management listener
 STAFF_PATH = b"/-/settings"  # of staff's calls, on a control process's listener
 SIGNATURE_FIELD = b"petrellane-seal"  # header field, in lower case as parsers give it
 REASON_FIELD = "Petrellane-Why"  # header field that says why a request is not authentic
 NONCE_BYTES = 8
-SHOWN_CHARACTERS = 40  # of a value that was not expected
 
 # What a signature is for is its first part, so that none of one kind passes for the other.
 REQUEST_CONTEXT = b"question"
@@ -45,14 +45,6 @@
     signature: bytes
 
 
-class HttpAnswer(NamedTuple):
-    """What a request on a management listener is answered with."""
-
-    status: int
-    body: bytes
-    fields: dict[str, str]
-
-
 class CallResult(NamedTuple):
     """What a handler answers an authentic message with, before it is signed."""
 
@@ -84,7 +76,7 @@
     _verify_signature(compute_signature(key, REQUEST_CONTEXT, body), signature)
     message = _decode_object(body)
     if message.get("to") != recipient:
-        found = str(message.get("to"))[:SHOWN_CHARACTERS]
+        found = shorten(message.get("to"))
         raise AuthenticationError(f"to: expected {recipient}, found {found}")
     return message
 
@@ -115,7 +107,7 @@
     handler: Callable[[JsonObject], CallResult],
     fields: Mapping[bytes, bytes],
     body: bytes,
-) -> HttpAnswer:
+) -> HttpResponse:
     """Verify a request, have it handled and sign the answer.
 
     Args:
@@ -130,13 +122,13 @@
     try:
         status, message = handler(verify_request(key, recipient, request_signature, body))
     except AuthenticationError as error:
-        return HttpAnswer(
+        return HttpResponse(
             HTTPStatus.UNAUTHORIZED, b'{"refused":"seal"}', {REASON_FIELD: str(error)}
         )
     except ValueError:
-        return HttpAnswer(HTTPStatus.BAD_REQUEST, b'{"refused":"form"}', {})
+        return HttpResponse(HTTPStatus.BAD_REQUEST, b'{"refused":"form"}', {})
     response = sign_response(key, request_signature, message)
-    return HttpAnswer(
+    return HttpResponse(
         status, response.body, {SIGNATURE_FIELD.decode(): response.signature.decode()}
     )
 
--- a/petrellane/config_consensus/state_store.py
+++ b/petrellane/config_consensus/state_store.py
@@ -13,8 +13,9 @@
 
 import orjson
 
-from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus import state_keys
 from petrellane.config_consensus.ballots import parse_ballot, parse_epoch, parse_generation
+from petrellane.config_consensus.canonical_settings import digest
 from petrellane.config_consensus.errors import ConsensusError
 from petrellane.config_consensus.participant import ParticipantState
 
@@ -124,7 +125,7 @@
         return StoredState(stored["turn"], _decode_state(stored["remembers"]))
 
     def _encode(self, sequence_number: int, state: ParticipantState) -> bytes:
-        content = _encode_state(state)
+        content = encode_state(state)
         return orjson.dumps(
             {
                 "version": VERSION,
@@ -156,23 +157,22 @@
     return hashlib.blake2b(data, digest_size=CHECKSUM_BYTES).hexdigest()
 
 
-def _encode_state(state: ParticipantState) -> StoredContent:
+def encode_state(state: ParticipantState) -> StoredContent:
+    """Return a state as its file keeps it, with all contents."""
     return {
-        "in_force": state.in_force.to_dict(),
-        "promised": list(state.promised),
-        "possible": [generation.to_dict() for generation in state.prepared],
-        "denied": [
-            {"number": ballot.number, "epoch": list(ballot.epoch)} for ballot in state.aborted
-        ],
+        state_keys.IN_FORCE: state.in_force.to_dict(),
+        state_keys.PROMISED: list(state.promised),
+        state_keys.PREPARED: [generation.to_dict() for generation in state.prepared],
+        state_keys.ABORTED: [ballot.to_dict() for ballot in state.aborted],
     }
 
 
 def _decode_state(content: StoredContent) -> ParticipantState:
     return ParticipantState(
-        in_force=parse_generation(content["in_force"], safe_settings.digest),
-        promised=parse_epoch(content["promised"]),
+        in_force=parse_generation(content[state_keys.IN_FORCE], digest),
+        promised=parse_epoch(content[state_keys.PROMISED]),
         prepared=tuple(
-            parse_generation(generation, safe_settings.digest) for generation in content["possible"]
+            parse_generation(generation, digest) for generation in content[state_keys.PREPARED]
         ),
-        aborted=tuple(parse_ballot(ballot) for ballot in content["denied"]),
+        aborted=tuple(parse_ballot(ballot) for ballot in content[state_keys.ABORTED]),
     )
