--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -57,8 +57,10 @@
         self.config = config
         self.scheduler = scheduler or Scheduler()
         self.limits = limits or call_limits(MAX_DESCRIPTORS, CALL_TIMEOUT_S)
-        self.log = Logger(log_descriptor, config.name, self.scheduler.now, self.limits.log_lines)
-        self.scheduler.fault = self.log.fault
+        self.log = Logger(
+            log_descriptor, config.name, self.scheduler.now, self.limits.max_log_lines
+        )
+        self.scheduler.exception_handler = self.log.fault
         self.journal = Journal(config.journal)
         self.coordinator = Coordinator(
             config.name,
@@ -138,7 +140,7 @@
 
     def _tick(self) -> None:
         """Do what time alone brings: a change is given up, or may be decided now."""
-        self.scheduler.after(TICK_INTERVAL_S, self._tick)
+        self.scheduler.call_later(TICK_INTERVAL_S, self._tick)
         self._take_step(self.coordinator.try_to_decide, self.scheduler.now())
         self._report_progress()
 
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -75,18 +75,18 @@
         self.address = address
         self.index = index
         self.consumer = consumer
-        first_interval = self.limits.watch_first
+        first_interval = self.limits.first_watch_interval
         if index is not None:
-            first_interval = self.limits.watch_next
+            first_interval = self.limits.watch_interval
         self.backoff = Backoff(
             random,
             PollTimes(
-                max_interval=self.limits.watch_next,
+                max_interval=self.limits.watch_interval,
                 first_interval=first_interval,
-                max_hold=self.limits.watch_hold,
+                max_hold=self.limits.max_watch_hold,
                 grace=self.limits.watch_grace,
                 poll_timeout=self.limits.watch_timeout,
-                initial_pause=self.limits.backoff_first,
+                initial_pause=self.limits.initial_backoff,
             ),
         )
         self.stream: Stream | None = None
@@ -161,15 +161,15 @@
         if self.index is not None:  # an index of 0 is one too
             hold_ms = int(self.backoff.remaining_hold(self.scheduler.now()) * 1e3)
             path += f"?from={self.index}&hold_ms={hold_ms}"
-        stream.write(http.get(path, f"{self.address[0]}:{self.address[1]}"))
-        while not (found := http.head(stream.buffer, limits)):
-            http.more(stream, until)
+        stream.write(http.encode_get(path, f"{self.address[0]}:{self.address[1]}"))
+        while not (found := http.parse_response_head(stream.buffer, limits)):
+            http.read_more(stream, until)
         status, fields, end = found
         if status != STATUS_OK:  # what else it says may have no end
             raise DiscoveryRejectedError(f"status {status}")
         del stream.buffer[:end]
-        endpoint_list = self.decode(http.body(stream, fields, limits, until))
-        return endpoint_list, http.lasts(fields)
+        endpoint_list = self.decode(http.read_body(stream, fields, limits, until))
+        return endpoint_list, http.is_keep_alive(fields)
 
     def decode(self, body: bytes) -> EndpointListUpdate:
         """Return the list of an answer's body, checked a chunk of its rows in a turn.
@@ -183,7 +183,7 @@
         endpoint_list = EndpointListUpdate(section.integer("index"), section.flag("snapshot"), [])
         for entry in iter_endpoint_entries(section):
             endpoint_list.entries.append(entry)
-            if not len(endpoint_list.entries) % self.limits.list_rows:
+            if not len(endpoint_list.entries) % self.limits.list_rows_per_turn:
                 self._yield_turn()
         return endpoint_list
 
@@ -208,5 +208,5 @@
         self.consumer.on_endpoint_list(endpoint_list)
         self.index = index
         if not endpoint_list.entries:  # guards against answers without end
-            self.scheduler.wait(self.limits.watch_pause)
+            self.scheduler.wait(self.limits.unchanged_watch_delay)
         return is_lasting
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -52,76 +52,76 @@
 class Limits:
     """Bounds of the network code. Sizes are bytes and times are seconds.
 
-    One instance is made at start; a reload of the settings replaces it by `renewed`.
+    One instance is made at start; a reload of the settings replaces it by `with_settings_of`.
     """
 
     # Set by the configuration.
     sockets: int  # descriptors that the process may hold
     dial_timeout: float  # a connection to a host that is not up by then is given up
-    host_idle_timeout: (
-        float  # idle connections to hosts are closed after this, before the host does
-    )
-    streams: int  # attempts on one connection to a host at the same time
+    endpoint_idle_timeout: float  # idle connections to hosts are closed before the host does so
+    attempts_per_connection: int  # attempts on one connection to a host at the same time
     counter_timeout: float  # a request to the counter unanswered for so long is late
 
     # Values and frames of RESP.
-    value: int = 64 * 1024  # a value in a command or a reply
-    long: int = 4 * 1024 * 1024  # the longest value; one above `value` is relayed as it arrives
-    waiting: int = 16 * 1024 * 1024  # bytes of long values that may be buffered in all
-    window: int = 256 * 1024  # buffered bytes of one long value
-    window_minimum: int = 16 * 1024  # the same, however many long values share `waiting`
-    line: int = 1024  # a line of a head
-    parts: int = 16  # parts of a command or a reply
-    frame: int = 68 * 1024  # a command or a reply in all
+    max_value_size: int = 64 * 1024  # a value in a command or a reply
+    # The longest value; one above `max_value_size` is relayed as it arrives.
+    max_long_value_size: int = 4 * 1024 * 1024
+    buffer_budget: int = 16 * 1024 * 1024  # bytes of long values that may be buffered in all
+    relay_window: int = 256 * 1024  # buffered bytes of one long value
+    min_relay_window: int = 16 * 1024  # the same, however many long values share `buffer_budget`
+    max_line_size: int = 1024  # a line of a head
+    max_parts: int = 16  # parts of a command or a reply
+    max_frame_size: int = 68 * 1024  # a command or a reply in all
     stall_timeout: float = 10.0  # a long value or a client's replies without progress are given up
 
     # One stream.
-    unsent: int = 2 * 1024 * 1024  # written bytes that a peer may leave unread
-    receive: int = 64 * 1024  # bytes asked of a socket in one call
-    reads: int = 4  # reads in a row of a stream that has more, before others have their turn
-    passed_over: int = 4  # reads that discard unread bytes of a stream that is closed
-    gathered: int = 64  # buffers that one call hands to a socket
+    max_unsent: int = 2 * 1024 * 1024  # written bytes that a peer may leave unread
+    receive_size: int = 64 * 1024  # bytes asked of a socket in one call
+    # Reads in a row of a stream that has more, before others have their turn.
+    reads_per_turn: int = 4
+    max_discarding_reads: int = 4  # reads that discard unread bytes of a stream that is closed
+    buffers_per_send: int = 64  # buffers that one call hands to a socket
 
     # Clients.
     backlog: int = 1024  # connections that wait to be accepted
-    accepts: int = 16  # connections accepted in a row before others have their turn
-    commands: int = 16  # commands of one client in a row before others have their turn
+    accepts_per_turn: int = 16  # connections accepted in a row before others have their turn
+    commands_per_turn: int = 16  # commands of one client in a row before others have their turn
     client_idle_timeout: float = 10.0  # an idle client that is owed nothing is disconnected
-    client_once: float = 2.0  # the same for a client that has sent one command or none
-    client_settle: float = 0.25  # a new client is not evicted for its silence before this
-    client_rested: float = (
-        1.0  # a client that comes back with RPCs may be evicted when idle so long
-    )
+    new_client_idle_timeout: float = 2.0  # the same for a client that has sent one command or none
+    new_client_grace: float = 0.25  # a new client is not evicted for its silence before this
+    # A client that comes back with RPCs may be evicted when idle so long.
+    eviction_idle_time: float = 1.0
     command_timeout: float = 2.5  # a command that has begun is complete, or a long one progresses
-    command_timeout_crowded: float = 1.0  # the same where descriptors are short
-    linger: float = 0.5  # for what a client still sends after a malformed frame
-    let_go: float = 0.05  # between checks for clients that are owed nothing
+    command_timeout_on_shortage: float = 1.0  # the same where descriptors are short
+    linger_timeout: float = 0.5  # for what a client still sends after a malformed frame
+    client_poll_interval: float = 0.05  # between checks for clients that are owed nothing
 
     # Descriptors.
-    reserve: int = 40  # never a client's or a host's; the sum is in docs/design.md
-    host_floor: int = 128  # for hosts, never for clients; at most three fifths of all
-    out_of_descriptors: float = 0.01  # between attempts to accept when none is left
+    reserved_descriptors: int = 40  # never a client's or a host's; the sum is in docs/design.md
+    min_endpoint_descriptors: int = 128  # for hosts, never for clients; at most three fifths of all
+    accept_retry_delay: float = 0.01  # between attempts to accept when none is left
 
     # Connections to hosts and to the counter.
-    host_connections: int = 48  # connections to one host
-    rest: float = (
-        0.01  # a connection is not reused for so long after a reply, where another is free
-    )
+    connections_per_endpoint: int = 48  # connections to one host
+    # A connection is not reused for so long after a reply, where another is free.
+    reuse_delay: float = 0.01
     counter_connections: int = 8  # connections to the counter
     counter_idle_timeout: float = 4.0  # the counter closes idle ones after ten seconds or less
-    look: float = 1.0  # between checks for idle connections
+    check_interval: float = 1.0  # between checks for idle connections
 
     # Discovery.
-    watch_next: float = 5.0  # between calls: a change counts after 6 s, a response takes up to 1
-    watch_first: float = 3.0  # before the first list: at another address it counts after 4 s
-    watch_hold: float = 3.8  # how long discovery may hold a watch
+    # Between calls: a change counts after 6 s, a response takes up to 1.
+    watch_interval: float = 5.0
+    # Before the first list: at another address it counts after 4 s.
+    first_watch_interval: float = 3.0
+    max_watch_hold: float = 3.8  # how long discovery may hold a watch
     watch_grace: float = 1.0  # how much later than that its response may arrive
     watch_timeout: float = 2.0  # of a call that is not held, with its dialing
-    watch_pause: float = 0.02  # before the next watch, where nothing changed
-    backoff_first: float = 0.1  # the wait after a first failed call, before jitter
-    list_size: int = 8 * 1024 * 1024  # bytes of an endpoint list
-    list_rows: int = 128  # rows checked or applied in a row before others have their turn
-    figure: float = 1e9  # a greater value in a load report counts as none
+    unchanged_watch_delay: float = 0.02  # before the next watch, where nothing changed
+    initial_backoff: float = 0.1  # the wait after a first failed call, before jitter
+    max_list_size: int = 8 * 1024 * 1024  # bytes of an endpoint list
+    list_rows_per_turn: int = 128  # rows checked or applied in a row before others have their turn
+    max_load_figure: float = 1e9  # a greater value in a load report counts as none
 
     # Draining, shutdown and hot restart.
     change_over: float = 0.5  # clients are served as before for so long after SIGTERM or a drain
@@ -130,63 +130,71 @@
     shutdown_timeout: float = 15.0  # for clients that never disconnect
     # The kill comes 0.7 s and the longest deadline after SIGTERM: all is answered by then.
     kill_after: float = 0.5  # seconds beyond the longest deadline until the last answers go out
-    kill_longest: float = 3.0  # a longer deadline counts as this
-    hand_over: float = 3.0  # the predecessor has handed over its state by then
-    take_back: float = 0.5  # a connection that the successor has not received by then stays here
-    passed: int = 32 * 1024  # bytes of a command that go with a connection to the successor
-    packet: int = 256 * 1024  # one message between predecessor and successor
-    listed: float = 1.0  # the successor waits so long for an endpoint list before it takes over
+    max_deadline: float = 3.0  # a longer deadline counts as this
+    transfer_timeout: float = 3.0  # the predecessor has handed over its state by then
+    # A connection that the successor has not received by then stays here.
+    handoff_timeout: float = 0.5
+    # Bytes of a command that go with a connection to the successor.
+    max_handoff_data: int = 32 * 1024
+    max_packet_size: int = 256 * 1024  # one message between predecessor and successor
+    first_list_timeout: float = 1.0  # the successor takes over without an endpoint list after this
 
     # The management API.
-    callers: int = 8  # requests in progress
-    call: float = 5.0  # the time of one request
-    head: int = 8 * 1024  # its head
-    body: int = 1024 * 1024  # its body
+    max_callers: int = 8  # requests in progress
+    call_timeout: float = 5.0  # the time of one request
+    max_head_size: int = 8 * 1024  # its head
+    max_body_size: int = 1024 * 1024  # its body
 
     # The log.
-    beat: float = 0.1  # a timer's period, by which a stall within a poll is noticed
-    figures: float = 1.0  # between log lines with counts
-    log_lines: int = 1000  # lines that wait for a slow reader; what exceeds them is dropped
+    heartbeat_interval: float = 0.1  # a timer's period, by which a stall within a poll is noticed
+    figures_interval: float = 1.0  # between log lines with counts
+    max_log_lines: int = 1000  # lines that wait for a slow reader; what exceeds them is dropped
 
     @classmethod
-    def of(cls, config: ProcessConfig) -> Self:
+    def from_config(cls, config: ProcessConfig) -> Self:
         """Return the limits that a configuration sets."""
         settings = config.settings
         return cls(
             sockets=config.sockets,
             dial_timeout=settings.dial_timeout,
-            host_idle_timeout=settings.conn_idle / 2,
-            host_floor=min(cls.host_floor, (config.sockets - cls.reserve) * 3 // 5),
-            streams=settings.streams,
+            endpoint_idle_timeout=settings.conn_idle / 2,
+            min_endpoint_descriptors=min(
+                cls.min_endpoint_descriptors, (config.sockets - cls.reserved_descriptors) * 3 // 5
+            ),
+            attempts_per_connection=settings.streams,
             counter_timeout=settings.counter_timeout,
-            unsent=int(min(cls.unsent, config.memory_mb * MEBIBYTE / UNSENT_SHARE_OF_MEMORY)),
-            waiting=int(min(cls.waiting, config.memory_mb * MEBIBYTE / WAITING_SHARE_OF_MEMORY)),
+            max_unsent=int(
+                min(cls.max_unsent, config.memory_mb * MEBIBYTE / UNSENT_SHARE_OF_MEMORY)
+            ),
+            buffer_budget=int(
+                min(cls.buffer_budget, config.memory_mb * MEBIBYTE / WAITING_SHARE_OF_MEMORY)
+            ),
         )
 
-    def renewed(self, config: ProcessConfig) -> Self:
+    def with_settings_of(self, config: ProcessConfig) -> Self:
         """Return these limits with those values that may change while the gateway runs."""
         settings = config.settings
         return replace(
             self,
             dial_timeout=settings.dial_timeout,
-            host_idle_timeout=settings.conn_idle / 2,
-            streams=settings.streams,
+            endpoint_idle_timeout=settings.conn_idle / 2,
+            attempts_per_connection=settings.streams,
             counter_timeout=settings.counter_timeout,
         )
 
-    def host_room(self, clients: int) -> int:
+    def endpoint_capacity(self, clients: int) -> int:
         """Return how many descriptors are left for connections to hosts beside so many clients."""
-        return max(0, self.sockets - self.reserve - clients)
+        return max(0, self.sockets - self.reserved_descriptors - clients)
 
     @property
-    def once_room(self) -> int:
+    def single_command_capacity(self) -> int:
         """How many clients that sent one command may keep their connection for a while."""
         return self.sockets // 6
 
     @property
-    def client_room(self) -> int:
+    def client_capacity(self) -> int:
         """How many clients may be connected.
 
         One more is accepted where an idle client can be evicted for it.
         """
-        return self.sockets - self.reserve - self.host_floor
+        return self.sockets - self.reserved_descriptors - self.min_endpoint_descriptors
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -193,7 +193,7 @@
             self._next_at += self._random.expovariate(self.rate)
         if self.on:
             delay = max(0.0, self._next_at - self._scheduler.monotonic())
-            self._scheduler.after(delay, self._arrive)
+            self._scheduler.call_later(delay, self._arrive)
 
     def _send_drawn(self, intended: float) -> None:
         """Draw one RPC, and send it."""
@@ -225,7 +225,7 @@
         """Yield an idle connection where one stands, then a new one; with whether it was idle."""
         while front.idle:
             stream = front.idle.pop()
-            if stream.quiet() and not stream.buffer:
+            if stream.is_read_idle() and not stream.buffer:
                 yield stream, True
                 break
             stream.close()
@@ -248,7 +248,7 @@
         else:
             until = min(deadline, rpc.leave_at)
         try:
-            while (reply := resp.answer(stream.buffer, 0, LIMITS)) is None:
+            while (reply := resp.parse_reply(stream.buffer, 0, LIMITS)) is None:
                 stream.fill(max(0.0, until - self._scheduler.monotonic()))
         except TimeoutError:
             if not leaves:
@@ -264,7 +264,7 @@
         # Recorded first: the close takes some time, within which it may be seen.
         self._records.on_client_disconnected(rpc.name)
         if self.half_closing and self._random.random() < self.half_closing:
-            stream.finish()
+            stream.write_eof()
             self._scheduler.wait(GRACE_S)
         stream.close()
 
@@ -294,7 +294,7 @@
     if rpc.method.effect == invariants.DEDUPLICATED:
         fields += f",k={rpc.name[-8:]}"
     verb = b"SVC.QUERY" if rpc.method.effect == invariants.IDEMPOTENT else b"SVC.SUBMIT"
-    return resp.words(verb, customer.key.encode(), rpc.name.encode(), fields.encode())
+    return resp.encode_command(verb, customer.key.encode(), rpc.name.encode(), fields.encode())
 
 
 def _take_answer(stream: Stream, rpc: ClientRpc, reply: resp.Reply) -> str:
--- a/petrellane/testbed/hollow/group.py
+++ b/petrellane/testbed/hollow/group.py
@@ -62,7 +62,7 @@
         self.last_list: EndpointListUpdate | None = None
         self.last_entries: dict[int, EndpointEntry] = {}
         base = parse_config(orjson.loads(Path(parameters.config_path).read_bytes()))
-        self.limits = Limits.of(base)
+        self.limits = Limits.from_config(base)
         self.gateways = [self._make_gateway(base, number) for number in parameters.numbers]
         self.unreachable_gateways = [
             gateway for gateway in self.gateways if gateway.number < parameters.unreachable_count
@@ -86,13 +86,13 @@
     def start(self) -> None:
         """Start all gateways, one after the other."""
         for index, gateway in enumerate(self.gateways):
-            self.scheduler.after(index * START_INTERVAL_S, gateway.start)
+            self.scheduler.call_later(index * START_INTERVAL_S, gateway.start)
         self._flush_logs()
         self._report_arrivals()
 
     def _flush_logs(self) -> None:
         """Write lines of logs that a full pipe has held back."""
-        self.scheduler.after(FLUSH_INTERVAL_S, self._flush_logs)
+        self.scheduler.call_later(FLUSH_INTERVAL_S, self._flush_logs)
         self.log.flush()
         for gateway in self.gateways:
             gateway.log.flush()
@@ -157,7 +157,7 @@
 
     def _report_arrivals(self) -> None:
         """Log which gateways had which lists since the last time."""
-        self.scheduler.after(REPORT_INTERVAL_S, self._report_arrivals)
+        self.scheduler.call_later(REPORT_INTERVAL_S, self._report_arrivals)
         arrivals = self.arrivals
         self.arrivals = {}
         first_arrivals = self.first_arrivals
@@ -179,8 +179,8 @@
 
     def figures(self) -> dict[str, Any]:
         """Return sums since the start, and the longest turn since the last call."""
-        longest_turn = self.scheduler.longest
-        self.scheduler.longest = 0.0
+        longest_turn = self.scheduler.longest_turn
+        self.scheduler.longest_turn = 0.0
         return {
             "rpcs": self.load.sent,
             "answers": self.answers,
