--- a/petrellane/config/settings.py
+++ b/petrellane/config/settings.py
@@ -6,10 +6,18 @@
 """
 
 from collections.abc import Iterable
-from typing import NamedTuple, TypedDict
+from typing import NamedTuple
 
 from petrellane.config.section import REQUIRED, ConfigError, Section, abbreviate
-from petrellane.decisions.types import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, Method, Plan
+from petrellane.decisions.types import (
+    DEDUPLICATED,
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    ControllerSettings,
+    KeyScope,
+    Method,
+    Plan,
+)
 
 EFFECTS = {
     "pure": IDEMPOTENT,
@@ -25,19 +33,6 @@
 _MICROSECONDS = 1e6
 
 
-class ControllerOptions(TypedDict):
-    """The settings that `AdmissionController` takes as keywords, at its start and at a reload."""
-
-    zone: str
-    counter_timeout: float
-    may_cancel: bool
-    max_retry_after: float
-    slow_start: float
-    slow_start_minimum: float
-    cross_zone_price: float
-    method_identities: set[object]
-
-
 class Settings(NamedTuple):
     """Settings that are checked; replaced as a whole when they change.
 
@@ -60,7 +55,7 @@
     plans: dict[str, Plan]
     uses_counter: bool
     must_watch: bool
-    controller_options: ControllerOptions
+    controller_options: ControllerSettings
     report_fields: list[str]
     counter_timeout: float
     dial_timeout: float
@@ -99,7 +94,7 @@
         streams=limits.integer("streamsPerConn", 1, 1),
         max_units=family.number("maxUnits", _DEFAULT_MAX_UNITS),
         gateway_count=section.integer("replicasOfMe", _DEFAULT_GATEWAY_COUNT, 1),
-        controller_options=ControllerOptions(
+        controller_options=ControllerSettings(
             zone=section.text("locality", ""),
             counter_timeout=counter_timeout,
             may_cancel=limits.flag("mayCancel"),
@@ -136,7 +131,7 @@
         effect=EFFECTS[effect],
         latency_objective=row.seconds("goalTime", REQUIRED),
         deadline=row.number("giveUp", is_exclusive=True) / _MICROSECONDS,
-        key_scope=row.text("keyScope", ""),
+        key_scope=KeyScope.parse(row.text("keyScope", "")),
         key_window=row.seconds("window"),
         priority_weight=row.number("worth", 0.0),
         late_priority_weight=row.number("lateWorth", 0.0),
--- a/tests/unit/decisions/random_play.py
+++ b/tests/unit/decisions/random_play.py
@@ -15,9 +15,9 @@
 SETTINGS = {**CONTROLLER_SETTINGS, "uses_counter": False, "cross_zone_price": 0.5}
 RELOADED = ("zone", "counter_timeout", "may_cancel", "max_retry_after", "cross_zone_price")
 METHODS = (
-    ("look", api.IDEMPOTENT, ""),
-    ("lodge", api.DEDUPLICATED, "zone"),
-    ("file", api.DEDUPLICATED, "pod"),
+    ("look", api.IDEMPOTENT, api.KeyScope.POD),
+    ("lodge", api.DEDUPLICATED, api.KeyScope.ZONE),
+    ("file", api.DEDUPLICATED, api.KeyScope.POD),
 )
 OUTCOMES = (api.OK, api.ERROR, api.FULL, api.UNREACHABLE, api.RESET, api.LATE)
 OUTCOME_WEIGHTS = (80, 4, 6, 4, 3, 3)
