--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -11,7 +11,7 @@
 import time
 from collections import Counter
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 from petrellane.config import ConfigError, load
 from petrellane.gateway.action_executor import ActionExecutor
@@ -42,6 +42,12 @@
 EXIT_BAD_CONFIGURATION = 2
 
 
+class HasLimits(Protocol):
+    """A service that is given other limits when the settings change."""
+
+    limits: Limits
+
+
 class GatewayProcess:
     """A gateway that serves until it is ended.
 
@@ -154,9 +160,9 @@
             self.executor.controller.random,
         )
 
-    def services_with_limits(self) -> list[Any]:
+    def services_with_limits(self) -> list[HasLimits]:
         """Return the services whose limits follow the settings."""
-        services = [
+        services: list[HasLimits | None] = [
             self.client_listener,
             self.endpoint_pools,
             self.management,
@@ -227,11 +233,11 @@
     def begin_serving(self) -> None:
         """Serve clients, once it is known which settings are in force.
 
-        Operators and other gateways find this one listening before it asks: whoever goes on without
-        it asks again after it has.
+        The management address listens before peers are polled, so that two gateways that start
+        together reach each other.
         """
         if self.agent:
-            predecessor_state = self.handover.generation if self.handover else None
+            predecessor_state = self.handover.consensus_state if self.handover else None
             self.agent.start(self._serve_clients, predecessor_state)
         else:
             self._serve_clients()
--- a/petrellane/gateway/process_handover.py
+++ b/petrellane/gateway/process_handover.py
@@ -48,12 +48,14 @@
         """Give up what the successor is to have, and return what it was."""
         for pool in self.process.endpoint_pools.pools.values():
             pool.retire(math.inf)
-        generation = None
+        consensus_state = None
         agent = self.process.agent
         if agent:
             agent.hand_over()
-            generation = agent.state.to_dict()
-        return hot_restart.export_leases(self.executor.controller, self.scheduler.now(), generation)
+            consensus_state = agent.state.to_dict()
+        return hot_restart.export_leases(
+            self.executor.controller, self.scheduler.now(), consensus_state
+        )
 
     def on_successor(self, successor: HotRestartTransport | None) -> None:
         """Give way to a successor, or go on when it is gone (None)."""
--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -55,14 +55,15 @@
 
 
 def export_leases(
-    controller: AdmissionController, now: float, generation: JsonObject | None = None
+    controller: AdmissionController, now: float, consensus_state: JsonObject | None = None
 ) -> list[Message]:
     """Give up all leases of the predecessor.
 
     Args:
         controller: The predecessor's decisions, which hold the leases no more after this.
         now: Unix time.
-        generation: The settings that are agreed on, where there are any.
+        consensus_state: What the predecessor reports of settings that gateways agree on, where
+            they do.
 
     Returns:
         The messages to send, in order; the last one is a `LeasesComplete`.
@@ -80,8 +81,8 @@
         for customer, lease in controller.lease_manager.leases.items()
     ]
     messages: list[Message] = []
-    if generation:
-        messages.append(ConsensusState(generation))
+    if consensus_state:
+        messages.append(ConsensusState(consensus_state))
     messages.extend(
         LeaseBatch(rows[start : start + LEASES_PER_MESSAGE])
         for start in range(0, len(rows), LEASES_PER_MESSAGE)
--- a/petrellane/operation/hot_restart_messages.py
+++ b/petrellane/operation/hot_restart_messages.py
@@ -27,9 +27,12 @@
 
 
 class ConsensusState(NamedTuple):
-    """What the predecessor remembers of the settings that are agreed on, as stored data."""
+    """The predecessor's consensus state, as its participant reports it to others.
 
-    generation: JsonObject
+    Not read here: the successor compares it with its own.
+    """
+
+    state: JsonObject
 
 
 class LeaseBatch(NamedTuple):
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -83,7 +83,8 @@
     One per process, owned by the gateway, from its start to its end.
 
     Attributes:
-        generation: The settings that are agreed on, as the predecessor remembers them.
+        consensus_state: What the predecessor reports of settings that gateways agree on; None
+            before that came, and where they do not.
         links: The connections of processes that may become our successor, oldest first.
     """
 
@@ -95,7 +96,7 @@
         gateway_name: str,
         handlers: HotRestartHandlers,
     ) -> None:
-        self.generation: JsonObject | None = None
+        self.consensus_state: JsonObject | None = None
         self.links: dict[MessageLink, None] = {}
         self._scheduler = scheduler
         self._limits = limits
@@ -166,7 +167,7 @@
         if step.dropped:
             step.dropped.sock.close()
         if isinstance(message, ConsensusState):
-            self.generation = message.generation or self.generation
+            self.consensus_state = message.state or self.consensus_state
         elif isinstance(message, RequestEnded):
             if self._receiver.on_request_ended(message.customer):
                 self._handlers.release_in_flight(message.customer, 1)
--- a/tests/compatibility/build/hot_restart.py
+++ b/tests/compatibility/build/hot_restart.py
@@ -141,7 +141,7 @@
     def ask(self) -> None:
         """Ask the process before."""
         self.transport.request_transfer(
-            lambda: self.events.append(["begins", self.transport.generation])
+            lambda: self.events.append(["begins", self.transport.consensus_state])
         )
 
     def turn(self) -> None:
