--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -3,7 +3,12 @@
 This is the one place where the network and the decisions meet. It keeps the open requests, the
 known endpoints and the counts of the log's figures. It decides nothing: each event becomes one call
 of `AdmissionController`, and each action that the call returns goes to the service that carries it
-out. It promises that every request gets exactly one answer, also after a fault of the controller.
+out.
+
+It promises that no request gets a second answer. A fault of the controller while it admits an RPC,
+takes the end of an attempt or expires an RPC is logged, and the RPC is answered with an error.
+Other events (timers, replies of the counter, endpoint lists, a client's leaving) have no such
+guard: the scheduler logs their faults, and the RPC that such an event was about may stay open.
 """
 
 from __future__ import annotations
@@ -32,10 +37,17 @@
     READY,
     Rpc,
 )
-from petrellane.gateway.client_request import InvalidFieldError
+from petrellane.gateway import replies
+from petrellane.gateway.client_request import (
+    FIRST_GATEWAY_FIELD,
+    GATEWAY_COUNT_FIELD,
+    METHOD_FIELD,
+    PLAN_FIELD,
+    InvalidFieldError,
+)
 from petrellane.gateway.customers import Customers
 from petrellane.gateway.endpoint_updates import endpoint_updates
-from petrellane.gateway.load_report import parse_load_report
+from petrellane.gateway.load_report import COST_FIGURE, parse_load_report, take_reported_use
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -52,12 +64,7 @@
     from petrellane.net.limits import Limits
     from petrellane.operation.hot_restart_transport import HotRestartTransport
 
-BUSY = b"-BUSY\r\n"
-FAULT = b"-ERR fault\r\n"
-ABORTED = b"-ERR aborted\r\n"
-
 MINIMUM_DURATION_S = 1e-6  # of an attempt: the clock may not have moved since it was sent
-ROUND_UP = 0.999  # added before milliseconds are cut to an integer: a client waits no shorter
 
 
 class AdmissionGate(Protocol):
@@ -71,9 +78,9 @@
     """Turns events of the sockets into calls of the controller, and its actions into I/O.
 
     Owned by `GatewayProcess`, for the life of the process. `endpoint_pools`, `counter_client`,
-    `handover` and `agent` are set by it before the first event; the last three stay None where the
-    configuration has no such part. Owns the open requests, the table of known endpoints and the
-    controller; opens no socket.
+    `handover` and `agent` are set by it before the first event; each of the last three stays None
+    where the configuration has no such part. Owns the open requests, the table of known endpoints
+    and the controller; opens no socket.
     """
 
     def __init__(self, config: Config, runtime: Runtime) -> None:
@@ -101,7 +108,7 @@
         )
         self.final_deadline = math.inf  # when all open requests have ended, once we are ending
         self.endpoint_pools: EndpointPools
-        self.counter_client: CounterClient
+        self.counter_client: CounterClient | None = None
         self.handover: HotRestartTransport | None = None
         self.agent: AdmissionGate | None = None
         self.handlers: dict[type, Callable[[Any], None]] = {
@@ -200,7 +207,7 @@
         # Asked before the request is looked at under settings that other gateways may have left.
         if self.agent and not self.agent.may_admit():
             self.counts["pushed generation"] += 1
-            request.finish(BUSY)
+            request.finish(replies.BUSY)
             return
         method, plan = self._method_and_plan(request)
         units = request.units(self.settings.max_units)
@@ -214,7 +221,7 @@
             units,
             min(arrived_at + timeout, self.final_deadline),
             arrived_at,
-            is_client_retry=request.fields.get("r") == "1",
+            is_client_retry=request.is_client_retry,
             is_write=method.effect != IDEMPOTENT,
         )
         request.rpc = rpc
@@ -225,16 +232,16 @@
 
     def _method_and_plan(self, request: ClientRequest) -> tuple[Method, Plan]:
         """Return what the settings say of a request, once its fields have been checked."""
-        method = self.settings.methods.get(request.text("c"))
-        plan = self.settings.plans.get(request.text("t"))
+        method = self.settings.methods.get(request.text(METHOD_FIELD))
+        plan = self.settings.plans.get(request.text(PLAN_FIELD))
         if method is None:
-            raise InvalidFieldError("c: no such method")
+            raise InvalidFieldError(f"{METHOD_FIELD}: no such method")
         if plan is None:
-            raise InvalidFieldError("t: no such plan")
+            raise InvalidFieldError(f"{PLAN_FIELD}: no such plan")
         if request.is_query != (method.effect == IDEMPOTENT):
-            raise InvalidFieldError("c: its method takes the other command")
+            raise InvalidFieldError(f"{METHOD_FIELD}: its method takes the other command")
         if method.effect == DEDUPLICATED:
-            request.text("k")
+            request.require_idempotency_key()
         if request.id in self.requests_by_id:
             raise InvalidFieldError("id: its RPC is open")
         return method, plan
@@ -242,8 +249,8 @@
     def _customer(self, request: ClientRequest, plan: Plan, now: float) -> Customer:
         """Return the customer that a request is of."""
         gateways = self.settings.gateway_count
-        first_gateway = request.integer("first", 0, 0, gateways - 1)
-        gateway_count = request.integer("spread", 1, 1, gateways)
+        first_gateway = request.integer(FIRST_GATEWAY_FIELD, 0, 0, gateways - 1)
+        gateway_count = request.integer(GATEWAY_COUNT_FIELD, 1, 1, gateways)
         name = request.customer.decode()
         return self.customers.get_or_create(name, plan, first_gateway, gateway_count, now)
 
@@ -258,7 +265,7 @@
             self.execute(call(*args, **named))
         except Exception as error:  # whatever the fault is, the client is owed an answer
             self.log.fault(error)
-            self._finish(rpc, FAULT)
+            self._finish(rpc, replies.FAULT)
 
     def on_client_disconnected(self, request: ClientRequest) -> None:
         """End a request whose client has gone away before its answer."""
@@ -295,7 +302,7 @@
         self.counts["long"] += 1
         self.controller.finish(attempt.rpc)
         self.execute(self.controller.on_response_started(self.now(), attempt, passing=True))
-        self._finish(attempt.rpc, b"$%d\r\n" % length)
+        self._finish(attempt.rpc, replies.value_head(length))
         return True
 
     def on_attempt_ended(
@@ -310,10 +317,10 @@
         now = self.now()
         self.counts["out " + outcome] += 1
         if outcome == OK:
-            self._finish(attempt.rpc, b"$%d\r\n" % len(value), value, b"\r\n")
+            self._finish(attempt.rpc, replies.value_head(len(value)), value, replies.VALUE_END)
         is_over = attempt.rpc not in self.requests
         figures = parse_load_report(report, self.limits.figure)
-        cost = figures.pop("cost", 0.0)
+        cost = figures.pop(COST_FIGURE, 0.0)
         self._notify_controller(
             attempt.rpc,
             self.controller.on_attempt_ended,
@@ -322,7 +329,7 @@
             outcome,
             over=is_over,
             took=max(MINIMUM_DURATION_S, now - attempt.sent_at),
-            usage=int(figures.pop("used", -1)) + 1,
+            usage=take_reported_use(figures),
             units=cost if cost <= self.settings.max_units else 0.0,
             report=figures,
         )
@@ -353,17 +360,18 @@
 
     def _reject(self, action: Reject) -> None:
         self.counts["pushed " + action.reason] += 1
-        retry_after_ms = int(action.retry_after * 1e3 + ROUND_UP)
-        self._finish(action.rpc, b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms else BUSY)
+        self._finish(action.rpc, replies.busy(action.retry_after))
 
     def _abort(self, action: Abort) -> None:
         self.counts["aborted"] += 1
-        self._finish(action.rpc, ABORTED)
+        self._finish(action.rpc, replies.ABORTED)
 
     def _cancel_attempt(self, action: CancelAttempt) -> None:
         self.endpoint_pools.cancel(action.attempt)
 
     def _add_to_counter(self, action: CounterAdd) -> None:
+        if self.counter_client is None:
+            raise RuntimeError("an addition without a counter in the configuration")
         self.counter_client.send(action)
 
     def _set_timer(self, action: SetTimer) -> None:
--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -13,15 +13,16 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from petrellane.gateway.client_commands import (
+from petrellane.gateway import replies
+from petrellane.gateway.client_handoff import ConnectionHandoff
+from petrellane.gateway.client_request import (
     QUERY,
-    REJECTED,
     RPC_COMMANDS,
-    answer_to,
-    error_answer,
+    ClientRequest,
+    Command,
+    InvalidFieldError,
+    Reply,
 )
-from petrellane.gateway.client_handoff import ConnectionHandoff
-from petrellane.gateway.client_request import ClientRequest, Command, InvalidFieldError, Reply
 from petrellane.gateway.response_relay import RelayState
 from petrellane.net import resp
 from petrellane.net.stream import Closed
@@ -29,6 +30,7 @@
 
 if TYPE_CHECKING:
     from petrellane.gateway.client_listener import ClientListener
+    from petrellane.gateway.response_relay import ResponseRelay
     from petrellane.net.stream import Stream
 
 
@@ -60,7 +62,7 @@
             self._serve()
         except resp.Malformed as error:
             self.is_closing = True
-            self._reply(error_answer(str(error)))
+            self._reply(replies.error(str(error)))
             self._discard_input()
         except Closed:
             pass
@@ -199,21 +201,22 @@
         service = listener.service
         verb = bytes(self.stream.buffer[slice(*command.spans[0])]).upper()
         if verb not in RPC_COMMANDS:
-            self._reply(answer_to(verb, is_welcoming=service.passes_health_check))
+            reply = replies.reply_to_command(verb, passes_health_check=service.passes_health_check)
+            self._reply(reply)
         elif service.accepts_command(
             listener.scheduler.now(), self.connected_at, bool(self.pending_replies)
         ):
             self.has_sent_rpc = True
             self._take_request(verb, command)
         else:
-            self._reply(REJECTED)
+            self._reply(replies.BUSY)
 
     def _take_request(self, verb: bytes, command: Command) -> None:
         listener = self.listener
         try:
             request = ClientRequest(self.stream.buffer, command, self, is_query=verb == QUERY)
         except InvalidFieldError as error:
-            self._reply(error_answer(str(error)))
+            self._reply(replies.error(str(error)))
             return
         self.pending_replies.append(request)
         size = command.end - command.start
@@ -222,7 +225,7 @@
         try:
             listener.on_request(request)
         except InvalidFieldError as error:
-            request.finish(error_answer(str(error)))
+            request.finish(replies.error(str(error)))
 
     def _discard_input(self) -> None:
         """Read what follows the end, or a malformed command, for a while, and answer none of it.
@@ -252,33 +255,53 @@
 
     def on_answered(self) -> None:
         """Write the answers that are next in order."""
-        replies = self.pending_replies
-        listener = self.listener
-        stream = self.stream
+        pieces = self._collect_ready_pieces()
+        if pieces:
+            self.idle_since = self.listener.scheduler.now()
+            self.stream.write(*pieces)
+        next_relay = self.pending_replies[0].relay if self.pending_replies else None
+        if next_relay and next_relay.state is RelayState.BROKEN:
+            self._close_after_broken_relay(next_relay)
+        elif pieces:
+            self._after_write()
+
+    def _collect_ready_pieces(self) -> list[bytes]:
+        """Take the replies that are next in order and known; return what is to be written.
+
+        Ends at the first reply that is not known, or a long one of which more is to come.
+        """
         pieces: list[bytes] = []
-        while replies and (answer := replies[0].answer) is not None:
-            reply = replies[0]
-            pieces += answer
-            if relay := reply.relay:
+        while self.pending_replies:
+            reply = self.pending_replies[0]
+            if reply.answer is None:
+                break
+            pieces += reply.answer
+            if reply.relay:
                 reply.answer = ()  # its head is among the pieces
-                pieces += relay.take(stream)
-                if relay.state is not RelayState.COMPLETE:
+                pieces += reply.relay.take(self.stream)
+                if reply.relay.state is not RelayState.COMPLETE:
                     break
-                stream.relief = None
-            if listener.buffer_budget.bodies:
-                listener.buffer_budget.reserve(reply, 0)
-            replies.popleft()
-        if pieces:
-            self.idle_since = listener.scheduler.now()
-            stream.write(*pieces)
-        relay = replies[0].relay if replies else None
-        if relay and relay.state is RelayState.BROKEN:
-            until = relay.last_progress + listener.limits.stall_timeout
-            self._close_when_sent(until - listener.scheduler.now())
-        elif pieces:
-            if not replies and self.handoff.parked:
-                listener.scheduler.soon(self.handoff.wake)
-            self.close_if_done()
+                self.stream.relief = None
+            self._release_budget(reply)
+            self.pending_replies.popleft()
+        return pieces
+
+    def _release_budget(self, reply: Reply) -> None:
+        """Free the memory that a long command had, once its reply is taken."""
+        budget = self.listener.buffer_budget
+        if budget.bodies:
+            budget.reserve(reply, 0)
+
+    def _after_write(self) -> None:
+        """Hand the connection off or end it, where either waited for what was just written."""
+        if not self.pending_replies and self.handoff.parked:
+            self.listener.scheduler.soon(self.handoff.wake)
+        self.close_if_done()
+
+    def _close_after_broken_relay(self, relay: ResponseRelay) -> None:
+        """Close within the time that a long response may go without progress."""
+        until = relay.last_progress + self.listener.limits.stall_timeout
+        self._close_when_sent(until - self.listener.scheduler.now())
 
     def _close_when_sent(self, timeout: float = 0.0) -> None:
         """Close as the long response that is next is never complete, which its client can tell.
@@ -315,30 +338,52 @@
         Its client is read for a while more.
         """
         now = self.listener.scheduler.now()
-        if self.is_closing and not self.pending_replies and not self.stream.unsent:
-            self.finished_at = self.finished_at or now
-            self.stream.finish()
-            if now - self.finished_at > self.listener.limits.linger:
-                self.stream.close()
-        elif self.handoff.is_offered or (self.listener.successor and not self.is_closing):
-            pass  # it goes to another process
-        elif self._may_close(now):
-            # It has all its answers; our end says that what it sends from now on is not taken.
-            self.is_closing = True
-            self.close_if_done()
+        if self.is_closing and self._has_written_all():
+            self._finish_stream(now)
+        elif not self._goes_to_successor() and self._may_close(now):
+            self._begin_closing(now)
+
+    def _has_written_all(self) -> bool:
+        """Return whether all replies are written, and the kernel has taken them."""
+        return not self.pending_replies and not self.stream.unsent
+
+    def _goes_to_successor(self) -> bool:
+        """Return whether the connection is another process's, or will be."""
+        has_successor = self.listener.successor is not None
+        return self.handoff.is_offered or (has_successor and not self.is_closing)
+
+    def _begin_closing(self, now: float) -> None:
+        """Take no command any more, and end our side at once, as nothing is owed.
+
+        Our end says that what the client sends from now on is not taken.
+        """
+        self.is_closing = True
+        self._finish_stream(now)
+
+    def _finish_stream(self, now: float) -> None:
+        """End our side of the stream; close it once the client has had time to notice."""
+        self.finished_at = self.finished_at or now
+        self.stream.finish()
+        if now - self.finished_at > self.listener.limits.linger:
+            self.stream.close()
 
     def _may_close(self, now: float) -> bool:
         """Return whether the connection has to go and nothing is owed on it."""
-        service = self.listener.service
-        if service.closes_idle_connections(now) and self._goes_when_idle(now) and self.is_idle():
+        lifecycle = self.listener.service
+        if lifecycle.closes_idle_connections(now) and self._goes_when_idle(now) and self.is_idle():
             return True
-        return not (
-            self.is_closing
-            or self.pending_replies
-            or self.stream.unsent
-            or (self.stream.buffer and not self.command_deadline)
-            or service.accepts_command(now, self.connected_at)
-        )
+        if self.is_closing or not self._owes_nothing():
+            return False
+        return not lifecycle.accepts_command(now, self.connected_at)
+
+    def _owes_nothing(self) -> bool:
+        """Return whether all replies are out, and no command is here or on its way that counts.
+
+        Bytes that have a deadline are the begin of a command, which would be rejected once
+        complete. Those without one are still to be parsed, or of a long command that progresses.
+        """
+        has_no_command = not self.stream.buffer or self.command_deadline is not None
+        return self._has_written_all() and has_no_command
 
     def _goes_when_idle(self, now: float) -> bool:
         """Return whether an idle connection ends.
--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -135,7 +135,7 @@
             self.free_descriptors("connections to hosts are all busy")
             return
         for sock in accepted(self.listener, self.limits.accepts, self.free_descriptors):
-            if is_full or not self._has_room():
+            if is_full or not self._make_room_for_client():
                 is_full = True  # for the rest of this turn
                 self._reject(sock)
                 continue
@@ -148,7 +148,7 @@
 
     def adopt(self, sock: socket.socket, data: bytes, has_sent_rpc: bool) -> None:
         """Take a connection from the predecessor, with what it has read of the next command."""
-        if not self._has_room():
+        if not self._make_room_for_client():
             self._reject(sock)
             return
         client = ClientConnection(self, self._stream(sock))
@@ -178,8 +178,8 @@
 
     # Room for clients.
 
-    def _has_room(self) -> bool:
-        """Return whether there is room for one more client, which an idle one may make."""
+    def _make_room_for_client(self) -> bool:
+        """Evict an idle client where that is needed for one more; return whether there is room."""
         if len(self.clients) >= self.limits.client_room:
             return self._evict_idle_client()
         if len(self.single_command) > self.limits.once_room:
--- a/petrellane/gateway/client_request.py
+++ b/petrellane/gateway/client_request.py
@@ -15,6 +15,20 @@
     from petrellane.decisions.types import Rpc
     from petrellane.gateway.response_relay import ResponseRelay
 
+QUERY = b"SVC.QUERY"
+SUBMIT = b"SVC.SUBMIT"
+RPC_COMMANDS = frozenset({QUERY, SUBMIT})
+
+# Names of the fields that the gateway reads; the timeout's is in the pattern below.
+METHOD_FIELD = "c"
+PLAN_FIELD = "t"
+CLIENT_RETRY_FIELD = "r"
+IDEMPOTENCY_KEY_FIELD = "k"
+FIRST_GATEWAY_FIELD = "first"
+GATEWAY_COUNT_FIELD = "spread"
+UNITS_FIELD = "units"
+YES = "1"
+
 TIMEOUT_FIELD = re.compile(rb"(?:^|,)d=(\d+)(?=,|$)")
 CUSTOMER = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")
 MINIMUM_PARTS = 4  # command, customer, id, fields
@@ -129,13 +143,22 @@
         self.fields_before_timeout = text[: timeout.start(1)]
         self.fields_after_timeout = text[timeout.end(1) :]
 
-    def text(self, name: str, default: str | None = None) -> str:
-        """Return a field's text; raise InvalidFieldError where it is missing without a default."""
-        value = self.fields.get(name, default)
+    def text(self, name: str) -> str:
+        """Return a field's text; raise InvalidFieldError where it is missing."""
+        value = self.fields.get(name)
         if value is None:
             raise InvalidFieldError(f"{name}: missing")
         return value
 
+    @property
+    def is_client_retry(self) -> bool:
+        """Whether the client says that it sends the RPC again."""
+        return self.fields.get(CLIENT_RETRY_FIELD) == YES
+
+    def require_idempotency_key(self) -> None:
+        """Raise InvalidFieldError where the RPC has no idempotency key."""
+        self.text(IDEMPOTENCY_KEY_FIELD)
+
     def integer(self, name: str, default: int, minimum: int, maximum: int) -> int:
         """Return a field that is an integer within these bounds.
 
@@ -161,11 +184,13 @@
             InvalidFieldError: The field is there and is no such number.
         """
         try:
-            units = float(self.fields.get("units", "1"))
+            units = float(self.fields.get(UNITS_FIELD, "1"))
         except ValueError:
             units = -1.0
         if not 0 < units <= maximum:
-            raise InvalidFieldError(f"units: expected a number above 0, at most {maximum:g}")
+            raise InvalidFieldError(
+                f"{UNITS_FIELD}: expected a number above 0, at most {maximum:g}"
+            )
         return units
 
     def encode(self, time_left_s: float) -> tuple[bytes, bytes, bytes]:
--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -53,8 +53,8 @@
             before, discovery=config.discovery, counter=counter, raw=config.raw
         )
         self._apply(settings)
-        if "counter" in moved and counter:
-            process.executor.counter_client.move(counter)
+        if "counter" in moved and counter and process.counter_client:
+            process.counter_client.move(counter)
         if "discovery" in moved:
             process.restart_watch()
         self._log_settings("reloaded", before.settings, settings, moved=moved)
--- a/petrellane/gateway/load_report.py
+++ b/petrellane/gateway/load_report.py
@@ -1,5 +1,9 @@
 """The load report that an endpoint's answer may carry."""
 
+COST_FIGURE = "cost"  # the units that an RPC cost in the end
+USE_FIGURE = "used"
+NOT_REPORTED = 0
+
 
 def parse_load_report(text: bytes, maximum: float) -> dict[str, float]:
     """Return the figures of a load report such as `a=1,b=2`.
@@ -18,3 +22,14 @@
         if 0 <= value <= maximum:
             figures[name] = value
     return figures
+
+
+def take_reported_use(figures: dict[str, float]) -> int:
+    """Take an endpoint's figure of use out of a load report.
+
+    Returns:
+        1 + the figure, so that a use of 0 differs from `NOT_REPORTED`: every caller of the
+        controller gives it in this form.
+    """
+    use = figures.pop(USE_FIGURE, None)
+    return NOT_REPORTED if use is None else 1 + int(use)
--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -12,14 +12,14 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
+from petrellane.gateway.replies import VALUE_END
+
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from petrellane.net.limits import Limits
     from petrellane.net.stream import Stream
 
-CRLF = b"\r\n"
-
 
 class BufferBudget:
     """The bytes that may wait in all, for long responses and for long commands.
@@ -129,7 +129,7 @@
         if self.state is RelayState.OPEN:
             self.state = state
             if state is RelayState.COMPLETE:
-                self.pieces.append(CRLF)
+                self.pieces.append(VALUE_END)
             self.on_data()
 
     def expire(self) -> None:
