--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -1,7 +1,8 @@
 """The client of the shared counter.
 
 Additions go out on few connections, each on an idle one where there is one: an answer that is
-malformed ends its connection, and with it whatever waits behind. They end late by our own clock.
+malformed ends its connection, and with it whatever waits behind. An addition is reported late by
+our own clock.
 When an addition is made, and of how much, is decided elsewhere.
 """
 
@@ -104,7 +105,10 @@
         self.last_used_at = self.client.scheduler.now()
 
     def _read_answers(self, stream: Stream) -> None:
-        """Take the answers that have come completely; that to a late addition goes by."""
+        """Take the answers that have come completely.
+
+        Answers to additions that are already reported late are discarded.
+        """
         buffer = stream.buffer
         while found := resp.answer(buffer, 0, self.client.limits):
             kind, content, end = found
