--- a/benchmarks/messages_steps.py
+++ b/benchmarks/messages_steps.py
@@ -7,13 +7,13 @@
 
 from benchmarks.messages_content import HOSTS, METHODS, build_settings
 from benchmarks.messages_figures import FigureTable, time_step
-from benchmarks.messages_sizes import EPOCH, KEY, Samples, stored_state
+from benchmarks.messages_sizes import EPOCH, KEY, Samples
 from petrellane.config import Section, parse_endpoint_list
 from petrellane.config_consensus import (
     ballots,
+    canonical_settings,
     message_authentication,
     participant,
-    safe_settings,
     state_store,
 )
 from petrellane.config_consensus import messages as protocol
@@ -38,7 +38,7 @@
     settings = build_settings(METHODS, revision=1)
     next_generation = ballots.Generation(
         ballots.Ballot(12346, EPOCH),
-        safe_settings.digest(settings),
+        canonical_settings.digest(settings),
         settings,
         generation.roster,
     )
@@ -61,8 +61,8 @@
     prepared = participant.handle_message(state, message, accept_all)[0]
 
     def store() -> None:
-        state_store.checksum(stored_state(prepared))
-        orjson.dumps(stored_state(prepared))
+        state_store.checksum(state_store.encode_state(prepared))
+        orjson.dumps(state_store.encode_state(prepared))
 
     return [
         Step(
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -15,10 +15,10 @@
 from petrellane.config.consensus import ConsensusConfig
 from petrellane.config_consensus import participant
 from petrellane.config_consensus.ballots import Generation
-from petrellane.config_consensus.errors import MessageRejected
+from petrellane.config_consensus.canonical_settings import digest, shared_settings
+from petrellane.config_consensus.errors import MessageRejected, RejectionCause
 from petrellane.config_consensus.message_authentication import (
     CallResult,
-    HttpAnswer,
     answer_signed_request,
 )
 from petrellane.config_consensus.messages import JsonObject
@@ -28,12 +28,13 @@
     ParticipantStatus,
 )
 from petrellane.config_consensus.peer_polling import PeerPoller
-from petrellane.config_consensus.safe_settings import describe_changes, digest, shared_settings
+from petrellane.config_consensus.settings_diff import describe_changes
 from petrellane.config_consensus.state_store import StateStore
 from petrellane.config_consensus.state_writer import StateWriter
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
+from petrellane.operation.management_requests import HttpResponse
 
 UPDATE_RETRY_INTERVAL_S = 0.002  # between looks whether another greenlet's update has ended
 MAX_DRIFT_LINES = 20  # of a `drift` event
@@ -246,7 +247,7 @@
 
     # Calls.
 
-    def handle_call(self, fields: Mapping[bytes, bytes], body: bytes) -> HttpAnswer:
+    def handle_call(self, fields: Mapping[bytes, bytes], body: bytes) -> HttpResponse:
         """Answer a call on the management listener.
 
         Args:
@@ -260,7 +261,8 @@
         if not self.is_active:
             reason = "another process of this gateway is asked, or none yet"
             return CallResult(
-                HTTPStatus.SERVICE_UNAVAILABLE, {"refused": "elsewhere", "why": reason}
+                HTTPStatus.SERVICE_UNAVAILABLE,
+                {"refused": RejectionCause.NOT_ACTIVE, "why": reason},
             )
         with self.exclusive_update():
             try:
@@ -274,7 +276,8 @@
                 if not self.persist(state):
                     reason = f"{self.config.state}: the state can't be written"
                     return CallResult(
-                        HTTPStatus.INSUFFICIENT_STORAGE, {"refused": "unwritten", "why": reason}
+                        HTTPStatus.INSUFFICIENT_STORAGE,
+                        {"refused": RejectionCause.NOT_DURABLE, "why": reason},
                     )
                 self.apply_state()
                 self.notify_if_ready()
@@ -282,7 +285,7 @@
 
     def _log_rejection(self, message: JsonObject, rejection: MessageRejected) -> None:
         """Log settings that can't be applied here; other rejections are the caller's business."""
-        if rejection.cause == "settings":
+        if rejection.cause is RejectionCause.INVALID_SETTINGS:
             self.log.event(
                 "agreement_refused",
                 do=message["do"],
--- a/petrellane/config_consensus/staff_calls.py
+++ b/petrellane/config_consensus/staff_calls.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from petrellane.config import ConfigError, Section, check_no_key_removed, parse_settings
-from petrellane.config_consensus import safe_settings
+from petrellane.config_consensus import canonical_settings, safe_settings
 from petrellane.config_consensus.ballots import Generation
 from petrellane.config_consensus.changes import Change, ChangeOutcome
 from petrellane.config_consensus.coordinator import Coordinator
-from petrellane.config_consensus.errors import ProposalRejected
+from petrellane.config_consensus.errors import ProposalRejected, shorten
 from petrellane.config_consensus.leadership import CoordinatorState
 from petrellane.config_consensus.message_authentication import (
     AuthenticationError,
@@ -24,7 +24,6 @@
 
 MAX_CALL_AGE_S = 60.0  # by the caller's clock; a nonce is kept for twice as long
 MAX_AUTHOR_CHARACTERS = 64
-SHOWN_CHARACTERS = 40  # of a value that was not expected
 
 Clock = Callable[[], float]  # gives Unix time in seconds
 
@@ -119,7 +118,7 @@
 
     def _propose(self, proposed: JsonObject, message: JsonObject) -> CallResult:
         """Propose settings, once they are valid alone and together with those in force."""
-        content = safe_settings.shared_settings(proposed)
+        content = canonical_settings.shared_settings(proposed)
         without = message.get("without", [])
         if not isinstance(without, list) or not all(isinstance(name, str) for name in without):
             return reject_call(StaffRejection.MALFORMED, "without: expected a list of names")
@@ -175,8 +174,7 @@
         )
 
     def _describe_participant(self, name: str) -> JsonObject:
-        state, number = self._coordinator.describe_participant(name)
-        return {"state": state, "number": number}
+        return self._coordinator.describe_participant(name)._asdict()
 
     def _answer_history(self, _message: JsonObject) -> CallResult:
         history = sorted(self._coordinator.history.items())
@@ -229,7 +227,7 @@
 
 
 def _reject_kind(message: JsonObject) -> CallResult:
-    found = str(message.get("do"))[:SHOWN_CHARACTERS]
+    found = shorten(message.get("do"))
     return reject_call(StaffRejection.MALFORMED, f"do: expected a known word, found {found}")
 
 
