--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -111,9 +111,11 @@
     counter_idle_timeout: float = 4.0  # the counter closes idle ones after ten seconds or less
     look: float = 1.0  # between checks for idle connections
 
-    # Discovery.
-    watch_next: float = 5.0  # between calls: a change counts after 6 s, a response takes up to 1
-    watch_first: float = 3.0  # before the first list: at another address it counts after 4 s
+    # Discovery. A change has to be known 6 s after discovery had it and could be reached, and 4 s
+    # after discovery has moved to another address. A response that is not held takes up to 1 s, so
+    # the call for it begins 5 s, or 3 s, after the call before at the latest.
+    watch_next: float = 5.0  # from the begin of a call to that of the next
+    watch_first: float = 3.0  # the same, before the first list from an address
     watch_hold: float = 3.8  # how long discovery may hold a watch
     watch_grace: float = 1.0  # how much later than that its response may arrive
     watch_timeout: float = 2.0  # of a call that is not held, with its dialing
@@ -128,8 +130,9 @@
     last_command: float = 1.8  # connections take commands for so long after a drain began
     drain_idle: float = 0.25  # while draining, a connection that has only pinged is idle after this
     shutdown_timeout: float = 15.0  # for clients that never disconnect
-    # The kill comes 0.7 s and the longest deadline after SIGTERM: all is answered by then.
-    kill_after: float = 0.5  # seconds beyond the longest deadline until the last answers go out
+    # The platform kills a process 0.7 s and the longest deadline, at most 3 s, after SIGTERM. The
+    # last answers are given 0.2 s before that, which is the time to send them.
+    kill_after: float = 0.5  # seconds beyond the longest deadline until the last answers are given
     kill_longest: float = 3.0  # a longer deadline counts as this
     hand_over: float = 3.0  # the predecessor has handed over its state by then
     take_back: float = 0.5  # a connection that the successor has not received by then stays here
--- a/petrellane/operation/lifecycle.py
+++ b/petrellane/operation/lifecycle.py
@@ -49,7 +49,7 @@
         self,
         change_over_s: float,
         last_command_s: float,
-        kill_after_s: float = math.inf,
+        final_answer_delay_s: float = math.inf,
         max_deadline_s: float = math.inf,
     ) -> None:
         """Start in the state `STARTING`.
@@ -59,13 +59,13 @@
                 arrive and are served as before.
             last_command_s: Seconds after the begin of a drain from which on an open connection
                 accepts no new command.
-            kill_after_s: An ending process may be killed this long, plus the longest deadline,
-                after the shutdown began; what is open then is answered before.
+            final_answer_delay_s: What is still open this long, plus the longest deadline, after the
+                shutdown began is given its final answer then: the process is killed soon after.
             max_deadline_s: A longer deadline counts as this in that sum.
         """
         self.change_over_s = change_over_s
         self.last_command_s = last_command_s
-        self.kill_after_s = kill_after_s
+        self.final_answer_delay_s = final_answer_delay_s
         self.max_deadline_s = max_deadline_s
         self.state = LifecycleState.STARTING
         self.since = 0.0
@@ -166,4 +166,4 @@
         """
         if self.state is not LifecycleState.ENDING:
             return math.inf
-        return self.since + min(longest_deadline, self.max_deadline_s) + self.kill_after_s
+        return self.since + min(longest_deadline, self.max_deadline_s) + self.final_answer_delay_s
