--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -78,9 +78,9 @@
     """Turns events of the sockets into calls of the controller, and its actions into I/O.
 
     Owned by `GatewayProcess`, for the life of the process. `endpoint_pools`, `counter_client`,
-    `handover` and `agent` are set by it before the first event; each of the last three stays None
-    where the configuration has no such part. Owns the open requests, the table of known endpoints
-    and the controller; opens no socket.
+    `hot_restart_transport` and `admission_gate` are set by it before the first event; each of the
+    last three stays None where the configuration has no such part. Owns the open requests, the
+    table of known endpoints and the controller; opens no socket.
     """
 
     def __init__(self, config: Config, runtime: Runtime) -> None:
@@ -109,8 +109,8 @@
         self.final_deadline = math.inf  # when all open requests have ended, once we are ending
         self.endpoint_pools: EndpointPools
         self.counter_client: CounterClient | None = None
-        self.handover: HotRestartTransport | None = None
-        self.agent: AdmissionGate | None = None
+        self.hot_restart_transport: HotRestartTransport | None = None
+        self.admission_gate: AdmissionGate | None = None
         self.handlers: dict[type, Callable[[Any], None]] = {
             SendAttempt: self._send_attempt,
             Reject: self._reject,
@@ -161,7 +161,7 @@
         try:
             for update in endpoint_updates(endpoint_list, self.endpoints):
                 chunk.append(update)
-                if yield_turn and len(chunk) == self.limits.list_rows:
+                if yield_turn and len(chunk) == self.limits.list_rows_per_turn:
                     self._apply_endpoint_updates(chunk)
                     chunk = []
                     yield_turn()
@@ -205,7 +205,7 @@
         """
         now = self.now()
         # Asked before the request is looked at under settings that other gateways may have left.
-        if self.agent and not self.agent.may_admit():
+        if self.admission_gate and not self.admission_gate.may_admit():
             self.counts["pushed generation"] += 1
             request.finish(replies.BUSY)
             return
@@ -213,7 +213,7 @@
         units = request.units(self.settings.max_units)
         customer = self._customer(request, plan, now)
         # Its timeout may have begun while this process stood still.
-        arrived_at = self.scheduler.since()
+        arrived_at = self.scheduler.earliest_arrival()
         timeout = min(request.timeout, method.deadline)
         rpc = Rpc(
             method,
@@ -301,7 +301,7 @@
         relay.on_data = request.owner.on_answered
         self.counts["long"] += 1
         self.controller.finish(attempt.rpc)
-        self.execute(self.controller.on_response_started(self.now(), attempt, passing=True))
+        self.execute(self.controller.on_response_started(self.now(), attempt, is_relayed=True))
         self._finish(attempt.rpc, replies.value_head(length))
         return True
 
@@ -319,7 +319,7 @@
         if outcome == OK:
             self._finish(attempt.rpc, replies.value_head(len(value)), value, replies.VALUE_END)
         is_over = attempt.rpc not in self.requests
-        figures = parse_load_report(report, self.limits.figure)
+        figures = parse_load_report(report, self.limits.max_load_figure)
         cost = figures.pop(COST_FIGURE, 0.0)
         self._notify_controller(
             attempt.rpc,
@@ -345,8 +345,8 @@
         if request:
             del self.requests_by_id[request.id]
             request.finish(*answer)
-            if self.handover:
-                self.handover.report_request_ended(rpc.customer.name)
+            if self.hot_restart_transport:
+                self.hot_restart_transport.report_request_ended(rpc.customer.name)
 
     # Handlers of actions.
 
@@ -378,7 +378,7 @@
         def on_timer() -> None:
             self.execute(self.controller.on_timer(self.now(), action.subject))
 
-        self.scheduler.after(action.delay, on_timer)
+        self.scheduler.call_later(action.delay, on_timer)
 
     def _write_log(self, action: WriteLog) -> None:
         self.log.event(action.event, text=action.text)
--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -44,7 +44,7 @@
     def __init__(self, listener: ClientListener, stream: Stream) -> None:
         self.listener = listener
         self.stream = stream
-        stream.deserted = self._on_client_left
+        stream.on_connection_lost = self._on_client_left
         self.pending_replies: deque[Reply] = deque()  # in the order of their commands
         self.connected_at: float = listener.scheduler.now()
         self.idle_since: float = self.connected_at
@@ -93,7 +93,7 @@
                 return
             if self.command_deadline:
                 raise resp.Malformed("command not whole in time") from None
-            if self.is_idle() and self._idle_timeout() <= self.listener.limits.let_go:
+            if self.is_idle() and self._idle_timeout() <= self.listener.limits.client_poll_interval:
                 self.is_closing = True
 
     def _clean_up(self) -> None:
@@ -125,8 +125,8 @@
 
     def is_client_gone(self) -> bool:
         """Return whether the client has left, also where no poll has reported it yet."""
-        if not self.stream.broken and self.stream.left():
-            self.stream.sock_failed()
+        if not self.stream.broken and self.stream.is_closed_by_peer():
+            self.stream.fail_closed_by_peer()
         return bool(self.stream.broken)
 
     def _on_client_left(self) -> None:
@@ -147,16 +147,16 @@
             return max(0.0, self.command_deadline - now)
         self.command_deadline = None
         is_new = self in listener.silent or self in listener.single_command
-        timeout: float = limits.client_once if is_new else limits.client_idle_timeout
+        timeout: float = limits.new_client_idle_timeout if is_new else limits.client_idle_timeout
         if self.pending_replies:
             return timeout
-        return max(limits.let_go, self.idle_since + timeout - now)
+        return max(limits.client_poll_interval, self.idle_since + timeout - now)
 
     def _reserve_body(self) -> None:
         """Wait for room for a long command, which may take its time as long as it comes on."""
         listener = self.listener
         size = len(self.stream.buffer)
-        if size <= listener.limits.value:
+        if size <= listener.limits.max_value_size:
             return
         self.command_deadline = None
         listener.buffer_budget.reserve(self, size)
@@ -164,7 +164,7 @@
         while not listener.buffer_budget.has_room(self):
             if listener.scheduler.now() > until:
                 raise resp.Malformed("no room for a command of this length")
-            listener.scheduler.wait(listener.limits.let_go)
+            listener.scheduler.wait(listener.limits.client_poll_interval)
             self.raise_if_broken()
 
     def _read_commands(self) -> bool:
@@ -176,11 +176,13 @@
         taken = 0
         self.raise_if_broken()
         # Its bytes have waited to be accepted, or for a process that stood still.
-        has_waited = self in listener.silent or listener.scheduler.stood_still()
-        if buffer and has_waited and self.stream.left():
+        has_waited = self in listener.silent or listener.scheduler.has_stalled()
+        if buffer and has_waited and self.stream.is_closed_by_peer():
             raise Closed("left before it was read")
         try:
-            while taken < limits.commands and (found := resp.command(buffer, position, limits)):
+            while taken < limits.commands_per_turn and (
+                found := resp.parse_command(buffer, position, limits)
+            ):
                 spans, end = found
                 self.command_deadline = None
                 self._take_command(Command(position, spans, end))
@@ -190,20 +192,22 @@
             del buffer[:position]
             if self in listener.buffer_budget.bodies:
                 size = len(buffer)
-                listener.buffer_budget.reserve(self, size if size > limits.value else 0)
+                listener.buffer_budget.reserve(self, size if size > limits.max_value_size else 0)
         if taken:
             listener.on_command(self)
-        return taken == limits.commands
+        return taken == limits.commands_per_turn
 
     def _take_command(self, command: Command) -> None:
         """Answer one complete command in the buffer, or take its request in."""
         listener = self.listener
-        service = listener.service
+        lifecycle = listener.lifecycle
         verb = bytes(self.stream.buffer[slice(*command.spans[0])]).upper()
         if verb not in RPC_COMMANDS:
-            reply = replies.reply_to_command(verb, passes_health_check=service.passes_health_check)
+            reply = replies.reply_to_command(
+                verb, passes_health_check=lifecycle.passes_health_check
+            )
             self._reply(reply)
-        elif service.accepts_command(
+        elif lifecycle.accepts_command(
             listener.scheduler.now(), self.connected_at, bool(self.pending_replies)
         ):
             self.has_sent_rpc = True
@@ -220,7 +224,7 @@
             return
         self.pending_replies.append(request)
         size = command.end - command.start
-        if size > listener.limits.frame:
+        if size > listener.limits.max_frame_size:
             listener.buffer_budget.reserve(request, size)
         try:
             listener.on_request(request)
@@ -241,11 +245,11 @@
                 if not self.pending_replies:
                     # What a slow client has not taken yet has the time of a long value.
                     limits = listener.limits
-                    time_left = limits.stall_timeout if stream.unsent else limits.linger
+                    time_left = limits.stall_timeout if stream.unsent else limits.linger_timeout
                     until = min(until, now + time_left)
                 stream.buffer.clear()
                 with contextlib.suppress(TimeoutError):
-                    stream.fill(listener.limits.linger)
+                    stream.fill(listener.limits.linger_timeout)
 
     # Writing.
 
@@ -281,7 +285,7 @@
                 pieces += reply.relay.take(self.stream)
                 if reply.relay.state is not RelayState.COMPLETE:
                     break
-                self.stream.relief = None
+                self.stream.on_flushed = None
             self._release_budget(reply)
             self.pending_replies.popleft()
         return pieces
@@ -295,7 +299,7 @@
     def _after_write(self) -> None:
         """Hand the connection off or end it, where either waited for what was just written."""
         if not self.pending_replies and self.handoff.parked:
-            self.listener.scheduler.soon(self.handoff.wake)
+            self.listener.scheduler.call_soon(self.handoff.wake)
         self.close_if_done()
 
     def _close_after_broken_relay(self, relay: ResponseRelay) -> None:
@@ -312,12 +316,12 @@
             timeout: Seconds that this may take; 0 or less is no time, unless it is under way.
         """
         stream = self.stream
-        is_waiting = stream.relief == self._close_when_sent
+        is_waiting = stream.on_flushed == self._close_when_sent
         if not stream.unsent or (timeout <= 0 and not is_waiting):
             stream.close()
         elif not is_waiting:
-            stream.relief = self._close_when_sent
-            self.listener.scheduler.after(timeout, stream.close)
+            stream.on_flushed = self._close_when_sent
+            self.listener.scheduler.call_later(timeout, stream.close)
 
     # The end.
 
@@ -329,7 +333,7 @@
             and not self.pending_replies
             and not stream.buffer
             and not stream.unsent
-            and bool(stream.quiet())
+            and bool(stream.is_read_idle())
         )
 
     def close_if_done(self) -> None:
@@ -363,13 +367,13 @@
     def _finish_stream(self, now: float) -> None:
         """End our side of the stream; close it once the client has had time to notice."""
         self.finished_at = self.finished_at or now
-        self.stream.finish()
-        if now - self.finished_at > self.listener.limits.linger:
+        self.stream.write_eof()
+        if now - self.finished_at > self.listener.limits.linger_timeout:
             self.stream.close()
 
     def _may_close(self, now: float) -> bool:
         """Return whether the connection has to go and nothing is owed on it."""
-        lifecycle = self.listener.service
+        lifecycle = self.listener.lifecycle
         if lifecycle.closes_idle_connections(now) and self._goes_when_idle(now) and self.is_idle():
             return True
         if self.is_closing or not self._owes_nothing():
@@ -392,6 +396,6 @@
         """
         return (
             self.has_sent_rpc
-            or self.listener.service.state == LifecycleState.ENDING
+            or self.listener.lifecycle.state == LifecycleState.ENDING
             or now - self.idle_since >= self.listener.limits.drain_idle
         )
--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -36,8 +36,8 @@
 
     def window(self) -> int:
         """Return the bytes that may wait in one relay."""
-        share = (self.limits.waiting - self.reserved) // max(1, len(self.relays))
-        return max(self.limits.window_minimum, min(self.limits.window, share))
+        share = (self.limits.buffer_budget - self.reserved) // max(1, len(self.relays))
+        return max(self.limits.min_relay_window, min(self.limits.relay_window, share))
 
     def reserve(self, owner: object, size: int) -> None:
         """Set the bytes of a body that are kept for an owner; 0 ends its reservation."""
@@ -52,7 +52,7 @@
 
         It may while there is room, and always for the owner that came first, so that one completes.
         """
-        return self.reserved < self.limits.waiting or next(iter(self.bodies), owner) is owner
+        return self.reserved < self.limits.buffer_budget or next(iter(self.bodies), owner) is owner
 
 
 class RelayState(enum.Enum):
@@ -75,7 +75,7 @@
         self,
         budget: BufferBudget,
         now: Callable[[], float],
-        hold: Callable[[bool], object],
+        set_reading_paused: Callable[[bool], object],
         on_unwanted: Callable[[], object],
     ) -> None:
         """Begin a response.
@@ -83,19 +83,19 @@
         Args:
             budget: The memory that it shares with others.
             now: The clock, in seconds.
-            hold: Told whether reading from the endpoint's connection is to pause.
+            set_reading_paused: Told whether reading from the endpoint's connection is to pause.
             on_unwanted: Called once no client takes the response any more.
         """
         self.budget = budget
         self.now = now
-        self.hold = hold
+        self.set_reading_paused = set_reading_paused
         self.on_unwanted = on_unwanted
         self.on_data: Callable[[], object] = self._no_client
         self.pieces: deque[bytes] = deque()
         self.waiting = 0
         self.stream: Stream | None = None
         self.state = RelayState.OPEN
-        self.is_held = False
+        self.is_reading_paused = False
         self.is_discarding = False
         # When bytes moved last, and how many bytes the client's stream had sent then.
         self.last_progress = now()
@@ -139,9 +139,9 @@
         """
         self.fail()
         self._discard()
-        if self.is_held:
-            self.is_held = False
-            self.hold(False)
+        if self.is_reading_paused:
+            self.is_reading_paused = False
+            self.set_reading_paused(False)
         self.on_unwanted()
 
     # The client's side.
@@ -150,9 +150,9 @@
         """Return all that waits, for a stream to which more will go."""
         if self.stream is None:
             self.stream = stream
-            self.sent = stream.sent
-            stream.relief = self.adjust_reading
-            stream.bound(socket.SO_SNDBUF)
+            self.sent = stream.bytes_sent
+            stream.on_flushed = self.adjust_reading
+            stream.limit_kernel_buffer(socket.SO_SNDBUF)
         pieces = list(self.pieces)
         self.waiting = 0
         self.pieces.clear()
@@ -175,11 +175,11 @@
         """Pause or resume reading from the endpoint, by what waits here and in the stream."""
         waiting = self.waiting
         if self.stream and not self.is_discarding:
-            waiting += self.stream.queued - self.stream.sent
-            if self.stream.sent > self.sent:
-                self.sent = self.stream.sent
+            waiting += self.stream.bytes_queued - self.stream.bytes_sent
+            if self.stream.bytes_sent > self.sent:
+                self.sent = self.stream.bytes_sent
                 self.last_progress = self.now()
-        should_hold = waiting > self.budget.window()
-        if should_hold != self.is_held and self.state is RelayState.OPEN:
-            self.is_held = should_hold
-            self.hold(should_hold)
+        should_pause = waiting > self.budget.window()
+        if should_pause != self.is_reading_paused and self.state is RelayState.OPEN:
+            self.is_reading_paused = should_pause
+            self.set_reading_paused(should_pause)
--- a/petrellane/net/scheduler.py
+++ b/petrellane/net/scheduler.py
@@ -46,75 +46,77 @@
     from `register` to `unregister`. A greenlet that waits is resumed by a call or by a timer.
 
     Attributes:
-        fault: Called with each exception that nothing else caught.
+        exception_handler: Called with each exception that nothing else caught.
         monotonic: The clock of timers, in seconds.
         hub: The greenlet that runs the turns; a greenlet waits by switching to it.
         poll: The poll object that watches the descriptors.
-        calls: The handler of each registered descriptor.
+        event_handlers: The handler of each registered descriptor.
         ready: Calls deferred to the end of this turn.
         running: Whether `run` goes on after this turn.
-        offset: Unix time minus the monotonic clock, taken once.
-        longest: The longest turn so far, without its poll, in seconds; the reader may reset it.
+        unix_offset: Unix time minus the monotonic clock, taken once.
+        longest_turn: Seconds of the longest turn so far, without its poll; the reader may reset it.
     """
 
-    def __init__(self, monotonic: Clock = time.monotonic, still: float = STALL_THRESHOLD) -> None:
+    def __init__(
+        self, monotonic: Clock = time.monotonic, stall_threshold: float = STALL_THRESHOLD
+    ) -> None:
         """Make a scheduler for this thread.
 
         Args:
             monotonic: Returns seconds that never go back.
-            still: Seconds between two polls that count as standing still.
+            stall_threshold: Seconds between two polls that count as standing still.
         """
-        self.fault: Callable[[Exception], object] = print
+        self.exception_handler: Callable[[Exception], object] = print
         self.monotonic = monotonic
         self.hub = greenlet.getcurrent()
         self.poll = select.poll()
-        self.calls: dict[int, EventHandler] = {}
+        self.event_handlers: dict[int, EventHandler] = {}
         self.ready: list[tuple[Callable[..., object], tuple[object, ...]]] = []
         self.running = False
-        self.offset = time.time() - monotonic()
-        self.longest = 0.0
+        self.unix_offset = time.time() - monotonic()
+        self.longest_turn = 0.0
         self._urgent: set[int] = set()  # descriptors whose events go first in a turn
         self._timers: list[tuple[float, int, Timer]] = []  # a heap of (due time, order, timer)
         self._timer_order = itertools.count()
-        self._stall_threshold = still
+        self._stall_threshold = stall_threshold
         self._polled_at = monotonic()
         # When what is read in this turn may have arrived first; infinite: just now.
         self._earliest_arrival = self._polled_at
 
     def now(self) -> float:
         """Return Unix time in seconds, anchored once and advanced by the monotonic clock."""
-        return self.offset + self.monotonic()
+        return self.unix_offset + self.monotonic()
 
-    def since(self) -> float:
+    def earliest_arrival(self) -> float:
         """Return the Unix time from which on what is read in this turn may have arrived.
 
         That is now, or where the process stood still, the time of the poll before.
         """
-        return self.offset + min(self._earliest_arrival, self.monotonic())
+        return self.unix_offset + min(self._earliest_arrival, self.monotonic())
 
-    def stood_still(self) -> bool:
+    def has_stalled(self) -> bool:
         """Return whether what is read in this turn may have arrived some time ago."""
         return self._earliest_arrival < math.inf
 
-    def unseen(self) -> bool:
+    def may_have_missed_events(self) -> bool:
         """Return whether a peer may have left a while ago although no poll has reported it.
 
         So it is where the process stood still, and where this turn takes long.
         """
-        return self.stood_still() or self.monotonic() - self._polled_at > self._stall_threshold
+        return self.has_stalled() or self.monotonic() - self._polled_at > self._stall_threshold
 
     def register(
-        self, descriptor: int, events: int, call: EventHandler, urgent: bool = False
+        self, descriptor: int, events: int, handler: EventHandler, urgent: bool = False
     ) -> None:
         """Watch a descriptor.
 
         Args:
             descriptor: An open descriptor that is not registered.
             events: A mask of poll events.
-            call: Called with the events that are ready, in each turn in which there are any.
+            handler: Called with the events that are ready, in each turn in which there are any.
             urgent: Whether its events go before those of others in a turn.
         """
-        self.calls[descriptor] = call
+        self.event_handlers[descriptor] = handler
         if urgent:
             self._urgent.add(descriptor)
         self.poll.register(descriptor, events)
@@ -129,15 +131,15 @@
         Raises:
             KeyError: It is not registered.
         """
-        del self.calls[descriptor]
+        del self.event_handlers[descriptor]
         self._urgent.discard(descriptor)
         self.poll.unregister(descriptor)
 
-    def soon(self, call: Callable[..., object], *arguments: object) -> None:
+    def call_soon(self, call: Callable[..., object], *arguments: object) -> None:
         """Make a call at the end of this turn."""
         self.ready.append((call, arguments))
 
-    def after(self, seconds: float, call: Callable[[], object]) -> Timer:
+    def call_later(self, seconds: float, call: Callable[[], object]) -> Timer:
         """Make a call after some seconds; zero or less means in the next turn."""
         timer = Timer(call)
         due = self.monotonic() + seconds
@@ -146,7 +148,7 @@
 
     def spawn(self, call: Callable[..., object], *arguments: object) -> None:
         """Run a call in a greenlet of its own, from the end of this turn."""
-        self.soon(greenlet.greenlet(call, self.hub).switch, *arguments)
+        self.call_soon(greenlet.greenlet(call, self.hub).switch, *arguments)
 
     def wait(self, seconds: float | None = None) -> bool:
         """Suspend this greenlet until somebody switches to it.
@@ -160,7 +162,7 @@
         current = greenlet.getcurrent()
         timer = None
         if seconds is not None:
-            timer = self.after(seconds, lambda: current.switch(False))
+            timer = self.call_later(seconds, lambda: current.switch(False))
         resumed_with = self.hub.switch()
         if timer:
             timer.cancel()
@@ -170,13 +172,13 @@
         """Run turns until `stop`."""
         self.running = True
         while self.running:
-            self.turn(self.pause())
+            self.run_once(self.poll_timeout_ms())
 
     def stop(self) -> None:
         """Let `run` return after this turn."""
         self.running = False
 
-    def turn(self, timeout_ms: int | None) -> None:
+    def run_once(self, timeout_ms: int | None) -> None:
         """Poll, then do all that is due.
 
         Args:
@@ -193,9 +195,9 @@
             self.ready = []
             for call, arguments in ready:
                 self._call(call, arguments)
-        self.longest = max(self.longest, self.monotonic() - now)
+        self.longest_turn = max(self.longest_turn, self.monotonic() - now)
 
-    def pause(self) -> int | None:
+    def poll_timeout_ms(self) -> int | None:
         """Return the milliseconds until the next timer is due; None where there is none."""
         while self._timers and self._timers[0][2].call is None:
             heapq.heappop(self._timers)
@@ -226,9 +228,9 @@
                 key=lambda event: (not event[1] & select.POLLRDHUP, event[0] not in self._urgent)
             )
         for descriptor, mask in events:
-            call = self.calls.get(descriptor)
-            if call:  # a call before it in this turn may have unregistered it
-                self._call(call, (mask,))
+            handler = self.event_handlers.get(descriptor)
+            if handler:  # one before it in this turn may have unregistered it
+                self._call(handler, (mask,))
 
     def _fire_timers(self) -> None:
         """Make the calls that are due; a timer that one of them sets fires in the next turn."""
@@ -245,4 +247,4 @@
         try:
             call(*arguments)
         except Exception as error:
-            self.fault(error)
+            self.exception_handler(error)
--- a/tests/integration/gateway/harness.py
+++ b/tests/integration/gateway/harness.py
@@ -125,7 +125,7 @@
     def turn(self, timeout_ms: int = 1) -> None:
         """Let the gateway handle what is ready, then take in what came on all other sockets."""
         self.turn_count += 1
-        self.gateway.scheduler.turn(timeout_ms)
+        self.gateway.scheduler.run_once(timeout_ms)
         self._accept()
         for peer in self.peers:
             if peer.role != DEAF_LISTENER or self.deaf_reads:
@@ -152,7 +152,7 @@
 
     def _serve_counter(self, peer: Peer) -> None:
         while self.counter_mode != "hold":
-            parsed = peer.parse(resp.command, self.gateway.limits)
+            parsed = peer.parse(resp.parse_command, self.gateway.limits)
             if not parsed:
                 return
             (spans, _), data = parsed
