--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -215,9 +215,8 @@
         self.log.event("ended")
         self.log.flush()
 
-    def start(self) -> None:
-        """Listen, and watch the endpoint list; the scheduler does the rest."""
-        self.executor.start(self.config.known)
+    def start_background_work(self) -> None:
+        """Start all that needs no clients: consensus state, watch, management API and timers."""
         if self.participant:
             self.participant.load()
         self.scheduler.spawn(self.endpoint_watch.run)
@@ -225,6 +224,11 @@
             self.management.listen(self.config.management)
         self.run_heartbeat()
         self.log_figures()
+
+    def start(self) -> None:
+        """Listen, and watch the endpoint list; the scheduler does the rest."""
+        self.executor.start(self.config.known)
+        self.start_background_work()
         if self.config.listen_fd is not None:
             self.client_listener.inherit(self.config.listen_fd)
             self.scheduler.call_later(self.limits.first_list_timeout, self.take_over)
