--- a/petrellane/decisions/lease_manager.py
+++ b/petrellane/decisions/lease_manager.py
@@ -12,7 +12,13 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-from petrellane.decisions.actions import Action, CounterAdd, SetTimer
+from petrellane.decisions.actions import (
+    Action,
+    CounterAdd,
+    PendingEscrowMove,
+    PendingTopUp,
+    SetTimer,
+)
 from petrellane.decisions.counter_health import CounterHealth
 from petrellane.decisions.hard_limits import HardLimitEscrow
 from petrellane.decisions.leases import WORTHWHILE_SHARE, Lease
@@ -23,10 +29,10 @@
 # This last part of an allowance goes only to RPCs that wait for it; from the decision package of
 # the design's source.
 RESERVE = 0.3
-COUNT_TTL_WINDOWS = 4  # windows that a window's count is kept for; ours
-COUNT_TTL_MAXIMUM = 60.0  # seconds that it is kept for at most; ours
-LOST_COUNT_TOLERANCE = 0.5  # units by which a total may be below what we added, for rounding; ours
-FIRST_CLEAN_UP = 100  # leases from which idle ones are dropped; ours
+COUNT_TTL_WINDOWS = 4  # windows that a window's count is kept for
+COUNT_TTL_MAXIMUM = 60.0  # seconds that it is kept for at most
+LOST_COUNT_TOLERANCE = 0.5  # units by which a total may be below what we added, for rounding
+FIRST_CLEAN_UP = 100  # leases from which idle ones are dropped
 
 
 class Credit(Enum):
@@ -111,28 +117,33 @@
             return self._wait_for_escrow(now, lease, rpc, actions)
         counter = self.counter
         if lease.available < rpc.units and (counter.is_silent or counter.is_degraded(now)):
-            needed = rpc.units * counter.is_silent
+            needed = rpc.units if counter.is_silent else 0.0
             lease.use_fair_share(now, needed, is_silent=counter.is_silent)
-        is_covered = lease.available >= rpc.units or lease.allowance == math.inf
-        if is_covered:
+        is_probe = counter.is_silent and self._claim_probe(now, lease)
+        if lease.available >= rpc.units or lease.allowance == math.inf:
             lease.available -= rpc.units
-        # While the counter is silent an RPC now and then brings a top-up: so these follow demand.
-        is_probe = counter.is_silent and now >= counter.next_probe_at and not lease.pending_add
-        if is_probe:
-            counter.schedule_probe(now)
-        if is_covered:
             if is_probe and lease.allowance < math.inf:
                 actions += self._top_up(lease, now)
             return CreditDecision(Credit.SPENT, actions)
-        if now < lease.exhausted_until or (counter.is_silent and not is_probe):
+        if (counter.is_silent and not is_probe) or now < lease.exhausted_until:
             return CreditDecision(Credit.REFUSED, actions)
         return self._wait_for_top_up(now, lease, rpc, actions)
 
+    def _claim_probe(self, now: float, lease: Lease) -> bool:
+        """Whether this RPC's top-up probes the silent counter; if so, the next is scheduled.
+
+        A silent counter is probed by an occasional top-up, so probes follow demand.
+        """
+        if now < self.counter.next_probe_at or lease.pending_add is not None:
+            return False
+        self.counter.schedule_probe(now)
+        return True
+
     def _wait_for_escrow(
         self, now: float, lease: Lease, rpc: Rpc, actions: list[Action]
     ) -> CreditDecision:
         """Have an RPC wait where the hard limit is what it lacks, and some is on its way."""
-        is_borrowing = lease.escrow_pending < 0
+        is_borrowing = lease.escrow_borrowing > 0
         if not is_borrowing or lease.refill_hard_limit(now) >= rpc.units:
             return CreditDecision(Credit.REFUSED, actions)
         lease.hard_limit_waiting.append(rpc)
@@ -151,15 +162,15 @@
             return CreditDecision(Credit.REFUSED, actions)
         return CreditDecision(Credit.WAITING, [*actions, _deadline_timer(now, rpc)])
 
-    def _top_up(self, lease: Lease, now: float, *, is_retry: bool = False) -> list[Action]:
+    def _top_up(self, lease: Lease, now: float, *, is_reread: bool = False) -> list[Action]:
         """Ask the counter for more; at most one top-up is pending per customer and window."""
         unreported = lease.unreported
         lease.unreported = 0.0
         amount = max(0.0, lease.wanted(now) - lease.available) + unreported
         lease.reported += amount
-        if not (amount or unreported or is_retry):
+        if not (amount or unreported or is_reread):
             return []
-        return self._add_to_count(lease, lease.window, amount, unreported, is_retry=is_retry)
+        return self._add_to_count(lease, lease.window, amount, unreported, is_reread=is_reread)
 
     def _add_to_count(
         self,
@@ -168,23 +179,27 @@
         amount: float,
         unreported: float = 0.0,
         *,
-        is_retry: bool = False,
+        is_reread: bool = False,
     ) -> list[Action]:
         """Add to the count of a window, bounded by our own deadline; an amount of 0 only reads."""
         # The same name at every gateway and every start.
         name = stable_hash(f"{lease.customer.name} {counted_window}")
         ttl = min(COUNT_TTL_MAXIMUM, COUNT_TTL_WINDOWS * lease.window_length)
-        add = CounterAdd(name, amount, ttl, lease, lease.window, unreported, is_retry)
+        top_up = PendingTopUp(lease, lease.window, unreported, is_reread=is_reread)
+        add = CounterAdd(name, amount, ttl, top_up)
         lease.pending_add = add
         return [add, SetTimer(self.counter.timeout, add)]
 
     def on_timeout(self, now: float, add: CounterAdd) -> list[Action]:
         """Give up on a top-up without an answer in time: what it added counts as spent."""
-        lease = add.lease
-        if lease is None or add.is_settled or lease.pending_add is not add:
+        top_up = add.purpose
+        if not isinstance(top_up, PendingTopUp) or top_up.is_settled:
+            return []
+        lease = top_up.lease
+        if lease.pending_add is not add:
             return []
         lease.pending_add = None
-        add.is_settled = True
+        top_up.is_settled = True
         actions: list[Action] = [*self.counter.on_failure(now)]
         if self.counter.is_degraded(now):
             lease.use_fair_share(now, lease.waiting_units(), is_silent=self.counter.is_silent)
@@ -202,29 +217,36 @@
             outcome: How it ended.
             total: The count's total after it, where the outcome is OK.
         """
-        if add.escrow_lease is not None:
-            return self._on_escrow_reply(now, add.escrow_lease, add, outcome, total)
-        lease = add.lease
+        if isinstance(add.purpose, PendingEscrowMove):
+            return self._on_escrow_reply(now, add, add.purpose, outcome, total)
+        top_up = add.purpose
         if outcome != OK:
-            return [] if lease is None else self._on_failed_add(now, lease, add, outcome)
+            return [] if top_up is None else self._on_failed_top_up(now, add, top_up, outcome)
         actions: list[Action] = [*self.counter.on_success(now)]
-        if lease is None or (add.is_settled and add.amount <= 0):
+        if top_up is None or (top_up.is_settled and add.amount <= 0):
             return actions
-        was_settled = add.is_settled
-        add.is_settled = True
+        lease = top_up.lease
+        was_settled = top_up.is_settled
+        top_up.is_settled = True
         lease.enter_window(now)
-        if lease.window == add.window:
-            actions += self._take_grant(now, lease, add, total, was_settled=was_settled)
+        is_current = lease.window == top_up.window
+        if is_current:
+            actions += self._take_grant(now, add, top_up, total, was_settled=was_settled)
             actions += self.escrow.exchange(now, lease, lease.waiting_units())
         if lease.pending_add is add:
-            actions += self._after_grant(now, lease, add)
+            actions += self._after_grant(now, lease, is_current=is_current)
         return actions
 
-    def _after_grant(self, now: float, lease: Lease, add: CounterAdd) -> list[Action]:
-        """Ask on for what is still missing, or decide the RPCs that wait."""
+    def _after_grant(self, now: float, lease: Lease, *, is_current: bool) -> list[Action]:
+        """Ask on for what is still missing, or decide the RPCs that wait.
+
+        Args:
+            now: The time.
+            lease: What was topped up.
+            is_current: Whether the top-up was of the window that runs.
+        """
         lease.pending_add = None
         is_short = lease.missing_units() > 0
-        is_current = lease.window == add.window
         is_carryover_unknown = is_short and lease.carryover is None and is_current
         if is_carryover_unknown and not self.counter.is_degraded(now):
             needed = lease.ledger_total + lease.missing_units()
@@ -237,61 +259,71 @@
             actions = self._top_up(lease, now)
         return actions or self._decide_waiting(lease, now)
 
-    def _on_failed_add(
-        self, now: float, lease: Lease, add: CounterAdd, outcome: Outcome
+    def _on_failed_top_up(
+        self, now: float, add: CounterAdd, top_up: PendingTopUp, outcome: Outcome
     ) -> list[Action]:
-        """Book a top-up that failed, by what its outcome proves."""
-        if lease.window == add.window:
-            is_first = lease.pending_add is add and not add.is_retry
+        """Update the lease after a failed top-up, by whether the amount may have been added."""
+        lease = top_up.lease
+        if lease.window == top_up.window:
+            is_first = lease.pending_add is add and not top_up.is_reread
             if outcome == ERROR and is_first and lease.waiting:
                 # It was added: ask once more, for the total alone.
-                lease.unreported += add.unreported - add.amount
-                return self._top_up(lease, now, is_retry=True)
+                lease.unreported += top_up.unreported - add.amount
+                return self._top_up(lease, now, is_reread=True)
             if outcome in PROVEN_NOT_RUN:
                 lease.reported -= add.amount
-                lease.unreported = max(0.0, lease.unreported + add.unreported)
+                lease.unreported = max(0.0, lease.unreported + top_up.unreported)
             else:
                 # The amount may have been added, and stands for what a fair share let in.
-                unreported = lease.unreported + (add.unreported - add.amount)
+                unreported = lease.unreported + (top_up.unreported - add.amount)
                 lease.unreported = max(0.0, unreported)
         return self.on_timeout(now, add)
 
     def _take_grant(
-        self, now: float, lease: Lease, add: CounterAdd, total: float, *, was_settled: bool
+        self,
+        now: float,
+        add: CounterAdd,
+        top_up: PendingTopUp,
+        total: float,
+        *,
+        was_settled: bool,
     ) -> list[Action]:
-        """Keep what lies within the limit of what was added, and give the excess back."""
-        if not add.amount and not add.unreported:
-            # A look at what the window before left.
-            lease.carryover = max(0.0, lease.allowance - total)
-            lease.mark_exhausted(now)
+        """Keep what lies within the limit of what was added, and return the excess."""
+        lease = top_up.lease
+        if not add.amount and not top_up.unreported:
+            _read_carryover(now, lease, total)
             return []
-        actions: list[Action] = []
-        limit = lease.limit(now, lease.carryover or 0.0)
-        if total < lease.reported - LOST_COUNT_TOLERANCE:
-            # Less than we added ourselves: counts were lost, so put ours back.
-            lost = lease.reported - total
-            actions.append(CounterAdd(add.name, lost, lease.window_length))
+        actions = _restore_lost_count(lease, add, total)
+        if actions:
             total = lease.reported
-        asked = add.amount - add.unreported  # what was unreported is spent, and stays
-        kept = _grant_to_keep(lease, asked, total, limit)
-        replaced = min(lease.unreported, kept) if was_settled else 0.0  # a fair share stood in
-        new = kept - replaced
-        lease.available = lease.available + new
-        lease.granted = lease.granted + new
-        lease.unreported = lease.unreported - kept + new
+        asked = add.amount - top_up.unreported  # what was unreported is spent, and stays
+        kept = _grant_to_keep(now, lease, asked, total)
+        _book_grant(lease, kept, was_settled=was_settled)
         lease.ledger_total = total - asked + kept
         if kept < asked:
-            lease.reported -= asked - kept
-            if not self.counter.is_degraded(now):
-                actions.append(CounterAdd(add.name, kept - asked, lease.window_length))
-            lease.mark_exhausted(now)
+            actions += self._return_excess(now, lease, add, asked - kept)
         return actions
 
+    def _return_excess(
+        self, now: float, lease: Lease, add: CounterAdd, excess: float
+    ) -> list[Action]:
+        """Take back what was added beyond the limit, unless a degraded counter is to be spared."""
+        lease.reported -= excess
+        is_degraded = self.counter.is_degraded(now)
+        lease.mark_exhausted(now)
+        return [] if is_degraded else [CounterAdd(add.name, -excess, lease.window_length)]
+
     def _on_escrow_reply(
-        self, now: float, lease: Lease, add: CounterAdd, outcome: Outcome, total: float
+        self,
+        now: float,
+        add: CounterAdd,
+        move: PendingEscrowMove,
+        outcome: Outcome,
+        total: float,
     ) -> list[Action]:
         """Take what came from escrow, and decide the RPCs that wait for it."""
-        actions = self.escrow.on_reply(now, lease, add, outcome, total)
+        actions = self.escrow.on_reply(now, add, move, outcome, total)
+        lease = move.lease
         waiting = lease.hard_limit_waiting
         lease.hard_limit_waiting = []
         for rpc in [rpc for rpc in waiting if not rpc.is_finished]:
@@ -319,8 +351,38 @@
     return SetTimer(max(0.0, rpc.deadline - now), rpc)
 
 
-def _grant_to_keep(lease: Lease, asked: float, total: float, limit: float) -> float:
-    """How much of what was asked for is kept: the reserve goes to RPCs that wait alone."""
-    granted = max(0.0, min(asked, limit - total + asked))
+def _read_carryover(now: float, lease: Lease, total: float) -> None:
+    """Take over what the window before left, out of that window's total."""
+    lease.carryover = max(0.0, lease.allowance - total)
+    lease.mark_exhausted(now)
+
+
+def _restore_lost_count(lease: Lease, add: CounterAdd, total: float) -> list[Action]:
+    """Add again what the counter has lost, where the total is less than our own additions."""
+    if total < lease.reported - LOST_COUNT_TOLERANCE:
+        return [CounterAdd(add.name, lease.reported - total, lease.window_length)]
+    return []
+
+
+def _grant_to_keep(now: float, lease: Lease, asked: float, total: float) -> float:
+    """How much of what was asked for is kept, given the total that includes it.
+
+    The last part of the limit is a reserve for RPCs that wait. So what lies within the limit is
+    kept as far as waiting RPCs lack it, or as far as it does not reach into the reserve, whichever
+    is more.
+    """
+    limit = lease.limit(now, lease.carryover or 0.0)
+    within_limit = max(0.0, min(asked, limit - total + asked))
+    for_waiting = min(within_limit, lease.missing_units())
     into_reserve = total - limit * (1 - RESERVE)
-    return max(min(granted, lease.missing_units()), min(granted, granted - into_reserve), 0.0)
+    outside_reserve = min(within_limit, within_limit - into_reserve)
+    return max(for_waiting, outside_reserve, 0.0)
+
+
+def _book_grant(lease: Lease, kept: float, *, was_settled: bool) -> None:
+    """Make what is kept available; what a fair share granted in its place is only reported."""
+    replaced = min(lease.unreported, kept) if was_settled else 0.0
+    new = kept - replaced
+    lease.available = lease.available + new
+    lease.granted = lease.granted + new
+    lease.unreported = lease.unreported - kept + new
--- a/petrellane/decisions/leases.py
+++ b/petrellane/decisions/leases.py
@@ -15,15 +15,15 @@
 from petrellane.decisions.numeric import mean, stable_hash
 from petrellane.decisions.types import Customer, Plan, Rpc
 
-WINDOW_FILLS = 1.0  # length of a window, as a multiple of the time in which a burst refills; ours
+WINDOW_FILLS = 1.0  # length of a window, as a multiple of the time in which a burst refills
 # Leases are this multiple of recent demand; from the decision package of the design's source.
 HEADROOM = 1.25
-LEASE_AHEAD = 0.25  # part of a window that a lease covers: unused credit elsewhere is lost; ours
-WORTHWHILE_SHARE = 0.1  # share of the allowance that is worth a top-up when credit is short; ours
-ESCROW_SHARE = 0.5  # of a hard limit's slack, what may lie in escrow for gateways in need; ours
-DEMAND_KEPT = 256  # the last RPCs that demand is estimated from; ours
-DEMAND_EXPORTED = 32  # of these, the last that another process is given; ours
-DEMAND_WINDOWS = 2  # windows that demand is estimated over; ours
+LEASE_AHEAD = 0.25  # part of a window that a lease covers: unused credit elsewhere is lost
+WORTHWHILE_SHARE = 0.1  # share of the allowance that is worth a top-up when credit is short
+ESCROW_SHARE = 0.5  # of a hard limit's slack, what may lie in escrow for gateways in need
+DEMAND_KEPT = 256  # the last RPCs that demand is estimated from
+DEMAND_EXPORTED = 32  # of these, the last that another process is given
+DEMAND_WINDOWS = 2  # windows that demand is estimated over
 
 # Where each key of the stored form of a lease goes, in the order of the keys. The keys are part of
 # the format in which one process hands its leases to the next.
@@ -91,7 +91,8 @@
         hard_limit_escrow: Units that may lie in escrow, over all gateways.
         hard_limit_waiting: RPCs that wait for units from escrow, oldest first.
         escrowed: Units in this window's escrow as we last knew it.
-        escrow_pending: Units that are on the way: to the escrow, or from it where negative.
+        escrow_lending: Units that are on the way to the escrow.
+        escrow_borrowing: Units that were asked for from the escrow, with the answer still to come.
         next_escrow_at: From when the escrow is asked again.
         was_busy: Whether the last window's total was above our share of the hard limit's rate.
     """
@@ -121,11 +122,13 @@
         self.pending_add: CounterAdd | None = None
         self.demand: deque[tuple[float, float]] = deque(maxlen=DEMAND_KEPT)
         self.demand_since = now
-        self.hard_limit = 0.0  # starts in a row never add up
+        # Starts empty, so that repeated restarts cannot multiply the hard limit.
+        self.hard_limit = 0.0
         self.hard_limit_filled_at = hard_limit_from
         self.hard_limit_waiting: list[Rpc] = []
         self.escrowed = 0.0
-        self.escrow_pending = 0.0
+        self.escrow_lending = 0.0
+        self.escrow_borrowing = 0.0
         self.next_escrow_at = now
         self.was_busy = False
         self.window: int | None = None
@@ -146,7 +149,8 @@
         else:
             self.window_end = now
         if now < self.window_end:
-            # The count that runs goes on to its end: the allowances of two would add up.
+            # The current window runs to its end under its old length; cutting a new one now
+            # would grant two allowances.
             before = self.allowance
             self.exhausted_until = 0.0
             self.allowance = min(max(before, plan.burst), plan.rate * self.window_length)
@@ -280,13 +284,17 @@
         """The most of the hard limit that we hold: our share, less what may lie in escrow."""
         return (self.customer.plan.hard_limit_burst - 2 * self.hard_limit_escrow) * self.fair_share
 
+    def has_escrow_pending(self) -> bool:
+        """Whether an add to the escrow, or a take from it, waits for its answer."""
+        return bool(self.escrow_lending or self.escrow_borrowing)
+
     def is_idle(self, now: float) -> bool:
         """Whether a new lease would hold no less and no more, so that this one may be dropped."""
         is_over = now >= self.window_end + min(self.window_length, SAMPLE_LIFETIME)
         if not is_over or self.refill_hard_limit(now) < self.hard_limit_maximum():
             return False
         has_rpcs = self.in_flight or self.waiting or self.hard_limit_waiting
-        return not (has_rpcs or self.pending_add or self.escrow_pending)
+        return not (has_rpcs or self.pending_add or self.has_escrow_pending())
 
     def export_state(self, now: float) -> dict[str, Any]:
         """The stored form, for the process that follows; what it holds is given up here.
--- a/petrellane/decisions/numeric.py
+++ b/petrellane/decisions/numeric.py
@@ -10,7 +10,7 @@
 except ImportError:
     from hashlib import blake2b
 
-MAXIMUM_VALUES = 4096  # values that a sliding maximum keeps: a bound on memory, ours
+MAXIMUM_VALUES = 4096  # values that a sliding maximum keeps: a bound on memory
 
 
 def stable_hash(text: str) -> int:
--- a/petrellane/decisions/types.py
+++ b/petrellane/decisions/types.py
@@ -9,9 +9,10 @@
 and its customer refer to each other, and each generated method slows down the start of `serve`.
 """
 
+from collections.abc import Collection
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple, NotRequired, Self, TypedDict
 
 if TYPE_CHECKING:
     from petrellane.decisions.actions import SendAttempt
@@ -25,6 +26,19 @@
     NON_IDEMPOTENT = "non-idempotent"
 
 
+class KeyScope(StrEnum):
+    """Which endpoints share an idempotency key."""
+
+    ALL = "all"
+    ZONE = "zone"  # those in the zone of the first attempt
+    POD = "pod"  # those in the pod of the first attempt
+
+    @classmethod
+    def parse(cls, word: str) -> Self:
+        """The scope of a word of the settings: any other word, or none, means the pod."""
+        return cls(word) if word in (cls.ALL, cls.ZONE) else cls.POD
+
+
 class Outcome(StrEnum):
     """How an attempt, or an add to the counter, ended."""
 
@@ -86,12 +100,11 @@
         latency_objective: Seconds within which an answer is worth `priority_weight`.
         deadline: Seconds after which the client gives up.
         effect: What running it twice does.
-        key_scope: Which endpoints share an idempotency key: "all", "zone", or any other word for
-            the pod. Means something for `DEDUPLICATED` alone.
+        key_scope: Which endpoints share an idempotency key; for `DEDUPLICATED` alone.
         key_window: Seconds for which an endpoint remembers an idempotency key.
         priority_weight: Worth of an answer in time.
         late_priority_weight: Worth of an answer after the latency objective; 0 for none.
-        is_streaming: Whether the response is relayed as it comes.
+        is_streaming: Read from the settings, and decides nothing.
         max_attempts: The maximum of attempts for one RPC.
         identity: Shared by the values that stand for the same method before and after new settings.
     """
@@ -100,7 +113,7 @@
     latency_objective: float
     deadline: float
     effect: Effect = NON_IDEMPOTENT
-    key_scope: str = ""
+    key_scope: KeyScope = KeyScope.POD
     key_window: float = 0.0
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0
@@ -125,8 +138,9 @@
         hard_limit_slack: Units of the hard limit that gateways may lend each other.
         max_in_flight: Maximum of attempts in flight at once; 0 for no maximum.
         price: What one unit is worth.
-        over_quota_weight: Worth of an RPC beyond the quota.
-        over_quota_cost: Cost of an RPC beyond the quota.
+        over_quota_weight: Worth of an RPC beyond the quota; read from the settings, and decides
+            nothing.
+        over_quota_cost: Cost of an RPC beyond the quota; decides nothing either.
     """
 
     name: str
@@ -141,6 +155,22 @@
     over_quota_cost: float = 0.0
 
 
+class ControllerSettings(TypedDict):
+    """The settings that `AdmissionController` takes by keyword, at its start and anew.
+
+    `AdmissionController.reconfigure` says what each means.
+    """
+
+    zone: str
+    counter_timeout: float
+    may_cancel: bool
+    max_retry_after: float
+    slow_start: float
+    slow_start_minimum: float
+    cross_zone_price: float
+    method_identities: NotRequired[Collection[object]]
+
+
 @dataclass(eq=False, repr=False, slots=True, weakref_slot=True)
 class Customer:
     """One customer, as long as its gateway knows it.
@@ -168,7 +198,7 @@
     Attributes:
         address: Where it listens; for logs and callers, never looked into here.
         zone: The zone it runs in.
-        kind: Its kind of machine.
+        kind: Its kind of machine; reported by callers, and decides nothing.
         pod: The number of its pod.
         state: Whether it takes attempts.
         weight: Its capacity, as a multiple of an ordinary endpoint's.
@@ -206,8 +236,9 @@
         units: Units that it costs of quota and hard limit.
         deadline: The time at which the client gives up.
         arrived_at: The time at which it came.
-        is_client_retry: Whether the client says that it sent it before.
-        is_write: Whether it changes something.
+        is_client_retry: Whether the client says that it sent it before; reported by callers, and
+            decides nothing.
+        is_write: Whether it changes something; decides nothing either.
         is_finished: Whether it has its final answer, or nobody to give it to.
         attempts: Its attempts so far, oldest first.
     """
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -11,7 +11,7 @@
 import time
 from collections import Counter
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 from petrellane.config import ConfigError, load
 from petrellane.gateway.action_executor import ActionExecutor
@@ -42,6 +42,12 @@
 EXIT_BAD_CONFIGURATION = 2
 
 
+class HasLimits(Protocol):
+    """A service that is given other limits when the settings change."""
+
+    limits: Limits
+
+
 class GatewayProcess:
     """A gateway that serves until it is ended.
 
@@ -156,9 +162,9 @@
             self.executor.controller.random,
         )
 
-    def services_with_limits(self) -> list[Any]:
+    def services_with_limits(self) -> list[HasLimits]:
         """Return the services whose limits follow the settings."""
-        services = [
+        services: list[HasLimits | None] = [
             self.client_listener,
             self.endpoint_pools,
             self.management,
@@ -179,11 +185,14 @@
 
     # The endpoint list.
 
-    def on_endpoint_list(self, endpoint_list: EndpointListUpdate | None) -> None:
-        """Apply a list from discovery, or note that a request for it failed (None)."""
+    def on_endpoint_list(self, endpoint_list: EndpointListUpdate) -> None:
+        """Apply a list from discovery."""
         self.executor.on_endpoint_list(endpoint_list, self._yield_turn)
-        if endpoint_list:
-            self.take_over()
+        self.take_over()
+
+    def on_watch_failed(self) -> None:
+        """Report that a request for the endpoint list failed."""
+        self.executor.on_watch_failed()
 
     def is_applying_endpoint_list(self) -> bool:
         """Return whether a list is being applied, during which no other may be given."""
@@ -233,12 +242,12 @@
     def begin_serving(self) -> None:
         """Serve clients, once it is known which settings are in force.
 
-        Operators and other gateways find this one listening before it asks: whoever goes on without
-        it asks again after it has.
+        The management address listens before peers are polled, so that two gateways that start
+        together reach each other.
         """
         if self.participant:
             predecessor_state = (
-                self.hot_restart_transport.generation if self.hot_restart_transport else None
+                self.hot_restart_transport.consensus_state if self.hot_restart_transport else None
             )
             self.participant.start(self._serve_clients, predecessor_state)
         else:
