--- a/benchmarks/endpoint_list_delay.py
+++ b/benchmarks/endpoint_list_delay.py
@@ -69,7 +69,7 @@
     known = known_delays(delays)
     p50 = percentile(known, 0.5)
     p90 = percentile(known, 0.9)
-    return f"told p50 {p50:.2f}, p90 {p90:.2f}, most {max(known):.2f} s"
+    return f"notified p50 {p50:.2f}, p90 {p90:.2f}, most {max(known):.2f} s"
 
 
 def print_kind(kind: str, delays: Delays) -> None:
@@ -100,7 +100,7 @@
     calls = result.calls / options.gateways / arguments.seconds
     print(
         f"calls of a gateway in a second: {calls:.3f}; "
-        f"the rig stood still for {result.longest_stall_s:.2f} s"
+        f"the testbed stood still for {result.longest_stall_s:.2f} s"
     )
     print(json.dumps({"trials": len(all_delays), "late": late, "took": delays_by_kind}))
     return int(bool(late))
@@ -118,9 +118,9 @@
         f"{format_delays(result.delays)}; {late} over 6 s; "
         f"calls in a second {max(counts.calls for counts in result.seconds)} at most, "
         f"{result.seconds[-1].calls} in the last; "
-        f"turned away {sum(counts.rejected for counts in result.seconds)}, "
+        f"rejected {sum(counts.rejected for counts in result.seconds)}, "
         f"last in second {rejecting[-1] if rejecting else '-'}; "
-        f"the rig stood still for {result.longest_stall_s:.2f} s"
+        f"the testbed stood still for {result.longest_stall_s:.2f} s"
     )
     print(json.dumps({"trouble": fault, "took": result.delays, "seconds": result.seconds}))
     return int(bool(late))
@@ -134,7 +134,7 @@
         f"{count_late(result.delays)} of {len(result.delays)} over 6 s; "
         f"calls in a second {max(result.calls)} at most, "
         f"{sum(steady_calls) / STEADY_AFTER_S:.0f} from 10 s on; "
-        f"turned away {sum(result.rejected[:STEADY_AFTER_S])}, "
+        f"rejected {sum(result.rejected[:STEADY_AFTER_S])}, "
         f"from 10 s on {sum(result.rejected[STEADY_AFTER_S:])}; "
         f"rules broken: {', '.join(result.broken) or 'none'}"
     )
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -177,7 +177,7 @@
         f"warm: most {max(row['warm'] for row in rows):.2f}, ",
         f"p99 {max(row['warm_p99'] for row in rows):.1f}; ",
         f"ok {sum(row['ok'] for row in rows) / len(rows):.3f}, ",
-        f"pushed back {sum(row['pushed'] for row in rows) / len(rows):.3f}",
+        f"rejected {sum(row['pushed'] for row in rows) / len(rows):.3f}",
     )
     print("".join(parts), flush=True)
 
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -86,46 +86,46 @@
     host, port = config.listen
     print(
         f"{config.name}: listens on {host}:{port}, {len(config.settings.methods)} methods, "
-        f"{len(config.settings.plans)} plans, {len(config.known.entries)} hosts known"
+        f"{len(config.settings.plans)} plans, {len(config.known.entries)} endpoints known"
     )
 
 
 @app.command("hunt", hidden=True)
 @app.command("property-search")
 def search_properties(
-    seeds: Annotated[int, typer.Option(min=1, help="Scenarios to play.")] = 2000,
+    seeds: Annotated[int, typer.Option(min=1, help="Scenarios to simulate.")] = 2000,
     first: Annotated[
-        int, typer.Option(min=0, help="The first seed; the same one gives the same hunt.")
+        int, typer.Option(min=0, help="The first seed; the same one gives the same search.")
     ] = 1,
     jobs: Annotated[int, typer.Option(min=0, help="Processes; 0 is one a core.")] = 0,
     enough: Annotated[
         int, typer.Option(min=1, help="End once so many scenarios have broken a rule.")
     ] = 1,
-    out: Annotated[str, typer.Option(help="Folder for what is found.")] = "found",
+    out: Annotated[str, typer.Option(help="Folder for the scenarios that break a rule.")] = "found",
 ) -> None:
-    """Look for a run of the fleet model that breaks a rule; exit code 1 when there is one."""
+    """Search the simulation for a run that breaks a rule; exit code 1 when there is one."""
     from petrellane.simulation import command
 
     raise typer.Exit(command.search(seeds, first, jobs, enough, out))
 
 
 @app.command(
-    help="Play one scenario of the fleet model and tell it as a time line; exit code 1 when it is "
-    "not as expected."
+    help="Simulate one scenario and print its time line; exit code 1 when the outcome is not as "
+    "expected."
 )
 def replay(
     file: Annotated[
         str, typer.Argument(help="A scenario file, or the number of a seed with --seed.")
     ],
     seed: Annotated[
-        bool, typer.Option("--seed", help="Play the scenario that this seed draws.")
+        bool, typer.Option("--seed", help="Simulate the scenario generated from this seed.")
     ] = False,
     write: Annotated[str, typer.Option(help="Write the scenario to this file.")] = "",
     records: Annotated[
-        str, typer.Option(help="Write what was seen to this file, for `load-distribution`.")
+        str, typer.Option(help="Write the records to this file, for `load-distribution`.")
     ] = "",
 ) -> None:
-    """Play one scenario in simulated time."""
+    """Simulate one scenario."""
     from petrellane.simulation import command
     from petrellane.simulation.scenario_files import ScenarioError
 
@@ -145,19 +145,17 @@
 @app.command("load-distribution", help=LOAD_DISTRIBUTION_HELP)
 def load_distribution(  # noqa: PLR0913 - a parameter for each option
     path: Annotated[str, typer.Argument(help="A file of records, or a folder of gateways' logs.")],
-    since: Annotated[
-        float, typer.Option(min=0.0, help="Seconds from the begin to leave out.")
-    ] = 0.0,
+    since: Annotated[float, typer.Option(min=0.0, help="Seconds to leave out at the start.")] = 0.0,
     until: Annotated[
-        float, typer.Option(min=0.0, help="Seconds up to which to look; 0 is the end.")
+        float, typer.Option(min=0.0, help="Second at which to stop; 0 is the end.")
     ] = 0.0,
     json: Annotated[
         bool, typer.Option("--json", help="One JSON object in place of a table.")
     ] = False,
     svg: Annotated[
-        str, typer.Option(help="Write a heat map of hosts over time to this file.")
+        str, typer.Option(help="Write a heat map of endpoints over time to this file.")
     ] = "",
-    seed: Annotated[int, typer.Option(help="Of the draws that tell what chance gives.")] = 0,
+    seed: Annotated[int, typer.Option(help="Seed of the draws that show what chance gives.")] = 0,
 ) -> None:
     """Print how evenly load is distributed over endpoints."""
     from petrellane.load_distribution import commands
@@ -313,16 +311,16 @@
 
 @testbed_app.command(
     "run",
-    help="Play a run file and tell what happened; exit code 1 when a rule broke or a process "
+    help="Play a run file and print what happened; exit code 1 when a rule broke or a process "
     "crashed.",
 )
 def testbed_run(
     file: Annotated[str, typer.Argument(help="A run file; docs/testbed.md has the notation.")],
     records: Annotated[
-        str, typer.Option(help="Write what was seen to this file, for `load-distribution`.")
+        str, typer.Option(help="Write the records to this file, for `load-distribution`.")
     ] = "",
 ) -> None:
-    """Play a run file and tell what happened."""
+    """Play a run file and print what happened."""
     from petrellane.testbed import command
     from petrellane.testbed.run_file import RunFileError
 
@@ -342,7 +340,7 @@
 
 @testbed_app.command(
     "scale",
-    help="Run many hollow gateways beside some real ones, and tell what each role spends; exit "
+    help="Run many hollow gateways beside some real ones, and print what each role uses; exit "
     "code 1 when the run proves nothing.",
 )
 def testbed_scale(
--- a/petrellane/config_consensus/changes.py
+++ b/petrellane/config_consensus/changes.py
@@ -60,7 +60,7 @@
 def is_rejection(reason: str) -> bool:
     """Whether the reason of an aborted change is that a participant rejected it.
 
-    An answer to staff has the reason alone, so it is told from the text there.
+    An answer to staff has the reason alone, so it is recognized by that text.
     """
     return reason.startswith(REJECTED_PREFIX)
 
--- a/petrellane/config_consensus/messages.py
+++ b/petrellane/config_consensus/messages.py
@@ -251,7 +251,7 @@
 
     cause: str  # a `RejectionCause`, or that of a later build
     reason: str
-    promised: Epoch | None  # the epoch it follows, where it told one
+    promised: Epoch | None  # the epoch it follows, where it gave one
 
     @property
     def is_for_epoch(self) -> bool:
--- a/petrellane/decisions/types.py
+++ b/petrellane/decisions/types.py
@@ -1,4 +1,4 @@
-"""The values that the decisions are told about: methods, plans, customers, endpoints and RPCs.
+"""The values that the decisions are given: methods, plans, customers, endpoints and RPCs.
 
 The services that report events make these values and share them with the decisions; what the
 decisions ask for in return is in `petrellane.decisions.actions`. Times are seconds with fractions,
--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -83,7 +83,7 @@
         Args:
             budget: The memory that it shares with others.
             now: The clock, in seconds.
-            hold: Told whether reading from the endpoint's connection is to pause.
+            hold: Notified whether reading from the endpoint's connection is to pause.
             on_unwanted: Called once no client takes the response any more.
         """
         self.budget = budget
--- a/petrellane/load_distribution/commands.py
+++ b/petrellane/load_distribution/commands.py
@@ -1,7 +1,7 @@
-"""What `petrellane spread` prints: a table, one JSON object, or a plot.
+"""What `petrellane load-distribution` prints: a table, one JSON object, or a plot.
 
-The words of the output and the keys of the JSON object are those that its readers know; the names
-of the figures are translated here.
+The keys of the JSON object are those that its readers know; the names of the figures are translated
+here.
 """
 
 import sys
@@ -19,14 +19,14 @@
     from matplotlib.image import AxesImage
 
 MAXIMUM_IDLE_ROWS = 10  # idle periods of the table; the rest is counted
-MAXIMUM_LABELS = 60  # hosts that a plot still has room to name
+MAXIMUM_LABELS = 60  # endpoints that a plot still has room to name
 
 
 @dataclass(frozen=True)
 class SpreadOptions:
-    """The options of `petrellane spread`.
+    """The options of `petrellane load-distribution`.
 
-    Times are in seconds from the begin of the run; `until` is None for its end, `svg` is "" for
+    Times are in seconds from the start of the run; `until` is None for its end, `svg` is "" for
     no plot.
     """
 
@@ -48,7 +48,7 @@
     trace = reading.trace
     if trace.until <= trace.since or not trace.sent:
         raise sources.LoadSourceError(
-            f"{options.path}: expected call-outs between {options.since:g} s and "
+            f"{options.path}: expected attempts between {options.since:g} s and "
             f"{trace.until:g} s, found none"
         )
     figures = compute_figures(trace, options.seed)
@@ -67,7 +67,7 @@
 def format_table(figures: Figures) -> str:
     """Return the figures as lines for a person."""
     lines = [
-        f"{figures.attempts} call-outs of {figures.gateways} gateways at {figures.hosts} hosts",
+        f"{figures.attempts} attempts of {figures.gateways} gateways at {figures.hosts} endpoints",
         f"{'over':>6} {'peak':>6} {'by chance':>9} {'excess':>6} {'worst':>6} {'trough':>6} "
         f"{'by chance':>9} {'worst':>6}   of what was due, the mean of windows",
     ]
@@ -139,9 +139,9 @@
 
 
 def write_plot(trace: LoadTrace, path: str, seconds: float = 1.0) -> None:
-    """Write a heat map of hosts over time as an SVG file.
+    """Write a heat map of endpoints over time as an SVG file.
 
-    A cell is what a host got in a window of so many seconds, over what was due to it.
+    A cell is what an endpoint got in a window of so many seconds, over what was due to it.
 
     Raises:
         ImportError: matplotlib is not installed.
@@ -158,12 +158,12 @@
     figure, axes = pyplot.subplots(figsize=(10, height))
     image = _draw_cells(axes, trace, hosts, seconds)
     axes.set_xlabel("seconds")
-    axes.set_ylabel("hosts")
+    axes.set_ylabel("endpoints")
     if len(hosts) <= MAXIMUM_LABELS:
         ticks = [index + 0.5 for index in range(len(hosts))]
         axes.set_yticks(ticks, [str(host) for host in hosts], fontsize=6)
-    figure.colorbar(image, label="call-outs over due")
-    axes.set_title(f"call-outs by host and {seconds:g} s")
+    figure.colorbar(image, label="attempts over due")
+    axes.set_title(f"attempts by endpoint and {seconds:g} s")
     figure.tight_layout()
     figure.savefig(path, format="svg", metadata={"Date": None})
     pyplot.close(figure)
--- a/petrellane/load_distribution/record_files.py
+++ b/petrellane/load_distribution/record_files.py
@@ -202,7 +202,7 @@
     """Note a file that lacks its end, and records that are not in the order of time."""
     if end is None:
         reading.notes.append(
-            f'{path}: expected {{"end": SECONDS}} last, found none: cut short, and told up to '
+            f'{path}: expected {{"end": SECONDS}} last, found none: cut short, and known up to '
             f"{latest:g} s"
         )
     highest = 0.0
@@ -214,6 +214,6 @@
         highest = max(highest, record.at)
     if out_of_order:
         reading.notes.append(
-            f"{path}: {out_of_order} of {total} records come out of order; they are told in the "
+            f"{path}: {out_of_order} of {total} records come out of order; they are read in the "
             "order of time"
         )
--- a/petrellane/operation/backoff.py
+++ b/petrellane/operation/backoff.py
@@ -140,8 +140,8 @@
         """Seconds until the next poll, after one that brought no list.
 
         The poll after a timeout or failure waits for no changes, so that discovery that is
-        unreachable can be told from one that has no changes. A gateway that was rejected knows
-        that discovery is reachable, and a poll to prove it would only be rejected again.
+        unreachable can be distinguished from one that has no changes. A gateway that was rejected
+        knows that discovery is reachable, and a poll to prove it would only be rejected again.
         """
         pause = self._pause_length(failure)
         if failure is PollFailure.TIMED_OUT:
--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -39,7 +39,7 @@
 LEASES_PER_MESSAGE = 100
 
 PREDECESSOR_GONE_AFTER_S = 10.0
-"""A predecessor is gone by then: it is told to end within 6 s and killed 3.7 s later."""
+"""A predecessor is gone by then: it is asked to end within 6 s and killed 3.7 s later."""
 
 CustomerLookup = Callable[[str, str, int, int], Customer | None]
 """The customer of a name, plan, first gateway and gateway count; None where there is no plan."""
--- a/petrellane/simulation/command.py
+++ b/petrellane/simulation/command.py
@@ -1,4 +1,4 @@
-"""What `petrellane hunt` and `petrellane replay` do: progress, files and text for a person."""
+"""The commands `property-search` and `replay`: progress, files and text for a person."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         self.latest = SearchResult()
         self._runs = runs
         self._started_at = time.monotonic()
-        self._status = console.status("hunting") if console.is_terminal else None
+        self._status = console.status("searching") if console.is_terminal else None
         self._next_line_at = PROGRESS_INTERVAL_S
 
     def __enter__(self) -> SearchProgress:
--- a/petrellane/simulation/timeline.py
+++ b/petrellane/simulation/timeline.py
@@ -1,6 +1,6 @@
 """A run as a person reads it: who knew what, when, around what was broken.
 
-The texts are part of what `petrellane replay` and `petrellane hunt` print.
+The texts are part of what `petrellane replay` and `petrellane property-search` print.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 DETAIL_S = 2.0  # seconds before the first break that are shown in full
 MAX_LINES = 120  # what is left out is counted
 
-CHECKER = "REFEREE"  # the party of a broken rule
+CHECKER = "CHECKER"  # the party of a broken rule
 COUNTER_ADD = "asked for"  # in the trace of an add to the counter
 
 
@@ -41,15 +41,15 @@
 
 
 def _describe_sent(record: AttemptSent) -> str:
-    return f"sends {record.rpc} to {record.host}, call-out {record.number}"
+    return f"sends {record.rpc} to {record.host}, attempt {record.number}"
 
 
 def _describe_attempt_ended(record: AttemptEnded) -> str:
-    return f"sees call-out {record.number} of {record.rpc} end: {record.outcome}"
+    return f"sees attempt {record.number} of {record.rpc} end: {record.outcome}"
 
 
 def _describe_arrived(record: AttemptArrived) -> str:
-    return f"has call-out {record.number} of {record.rpc}, {record.work:.3f} core seconds"
+    return f"has attempt {record.number} of {record.rpc}, {record.work:.3f} core seconds"
 
 
 def _describe_executed(record: RpcExecuted) -> str:
@@ -65,7 +65,7 @@
 
 
 def _describe_notified(record: EndpointNotified) -> str:
-    text = f"is told that {record.host} is {record.state}"
+    text = f"is notified that {record.host} is {record.state}"
     if record.up_since:
         text += f", up since {record.up_since:.3f}"
     return text
--- a/petrellane/testbed/command.py
+++ b/petrellane/testbed/command.py
@@ -1,4 +1,4 @@
-"""What `petrellane lab run` and `petrellane lab demo` do: a live table, a timeline, the verdict."""
+"""The commands `testbed run` and `testbed demo`: a live table, a timeline, the verdict."""
 
 from __future__ import annotations
 
@@ -113,7 +113,7 @@
     for name, code, output in lab.crashes:
         print(f"{name} crashed ({code}): {output}")
     for fault in lab.faults[:MAX_FAULTS]:
-        print(f"a fault of the lab: {fault}")
+        print(f"a fault of the testbed: {fault}")
     if lab.void:
         print(f"void: {lab.void}")
 
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -143,7 +143,8 @@
     def void(self) -> str:
         """Why the run proves nothing; "" where it does."""
         if self.longest_stall_s > VOID_STALL_S:
-            return f"the rig stood still for {self.longest_stall_s:.2f} s: this machine is too busy"
+            stall = f"the testbed stood still for {self.longest_stall_s:.2f} s"
+            return f"{stall}: this machine is too busy"
         return ""
 
     def start(self, controls: Sequence[str] = ("control",), ready: bool = True) -> None:
@@ -181,7 +182,7 @@
         self.scheduler.longest = 0.0
         self._turned_at = time.monotonic()
         if stall > SETTLE_S and (self.clients.on or self.clients.out):
-            self.records.note(f"the rig stood still for {stall:.3f} s")
+            self.records.note(f"the testbed stood still for {stall:.3f} s")
             self.longest_stall_s = max(self.longest_stall_s, stall)
             self.records.last_stall = self.records.turns
 
--- a/petrellane/testbed/fleet_gateway.py
+++ b/petrellane/testbed/fleet_gateway.py
@@ -127,7 +127,7 @@
         self.process = self._run({})
 
     def replace(self) -> None:
-        """Start a process that succeeds the running one, which is told to end afterwards."""
+        """Start a successor of the running process, which is ended afterwards."""
         old = self.running_process()
         self.fleet.records.note(f"{self.name} is replaced")
         event_count = len(self.events)
--- a/petrellane/testbed/relay_connection.py
+++ b/petrellane/testbed/relay_connection.py
@@ -86,7 +86,7 @@
             return
         has_losses = self._requests.lost or self._answers.lost
         if has_losses and not self._relay.faults.keys() & LOSSES:
-            # What came after the missing bytes can't be told apart from them.
+            # What came after the missing bytes can't be distinguished from them.
             self.end(reset=True)
         else:
             self._flush()
--- a/petrellane/testbed/run_display.py
+++ b/petrellane/testbed/run_display.py
@@ -1,4 +1,4 @@
-"""What is shown while a run file is played: a live table of gateways and hosts."""
+"""What is shown while a run file is played: a live table of gateways and endpoints."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     "gateway",
     "state",
     "RPCs/s",
-    "call-outs/s",
+    "attempts/s",
     "clients",
-    "host",
+    "endpoint",
     "up",
     "at work",
     "RPCs run",
@@ -120,9 +120,7 @@
     total = sum(counts.values())
     ok = counts.get(OK, 0)
     rejected = counts.get(REJECTED, 0)
-    return (
-        f"{total} RPCs answered, {ok} ok, {rejected} pushed back, {total - ok - rejected} otherwise"
-    )
+    return f"{total} RPCs answered, {ok} ok, {rejected} rejected, {total - ok - rejected} otherwise"
 
 
 def _gateway_cells(gateway: FleetGateway) -> list[str]:
--- a/petrellane/testbed/scale/report.py
+++ b/petrellane/testbed/scale/report.py
@@ -216,7 +216,9 @@
     """Return what makes a run prove nothing, a line each."""
     faults = list(run.faults)
     if run.longest_turn > MAX_TURN_S:
-        faults.append(f"the rig stood still for {run.longest_turn:.2f} s: this machine is too busy")
+        faults.append(
+            f"the testbed stood still for {run.longest_turn:.2f} s: this machine is too busy"
+        )
     if hollow_turn_s > MAX_HOLLOW_TURN_S:
         faults.append(
             f"a process of hollow gateways stood still for {hollow_turn_s:.2f} s: "
--- a/petrellane/testbed/testbed.py
+++ b/petrellane/testbed/testbed.py
@@ -156,7 +156,7 @@
         counter = self.files.counter_parameters()
         self._start(ScaleProcessSpec("discovery", "discovery", ["discovery"], discovery))
         self._start(ScaleProcessSpec("counter", "counter", ["counter"], counter))
-        self._run_until(self._have_services_started, "the stand-ins", SERVICES_PATIENCE_S)
+        self._run_until(self._have_services_started, "the fakes", SERVICES_PATIENCE_S)
 
     def _have_services_started(self) -> bool:
         return all(
@@ -232,4 +232,4 @@
             self._run_turn()
 
     def _on_exception(self, error: Exception) -> None:
-        self.reports.faults.append(f"a fault of the rig: {error!r}")
+        self.reports.faults.append(f"a fault of the testbed: {error!r}")
--- a/tests/unit/load_distribution/test_load_distribution.py
+++ b/tests/unit/load_distribution/test_load_distribution.py
@@ -296,7 +296,7 @@
             commands.print_figures(commands.SpreadOptions(path, svg=svg))
             commands.print_figures(commands.SpreadOptions(path, as_json=True))
         *lines, last = said.getvalue().splitlines()
-        self.assertTrue(lines[0].startswith("400 call-outs of 1 gateways at 3 hosts"), lines[0])
+        self.assertTrue(lines[0].startswith("400 attempts of 1 gateways at 3 endpoints"), lines[0])
         told = json.loads(last)
         self.assertEqual(
             (told["call_outs"], told["idle"], [one["windows"] for one in told["spans"]]),
@@ -304,7 +304,7 @@
         )
         with open(svg) as file:
             self.assertIn("<svg", file.read(2000))
-        with self.assertRaisesRegex(sources.LoadSourceError, "expected call-outs between 30 s"):
+        with self.assertRaisesRegex(sources.LoadSourceError, "expected attempts between 30 s"):
             commands.print_figures(commands.SpreadOptions(path, 30.0))
 
 
