--- a/tests/unit/simulation/test_planted_faults.py
+++ b/tests/unit/simulation/test_planted_faults.py
@@ -41,14 +41,14 @@
         "        self.hard_limit_filled_at = math.inf",
         after="self.hard_limit += stored['ceiling']",
     )
-    scenario = read_scenario("followed-and-gone")
+    scenario = read_scenario("hot-restart-then-crash")
     run = FleetSimulation(scenario, faulty_controller(fault)).play()
     assert run.broken == ["ceilings"]
 
 
 def test_a_broken_rule_is_shrunk_to_a_scenario_with_a_timeline() -> None:
     (fault,) = (
-        fault for fault in FAULTS if fault.name == "any deduplicated RPC may be pushed back"
+        fault for fault in FAULTS if fault.name == "any deduplicated RPC may be rejected"
     )
     controller = faulty_controller(fault)
     scenario = generate_scenario(scenarios_needed(fault))  # the fault's first seed is 1
