--- a/petrellane/gateway/client_handoff.py
+++ b/petrellane/gateway/client_handoff.py
@@ -30,7 +30,7 @@
         listener = self.connection.listener
         return (
             listener.successor is not None
-            and len(self.connection.stream.buffer) <= listener.limits.passed
+            and len(self.connection.stream.buffer) <= listener.limits.max_handoff_data
             and listener.scheduler.now() >= self.stays_until
         )
 
@@ -45,19 +45,19 @@
         """
         connection = self.connection
         listener = connection.listener
-        connection.stream.hold()
+        connection.stream.set_reading_paused(True)
         while (
             (connection.pending_replies or connection.stream.unsent)
             and not connection.stream.broken
             and not connection.is_closing
             and listener.successor
         ):
-            self._park(listener.limits.let_go)
+            self._park(listener.limits.client_poll_interval)
         connection.raise_if_broken()
         successor = listener.successor
         if successor and not connection.is_closing and self._offer(successor):
             return True
-        connection.stream.hold(False)
+        connection.stream.set_reading_paused(False)
         return False
 
     def _offer(self, successor: HotRestartTransport) -> bool:
@@ -76,13 +76,13 @@
         if self.is_passed_on:
             return True
         self.is_offered = False
-        self.stays_until = listener.scheduler.now() + listener.limits.take_back
+        self.stays_until = listener.scheduler.now() + listener.limits.handoff_timeout
         stream.attach()
         return False
 
     def _on_answer(self, is_passed_on: bool) -> None:
         self.is_passed_on = is_passed_on
-        self.connection.listener.scheduler.soon(self.wake)
+        self.connection.listener.scheduler.call_soon(self.wake)
 
     def _park(self, timeout: float | None = None) -> None:
         self.parked = greenlet.getcurrent()
--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -47,7 +47,7 @@
         moved = _moved_addresses(before, config)
         settings = config.settings
         file_settings = config.raw["settings"]
-        if process.agent and not process.agent.accept_file_settings(file_settings):
+        if process.participant and not process.participant.accept_file_settings(file_settings):
             settings = before.settings
         process.config = replace(
             before, discovery=config.discovery, counter=counter, raw=config.raw
@@ -90,7 +90,7 @@
     def _apply(self, settings: Settings) -> None:
         process = self.process
         process.config = replace(process.config, settings=settings)
-        process.limits = process.limits.renewed(process.config)
+        process.limits = process.limits.with_settings_of(process.config)
         for service in process.services_with_limits():
             service.limits = process.limits
         process.executor.reconfigure(settings, process.limits)
--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -99,14 +99,16 @@
         add = pending.add
         amount = f"{add.amount:.7f}".rstrip("0").rstrip(".")
         ttl_ms = max(1, int(add.ttl * 1e3))
-        stream.write(resp.words(b"CNT.ADD", b"%d" % add.name, amount.encode(), b"%d" % ttl_ms))
-        pending.end_offset = stream.queued
+        stream.write(
+            resp.encode_command(b"CNT.ADD", b"%d" % add.name, amount.encode(), b"%d" % ttl_ms)
+        )
+        pending.end_offset = stream.bytes_queued
         self.last_used_at = self.client.scheduler.now()
 
     def _read_answers(self, stream: Stream) -> None:
         """Take the answers that have come completely; that to a late addition goes by."""
         buffer = stream.buffer
-        while found := resp.answer(buffer, 0, self.client.limits):
+        while found := resp.parse_reply(buffer, 0, self.client.limits):
             kind, content, end = found
             if not self.pending:
                 raise resp.Malformed("an answer to nothing")
@@ -152,7 +154,7 @@
             is_written = (
                 self.stream is not None
                 and pending.end_offset is not None
-                and pending.end_offset <= self.stream.sent
+                and pending.end_offset <= self.stream.bytes_sent
             )
             self.client.report(pending, RESET if is_written else UNREACHABLE, 0.0)
 
@@ -182,13 +184,13 @@
         self.address = address
         self.on_reply = on_reply
         self.connections: list[CounterConnection] = []
-        self.scheduler.after(self.limits.look, self._retire_idle)
+        self.scheduler.call_later(self.limits.check_interval, self._retire_idle)
 
     def send(self, add: CounterAdd) -> None:
         """Send an addition; its outcome is reported once."""
         pending = PendingAdd(add, self.scheduler.now())
         on_late = partial(self._on_late, pending)
-        pending.timer = self.scheduler.after(self.limits.counter_timeout, on_late)
+        pending.timer = self.scheduler.call_later(self.limits.counter_timeout, on_late)
         self._connection_for(pending.sent_at).send(pending)
 
     def move(self, address: Address) -> None:
@@ -215,7 +217,7 @@
         idle = [connection for connection in usable if not connection.pending]
         for connection in sorted(idle, key=_last_used_at, reverse=True):
             stream = connection.stream
-            if stream and stream.quiet() and not stream.buffer:
+            if stream and stream.is_read_idle() and not stream.buffer:
                 return connection
             connection.end()  # spoilt, or ended by the counter
             usable.remove(connection)
@@ -237,11 +239,11 @@
         if not pending.is_reported:
             pending.is_reported = True
             pending.timer.cancel()
-            self.scheduler.soon(self.on_reply, pending.add, outcome, total)
+            self.scheduler.call_soon(self.on_reply, pending.add, outcome, total)
 
     def _retire_idle(self) -> None:
         """Retire idle connections before the counter does."""
-        self.scheduler.after(self.limits.look, self._retire_idle)
+        self.scheduler.call_later(self.limits.check_interval, self._retire_idle)
         before = self.scheduler.now() - self.limits.counter_idle_timeout
         for connection in list(self.connections):
             is_idle = not connection.pending or connection.address != self.address
--- a/tests/unit/config_consensus/test_state_writer.py
+++ b/tests/unit/config_consensus/test_state_writer.py
@@ -44,7 +44,7 @@
     def run_other() -> None:
         store.other_has_run = True
 
-    scheduler.soon(greenlet.greenlet(write, scheduler.hub).switch)
-    scheduler.after(0.01, run_other)
+    scheduler.call_soon(greenlet.greenlet(write, scheduler.hub).switch)
+    scheduler.call_later(0.01, run_other)
     scheduler.run()
     assert results == [error]
--- a/tests/unit/simulation/test_planted_faults.py
+++ b/tests/unit/simulation/test_planted_faults.py
@@ -47,9 +47,7 @@
 
 
 def test_a_broken_rule_is_shrunk_to_a_scenario_with_a_timeline() -> None:
-    (fault,) = (
-        fault for fault in FAULTS if fault.name == "any deduplicated RPC may be rejected"
-    )
+    (fault,) = (fault for fault in FAULTS if fault.name == "any deduplicated RPC may be rejected")
     controller = faulty_controller(fault)
     scenario = generate_scenario(scenarios_needed(fault))  # the fault's first seed is 1
     small = shrink(scenario, "twice", 60, controller)
