--- a/tests/compatibility/played.py
+++ b/tests/compatibility/played.py
@@ -23,7 +23,7 @@
 
 
 def served(sock: socket.socket, number: int) -> str:
-    """How so many RPCs of the customer are answered: s for served, b for pushed back."""
+    """How so many RPCs of the customer are answered: s for served, b for rejected."""
     said = ""
     for index in range(number):
         sock.sendall(rpc(b"rpc%d" % index))
