--- a/petrellane/net/log.py
+++ b/petrellane/net/log.py
@@ -54,7 +54,7 @@
         self.event(
             "fault",
             error=f"{type(error).__name__}: {error}",
-            trace="".join(traceback.format_exception(error)[-TRACE_ENTRIES:]),
+            trace=_format_trace(error),
         )
 
     def flush(self) -> None:
@@ -70,3 +70,8 @@
             line = self.pending_lines.popleft()
             if written < len(line):
                 self.pending_lines.appendleft(line[written:])
+
+
+def _format_trace(error: BaseException) -> str:
+    """Return the last entries of an exception's traceback."""
+    return "".join(traceback.format_exception(error)[-TRACE_ENTRIES:])
