--- a/petrellane/testbed/run_file.py
+++ b/petrellane/testbed/run_file.py
@@ -147,7 +147,9 @@
     _check_lab(run.lab, name)
     for rule in run.expect.broken:
         if rule not in (*RULES, *EXTRA_RULES):
-            raise RunFileError(f"{name}: expect.broken: expected names of invariants, found {rule}")
+            raise RunFileError(
+                f"{name}: expect.broken: expected rules of the invariants, found {rule}"
+            )
     for index, step in enumerate(run.step):
         _check_step(run.lab, step, f"{name}: step[{index}]")
     return run
