--- a/tests/compatibility/build/simulation.py
+++ b/tests/compatibility/build/simulation.py
@@ -33,6 +33,7 @@
 ENTRIES = (
     "start",
     "on_endpoint_events",
+    "on_watch_failed",
     "admit",
     "on_attempt_ended",
     "on_client_disconnected",
@@ -59,7 +60,8 @@
         figures = [step.endpoint.address, step.number, step.sent_at, step.timeout, step.send_by]
         return ["attempt", *figures]
     if isinstance(step, actions.CounterAdd):
-        return ["add", step.name, step.amount, step.ttl, step.window]
+        window = step.purpose.window if step.purpose else 0
+        return ["add", step.name, step.amount, step.ttl, window]
     if isinstance(step, actions.SetTimer):
         return ["timer", step.delay]
     if isinstance(step, actions.Reject):
