--- a/petrellane/testbed/run_file.py
+++ b/petrellane/testbed/run_file.py
@@ -148,7 +148,7 @@
     for rule in run.expect.broken:
         if rule not in (*RULES, *EXTRA_RULES):
             raise RunFileError(
-                f"{name}: expect.broken: expected rules of the referee, found {rule}"
+                f"{name}: expect.broken: expected rules of the invariants, found {rule}"
             )
     for index, step in enumerate(run.step):
         _check_step(run.lab, step, f"{name}: step[{index}]")
