--- a/petrellane/config_consensus/coordinator.py
+++ b/petrellane/config_consensus/coordinator.py
@@ -7,16 +7,14 @@
       propose  a generation under the highest number seen + 1, recorded in the journal
       prepare  ask all participants, of the old roster and the new, that were not excluded
       decide   by the votes (`changes`), recorded in the journal before anybody is notified
-      notify   all participants, until each has the outcome (`notifications`); one that comes back
-               late is notified then, and orphaned ballots are aborted
+      notify   all participants until each has the outcome (`notifications`); orphaned ballots end
     deposed    another coordinator has a higher epoch: nothing more is sent
 
 A commit is sent only after every participant that serves has prepared, so from then on none admits
 under the old generation alone; an abort is sent only for a ballot that never will commit.
 
-`next_message` gives the request that a participant is due; `handle_answer`,
-`handle_connection_refused` and `handle_no_answer` take what came of it. The journal's `append`
-raises OSError where a record could not be made durable: the step has not been taken then.
+`next_message` gives the request that a participant is due, the three `handle_` methods take what
+came of it. Where the journal's `append` raises OSError, the step has not been taken.
 `leadership` has the rules of an epoch, `changes` those of votes, `notifications` what is due.
 """
 
--- a/petrellane/decisions/hard_limits.py
+++ b/petrellane/decisions/hard_limits.py
@@ -56,12 +56,7 @@
         return []
 
     def on_reply(
-        self,
-        now: float,
-        add: CounterAdd,
-        move: PendingEscrowMove,
-        outcome: Outcome,
-        total: float,
+        self, now: float, add: CounterAdd, move: PendingEscrowMove, outcome: Outcome, total: float
     ) -> list[Action]:
         """Take what the total proves was in escrow, and no more.
 
@@ -80,7 +75,7 @@
         is_borrowing = add.amount < 0
         if outcome == OK and is_borrowing:
             borrowed = -add.amount
-            taken = min(-add.amount, max(0.0, total - add.amount))
+            taken = min(borrowed, max(0.0, total - add.amount))
             if taken < borrowed:
                 # What was not there goes back, so that the count is not left below zero.
                 actions.append(CounterAdd(add.name, borrowed - taken, lease.window_length))
--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -357,10 +357,7 @@
         return self.handoff.is_offered or (has_successor and not self.is_closing)
 
     def _begin_closing(self, now: float) -> None:
-        """Take no command any more, and end our side at once, as nothing is owed.
-
-        Our end says that what the client sends from now on is not taken.
-        """
+        """Take no command any more; the end of our side tells the client so, as nothing is owed."""
         self.is_closing = True
         self._finish_stream(now)
 
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -1,8 +1,7 @@
 """Non-blocking TCP and Unix sockets with a read buffer and a write queue.
 
 A `Stream` is read by one greenlet, which waits in `fill`, and written by anybody without waiting.
-Listening sockets are made by `open_listener` and emptied by `accept_waiting`. Framing is left to
-the codecs.
+`open_listener` makes listening sockets, `accept_waiting` empties them. Framing is the codecs' job.
 """
 
 import contextlib
@@ -32,8 +31,7 @@
 
     Args:
         address: Where to listen.
-        backlog: Connections that may wait to be accepted; None means that the address is only
-            bound, and whoever connects is refused.
+        backlog: Connections that may wait; None means that the address is bound, and refuses.
 
     Raises:
         OSError: The address cannot be bound.
--- a/tests/integration/gateway/load_steps.py
+++ b/tests/integration/gateway/load_steps.py
@@ -54,7 +54,7 @@
         ]
         self.clients[name].sock.send(b"".join(commands))
 
-    def do_forwarded_at_most(self, name: str, maximum: str) -> None:
+    def do_forwarded_up_to(self, name: str, maximum: str) -> None:
         """Check that at most so many RPCs of `send-many` have reached endpoints."""
         self.fence()
         self.receive("")
