--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -123,7 +123,7 @@
         if self.stream.broken:
             raise self.stream.broken
 
-    def is_client_gone(self) -> bool:
+    def is_client_disconnected(self) -> bool:
         """Return whether the client has left, also where no poll has reported it yet."""
         if not self.stream.broken and self.stream.is_closed_by_peer():
             self.stream.fail_closed_by_peer()
--- a/petrellane/gateway/client_request.py
+++ b/petrellane/gateway/client_request.py
@@ -54,7 +54,7 @@
     def on_answered(self) -> None:
         """Write the answer, as it is there, or more of a long one."""
 
-    def is_client_gone(self) -> bool:
+    def is_client_disconnected(self) -> bool:
         """Return whether the client has left, by its socket."""
 
 
--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -148,7 +148,8 @@
         ):
             return True
         return (
-            bool(self.scheduler.may_have_missed_events()) and pending.request.owner.is_client_gone()
+            bool(self.scheduler.may_have_missed_events())
+            and pending.request.owner.is_client_disconnected()
         )
 
     def cancel(self, attempt: SendAttempt) -> None:
--- a/petrellane/testbed/hollow/group.py
+++ b/petrellane/testbed/hollow/group.py
@@ -133,7 +133,7 @@
         """Count an answer."""
         self.answers += 1
 
-    def is_client_gone(self) -> bool:
+    def is_client_disconnected(self) -> bool:
         """Return False: no client leaves."""
         return False
 
