--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -287,7 +287,7 @@
         if request is None:
             return False
         request.relay = relay
-        relay.on_data = request.owner.on_answered
+        relay.on_data = request.owner.on_reply_ready
         self.counts["long"] += 1
         self.controller.finish(attempt.rpc)
         self.execute(self.controller.on_response_started(self.now(), attempt, is_relayed=True))
--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -255,9 +255,9 @@
 
     def _reply(self, answer: bytes) -> None:
         self.pending_replies.append(Reply(answer))
-        self.on_answered()
+        self.on_reply_ready()
 
-    def on_answered(self) -> None:
+    def on_reply_ready(self) -> None:
         """Write the answers that are next in order."""
         pieces = self._collect_ready_pieces()
         if pieces:
--- a/petrellane/gateway/client_request.py
+++ b/petrellane/gateway/client_request.py
@@ -51,7 +51,7 @@
 class RequestOwner(Protocol):
     """The connection that a request came on."""
 
-    def on_answered(self) -> None:
+    def on_reply_ready(self) -> None:
         """Write the answer, as it is there, or more of a long one."""
 
     def is_client_disconnected(self) -> bool:
@@ -203,4 +203,4 @@
         """Give the RPC its one answer; a second one is dropped."""
         if self.answer is None:
             self.answer = answer
-            self.owner.on_answered()
+            self.owner.on_reply_ready()
--- a/petrellane/testbed/hollow/group.py
+++ b/petrellane/testbed/hollow/group.py
@@ -129,7 +129,7 @@
             self.last_entries = {int(entry.name[1:]): entry for entry in endpoint_list.entries}
         return self.last_entries
 
-    def on_answered(self) -> None:
+    def on_reply_ready(self) -> None:
         """Count an answer."""
         self.answers += 1
 
