--- a/petrellane/gateway/customers.py
+++ b/petrellane/gateway/customers.py
@@ -71,7 +71,7 @@
         other.plan = plan
         return other
 
-    def with_name(self, name: str) -> list[Customer]:
+    def find_by_name(self, name: str) -> list[Customer]:
         """Return every customer that is known by a name."""
         usual = self.by_name.get(name)
         customers = [] if usual is None else [usual]
--- a/petrellane/gateway/hot_restart.py
+++ b/petrellane/gateway/hot_restart.py
@@ -83,7 +83,7 @@
     def on_predecessor_requests_ended(self, name: str, number: int) -> None:
         """Note that so many requests of a customer, still open at the predecessor, have ended."""
         controller = self.executor.controller
-        for customer in self.executor.customers.with_name(name):
+        for customer in self.executor.customers.find_by_name(name):
             now = self.scheduler.now()
             number -= hot_restart.release_in_flight(controller, now, customer, number)
 
