--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -190,7 +190,7 @@
                 taken += 1
         finally:
             del buffer[:position]
-            if self in listener.buffer_budget.bodies:
+            if self in listener.buffer_budget.reservations:
                 size = len(buffer)
                 listener.buffer_budget.reserve(self, size if size > limits.max_value_size else 0)
         if taken:
@@ -293,7 +293,7 @@
     def _release_budget(self, reply: Reply) -> None:
         """Free the memory that a long command had, once its reply is taken."""
         budget = self.listener.buffer_budget
-        if budget.bodies:
+        if budget.reservations:
             budget.reserve(reply, 0)
 
     def _after_write(self) -> None:
--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -31,7 +31,7 @@
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.relays: set[ResponseRelay] = set()
-        self.bodies: dict[object, int] = {}
+        self.reservations: dict[object, int] = {}
         self.reserved = 0
 
     def window(self) -> int:
@@ -41,18 +41,21 @@
 
     def reserve(self, owner: object, size: int) -> None:
         """Set the bytes of a body that are kept for an owner; 0 ends its reservation."""
-        self.reserved += size - self.bodies.get(owner, 0)
+        self.reserved += size - self.reservations.get(owner, 0)
         if size:
-            self.bodies[owner] = size  # in its old place: the first one stays the first
+            self.reservations[owner] = size  # in its old place: the first one stays the first
         else:
-            self.bodies.pop(owner, None)
+            self.reservations.pop(owner, None)
 
     def has_room(self, owner: object) -> bool:
         """Return whether more of an owner's body may be read.
 
         It may while there is room, and always for the owner that came first, so that one completes.
         """
-        return self.reserved < self.limits.buffer_budget or next(iter(self.bodies), owner) is owner
+        return (
+            self.reserved < self.limits.buffer_budget
+            or next(iter(self.reservations), owner) is owner
+        )
 
 
 class RelayState(enum.Enum):
--- a/tests/unit/operation/test_buffer_budget.py
+++ b/tests/unit/operation/test_buffer_budget.py
@@ -28,4 +28,4 @@
     assert budget.has_room("third")
     assert budget.reserved == 600
     budget.reserve("second", 0)
-    assert (budget.reserved, budget.bodies) == (0, {})
+    assert (budget.reserved, budget.reservations) == (0, {})
