--- a/petrellane/gateway/__init__.py
+++ b/petrellane/gateway/__init__.py
@@ -1,5 +1,5 @@
-"""The gateway on real sockets: clients, endpoints, counter and discovery around the decisions.
+"""The gateway process: socket I/O with clients, endpoints, the counter and discovery.
 
-Embed it with `GatewayProcess(config).run()`, or give the process a scheduler of your own;
-`petrellane.cli` is one user of it.
+To embed a gateway, call `GatewayProcess(config).run()`; the constructor also accepts a scheduler.
+`petrellane.cli` is one user of this package.
 """
--- a/petrellane/gateway/customers.py
+++ b/petrellane/gateway/customers.py
@@ -1,9 +1,9 @@
-"""Which customer an RPC is of: one object per customer, plan and set of gateways.
+"""The customers of RPCs: one object for each customer name, plan and set of gateways.
 
-What an RPC says of its customer is that RPC's word alone. Two RPCs that say different things of
-the same customer (its plan has just changed, or one of them is mistaken or lies) have a lease each:
-what one is judged by never changes what an earlier or a later one is. The shared counter goes by
-the customer's name, so that what both take of a window is added up.
+What an RPC states about its customer applies to that RPC only. Two RPCs that state different plans
+or sets of gateways for one customer use separate leases, so that neither changes the limits of the
+other. Such a difference means that the plan has just changed, or that a client is mistaken or lies.
+The shared counter counts by customer name, so that the use of both leases adds up in a window.
 """
 
 from __future__ import annotations
@@ -15,7 +15,14 @@
 
 
 class CustomerKey(NamedTuple):
-    """All that an RPC says of its customer."""
+    """The properties that an RPC states about its customer.
+
+    Attributes:
+        name: The customer name.
+        plan: The name of the plan.
+        first_gateway: The number of the first gateway that receives the customer's RPCs.
+        gateway_count: The number of gateways that receive them, from the first one on.
+    """
 
     name: str
     plan: str
@@ -24,56 +31,56 @@
 
 
 class Customers:
-    """Customers as RPCs name them.
+    """The table of the customers that RPCs name.
 
-    Owned by the action executor. Holds weak references alone: a customer that no lease and no open
-    RPC refers to is forgotten, which bounds the tables.
+    Owned by the action executor. It holds weak references only: a customer that no lease and no
+    open RPC refers to disappears, which bounds the size of the table.
     """
 
     def __init__(self) -> None:
         self.by_name: WeakValueDictionary[str, Customer] = WeakValueDictionary()
-        # Those that are known under other words as well, by all that was said of them.
+        # Further objects for names in `by_name`, with another plan or set of gateways.
         self.by_key: WeakValueDictionary[CustomerKey, Customer] = WeakValueDictionary()
 
     def get_or_create(
         self, name: str, plan: Plan, first_gateway: int, gateway_count: int, now: float
     ) -> Customer:
-        """Return the customer that an RPC is of.
+        """Return the customer of an RPC, and create it if it does not exist.
 
-        A customer that is known under other words as well begins with no share of a hard limit: it
-        may just have had that of the other plan.
+        A new object for a name that is in use starts with none of its share of a hard limit,
+        because the customer may have just used up the share under the other plan.
 
         Args:
-            name: The customer's name.
-            plan: Its plan, as the settings say now.
-            first_gateway: The first gateway that its RPCs come to.
-            gateway_count: How many gateways they come to.
-            now: The time, in seconds.
+            name: The customer name.
+            plan: The customer's plan, from the current settings.
+            first_gateway: The number of the first gateway that receives the customer's RPCs.
+            gateway_count: The number of gateways that receive them, from the first one on.
+            now: The current time, in Unix seconds.
         """
-        usual = self.by_name.get(name)
+        primary = self.by_name.get(name)
         if (
-            usual is not None
-            and usual.plan.name == plan.name
-            and usual.first_gateway == first_gateway
-            and usual.gateway_count == gateway_count
+            primary is not None
+            and primary.plan.name == plan.name
+            and primary.first_gateway == first_gateway
+            and primary.gateway_count == gateway_count
         ):
-            usual.plan = plan  # as the settings say now
-            return usual
+            primary.plan = plan  # a reload may have replaced the plan of this name
+            return primary
         key = CustomerKey(name, plan.name, first_gateway, gateway_count)
-        other = self.by_key.get(key)
-        if other is None:
-            known_since = LONG_AGO if usual is None else now
-            other = Customer(name, plan, first_gateway, gateway_count, known_since)
-            if usual is None:
-                self.by_name[name] = other
+        variant = self.by_key.get(key)
+        if variant is None:
+            known_since = LONG_AGO if primary is None else now
+            variant = Customer(name, plan, first_gateway, gateway_count, known_since)
+            if primary is None:
+                self.by_name[name] = variant
             else:
-                self.by_key[key] = other
-        other.plan = plan
-        return other
+                self.by_key[key] = variant
+        variant.plan = plan
+        return variant
 
     def find_by_name(self, name: str) -> list[Customer]:
-        """Return every customer that is known by a name."""
-        usual = self.by_name.get(name)
-        customers = [] if usual is None else [usual]
-        customers.extend(other for key, other in self.by_key.items() if key.name == name)
+        """Return all customer objects with a name, whatever their plans and sets of gateways."""
+        primary = self.by_name.get(name)
+        customers = [] if primary is None else [primary]
+        customers.extend(variant for key, variant in self.by_key.items() if key.name == name)
         return customers
--- a/petrellane/gateway/idle_eviction.py
+++ b/petrellane/gateway/idle_eviction.py
@@ -1,4 +1,7 @@
-"""Which client's connection is closed to make room for a new one: rules free of I/O."""
+"""Rules that select the client connection to close when a new one needs a descriptor.
+
+The rules perform no I/O.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,14 @@
 
 
 class IdleClient(Protocol):
-    """What the rules look at of a client's connection. Times are in seconds of one clock."""
+    """The properties of a client connection that the rules use.
+
+    Attributes:
+        connected_at: The time at which the gateway accepted the connection, in Unix seconds.
+        has_sent_rpc: Whether the client has sent an RPC.
+        idle_since: The time of the last reply, or `connected_at` before the first one, in Unix
+            seconds.
+    """
 
     connected_at: float
     has_sent_rpc: bool
@@ -23,13 +33,15 @@
 
 
 class ClientTables(NamedTuple, Generic[Client]):
-    """The connected clients: all of them, and those in a state of interest.
+    """The connected clients, grouped by what they have sent.
 
     Attributes:
         clients: All clients, in the order of their last commands.
-        silent: Clients that have sent no command, in the order in which they came.
-        single_command: Clients that have sent one, in the order in which they did.
-        partial_commands: Clients in the middle of a command, and since when.
+        silent: Clients that have sent no command, in the order of their connections.
+        single_command: Clients that have sent one command, or several in one read, in the order of
+            those commands.
+        partial_commands: Clients that have sent part of a command, with the time at which the
+            gateway noticed it, in Unix seconds.
     """
 
     clients: Collection[Client]
@@ -41,32 +53,38 @@
 def eviction_candidates(
     now: float, limits: Limits, tables: ClientTables[Client]
 ) -> Iterator[Client]:
-    """Yield the clients that may be evicted, the first choice first.
+    """Yield the clients that may be evicted, in the order of preference.
+
+    The caller evicts the first candidate that has no reply pending. The order is:
+
+    1. Clients that have sent no command since they connected `new_client_grace` ago or earlier.
+    2. Clients that have sent one command.
+    3. Clients whose command has been incomplete for `command_timeout_on_shortage`.
+    4. Clients that have sent commands but no RPC.
+    5. Other clients, the least recently used first.
 
-    The caller evicts the first that is owed nothing. The order is: those that have sent nothing for
-    a while, those that sent one command, those in the middle of a command for too long, those that
-    come back without an RPC, and the others, the longest idle first. A client that has only just
-    come and one whose RPC was answered just now stay: the newcomer is rejected instead.
+    A client that has only just connected, or whose RPC was answered in the last
+    `eviction_idle_time` seconds, is no candidate: the caller rejects the new connection instead.
 
     Args:
-        now: The time.
-        limits: The times that each kind of client is given.
-        tables: The clients.
+        now: The current time, in Unix seconds.
+        limits: The limits with the times named above, in seconds.
+        tables: The connected clients.
     """
     clients, silent, single_command, partial_commands = tables
-    settled = now - limits.new_client_grace
-    stalled = now - limits.command_timeout_on_shortage
-    rested = now - limits.eviction_idle_time
-    yield from itertools.takewhile(lambda client: client.connected_at <= settled, silent)
+    new_client_cutoff = now - limits.new_client_grace
+    command_cutoff = now - limits.command_timeout_on_shortage
+    idle_cutoff = now - limits.eviction_idle_time
+    yield from itertools.takewhile(lambda client: client.connected_at <= new_client_cutoff, silent)
     for client in single_command:
-        if not client.has_sent_rpc or client.idle_since <= rested:
+        if not client.has_sent_rpc or client.idle_since <= idle_cutoff:
             yield client
     for client, since in partial_commands.items():
-        if since <= stalled:
+        if since <= command_cutoff:
             yield client
     for client in clients:
         if client not in silent and not client.has_sent_rpc:
             yield client
     for client in clients:
-        if client not in silent and client.has_sent_rpc and client.idle_since <= rested:
+        if client not in silent and client.has_sent_rpc and client.idle_since <= idle_cutoff:
             yield client
--- a/petrellane/gateway/replies.py
+++ b/petrellane/gateway/replies.py
@@ -1,52 +1,56 @@
-"""All replies that a gateway gives to its clients, as bytes of RESP.
+"""The RESP encodings of all replies that the gateway sends to clients.
 
-Which RPC gets which reply is decided elsewhere.
+Other modules decide which reply an RPC gets.
 """
 
 OK = b"+OK\r\n"
 PONG = b"+PONG\r\n"
 DRAINING = b"-ERR draining\r\n"
-"""To a client that pings: it had better go to another gateway."""
+"""The reply to PING while the gateway drains: the client should use another gateway."""
 
 BUSY = b"-BUSY\r\n"
-"""The RPC was rejected before it had an effect: it may be sent again, to any gateway."""
+"""The gateway rejected the RPC before it had an effect: the client may retry it anywhere."""
 
 ABORTED = b"-ERR aborted\r\n"
-"""The RPC failed, and may have had its effect."""
+"""The RPC failed and may have taken effect."""
 
 FAULT = b"-ERR fault\r\n"
-"""The gateway itself failed."""
+"""The gateway failed with an internal error while it handled the RPC."""
 
 VALUE_END = b"\r\n"
-"""What follows a value, also one that is relayed as it comes."""
+"""The terminator of a value, including one that the gateway relays while it arrives."""
 
 PING = b"PING"
 _REPLIES_TO_COMMANDS = {PING: PONG, b"CLIENT": OK, b"SELECT": OK}
-_ROUND_UP = 0.999  # added before milliseconds are cut to an integer: a client waits no shorter
+_ROUND_UP = 0.999  # rounds up to whole milliseconds, so that a client does not retry too early
 
 
 def error(text: str) -> bytes:
-    """Return the reply that tells a client of a fault of its own."""
+    """Return the error reply to a malformed, unknown or invalid command."""
     return b"-ERR %b\r\n" % text.encode("ascii", "replace")
 
 
 def busy(retry_after_s: float) -> bytes:
-    """Return the reply to a rejected RPC, with the time after which to come back, if any."""
+    """Return the reply to a rejected RPC.
+
+    Args:
+        retry_after_s: The seconds after which the client may retry; 0 if it may retry immediately.
+    """
     retry_after_ms = int(retry_after_s * 1e3 + _ROUND_UP)
     return b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms else BUSY
 
 
 def value_head(length: int) -> bytes:
-    """Return what goes before a value of so many bytes; `VALUE_END` goes behind it."""
+    """Return the header of a value of `length` bytes; `VALUE_END` follows the value."""
     return b"$%d\r\n" % length
 
 
 def reply_to_command(verb: bytes, *, passes_health_check: bool) -> bytes:
-    """Return the reply to a command that is no RPC.
+    """Return the reply to a command that is not an RPC.
 
     Args:
-        verb: The command's name in upper case.
-        passes_health_check: Whether a client that pings is invited to stay.
+        verb: The name of the command, in upper case.
+        passes_health_check: Whether PING succeeds, so that the client keeps using this gateway.
     """
     if verb == PING and not passes_health_check:
         return DRAINING
--- a/petrellane/gateway/runtime.py
+++ b/petrellane/gateway/runtime.py
@@ -1,4 +1,4 @@
-"""What every service of the daemon is given: its scheduler, its limits and its log."""
+"""The dependencies that every service of the gateway process receives."""
 
 from __future__ import annotations
 
@@ -14,10 +14,15 @@
 
 
 class Runtime(NamedTuple):
-    """The scheduler that runs a service, the limits that it starts with, and the log.
+    """The scheduler, the limits at start-up and the log of a gateway process.
 
-    Owned by `GatewayProcess` for as long as the process lives. A reload gives every service new
-    limits by its `limits` attribute; the ones here are those of the start.
+    Owned by `GatewayProcess` for the life of the process. A reload replaces the `limits` attribute
+    of each service, not the one here.
+
+    Attributes:
+        scheduler: The scheduler that runs all services.
+        limits: The limits at start-up.
+        log: The log of the process.
     """
 
     scheduler: Scheduler
