--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -1,14 +1,13 @@
-"""Reports what happens on the sockets to the admission controller and executes its actions.
+"""Reports socket events to the admission controller and executes the actions that it returns.
 
-This is the one place where the network and the decisions meet. It keeps the open requests, the
-known endpoints and the counts of the log's figures. It decides nothing: each event becomes one call
-of `AdmissionController`, and each action that the call returns goes to the service that carries it
-out.
+This module is the only connection between network I/O and decisions. It tracks the open requests,
+the known endpoints and the counts that the log reports. It decides nothing: each event becomes one
+call of `AdmissionController`, and each returned action goes to the service that executes it.
 
-It promises that no request gets a second answer. A fault of the controller while it admits an RPC,
-takes the end of an attempt or expires an RPC is logged, and the RPC is answered with an error.
-Other events (timers, replies of the counter, endpoint lists, a client's leaving) have no such
-guard: the scheduler logs their faults, and the RPC that such an event was about may stay open.
+No request gets a second reply. If the controller raises an exception while it admits an RPC,
+handles the end of an attempt or expires an RPC, the executor logs the exception and replies to the
+RPC with an error. Other events (timers, counter replies, endpoint lists, client disconnects) have
+no such guard: the scheduler logs the exception, and the RPC concerned may stay open.
 """
 
 from __future__ import annotations
@@ -66,23 +65,23 @@
     from petrellane.net.limits import Limits
     from petrellane.operation.hot_restart_transport import HotRestartTransport
 
-MINIMUM_DURATION_S = 1e-6  # of an attempt: the clock may not have moved since it was sent
+MINIMUM_DURATION_S = 1e-6  # of an attempt: the clock may not have advanced since it was sent
 
 
 class AdmissionGate(Protocol):
-    """Says whether RPCs may be admitted under the settings that are in force here."""
+    """Decides whether the gateway may admit RPCs under its current settings."""
 
     def may_admit(self) -> bool:
-        """Return False while other gateways may have left these settings behind."""
+        """Return False while other gateways may already use newer settings."""
 
 
 class ActionExecutor(ActionDispatcher):
-    """Turns events of the sockets into calls of the controller, and its actions into I/O.
+    """Turns socket events into calls of the controller, and the controller's actions into I/O.
 
-    Owned by `GatewayProcess`, for the life of the process. `endpoint_pools`, `counter_client`,
-    `hot_restart_transport` and `admission_gate` are set by it before the first event; each of the
-    last three stays None where the configuration has no such part. Owns the open requests, the
-    table of known endpoints and the controller; opens no socket.
+    Owned by `GatewayProcess` for the life of the process. `GatewayProcess` sets `endpoint_pools`,
+    `counter_client`, `hot_restart_transport` and `admission_gate` before the first event; each of
+    the last three stays None if the configuration does not include that service. The executor owns
+    the open requests, the table of known endpoints and the controller; it opens no sockets.
     """
 
     def __init__(self, config: Config, runtime: Runtime) -> None:
@@ -104,24 +103,25 @@
         self.applying_endpoint_list = False
         self.requests: dict[Rpc, ClientRequest] = {}
         self.requests_by_id: dict[bytes, ClientRequest] = {}
-        # Figures since the last line of the log; attempts by endpoint where the settings ask.
+        # Counts since the last log line with figures; those by endpoint only if configured.
         self.counts: Counter[str] = Counter()
         self.attempts_by_address: Counter[str] | None = (
             Counter() if config.figures_by_endpoint else None
         )
-        self.final_deadline = math.inf  # when all open requests have ended, once we are ending
+        # The Unix time at which a process that shuts down expires all open requests.
+        self.final_deadline = math.inf
         self.endpoint_pools: EndpointPools
         self.counter_client: CounterClient | None = None
         self.hot_restart_transport: HotRestartTransport | None = None
         self.admission_gate: AdmissionGate | None = None
 
     def start(self, known: EndpointListUpdate) -> None:
-        """Start the controller with the endpoints that the configuration knows."""
+        """Start the controller with the endpoints in the configuration."""
         self.execute(self.controller.start(self.now()))
-        self.on_endpoint_list(replace(known, full=True))  # no request can wait yet: at once
+        self.on_endpoint_list(replace(known, full=True))  # no requests yet: no need to yield
 
     def reconfigure(self, settings: Settings, limits: Limits) -> None:
-        """Apply other settings from now on; open requests keep the method that they came under."""
+        """Apply new settings and limits; open requests keep the method that they started with."""
         self.settings = settings
         self.limits = limits
         self.controller.reconfigure(**settings.controller_options)
@@ -133,14 +133,18 @@
         endpoint_list: EndpointListUpdate,
         yield_turn: Callable[[], object] | None = None,
     ) -> None:
-        """Apply an endpoint list or changes to it, in chunks.
+        """Apply a complete endpoint list, or changes to the last one, in chunks.
 
-        First come the rows that the list names, then, for a complete list, the end of the endpoints
-        that it leaves out. No other list may be given while `applying_endpoint_list` is set.
-        `yield_turn` is called between chunks, so that other work has its turn; without it all is
-        applied at once.
+        The executor first applies the rows of the list. Then, if the list is complete, it removes
+        the endpoints that the list omits. The caller must not pass another list while
+        `applying_endpoint_list` is set.
+
+        Args:
+            endpoint_list: The list or the changes.
+            yield_turn: Called between chunks to let other greenlets run; None applies all chunks
+                without a pause.
         """
-        has_news = bool(endpoint_list.entries or (endpoint_list.full and self.endpoints))
+        has_changes = bool(endpoint_list.entries or (endpoint_list.full and self.endpoints))
         self.applying_endpoint_list = True
         chunk: list[EndpointUpdate] = []
         try:
@@ -153,7 +157,7 @@
             self._apply_endpoint_updates(chunk)
         finally:
             self.applying_endpoint_list = False
-        if has_news:
+        if has_changes:
             self.log.event(
                 "hosts",
                 index=endpoint_list.index,
@@ -164,11 +168,11 @@
             )
 
     def on_watch_failed(self) -> None:
-        """Report that a request for the endpoint list failed."""
+        """Report a failed request for the endpoint list to the controller."""
         self.execute(self.controller.on_watch_failed(self.now()))
 
     def _apply_endpoint_updates(self, updates: list[EndpointUpdate]) -> None:
-        """Report some updates to the controller, then what became of the endpoints to the pools."""
+        """Report updates to the controller, then the resulting endpoint states to the pools."""
         if not updates:
             return
         events = [update.event for update in updates]
@@ -187,13 +191,13 @@
     # Requests.
 
     def on_request(self, request: ClientRequest) -> None:
-        """Take a client's request in.
+        """Accept a client's request.
 
         Raises:
-            InvalidFieldError: The request makes no sense under the settings in force.
+            InvalidFieldError: The request is invalid under the current settings.
         """
         now = self.now()
-        # Asked before the request is looked at under settings that other gateways may have left.
+        # The gate comes first: the settings that validate the request may be out of date.
         if self.admission_gate and not self.admission_gate.may_admit():
             self.counts["pushed generation"] += 1
             request.finish(replies.BUSY)
@@ -201,7 +205,7 @@
         method, plan = self._method_and_plan(request)
         units = request.units(self.settings.max_units)
         customer = self._customer(request, plan, now)
-        # Its timeout may have begun while this process stood still.
+        # The request may have arrived while this process was stalled.
         arrived_at = self.scheduler.earliest_arrival()
         timeout = min(request.timeout, method.deadline)
         rpc = Rpc(
@@ -220,9 +224,9 @@
         self._notify_controller(rpc, self.controller.admit, now, rpc)
 
     def _method_and_plan(self, request: ClientRequest) -> tuple[Method, Plan]:
-        """Return what the settings say of a request, once its fields have been checked."""
-        method = self.settings.methods.get(request.text(METHOD_FIELD))
-        plan = self.settings.plans.get(request.text(PLAN_FIELD))
+        """Validate the fields of a request; return its method and plan from the settings."""
+        method = self.settings.methods.get(request.require_field(METHOD_FIELD))
+        plan = self.settings.plans.get(request.require_field(PLAN_FIELD))
         if method is None:
             raise InvalidFieldError(f"{METHOD_FIELD}: no such method")
         if plan is None:
@@ -236,28 +240,28 @@
         return method, plan
 
     def _customer(self, request: ClientRequest, plan: Plan, now: float) -> Customer:
-        """Return the customer that a request is of."""
+        """Return the customer of a request."""
         gateways = self.settings.gateway_count
-        first_gateway = request.integer(FIRST_GATEWAY_FIELD, 0, 0, gateways - 1)
-        gateway_count = request.integer(GATEWAY_COUNT_FIELD, 1, 1, gateways)
+        first_gateway = request.integer_field(FIRST_GATEWAY_FIELD, 0, 0, gateways - 1)
+        gateway_count = request.integer_field(GATEWAY_COUNT_FIELD, 1, 1, gateways)
         name = request.customer.decode()
         return self.customers.get_or_create(name, plan, first_gateway, gateway_count, now)
 
     def _notify_controller(
-        self, rpc: Rpc, call: Callable[..., Iterable[Action]], *args: object, **named: object
+        self, rpc: Rpc, call: Callable[..., Iterable[Action]], *args: object, **kwargs: object
     ) -> None:
-        """Make a call of the controller about an RPC and execute its actions.
+        """Call the controller about an RPC and execute the actions that it returns.
 
-        A fault in the controller is logged, and the RPC is answered all the same.
+        If the controller raises an exception, log it and reply to the RPC with an error.
         """
         try:
-            self.execute(call(*args, **named))
-        except Exception as error:  # whatever the fault is, the client is owed an answer
+            self.execute(call(*args, **kwargs))
+        except Exception as error:  # the client must get a reply after any failure
             self.log.fault(error)
             self._finish(rpc, replies.FAULT)
 
     def on_client_disconnected(self, request: ClientRequest) -> None:
-        """End a request whose client has gone away before its answer."""
+        """Cancel a request whose client disconnected before the reply."""
         rpc = request.rpc
         if rpc is None or rpc not in self.requests:
             return
@@ -267,20 +271,25 @@
         self.endpoint_pools.on_client_disconnected(rpc.attempts, self.controller.may_cancel)
 
     def expire_open_requests(self) -> None:
-        """Let the time of all open requests end now, as the process may be killed soon."""
+        """Expire all open requests now, because the platform may kill the process soon."""
         for rpc in list(self.requests):
             rpc.deadline = min(rpc.deadline, self.now())
             self.endpoint_pools.expire(rpc.attempts)
-            if rpc in self.requests:  # it waits without an attempt
+            if rpc in self.requests:  # it had no attempt in flight
                 self._notify_controller(rpc, self.controller.on_timer, self.now(), rpc)
 
     def on_response_started(
         self, pending: PendingAttempt, relay: ResponseRelay, length: int
     ) -> bool:
-        """Begin to pass on a long response as it comes; return False where nobody waits for it.
+        """Start to relay a long response; return False if no client waits for it.
+
+        The controller counts the RPC as answered now, because the time that a client takes to read
+        says nothing about the endpoint.
 
-        For the controller the RPC is answered now: how soon a client reads says nothing about an
-        endpoint.
+        Args:
+            pending: The attempt that the endpoint answers.
+            relay: The relay that receives the response.
+            length: The size of the response, in bytes.
         """
         attempt = pending.attempt
         request = self.requests.get(attempt.rpc)
@@ -297,10 +306,13 @@
     def on_attempt_ended(
         self, pending: PendingAttempt, outcome: Outcome, value: bytes, report: bytes
     ) -> None:
-        """Report an attempt's outcome; the first that is ok answers the client by itself.
+        """Report an attempt's outcome; the first successful attempt answers the client.
 
-        `value` is the response, where the outcome is ok and it was not relayed; `report` is the
-        endpoint's load report, `name=number` pairs with commas between.
+        Args:
+            pending: The attempt.
+            outcome: The outcome, which the socket proves.
+            value: The response, if the outcome is OK and the response was not relayed.
+            report: The endpoint's load report, comma-separated `name=number` pairs.
         """
         attempt = pending.attempt
         now = self.now()
@@ -324,12 +336,12 @@
         )
 
     def on_counter_reply(self, add: CounterAdd, outcome: Outcome, total: float) -> None:
-        """Report what became of an addition to the shared counter."""
+        """Report the outcome of an addition to the shared counter."""
         self.counts["add " + outcome] += 1
         self.execute(self.controller.on_counter_reply(self.now(), add, outcome, total))
 
     def _finish(self, rpc: Rpc, *answer: bytes) -> None:
-        """Give an RPC its answer, unless it has one or its client has gone."""
+        """Reply to an RPC, unless it already has a reply or its client has disconnected."""
         request = self.requests.pop(rpc, None)
         if request:
             del self.requests_by_id[request.id]
@@ -360,7 +372,7 @@
 
     def _add_to_counter(self, action: CounterAdd) -> None:
         if self.counter_client is None:
-            raise RuntimeError("an addition without a counter in the configuration")
+            raise RuntimeError("cannot add to the counter: the configuration names no counter")
         self.counter_client.send(action)
 
     def _set_timer(self, action: SetTimer) -> None:
@@ -373,4 +385,4 @@
         self.log.event(action.event, text=action.text)
 
     def _watch_endpoints(self, action: WatchEndpoints) -> None:
-        """Do nothing: the watch is on from the start and restarts by itself."""
+        """Do nothing: the watch runs from start-up and restarts itself after a failure."""
--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -1,9 +1,9 @@
-"""One client's connection: reads commands and writes the answers in the order of the commands.
+"""One client connection: reads commands and writes the replies in the order of the commands.
 
-A greenlet per connection reads (`ClientConnection.run`); answers are written by whoever has them.
-Promises: each command has one answer, in its place; a connection is never closed with an answer
-owed, except where its client is at fault, has gone or takes nothing. Which connections have to go
-is for `client_listener`, what a request means is for `action_executor`.
+One greenlet per connection reads (`ClientConnection.run`); the greenlet that completes a reply
+writes it. Each command gets one reply, in order. A connection with pending replies stays open
+unless the client sends malformed data, disconnects or stops reading, or a long response breaks off.
+`client_listener` selects the connections to close; `action_executor` interprets the requests.
 """
 
 from __future__ import annotations
@@ -37,27 +37,28 @@
 class ClientConnection:
     """One connection of a client.
 
-    Made and listed by its `ClientListener`, from accept (or hot restart) to close. Owns its stream
-    with the socket, the replies that are not written yet, and its share of the buffer budget.
+    Created by its `ClientListener`, which lists it from accept (or hot restart) to close. Owns its
+    stream with the socket, the replies that are not written yet, and its reservations in the buffer
+    budget.
     """
 
     def __init__(self, listener: ClientListener, stream: Stream) -> None:
         self.listener = listener
         self.stream = stream
-        stream.on_connection_lost = self._on_client_left
-        self.pending_replies: deque[Reply] = deque()  # in the order of their commands
+        stream.on_connection_lost = self._on_connection_lost
+        self.pending_replies: deque[Reply] = deque()  # in the order of the commands
         self.connected_at: float = listener.scheduler.now()
         self.idle_since: float = self.connected_at
         self.has_sent_rpc = False
-        # Once closing, no command is read, and the connection ends when all is written.
+        # When set, the connection reads no more commands and closes after the last reply.
         self.is_closing = False
-        self.finished_at = 0.0
-        # The time by which a command that has begun must be complete; None between commands.
+        self.half_closed_at = 0.0
+        # The Unix time by which a partly received command must be complete; None between commands.
         self.command_deadline: float | None = None
         self.handoff = ConnectionHandoff(self)
 
     def run(self) -> None:
-        """Serve until the client goes away, or is idle or in the middle of a command for long."""
+        """Serve the client until it disconnects, sends malformed data or times out."""
         try:
             self._serve()
         except resp.Malformed as error:
@@ -73,7 +74,7 @@
         scheduler = self.listener.scheduler
         while True:
             while not self.is_closing and not self.handoff.is_due() and self._read_commands():
-                scheduler.wait(0)  # others have their turn
+                scheduler.wait(0)  # let other greenlets run
             self.raise_if_broken()
             self.close_if_done()
             if self.is_closing:
@@ -87,7 +88,7 @@
     def _wait_for_input(self) -> None:
         try:
             self.stream.fill(self._idle_timeout())
-            self._reserve_body()
+            self._wait_for_buffer_budget()
         except TimeoutError:
             if self.handoff.is_due():
                 return
@@ -97,16 +98,16 @@
                 self.is_closing = True
 
     def _clean_up(self) -> None:
-        if self.handoff.is_passed_on:
+        if self.handoff.is_handed_off:
             self.stream.release()
         else:
             self.stream.close()
-        self.listener.forget(self)
+        self.listener.remove(self)
         budget = self.listener.buffer_budget
         budget.reserve(self, 0)
         for reply in self.pending_replies:
             budget.reserve(reply, 0)
-            if reply.answer is None:
+            if reply.buffers is None:
                 self._disconnect(reply)
             elif reply.relay:
                 reply.relay.drop()
@@ -116,29 +117,29 @@
         if isinstance(reply, ClientRequest):
             self.listener.on_client_disconnected(reply)
 
-    # The client's leaving.
+    # Client disconnects.
 
     def raise_if_broken(self) -> None:
-        """Raise Closed where the client has left meanwhile."""
+        """Raise Closed if the connection has ended in the meantime."""
         if self.stream.broken:
             raise self.stream.broken
 
     def is_client_disconnected(self) -> bool:
-        """Return whether the client has left, also where no poll has reported it yet."""
+        """Return whether the client has disconnected, even if no poll has reported it yet."""
         if not self.stream.broken and self.stream.is_closed_by_peer():
             self.stream.fail_closed_by_peer()
         return bool(self.stream.broken)
 
-    def _on_client_left(self) -> None:
-        """End open requests at once, as nobody reads: this greenlet waits for something else."""
+    def _on_connection_lost(self) -> None:
+        """Cancel pending requests; the stream calls this if it breaks while no greenlet reads."""
         for reply in self.pending_replies:
-            if reply.answer is None:
+            if reply.buffers is None:
                 self._disconnect(reply)
 
     # Reading.
 
     def _idle_timeout(self) -> float:
-        """Return how long to wait for what comes next, in seconds."""
+        """Return how long to wait for input, in seconds; set or clear the command deadline."""
         listener = self.listener
         limits = listener.limits
         now: float = listener.scheduler.now()
@@ -152,53 +153,56 @@
             return timeout
         return max(limits.client_poll_interval, self.idle_since + timeout - now)
 
-    def _reserve_body(self) -> None:
-        """Wait for room for a long command, which may take its time as long as it comes on."""
+    def _wait_for_buffer_budget(self) -> None:
+        """Reserve memory for a long command, and wait until the buffer budget has room for it.
+
+        A long command has no deadline while its bytes keep arriving.
+        """
         listener = self.listener
         size = len(self.stream.buffer)
         if size <= listener.limits.max_value_size:
             return
         self.command_deadline = None
         listener.buffer_budget.reserve(self, size)
-        until = listener.scheduler.now() + listener.limits.stall_timeout
+        deadline = listener.scheduler.now() + listener.limits.stall_timeout
         while not listener.buffer_budget.has_room(self):
-            if listener.scheduler.now() > until:
+            if listener.scheduler.now() > deadline:
                 raise resp.Malformed("no room for a command of this length")
             listener.scheduler.wait(listener.limits.client_poll_interval)
             self.raise_if_broken()
 
     def _read_commands(self) -> bool:
-        """Take complete commands, a turn's share at most; return whether there may be more."""
+        """Handle complete commands, up to `commands_per_turn`; return whether more may follow."""
         listener = self.listener
         buffer = self.stream.buffer
         limits = listener.limits
         position = 0
-        taken = 0
+        command_count = 0
         self.raise_if_broken()
-        # Its bytes have waited to be accepted, or for a process that stood still.
+        # The input has waited in the accept queue, or while the process was stalled.
         has_waited = self in listener.silent or listener.scheduler.has_stalled()
         if buffer and has_waited and self.stream.is_closed_by_peer():
-            raise Closed("left before it was read")
+            raise Closed("the client disconnected before its commands were read")
         try:
-            while taken < limits.commands_per_turn and (
+            while command_count < limits.commands_per_turn and (
                 found := resp.parse_command(buffer, position, limits)
             ):
                 spans, end = found
                 self.command_deadline = None
-                self._take_command(Command(position, spans, end))
+                self._handle_command(Command(position, spans, end))
                 position = end
-                taken += 1
+                command_count += 1
         finally:
             del buffer[:position]
             if self in listener.buffer_budget.reservations:
                 size = len(buffer)
                 listener.buffer_budget.reserve(self, size if size > limits.max_value_size else 0)
-        if taken:
+        if command_count:
             listener.on_command(self)
-        return taken == limits.commands_per_turn
+        return command_count == limits.commands_per_turn
 
-    def _take_command(self, command: Command) -> None:
-        """Answer one complete command in the buffer, or take its request in."""
+    def _handle_command(self, command: Command) -> None:
+        """Reply to a complete command in the buffer, or handle it as a request."""
         listener = self.listener
         lifecycle = listener.lifecycle
         verb = bytes(self.stream.buffer[slice(*command.spans[0])]).upper()
@@ -211,11 +215,11 @@
             listener.scheduler.now(), self.connected_at, bool(self.pending_replies)
         ):
             self.has_sent_rpc = True
-            self._take_request(verb, command)
+            self._handle_request(verb, command)
         else:
             self._reply(replies.BUSY)
 
-    def _take_request(self, verb: bytes, command: Command) -> None:
+    def _handle_request(self, verb: bytes, command: Command) -> None:
         listener = self.listener
         try:
             request = ClientRequest(self.stream.buffer, command, self, is_query=verb == QUERY)
@@ -232,33 +236,34 @@
             request.finish(replies.error(str(error)))
 
     def _discard_input(self) -> None:
-        """Read what follows the end, or a malformed command, for a while, and answer none of it.
+        """Read and discard input for a limited time while the connection closes.
 
-        A close over bytes that are not read would be a reset, which takes our answers with it.
+        Closing a socket with unread input sends a reset, and the client may then lose replies that
+        it has not read yet.
         """
         listener = self.listener
         stream = self.stream
-        until = math.inf
+        deadline = math.inf
         with contextlib.suppress(Closed):
             listener.buffer_budget.reserve(self, 0)
-            while (now := listener.scheduler.now()) < until:
+            while (now := listener.scheduler.now()) < deadline:
                 if not self.pending_replies:
-                    # What a slow client has not taken yet has the time of a long value.
+                    # A slow client may take as long to read its replies as a long value may stall.
                     limits = listener.limits
                     time_left = limits.stall_timeout if stream.unsent else limits.linger_timeout
-                    until = min(until, now + time_left)
+                    deadline = min(deadline, now + time_left)
                 stream.buffer.clear()
                 with contextlib.suppress(TimeoutError):
                     stream.fill(listener.limits.linger_timeout)
 
     # Writing.
 
-    def _reply(self, answer: bytes) -> None:
-        self.pending_replies.append(Reply(answer))
+    def _reply(self, data: bytes) -> None:
+        self.pending_replies.append(Reply(data))
         self.on_reply_ready()
 
     def on_reply_ready(self) -> None:
-        """Write the answers that are next in order."""
+        """Write the replies that are ready and next in the order of the commands."""
         pieces = self._collect_ready_pieces()
         if pieces:
             self.idle_since = self.listener.scheduler.now()
@@ -270,18 +275,18 @@
             self._after_write()
 
     def _collect_ready_pieces(self) -> list[bytes]:
-        """Take the replies that are next in order and known; return what is to be written.
+        """Dequeue the replies that are ready and next in order; return the buffers to write.
 
-        Ends at the first reply that is not known, or a long one of which more is to come.
+        Stops at the first pending reply, or at a long response whose end has not arrived.
         """
         pieces: list[bytes] = []
         while self.pending_replies:
             reply = self.pending_replies[0]
-            if reply.answer is None:
+            if reply.buffers is None:
                 break
-            pieces += reply.answer
+            pieces += reply.buffers
             if reply.relay:
-                reply.answer = ()  # its head is among the pieces
+                reply.buffers = ()  # the head is already in `pieces`
                 pieces += reply.relay.take(self.stream)
                 if reply.relay.state is not RelayState.COMPLETE:
                     break
@@ -291,29 +296,31 @@
         return pieces
 
     def _release_budget(self, reply: Reply) -> None:
-        """Free the memory that a long command had, once its reply is taken."""
+        """Release the memory reserved for a long command, once its reply leaves the queue."""
         budget = self.listener.buffer_budget
         if budget.reservations:
             budget.reserve(reply, 0)
 
     def _after_write(self) -> None:
-        """Hand the connection off or end it, where either waited for what was just written."""
-        if not self.pending_replies and self.handoff.parked:
+        """Continue a handoff or close the connection, if either waited for this write."""
+        if not self.pending_replies and self.handoff.waiting_greenlet:
             self.listener.scheduler.call_soon(self.handoff.wake)
         self.close_if_done()
 
     def _close_after_broken_relay(self, relay: ResponseRelay) -> None:
-        """Close within the time that a long response may go without progress."""
-        until = relay.last_progress + self.listener.limits.stall_timeout
-        self._close_when_sent(until - self.listener.scheduler.now())
+        """Close the connection before the broken response exceeds `stall_timeout`."""
+        deadline = relay.last_progress + self.listener.limits.stall_timeout
+        self._close_when_sent(deadline - self.listener.scheduler.now())
 
     def _close_when_sent(self, timeout: float = 0.0) -> None:
-        """Close as the long response that is next is never complete, which its client can tell.
+        """Close the connection within a long response that cannot be completed.
 
-        What is in front of it is complete and goes out before.
+        The client detects this by the missing bytes. The gateway first sends the replies before
+        that response, which are complete.
 
         Args:
-            timeout: Seconds that this may take; 0 or less is no time, unless it is under way.
+            timeout: The maximum number of seconds for sending them. With 0 or less the connection
+                closes immediately, unless an earlier call is still waiting.
         """
         stream = self.stream
         is_waiting = stream.on_flushed == self._close_when_sent
@@ -323,10 +330,10 @@
             stream.on_flushed = self._close_when_sent
             self.listener.scheduler.call_later(timeout, stream.close)
 
-    # The end.
+    # Closing.
 
     def is_idle(self) -> bool:
-        """Return whether the client is owed nothing and has sent nothing that is not read."""
+        """Return whether no reply is pending, no data is unsent and no input is unread."""
         stream = self.stream
         return (
             not self.handoff.is_offered
@@ -337,59 +344,64 @@
         )
 
     def close_if_done(self) -> None:
-        """End our side of a connection that has to go, once nothing is owed on it.
+        """Shut down the sending side if the connection should close and all replies are sent.
 
-        Its client is read for a while more.
+        The connection then discards input for a limited time before it closes the socket.
         """
         now = self.listener.scheduler.now()
         if self.is_closing and self._has_written_all():
-            self._finish_stream(now)
-        elif not self._goes_to_successor() and self._may_close(now):
+            self._half_close(now)
+        elif not self._belongs_to_successor() and self._should_close(now):
             self._begin_closing(now)
 
     def _has_written_all(self) -> bool:
-        """Return whether all replies are written, and the kernel has taken them."""
+        """Return whether all replies are written and the kernel has accepted them."""
         return not self.pending_replies and not self.stream.unsent
 
-    def _goes_to_successor(self) -> bool:
-        """Return whether the connection is another process's, or will be."""
+    def _belongs_to_successor(self) -> bool:
+        """Return whether the successor has the connection, or will get it."""
         has_successor = self.listener.successor is not None
         return self.handoff.is_offered or (has_successor and not self.is_closing)
 
     def _begin_closing(self, now: float) -> None:
-        """Take no command any more; the end of our side tells the client so, as nothing is owed."""
+        """Accept no more commands, and half-close the connection, which tells the client so."""
         self.is_closing = True
-        self._finish_stream(now)
+        self._half_close(now)
 
-    def _finish_stream(self, now: float) -> None:
-        """End our side of the stream; close it once the client has had time to notice."""
-        self.finished_at = self.finished_at or now
+    def _half_close(self, now: float) -> None:
+        """Shut down the sending side; close the socket after `linger_timeout`."""
+        self.half_closed_at = self.half_closed_at or now
         self.stream.write_eof()
-        if now - self.finished_at > self.listener.limits.linger_timeout:
+        if now - self.half_closed_at > self.listener.limits.linger_timeout:
             self.stream.close()
 
-    def _may_close(self, now: float) -> bool:
-        """Return whether the connection has to go and nothing is owed on it."""
+    def _should_close(self, now: float) -> bool:
+        """Return whether the connection should close now, with no reply pending."""
         lifecycle = self.listener.lifecycle
-        if lifecycle.closes_idle_connections(now) and self._goes_when_idle(now) and self.is_idle():
+        if (
+            lifecycle.closes_idle_connections(now)
+            and self._closes_when_idle(now)
+            and self.is_idle()
+        ):
             return True
-        if self.is_closing or not self._owes_nothing():
+        if self.is_closing or not self._has_no_pending_work():
             return False
         return not lifecycle.accepts_command(now, self.connected_at)
 
-    def _owes_nothing(self) -> bool:
-        """Return whether all replies are out, and no command is here or on its way that counts.
+    def _has_no_pending_work(self) -> bool:
+        """Return whether all replies are sent and no received command awaits handling.
 
-        Bytes that have a deadline are the begin of a command, which would be rejected once
-        complete. Those without one are still to be parsed, or of a long command that progresses.
+        Input with a deadline is the start of a command that would be rejected once complete. Input
+        without a deadline is not parsed yet, or belongs to a long command that keeps arriving.
         """
         has_no_command = not self.stream.buffer or self.command_deadline is not None
         return self._has_written_all() and has_no_command
 
-    def _goes_when_idle(self, now: float) -> bool:
-        """Return whether an idle connection ends.
+    def _closes_when_idle(self, now: float) -> bool:
+        """Return whether the connection closes while it is idle.
 
-        One that only pings, to learn when the gateway is back, may go on while it drains.
+        A client that only sends PING, to learn when the gateway serves again, stays connected while
+        the gateway drains, unless it sends nothing for `drain_idle`.
         """
         return (
             self.has_sent_rpc
--- a/petrellane/gateway/client_handoff.py
+++ b/petrellane/gateway/client_handoff.py
@@ -1,4 +1,4 @@
-"""How one client's connection goes to the successor of a hot restart: between two commands."""
+"""The handoff of a client connection to the successor of a hot restart, between two commands."""
 
 from __future__ import annotations
 
@@ -12,36 +12,41 @@
 
 
 class ConnectionHandoff:
-    """Offers one connection to the successor.
+    """Hands one client connection to the successor.
 
-    Owned by its `ClientConnection`, as long as that lives; it runs in the connection's greenlet.
-    While the connection is offered, its socket is neither read nor written here.
+    Owned by its `ClientConnection` for the life of the connection, and run by the connection's
+    greenlet. While the connection is offered, this process neither reads nor writes its socket.
     """
 
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
-        self.parked: greenlet.greenlet | None = None  # waits until nothing is owed, or is offered
-        self.stays_until = 0.0
+        # The greenlet that waits until all replies are written, or until the successor answers.
+        self.waiting_greenlet: greenlet.greenlet | None = None
+        self.next_offer_at = 0.0  # Unix time before which the connection is not offered again
         self.is_offered = False
-        self.is_passed_on: bool | None = None  # None while the successor has not answered
+        self.is_handed_off: bool | None = None  # None while the successor has not answered
 
     def is_due(self) -> bool:
-        """Return whether the successor is to have the connection; not within a long command."""
+        """Return whether the connection should go to the successor now.
+
+        It stays here while more of a command is buffered than one offer can carry, and for
+        `handoff_timeout` after a failed offer.
+        """
         listener = self.connection.listener
         return (
             listener.successor is not None
             and len(self.connection.stream.buffer) <= listener.limits.max_handoff_data
-            and listener.scheduler.now() >= self.stays_until
+            and listener.scheduler.now() >= self.next_offer_at
         )
 
     def run(self) -> bool:
-        """Wait until nothing is owed, then pass the connection on.
+        """Wait until all replies are sent, then hand the connection off.
 
         Returns:
-            Whether it is the successor's now; False where it stays here.
+            Whether the successor has taken the connection; False if it stays in this process.
 
         Raises:
-            Closed: The client has left meanwhile.
+            Closed: The client has disconnected in the meantime.
         """
         connection = self.connection
         listener = connection.listener
@@ -52,7 +57,7 @@
             and not connection.is_closing
             and listener.successor
         ):
-            self._park(listener.limits.client_poll_interval)
+            self._wait(listener.limits.client_poll_interval)
         connection.raise_if_broken()
         successor = listener.successor
         if successor and not connection.is_closing and self._offer(successor):
@@ -61,37 +66,37 @@
         return False
 
     def _offer(self, successor: HotRestartTransport) -> bool:
-        """Offer the connection and wait for the answer; return whether it is passed on."""
+        """Offer the connection and wait for the answer; return whether the successor takes it."""
         connection = self.connection
         listener = connection.listener
         stream = connection.stream
         stream.detach()
         self.is_offered = True
-        self.is_passed_on = None
+        self.is_handed_off = None
         successor.offer_connection(
             stream.sock, bytes(stream.buffer), connection.has_sent_rpc, self._on_answer
         )
-        while self.is_passed_on is None:
-            self._park()
-        if self.is_passed_on:
+        while self.is_handed_off is None:
+            self._wait()
+        if self.is_handed_off:
             return True
         self.is_offered = False
-        self.stays_until = listener.scheduler.now() + listener.limits.handoff_timeout
+        self.next_offer_at = listener.scheduler.now() + listener.limits.handoff_timeout
         stream.attach()
         return False
 
-    def _on_answer(self, is_passed_on: bool) -> None:
-        self.is_passed_on = is_passed_on
+    def _on_answer(self, is_handed_off: bool) -> None:
+        self.is_handed_off = is_handed_off
         self.connection.listener.scheduler.call_soon(self.wake)
 
-    def _park(self, timeout: float | None = None) -> None:
-        self.parked = greenlet.getcurrent()
+    def _wait(self, timeout: float | None = None) -> None:
+        self.waiting_greenlet = greenlet.getcurrent()
         self.connection.listener.scheduler.wait(timeout)
-        self.parked = None
+        self.waiting_greenlet = None
 
     def wake(self) -> None:
-        """Let the connection look again, as something has changed that it may wait for."""
-        if self.parked:
-            self.parked.switch()
+        """Resume the connection's greenlet, which then checks again what it has to do."""
+        if self.waiting_greenlet:
+            self.waiting_greenlet.switch()
         elif self.connection.stream.reader:
             self.connection.stream.reader.switch(False)
--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -1,8 +1,7 @@
-"""The client side's listening socket: accepts connections, bounds their number, and ends them.
+"""The listening socket for clients: accepts connections, limits their number and closes them.
 
-`ClientListener` knows every connected client and which of them gives way when descriptors are
-short (`idle_eviction` has the order). What a client says on its connection is for
-`client_connection`.
+`ClientListener` holds the table of connected clients. It evicts one of them when descriptors run
+short; `idle_eviction` defines the order. `client_connection` handles the commands on a connection.
 """
 
 from __future__ import annotations
@@ -27,28 +26,34 @@
 
 
 class RequestHandler(Protocol):
-    """What is called for the requests that clients send."""
+    """The receiver of the requests that clients send."""
 
     def on_request(self, request: ClientRequest) -> None:
-        """Take a request in; raise InvalidFieldError where it makes no sense."""
+        """Accept a request; raise InvalidFieldError if the settings do not allow it."""
 
     def on_client_disconnected(self, request: ClientRequest) -> None:
-        """End a request whose client has gone before its answer."""
+        """Cancel a request whose client disconnected before the reply."""
 
 
 class SendProgress(NamedTuple):
-    """How many bytes a client has taken, and since when it has taken no more."""
+    """The progress of writing to a client.
+
+    Attributes:
+        sent: The bytes that the kernel has accepted for the client so far.
+        since: The time since which that number has not changed, in Unix seconds.
+    """
 
     sent: int
     since: float
 
 
 class ClientListener:
-    """Accepts clients and keeps the table of their connections.
+    """Accepts clients and holds the tables of their connections.
 
-    Made by `GatewayProcess` at its start; ends with the last client after `end`. Owns the listening
-    socket, unless it was inherited, and every `ClientConnection`. Its timers look for stalled
-    clients, and for clients that may go while the gateway drains or ends.
+    Created by `GatewayProcess` at start-up. After `end` it stops once the last client has
+    disconnected. Owns every `ClientConnection` and the listening socket; other processes share an
+    inherited socket. Its timers close clients that have stalled, and clients without pending
+    replies while the gateway drains or shuts down.
     """
 
     def __init__(
@@ -59,9 +64,15 @@
         make_room: Callable[[int], bool],
         buffer_budget: BufferBudget,
     ) -> None:
-        """Prepare to listen; `make_room` closes idle connections to endpoints.
+        """Create the tables; `listen` or `inherit` provides the socket.
 
-        It is given a number of descriptors and returns whether so many more fit.
+        Args:
+            runtime: The scheduler, limits and log.
+            lifecycle: The lifecycle of the process.
+            requests: The receiver of the clients' requests.
+            make_room: Closes idle connections to endpoints until the given number of descriptors
+                is free; returns whether they are.
+            buffer_budget: The budget for the bytes of long commands.
         """
         self.scheduler = runtime.scheduler
         self.limits = runtime.limits
@@ -71,7 +82,7 @@
         self.on_client_disconnected = requests.on_client_disconnected
         self.make_room = make_room
         self.buffer_budget = buffer_budget
-        # In the order of their last commands; all tables of clients are ordered.
+        # In the order of the last commands; eviction relies on the order of all these tables.
         self.clients: dict[ClientConnection, None] = {}
         self.silent: dict[ClientConnection, None] = {}
         self.single_command: dict[ClientConnection, None] = {}
@@ -92,23 +103,24 @@
     # Listening.
 
     def listen(self, address: Address, *, connectable: bool = True) -> None:
-        """Listen at an address; clients are served from `start_accepting` on.
+        """Listen on an address; `start_accepting` begins to serve clients.
 
         Args:
-            address: Where to listen.
-            connectable: False binds the address alone: the kernel refuses whoever connects, as what
-                is accepted must be answered.
+            address: The address to listen on.
+            connectable: If False, the gateway only binds the address, and the kernel refuses
+                connections until `start_accepting`: it must not accept clients that may never be
+                served.
         """
         self.listener = open_listener(address, self.limits.backlog if connectable else None)
         self.is_only_bound = not connectable
 
     def inherit(self, descriptor: int) -> None:
-        """Listen on a socket that other processes hold as well, and that outlives this one."""
+        """Use a listening socket that other processes share and that outlives this process."""
         self.listener = socket.socket(fileno=descriptor)
         self.listener.setblocking(False)
 
     def start_accepting(self) -> None:
-        """Accept clients from now on, unless a successor does."""
+        """Accept clients from now on, unless a successor accepts them."""
         if self.listener and not self.successor and not self.is_accepting:
             self.is_accepting = True
             if self.is_only_bound:
@@ -124,9 +136,10 @@
     def _accept(self, _events: int = 0) -> None:
         """Accept new clients.
 
-        Where no client makes room they are closed at once, as descriptors for endpoints, the
-        counter, discovery and management are never a client's. Where busy connections to endpoints
-        take the room, clients wait in the backlog.
+        If no client can be evicted for a new one, the listener closes the new connection
+        immediately: clients never use the descriptors that are reserved for endpoints, the counter,
+        discovery and management. If busy connections to endpoints hold the free descriptors, new
+        clients wait in the backlog.
         """
         is_full = False
         if not self.listener:
@@ -149,7 +162,13 @@
                 return
 
     def adopt(self, sock: socket.socket, data: bytes, has_sent_rpc: bool) -> None:
-        """Take a connection from the predecessor, with what it has read of the next command."""
+        """Take over a connection from the predecessor.
+
+        Args:
+            sock: The socket of the connection.
+            data: The bytes of the next command that the predecessor has read.
+            has_sent_rpc: Whether the client has sent an RPC.
+        """
         if not self._make_room_for_client():
             self._reject(sock)
             return
@@ -164,7 +183,7 @@
         return Stream(self.scheduler, self.limits, sock, break_on_half_close=True)
 
     def _reject(self, sock: socket.socket) -> None:
-        """Close a new connection, with a line of the log a second at most."""
+        """Close a new connection, and log at most one line per `check_interval`."""
         sock.close()
         self.rejected_connections += 1
         now = self.scheduler.now()
@@ -178,10 +197,10 @@
             self.last_rejection_log = now
             self.rejected_connections = 0
 
-    # Room for clients.
+    # Eviction.
 
     def _make_room_for_client(self) -> bool:
-        """Evict an idle client where that is needed for one more; return whether there is room."""
+        """Return whether one more client may connect; evict an idle one if that is necessary."""
         if len(self.clients) >= self.limits.client_capacity:
             return self._evict_idle_client()
         if len(self.single_command) > self.limits.single_command_capacity:
@@ -189,12 +208,12 @@
         return True
 
     def free_descriptors(self, error: object) -> bool:
-        """Close idle connections, as no descriptor is left, and accept again soon.
+        """Close idle connections because no descriptor is free, and pause accepting for a moment.
 
-        Writes a line of the log a second at most.
+        Logs at most one line per `check_interval`.
 
         Args:
-            error: What failed for want of a descriptor.
+            error: The failure that the shortage caused.
 
         Returns:
             Whether a client was evicted.
@@ -211,7 +230,7 @@
         return is_evicted
 
     def _evict_idle_client(self) -> bool:
-        """Close the connection that gives way first; return False where there is none."""
+        """Evict the first candidate; return False if no client can be evicted."""
         now = self.scheduler.now()
         for client in self.clients:
             if client.stream.buffer and not client.handoff.is_offered:
@@ -223,19 +242,19 @@
         for client in candidates:
             if client.is_idle() or self._is_stalled(client):
                 client.stream.close()
-                self.forget(client)
+                self.remove(client)
                 return True
         return False
 
     def _is_stalled(self, client: ClientConnection) -> bool:
-        """Return whether a client is in the middle of a command for too long, and owed nothing."""
+        """Return whether a client's command is incomplete for too long and no reply is pending."""
         since = self.partial_commands.get(client, math.inf)
         return self.scheduler.now() - since >= self.limits.command_timeout_on_shortage and not (
             client.pending_replies or client.handoff.is_offered
         )
 
     def _close_stalled_clients(self) -> None:
-        """Close clients that are owed nothing more and have not taken their answers for long."""
+        """Close clients that have not read their last replies for `stall_timeout`."""
         self.scheduler.call_later(self.limits.check_interval, self._close_stalled_clients)
         now = self.scheduler.now()
         before = self.slow_readers
@@ -251,10 +270,10 @@
             if now - progress.since >= self.limits.stall_timeout:
                 client.stream.close()
 
-    # The table of clients, as connections report to it.
+    # The tables of clients, which the connections update.
 
     def on_command(self, client: ClientConnection) -> None:
-        """Note that a client has sent a command, which makes it the last to give way."""
+        """Record that a client has sent a command, which makes it the last one to be evicted."""
         if client in self.silent:
             self.single_command[client] = None
         else:
@@ -264,21 +283,21 @@
         self.clients.pop(client, None)
         self.clients[client] = None
 
-    def forget(self, client: ClientConnection) -> None:
-        """Remove a client whose connection is over."""
+    def remove(self, client: ClientConnection) -> None:
+        """Remove a client whose connection is closed."""
         self.clients.pop(client, None)
         self.silent.pop(client, None)
         self.single_command.pop(client, None)
         self.partial_commands.pop(client, None)
 
-    # Hot restart, drain and end.
+    # Hot restart, draining and shutdown.
 
     def set_successor(self, successor: HotRestartTransport | None) -> None:
-        """Stop accepting, and pass each connection on once nothing is owed on it.
+        """Stop accepting clients, and hand each connection off once its replies are sent.
 
         Args:
-            successor: The transport that takes connections; None when the successor is gone, which
-                makes this process accept again.
+            successor: The transport that takes the connections; None when the successor has ended,
+                in which case this process accepts clients again unless it is shutting down.
         """
         self.successor = successor
         if successor:
@@ -289,7 +308,7 @@
             self.scheduler.call_soon(client.handoff.wake)
 
     def drain(self) -> None:
-        """Close clients that may go, for as long as a drain lasts."""
+        """Close clients that have no reply pending, for as long as the gateway drains."""
         if not self.is_draining:
             self.is_draining = True
             self._poll_drain()
@@ -304,7 +323,10 @@
             self.scheduler.call_later(self.limits.client_poll_interval, self._poll_drain)
 
     def end(self, on_ended: Callable[[], object]) -> None:
-        """Close each client as soon as it has all its answers, then call `on_ended`."""
+        """Close each client after its last reply, then call `on_ended`.
+
+        The listener calls `on_ended` after `shutdown_timeout` even if clients are left.
+        """
         self.on_ended = on_ended
         self.end_deadline = self.scheduler.now() + self.limits.shutdown_timeout
         self._poll_end()
@@ -313,7 +335,7 @@
         for client in list(self.clients):
             client.close_if_done()
         if not self.clients and not self.successor:
-            self._accept()  # whoever came in the meantime is served
+            self._accept()  # serve clients that have connected in the meantime
         if self.clients and self.scheduler.now() < self.end_deadline:
             self.scheduler.call_later(self.limits.client_poll_interval, self._poll_end)
             return
--- a/petrellane/gateway/client_request.py
+++ b/petrellane/gateway/client_request.py
@@ -1,9 +1,9 @@
-"""One client's request and the answer that it gets, as the client and the endpoint side share them.
+"""A client's request and its reply, which the client side and the endpoint side share.
 
-The client side makes a `ClientRequest` from the bytes of a command, hands it over and is called
-when its answer is there. The endpoint side writes it out again, with the time that is left in place
-of the client's timeout. Fields are checked for their form alone; what they mean is for
-`action_executor`.
+The client side creates a `ClientRequest` from the bytes of a command and passes it on; the request
+notifies it when the reply is ready. The endpoint side encodes the request again, with the remaining
+time in place of the client's timeout. This module checks the syntax of the fields only;
+`action_executor` checks them against the settings.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 SUBMIT = b"SVC.SUBMIT"
 RPC_COMMANDS = frozenset({QUERY, SUBMIT})
 
-# Names of the fields that the gateway reads; the timeout's is in the pattern below.
+# Names of the fields that the gateway reads; `TIMEOUT_PATTERN` has that of the timeout.
 METHOD_FIELD = "c"
 PLAN_FIELD = "t"
 CLIENT_RETRY_FIELD = "r"
@@ -27,21 +27,27 @@
 FIRST_GATEWAY_FIELD = "first"
 GATEWAY_COUNT_FIELD = "spread"
 UNITS_FIELD = "units"
-YES = "1"
+FLAG_SET = "1"
 
-TIMEOUT_FIELD = re.compile(rb"(?:^|,)d=(\d+)(?=,|$)")
-CUSTOMER = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")
+TIMEOUT_PATTERN = re.compile(rb"(?:^|,)d=(\d+)(?=,|$)")
+CUSTOMER_PATTERN = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")
 MINIMUM_PARTS = 4  # command, customer, id, fields
 MAXIMUM_PARTS = 5  # and a body
 MAXIMUM_TIMEOUT_DIGITS = 9
 MAXIMUM_INTEGER_DIGITS = 9
 
 Span = tuple[int, int]
-"""Start and end of a part of a command, within the buffer that it was read into."""
+"""The start and end offsets of a part of a command, in the buffer that holds the command."""
 
 
 class Command(NamedTuple):
-    """Where a complete command is in the buffer that it was read into."""
+    """The position of a complete command in the buffer that holds it.
+
+    Attributes:
+        start: The offset of the command.
+        spans: The spans of its parts.
+        end: The offset just past the command.
+    """
 
     start: int
     spans: list[Span]
@@ -49,38 +55,53 @@
 
 
 class RequestOwner(Protocol):
-    """The connection that a request came on."""
+    """The connection that a request arrived on."""
 
     def on_reply_ready(self) -> None:
-        """Write the answer, as it is there, or more of a long one."""
+        """Write the reply, which is ready, or the next part of a long one."""
 
     def is_client_disconnected(self) -> bool:
-        """Return whether the client has left, by its socket."""
+        """Return whether the client has disconnected, according to its socket."""
 
 
 class InvalidFieldError(Exception):
-    """A command that is well formed and has a field out of its range."""
+    """A well-formed command has a part or field with an invalid value."""
 
 
 class Reply:
-    """A place in the order of a connection's answers.
+    """A reply in the order of replies of a connection.
 
-    Owned by the client's connection until it is written. `answer` has the buffers of the answer,
-    None while it is not known. A long response follows its answer through `relay`.
+    Owned by the client's connection until it is written.
+
+    Attributes:
+        buffers: The encoded reply, or the head of a long response; None while it is pending.
+        relay: The relay that supplies a long response after its head; None for other replies.
     """
 
-    __slots__ = ("answer", "relay")
+    __slots__ = ("buffers", "relay")
 
-    def __init__(self, *answer: bytes) -> None:
-        self.answer: tuple[bytes, ...] | None = answer or None
+    def __init__(self, *buffers: bytes) -> None:
+        self.buffers: tuple[bytes, ...] | None = buffers or None
         self.relay: ResponseRelay | None = None
 
 
 class ClientRequest(Reply):
-    """One RPC as its client worded it.
-
-    Made and owned by the client's connection; the executor refers to it until it has its answer.
-    `rpc` is set once the executor has taken it in.
+    """One RPC as its client sent it.
+
+    Created and owned by the client's connection; the executor refers to it until it has replied.
+
+    Attributes:
+        customer: The customer name, 16 hexadecimal digits.
+        fields: The fields by name, as text.
+        fields_after_timeout: The bytes of the fields after the value of the timeout.
+        fields_before_timeout: The bytes of the fields before the value of the timeout.
+        head: The bytes of the command before the fields.
+        id: The id of the RPC, which the client chooses.
+        is_query: Whether the command is `QUERY`.
+        owner: The connection that the request arrived on.
+        rpc: The RPC as the controller knows it; None until the executor accepts the request.
+        tail: The bytes of the command after the fields.
+        timeout: The client's timeout, in seconds.
     """
 
     __slots__ = (
@@ -100,16 +121,16 @@
     def __init__(
         self, buffer: bytearray, command: Command, owner: RequestOwner, *, is_query: bool
     ) -> None:
-        """Read the parts of a complete command.
+        """Parse the parts of a complete command.
 
         Args:
-            buffer: The bytes that hold the command; they are copied.
-            command: Where it is in the buffer.
-            owner: The connection that it came on.
-            is_query: Whether it is the command for reads.
+            buffer: The bytes that hold the command; the request copies what it needs.
+            command: The position of the command in the buffer.
+            owner: The connection that the command arrived on.
+            is_query: Whether the command is `QUERY`.
 
         Raises:
-            InvalidFieldError: A part does not have its form.
+            InvalidFieldError: The number of parts, the customer, the id or the timeout is invalid.
         """
         super().__init__()
         start, spans, end = command
@@ -119,20 +140,20 @@
         self.is_query = is_query
         self.id = bytes(buffer[slice(*rpc_id)])
         self.customer = bytes(buffer[slice(*customer)])
-        if not CUSTOMER.fullmatch(self.customer):
+        if not CUSTOMER_PATTERN.fullmatch(self.customer):
             raise InvalidFieldError("customer: expected 16 hex digits, a number below 2^33")
         if not self.id:
             raise InvalidFieldError("id: expected text")
-        self._read_fields(bytes(buffer[slice(*fields)]))
-        # Both are passed on to the endpoint as they came.
+        self._parse_fields(bytes(buffer[slice(*fields)]))
+        # The endpoint receives both of these unchanged.
         self.head = bytes(buffer[start : rpc_id[1] + 2])
         self.tail = bytes(buffer[fields[1] : end])
         self.owner = owner
         self.rpc: Rpc | None = None
 
-    def _read_fields(self, text: bytes) -> None:
-        """Read `name=value` pairs with commas between, and the timeout among them."""
-        timeout = TIMEOUT_FIELD.search(text)
+    def _parse_fields(self, text: bytes) -> None:
+        """Parse the comma-separated `name=value` pairs, and locate the value of the timeout."""
+        timeout = TIMEOUT_PATTERN.search(text)
         if not timeout or len(timeout[1]) > MAXIMUM_TIMEOUT_DIGITS:
             raise InvalidFieldError("d: expected milliseconds")
         self.fields: dict[str, str] = {}
@@ -143,8 +164,12 @@
         self.fields_before_timeout = text[: timeout.start(1)]
         self.fields_after_timeout = text[timeout.end(1) :]
 
-    def text(self, name: str) -> str:
-        """Return a field's text; raise InvalidFieldError where it is missing."""
+    def require_field(self, name: str) -> str:
+        """Return the text of a field.
+
+        Raises:
+            InvalidFieldError: The field is missing.
+        """
         value = self.fields.get(name)
         if value is None:
             raise InvalidFieldError(f"{name}: missing")
@@ -152,18 +177,24 @@
 
     @property
     def is_client_retry(self) -> bool:
-        """Whether the client says that it sends the RPC again."""
-        return self.fields.get(CLIENT_RETRY_FIELD) == YES
+        """Whether the client marks the RPC as a retry of its own."""
+        return self.fields.get(CLIENT_RETRY_FIELD) == FLAG_SET
 
     def require_idempotency_key(self) -> None:
-        """Raise InvalidFieldError where the RPC has no idempotency key."""
-        self.text(IDEMPOTENCY_KEY_FIELD)
+        """Raise InvalidFieldError if the RPC has no idempotency key."""
+        self.require_field(IDEMPOTENCY_KEY_FIELD)
 
-    def integer(self, name: str, default: int, minimum: int, maximum: int) -> int:
-        """Return a field that is an integer within these bounds.
+    def integer_field(self, name: str, default: int, minimum: int, maximum: int) -> int:
+        """Return the value of an integer field.
+
+        Args:
+            name: The name of the field.
+            default: The value if the field is missing.
+            minimum: The smallest valid value.
+            maximum: The largest valid value.
 
         Raises:
-            InvalidFieldError: It is there and is no such integer.
+            InvalidFieldError: The field is present and is not an integer within these bounds.
         """
         value = self.fields.get(name)
         if value is None:
@@ -178,10 +209,13 @@
         return int(value)
 
     def units(self, maximum: float) -> float:
-        """Return how many units of its quota the RPC takes: above 0, at most `maximum`.
+        """Return the quota units that the RPC consumes; 1 if the field is missing.
+
+        Args:
+            maximum: The largest valid number of units.
 
         Raises:
-            InvalidFieldError: The field is there and is no such number.
+            InvalidFieldError: The field is not a number above 0 and at most `maximum`.
         """
         try:
             units = float(self.fields.get(UNITS_FIELD, "1"))
@@ -194,13 +228,17 @@
         return units
 
     def encode(self, time_left_s: float) -> tuple[bytes, bytes, bytes]:
-        """Return the buffers of the command for an endpoint, with the time that it has."""
+        """Return the buffers of the command for an endpoint, with the remaining time as timeout.
+
+        Args:
+            time_left_s: The remaining time, in seconds; the endpoint receives at least 1 ms.
+        """
         timeout_ms = max(1, int(time_left_s * 1e3))
         fields = b"%b%d%b" % (self.fields_before_timeout, timeout_ms, self.fields_after_timeout)
         return self.head, b"$%d\r\n%b" % (len(fields), fields), self.tail
 
-    def finish(self, *answer: bytes) -> None:
-        """Give the RPC its one answer; a second one is dropped."""
-        if self.answer is None:
-            self.answer = answer
+    def finish(self, *buffers: bytes) -> None:
+        """Set the reply and notify the owner; has no effect if the RPC has a reply already."""
+        if self.buffers is None:
+            self.buffers = buffers
             self.owner.on_reply_ready()
