--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -1,8 +1,9 @@
-"""Long responses on their way from an endpoint to a client, and the memory that they may use.
+"""The relay of long responses from an endpoint to a client, and the budget for buffered bytes.
 
-A response above the size of a short one is never held completely. A `ResponseRelay` stands between
-the endpoint that gives it and the client that takes it; what waits for a slow client stops the
-reading from its endpoint, and nothing else. `BufferBudget` bounds what waits in all.
+The gateway never buffers a response above `Limits.max_value_size` completely. A `ResponseRelay`
+passes it from the endpoint's connection to the client's. If the client reads slowly, the relay
+pauses reading from that endpoint connection and from no other. `BufferBudget` limits the bytes that
+are buffered in total.
 """
 
 from __future__ import annotations
@@ -22,10 +23,17 @@
 
 
 class BufferBudget:
-    """The bytes that may wait in all, for long responses and for long commands.
+    """The limit on the bytes buffered for long responses and long commands.
 
-    One budget per process, made by `GatewayProcess` and shared by both sides. Each relay has a
-    window. A command's body is kept completely, and has what it needs while there is room.
+    `GatewayProcess` creates one budget per process, which the client side and the endpoint side
+    share. Each relay has a window, an equal part of the free budget within fixed bounds. The body
+    of a command is buffered completely; its connection reads on only while the budget has room.
+
+    Attributes:
+        limits: The limits with the budget and the windows, in bytes.
+        relays: The relays of responses that are in progress.
+        reservations: The bytes reserved by each owner, in the order of the first reservations.
+        reserved: The sum of all reservations, in bytes.
     """
 
     def __init__(self, limits: Limits) -> None:
@@ -35,22 +43,23 @@
         self.reserved = 0
 
     def window(self) -> int:
-        """Return the bytes that may wait in one relay."""
+        """Return how many bytes one relay may buffer before it pauses reading."""
         share = (self.limits.buffer_budget - self.reserved) // max(1, len(self.relays))
         return max(self.limits.min_relay_window, min(self.limits.relay_window, share))
 
     def reserve(self, owner: object, size: int) -> None:
-        """Set the bytes of a body that are kept for an owner; 0 ends its reservation."""
+        """Set the number of bytes that an owner reserves for a body; 0 ends the reservation."""
         self.reserved += size - self.reservations.get(owner, 0)
         if size:
-            self.reservations[owner] = size  # in its old place: the first one stays the first
+            self.reservations[owner] = size  # an existing owner keeps its position
         else:
             self.reservations.pop(owner, None)
 
     def has_room(self, owner: object) -> bool:
-        """Return whether more of an owner's body may be read.
+        """Return whether the gateway may read more of an owner's body.
 
-        It may while there is room, and always for the owner that came first, so that one completes.
+        It may while the budget is not used up. The owner of the oldest reservation always may, so
+        that at least one body completes.
         """
         return (
             self.reserved < self.limits.buffer_budget
@@ -59,7 +68,7 @@
 
 
 class RelayState(enum.Enum):
-    """Whether more of a long response is to come from its endpoint."""
+    """The state of a long response: in progress, received completely, or broken off."""
 
     OPEN = "open"
     COMPLETE = "complete"
@@ -67,11 +76,12 @@
 
 
 class ResponseRelay:
-    """One long response.
+    """One long response on its way from an endpoint to a client.
 
-    Made by the `EndpointConnection` that reads it, which calls `push` and then `end` or `fail`.
-    The client's connection takes what waits, and drops the relay when its client goes. It owns the
-    bytes that wait, and is counted in the budget until the endpoint or the client is done with it.
+    Created by the `EndpointConnection` that reads the response, which calls `push` and then `end`
+    or `fail`. The client's connection takes the buffered bytes, and drops the relay when its client
+    disconnects. The relay owns the buffered bytes. It counts in the budget until the response ends
+    or the relay is dropped.
     """
 
     def __init__(
@@ -79,52 +89,55 @@
         budget: BufferBudget,
         now: Callable[[], float],
         set_reading_paused: Callable[[bool], object],
-        on_unwanted: Callable[[], object],
+        on_abandoned: Callable[[], object],
     ) -> None:
         """Begin a response.
 
         Args:
-            budget: The memory that it shares with others.
-            now: The clock, in seconds.
-            set_reading_paused: Notified whether reading from the endpoint's connection is to pause.
-            on_unwanted: Called once no client takes the response any more.
+            budget: The budget that all relays and long commands share.
+            now: Returns the current time, in Unix seconds.
+            set_reading_paused: Pauses (True) or resumes (False) reading from the endpoint.
+            on_abandoned: Called when the gateway no longer forwards the response to a client.
         """
         self.budget = budget
         self.now = now
         self.set_reading_paused = set_reading_paused
-        self.on_unwanted = on_unwanted
-        self.on_data: Callable[[], object] = self._no_client
+        self.on_abandoned = on_abandoned
+        self.on_data: Callable[[], object] = self._ignore_data
         self.pieces: deque[bytes] = deque()
-        self.waiting = 0
+        self.buffered_bytes = 0
         self.stream: Stream | None = None
         self.state = RelayState.OPEN
         self.is_reading_paused = False
         self.is_discarding = False
-        # When bytes moved last, and how many bytes the client's stream had sent then.
+        # The Unix time of the last progress, and the last known `bytes_sent` of `stream`.
         self.last_progress = now()
-        self.sent = 0
+        self.last_bytes_sent = 0
         budget.relays.add(self)
 
-    def _no_client(self) -> None:
-        """Stand in for `on_data` until a client takes the response."""
+    def _ignore_data(self) -> None:
+        """Ignore new data; this is `on_data` until a client takes the response."""
 
     # The endpoint's side.
 
     def push(self, data: bytes) -> None:
-        """Take more of the response from the endpoint."""
+        """Buffer more bytes from the endpoint and notify the client's connection.
+
+        Has no effect once the relay discards the response.
+        """
         if not self.is_discarding:
             self.last_progress = self.now()
             self.pieces.append(data)
-            self.waiting += len(data)
+            self.buffered_bytes += len(data)
             self.on_data()
             self.adjust_reading()
 
     def end(self) -> None:
-        """End the response: it is complete, and what followed it was well formed."""
+        """Complete the response; the endpoint's bytes after the value were well formed."""
         self._close(RelayState.COMPLETE)
 
     def fail(self) -> None:
-        """End the response: the endpoint gives no more of it."""
+        """Break the response off: the endpoint sends no more of it."""
         self._close(RelayState.BROKEN)
 
     def _close(self, state: RelayState) -> None:
@@ -136,53 +149,53 @@
             self.on_data()
 
     def expire(self) -> None:
-        """Give up a response of which nothing has moved for too long, whoever is to blame.
+        """Abort a response without progress, whether the endpoint or the client has stalled.
 
-        The client's connection ends, and what the endpoint still gives is discarded.
+        The client's connection closes, and the relay discards the rest of the response.
         """
         self.fail()
         self._discard()
         if self.is_reading_paused:
             self.is_reading_paused = False
             self.set_reading_paused(False)
-        self.on_unwanted()
+        self.on_abandoned()
 
     # The client's side.
 
     def take(self, stream: Stream) -> list[bytes]:
-        """Return all that waits, for a stream to which more will go."""
+        """Return the buffered bytes, for the client's stream to write."""
         if self.stream is None:
             self.stream = stream
-            self.sent = stream.bytes_sent
+            self.last_bytes_sent = stream.bytes_sent
             stream.on_flushed = self.adjust_reading
             stream.limit_kernel_buffer(socket.SO_SNDBUF)
         pieces = list(self.pieces)
-        self.waiting = 0
+        self.buffered_bytes = 0
         self.pieces.clear()
         return pieces
 
     def drop(self) -> None:
-        """Discard what still comes, as the client is gone."""
+        """Discard the rest of the response, because no client waits for it."""
         self._discard()
         self.budget.relays.discard(self)
         if self.state is RelayState.OPEN:
             self.adjust_reading()
-            self.on_unwanted()
+            self.on_abandoned()
 
     def _discard(self) -> None:
         self.is_discarding = True
-        self.waiting = 0
+        self.buffered_bytes = 0
         self.pieces.clear()
 
     def adjust_reading(self) -> None:
-        """Pause or resume reading from the endpoint, by what waits here and in the stream."""
-        waiting = self.waiting
+        """Pause or resume reading by the bytes buffered here and unsent in the client's stream."""
+        buffered = self.buffered_bytes
         if self.stream and not self.is_discarding:
-            waiting += self.stream.bytes_queued - self.stream.bytes_sent
-            if self.stream.bytes_sent > self.sent:
-                self.sent = self.stream.bytes_sent
+            buffered += self.stream.bytes_queued - self.stream.bytes_sent
+            if self.stream.bytes_sent > self.last_bytes_sent:
+                self.last_bytes_sent = self.stream.bytes_sent
                 self.last_progress = self.now()
-        should_pause = waiting > self.budget.window()
+        should_pause = buffered > self.budget.window()
         if should_pause != self.is_reading_paused and self.state is RelayState.OPEN:
             self.is_reading_paused = should_pause
             self.set_reading_paused(should_pause)
--- a/tests/integration/gateway/check_steps.py
+++ b/tests/integration/gateway/check_steps.py
@@ -1,4 +1,4 @@
-"""Steps of descriptors, management calls and hot restarts, and checks of the gateway's state."""
+"""Steps for descriptors, management calls and hot restarts, and checks of the gateway's state."""
 
 import math
 import os
@@ -18,15 +18,15 @@
 
 READY_PATH = "/-/ready"
 HEAD_END = "\r\n\r\n"
-OBSERVED_S = 0.1  # real time in which turns are counted
-STARVED_S = 0.2  # the clock's time for which a client finds no descriptor
+OBSERVED_S = 0.1  # real time during which turns are counted
+STARVED_S = 0.2  # time on the scenario's clock during which accept finds no free descriptor
 
 
 class CheckSteps(RaceSteps):
-    """Take descriptors away, call the management API and look into the gateway."""
+    """Limits descriptors, calls the management API and checks the gateway's internal state."""
 
     def do_limit_descriptors(self, left: str = "0") -> None:
-        """The process may open so many more descriptors and no further."""
+        """Lower the descriptor limit so that the process can open only `left` more descriptors."""
         free = [os.dup(0) for _ in range(int(left) + 1)]
         self.descriptor_limit = self.descriptor_limit or resource.getrlimit(resource.RLIMIT_NOFILE)
         hard_limit = self.descriptor_limit[1]
@@ -35,24 +35,24 @@
             os.close(descriptor)
 
     def do_restore_descriptors(self) -> None:
-        """The process may open as many descriptors as before."""
+        """Restore the descriptor limit."""
         self.restore_descriptors()
 
     def do_connect_without_descriptor(self, name: str) -> None:
-        """A client connects while no descriptor is left, and is served once there is one."""
+        """Connect a client while no descriptor is free; the gateway serves it once there is one."""
         client_listener = self.gateway.client_listener
         starved = StarvedListener(client_listener.listener, math.inf)
         client_listener.listener = starved
         self.clients[name] = Peer(socket.create_connection(self.address))
         self.do_logged("no_descriptor")
         self.wait(STARVED_S)
-        # Neither given up nor tried without a pause.
+        # The gateway retries accept, and pauses between the attempts.
         assert 2 <= starved.accept_calls <= 20, starved.accept_calls
         client_listener.listener = starved.listener
         self.wait(0.05)
 
     def do_call_without_descriptor(self, status: str) -> None:
-        """A management call finds no descriptor: idle connections make way and it is answered."""
+        """Make a management call that finds no descriptor; idle clients are evicted for it."""
         management = self.gateway.management
         starved = StarvedListener(management.listener, 1)
         management.listener = starved
@@ -63,14 +63,14 @@
         management.listener = starved.listener
 
     def do_call(self, method: str, path: str, status: str, state: str = "") -> None:
-        """Make a management call; check its status and the state in the answer."""
+        """Make a management call; check its status and the state in the response."""
         caller = self.call(method, path)
         answer = self.until(f"an answer to {path}", lambda: caller.ended and bytes(caller.buffer))
         assert answer.startswith(b"HTTP/1.1 %b " % status.encode()), answer
         assert state.encode() in answer, answer
 
     def call(self, method: str, path: str, end: str = HEAD_END) -> Peer:
-        """Begin a management call; it is complete unless its end is empty."""
+        """Start a management call; the request is complete unless `end` is empty."""
         sock = socket.create_connection(self.gateway.management.listener.getsockname())
         sock.send(f"{method} {path} HTTP/1.1\r\nHost: here{end}".encode())
         caller = Peer(sock)
@@ -78,13 +78,13 @@
         return caller
 
     def do_half_calls(self, number: str) -> None:
-        """So many callers begin a call and never finish."""
+        """Let `number` callers send incomplete management calls that they never finish."""
         for _ in range(int(number)):
             self.call("GET", READY_PATH, "")
             self.turn()
 
     def do_callers_stay(self, number: str, maximum: str) -> None:
-        """So many callers have their answers and stay; check how many of them are kept."""
+        """Let `number` callers stay connected after their response; check how many are kept."""
         before = len(self.gateway.scheduler.event_handlers)
         for _ in range(int(number)):
             caller = self.call("GET", READY_PATH)
@@ -93,14 +93,14 @@
         assert kept <= int(maximum), (before, kept)
 
     def do_callers(self, number: str) -> None:
-        """Check that so many callers are still connected."""
+        """Check that `number` callers are still connected."""
         self.until(
             f"{number} callers",
             lambda: sum(not caller.ended for caller in self.callers) == int(number),
         )
 
     def do_takes_over(self) -> None:
-        """The gateway takes over from the process before it, and has what it offers."""
+        """Let the gateway try to take over from a predecessor, and wait until it may start."""
         started: list[bool] = []
         self.hot_restart = HotRestartTransport(
             self.gateway.scheduler,
@@ -120,7 +120,7 @@
         self.until("the start", lambda: started)
 
     def do_successor_without_descriptor(self) -> None:
-        """The next process calls while no descriptor is left, and is answered once there is one."""
+        """Connect a successor while no descriptor is free; it is accepted once there is one."""
         self.hot_restart.listen()
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
             path = self.hot_restart.socket_path()
@@ -135,7 +135,7 @@
         self.until("its end", lambda: not self.hot_restart.links)
 
     def do_turns_within(self, maximum: str) -> None:
-        """Check that nothing turns more often in a tenth of a second."""
+        """Check that the scheduler makes at most `maximum` turns in a tenth of a second."""
         end = time.monotonic() + OBSERVED_S
         turns = 0
         while time.monotonic() < end:
@@ -144,7 +144,7 @@
         assert turns <= int(maximum), turns
 
     def do_no_busy_descriptor(self) -> None:
-        """Check that no descriptor stays ready without being read."""
+        """Check that no descriptor remains ready without being read."""
         for _ in range(20):
             self.turn(0)
         assert not self.gateway.scheduler.poll.poll(0), "a descriptor is ready at every poll"
@@ -162,17 +162,17 @@
         assert not delayed, delayed
 
     def do_logged(self, event: str, times: str = "times=1") -> None:
-        """Check that there are at least so many lines in the log."""
+        """Check that the log has at least `times` lines with this event."""
         number = required_times(times)
         self.until(f"a line {event}", lambda: len(self.log_lines(event)) >= number)
 
     def do_unlogged(self, event: str, times: str = "times=1") -> None:
-        """Check that there are fewer such lines in the log."""
+        """Check that the log has fewer than `times` lines with this event."""
         lines = self.log_lines(event)
         assert len(lines) < required_times(times), lines
 
     def do_counts(self, *words: str) -> None:
-        """Check what the count over a fleet makes of this gateway's log: NAME=NUMBER in all."""
+        """Check the totals that `fleet_log_counts` reads from this log, as NAME=NUMBER words."""
         self.gateway.log.flush()
         self.log.seek(0)
         with tempfile.TemporaryDirectory() as folder:
@@ -187,4 +187,4 @@
 
 
 def ignore(*_args: object) -> None:
-    """Handle an event of a hot restart that the scenario does not need."""
+    """Ignore an event of a hot restart that the scenario does not need."""
--- a/tests/integration/gateway/client_steps.py
+++ b/tests/integration/gateway/client_steps.py
@@ -1,4 +1,4 @@
-"""Steps of clients: connections, commands, the answers to them, and how connections end."""
+"""Steps for clients: connections, commands, their answers, and the end of connections."""
 
 import contextlib
 import socket
@@ -9,29 +9,29 @@
 from tests.integration.gateway.sockets import SMALL_BUFFER, Peer
 
 PING = "*1\\r\\n$4\\r\\nPING\\r\\n"
-BURST = 200  # commands of the step `burst`
-BEGUN = "begun"  # the RPC of the step `begin`
+BURST = 200  # commands that the step `burst` sends
+BEGUN = "begun"  # the id of the RPC that the step `begin` sends
 SETTLING_TURNS = 5
 
 
 class ClientSteps(Harness):
-    """Connect clients, send RPCs and check what comes back."""
+    """Connects clients, sends RPCs and checks the answers."""
 
     left_to_send = b""  # the second half of the RPC of the step `begin`
 
     def do_connect(self, *names: str) -> None:
-        """Connect clients, each of which gets an answer to PING."""
+        """Connect clients; each must receive an answer to PING."""
         for name in names:
             self.clients[name] = Peer(socket.create_connection(self.address))
             self.do_open(name)
 
     def do_connect_drained(self, name: str) -> None:
-        """Connect a client that the gateway does not want."""
+        """Connect a client while the gateway drains."""
         self.do_connect_silent(name)
         self.turn()
 
     def do_small_receive_buffer(self, name: str) -> None:
-        """Connect a client whose machine takes few bytes that it has not read."""
+        """Connect a client with a small receive buffer in the kernel."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
         sock.connect(self.address)
@@ -42,13 +42,16 @@
         self.clients[name] = Peer(socket.create_connection(self.address))
 
     def do_open(self, *names: str) -> None:
-        """Check that clients are served."""
+        """Check that the gateway serves these clients."""
         for name in names:
             self.do_raw(name, PING)
             self.do_reads(name, "+PONG")
 
     def fence(self) -> None:
-        """Let the gateway handle all that has come, as far as it serves new clients."""
+        """Let the gateway handle all pending input.
+
+        If the gateway accepts new clients, an answered PING proves that it has done so.
+        """
         for _ in range(SETTLING_TURNS):
             self.turn()
         if self.gateway.is_ending or not self.gateway.lifecycle.passes_health_check:
@@ -58,21 +61,21 @@
         self.do_open(FENCE)
 
     def do_raw(self, name: str, *text: str) -> None:
-        """Send any bytes."""
+        """Send bytes from a client."""
         self.clients[name].sock.send(unescape(" ".join(text)))
 
     def do_query(self, name: str, rpc: str, method: str, *words: str) -> None:
-        """Send an RPC as a query, whatever its method."""
+        """Send an RPC with the command SVC.QUERY, whatever its method."""
         self.do_send(name, rpc, method, *words, verb=b"SVC.QUERY")
 
     def do_submit(self, name: str, rpc: str, method: str, *words: str) -> None:
-        """Send an RPC as a submission, whatever its method."""
+        """Send an RPC with the command SVC.SUBMIT, whatever its method."""
         self.do_send(name, rpc, method, *words, verb=b"SVC.SUBMIT")
 
     def do_send(
         self, name: str, rpc: str, method: str, *words: str, verb: bytes | None = None
     ) -> None:
-        """Send one RPC; `split` sends it byte by byte, `body=N` gives it a body of N bytes."""
+        """Send one RPC; `split` sends it byte by byte, `body=N` adds a body of N bytes."""
         options = as_options(words)
         is_split = options.pop("split", None) is not None
         is_unread = options.pop("unread", None) is not None
@@ -89,8 +92,8 @@
             parts.append(b"x" * body_size)
         self.sent[rpc] = parts
         self._send_command(self.clients[name], resp.encode_command(*parts), is_split)
-        self.now += stall_s  # it comes while the process stalls
-        for _ in range(0 if is_unread else 3):  # it is read before the clock moves
+        self.now += stall_s  # the RPC arrives while the process is stalled
+        for _ in range(0 if is_unread else 3):  # the gateway reads it before the clock moves
             self.turn()
 
     def _send_command(self, client: Peer, data: bytes, is_split: bool) -> None:
@@ -102,7 +105,7 @@
             self.turn()
 
     def do_begin(self, name: str, size: str) -> None:
-        """Send half of a command with a body of so many bytes, called `begun`."""
+        """Send half of a command, with the id `begun`, that has a body of `size` bytes."""
         body_size = int(size)
         fields = b"c=post,t=basic,d=3000,units=1,spread=1,first=0"
         parts = [b"SVC.SUBMIT", b"%016x" % 7, BEGUN.encode(), fields, b"x" * body_size]
@@ -112,7 +115,7 @@
         self._feed(self.clients[name], data[: body_size // 2])
 
     def do_rest(self, name: str) -> None:
-        """Send the rest of the command that `begin` began."""
+        """Send the second half of the command that the step `begin` sent."""
         self._feed(self.clients[name], self.left_to_send)
 
     def _feed(self, client: Peer, data: bytes) -> None:
@@ -124,12 +127,12 @@
             self.turn()
 
     def do_buffered(self, low: str, high: str) -> None:
-        """Check how many bytes of bodies are kept."""
+        """Check that between `low` and `high` bytes of bodies are reserved in the budget."""
         reserved = self.gateway.endpoint_pools.buffer_budget.reserved
         assert int(low) <= reserved <= int(high), reserved
 
     def do_reads(self, name: str, *text: str) -> None:
-        """Check the next answer: a line by its beginning, or $VALUE."""
+        """Check the client's next answer: a line that starts with the text, or $VALUE."""
         client = self.clients[name]
         expected = unescape(" ".join(text))
         (kind, span, _), data = self.until(
@@ -144,7 +147,7 @@
             assert data.startswith(expected), data[:200]
 
     def do_reads_long(self, name: str, number: str) -> None:
-        """Check that the client has a complete value of so many bytes."""
+        """Check that the client receives a complete value of `number` bytes."""
         client = self.clients[name]
         size = int(number)
         expected = b"$%d\r\n" % size + b"x" * size + b"\r\n"
@@ -153,7 +156,7 @@
         del client.buffer[: len(expected)]
 
     def do_partly(self, name: str, number: str) -> None:
-        """Check that the client has so many bytes of an answer that is not complete."""
+        """Check that the client receives at least `number` bytes of an incomplete answer."""
         client = self.clients[name]
         self.until(f"{number} bytes at {name}", lambda: len(client.buffer) >= int(number))
         assert not client.ended
@@ -164,7 +167,7 @@
         assert not self.clients[name].ended
 
     def do_ended_short(self, name: str) -> None:
-        """Check that the client's connection ends within an answer."""
+        """Check that the client's connection closes before an answer is complete."""
         client = self.clients.pop(name)
         self.paused_clients.discard(name)
 
@@ -178,7 +181,7 @@
         assert len(value) < int(head[1:]) + 2, (head, len(value))
 
     def do_closed(self, *names: str) -> None:
-        """Check that connections were closed in order, after all answers were read."""
+        """Check that connections were closed without a reset, after all answers were read."""
         for name in names:
             client = self.clients[name]
             self.until(f"the end of {name}", lambda client=client: client.ended)
@@ -187,37 +190,37 @@
             client.sock.close()
 
     def do_disconnect(self, name: str) -> None:
-        """Disconnect a client, which the gateway notices."""
+        """Disconnect a client and wait until the gateway has noticed."""
         self.clients[name].sock.close()
         self.until(
-            f"{name} being gone",
+            f"the disconnect of {name}",
             lambda: len(self.gateway.client_listener.clients) < len(self.clients),
         )
         del self.clients[name]
 
     def do_disconnect_unseen(self, name: str) -> None:
-        """Disconnect a client, which the gateway has had no turn to notice."""
+        """Disconnect a client without giving the gateway a turn to notice."""
         self.clients.pop(name).sock.close()
 
     def do_stops_reading(self, name: str) -> None:
-        """The client reads nothing for a while."""
+        """Stop a client from reading."""
         self.paused_clients.add(name)
 
     def do_resumes_reading(self, name: str) -> None:
-        """The client reads again."""
+        """Let a client read again."""
         self.paused_clients.discard(name)
 
     def do_clients(self, number: str) -> None:
-        """Check that so many clients are still connected."""
+        """Check that `number` clients are still connected."""
         self.until(
             f"{number} clients",
             lambda: len(self.gateway.client_listener.clients) == int(number),
         )
 
     def do_unanswered(self, name: str, number: str) -> None:
-        """Check that so many answers are due to this client."""
+        """Check that `number` replies to this client are pending."""
         client = self.server_client(name)
         self.until(
-            f"{number} answers owed to {name}",
+            f"{number} pending replies to {name}",
             lambda: len(client.pending_replies) == int(number),
         )
--- a/tests/integration/gateway/load_steps.py
+++ b/tests/integration/gateway/load_steps.py
@@ -1,4 +1,4 @@
-"""Steps of many RPCs, and of peers that are faster or slower than the gateway."""
+"""Steps for many RPCs, and for peers that are faster or slower than the gateway."""
 
 import time
 
@@ -8,22 +8,20 @@
 from tests.integration.gateway.endpoint_steps import EndpointSteps
 from tests.integration.gateway.sockets import FloodingSocket
 
-LONG_VALUE = (
-    4_000_000  # bytes of the value of the steps `sends-until-blocked` and `sends-remainder`
-)
+LONG_VALUE = 4_000_000  # bytes that `sends-until-blocked` and `sends-remainder` send together
 STALL_LIMIT = 3_900_000  # bytes after which `sends-until-blocked` stops
 STALL_S = 0.3  # real time without progress that counts as a stall
-STALL_CHUNK = 4096
-DEAF_RPCS = 90  # RPCs until the kernel's buffers are certainly full
+STALL_CHUNK = 4096  # bytes
+MAX_UNREAD_RPCS = 90  # RPCs whose answers fill the kernel's buffers for certain
 
 
 class LoadSteps(EndpointSteps):
-    """Send many RPCs, and check bounds of what is read at once and of what waits."""
+    """Sends many RPCs, and checks the limits on reads per turn and on buffered bytes."""
 
-    stalled_after = 0  # bytes that the endpoint could send until it was blocked
+    stalled_after = 0  # bytes that the endpoint sent before it was blocked
 
     def do_serve_many(self, number: str, name: str, method: str) -> None:
-        """Send so many RPCs and have each served."""
+        """Send `number` RPCs one after the other, and have each served."""
         for index in range(int(number)):
             rpc = f"many{index}"
             self.do_send(name, rpc, method)
@@ -32,11 +30,11 @@
             self.do_reads(name, "$served")
 
     def do_burst(self, name: str, number: str) -> None:
-        """Send so many commands at once."""
+        """Send `number` commands in one write."""
         self.clients[name].sock.send(resp.encode_command(b"SELECT", b"0") * int(number))
 
     def do_rest_answered(self, name: str) -> None:
-        """Check that not all of the burst has been answered yet, and that all of it will be."""
+        """Check that only a part of the burst has been answered, and that the rest follows."""
         client = self.clients[name]
         answered = client.buffer.count(b"+OK")
         assert 0 < answered < BURST, answered
@@ -44,7 +42,7 @@
         client.buffer.clear()
 
     def do_send_many(self, name: str, number: str) -> None:
-        """Send so many RPCs at once, all with credit."""
+        """Send `number` RPCs in one write; the customer's quota covers all of them."""
         fields = b"c=look,t=basic,d=2000,units=0.1,spread=1,first=0"
         commands = [
             resp.encode_command(
@@ -55,19 +53,19 @@
         self.clients[name].sock.send(b"".join(commands))
 
     def do_forwarded_up_to(self, name: str, maximum: str) -> None:
-        """Check that at most so many RPCs of `send-many` have reached endpoints."""
+        """Check that at most `maximum` RPCs of `send-many` have reached endpoints."""
         self.fence()
         self.receive("")
         number = sum(rpc.startswith(name + "-") for rpc in self.received)
         assert number <= int(maximum), number
 
     def do_floods(self, name: str, limit: str, *text: str) -> None:
-        """Each read of this client, or of the last management caller, brings more from now on.
+        """Let every read from a peer return more data from now on.
 
         Args:
-            name: The client, or `staff` for the management caller.
-            limit: How many reads a turn may have.
-            text: What each read brings; the letter x alone, where this is empty.
+            name: The client that floods, or `staff` for the last management caller.
+            limit: The number of reads per turn beyond which a read fails.
+            text: The data that each read returns; letters x if empty.
         """
         if name == "staff":
             stream = next(reversed(self.gateway.management.callers))
@@ -81,14 +79,14 @@
         peer.sock.send(b"x")
 
     def do_read_within(self, maximum: str) -> None:
-        """Check that no flooding peer was read more often in one turn."""
+        """Check that the gateway read each flooding peer at most `maximum` times in one turn."""
         reads = max((flood.maximum_reads for flood in self.floods), default=0)
         assert 0 < reads <= int(maximum), reads
 
     def do_never_reads(self, name: str) -> None:
-        """This client reads nothing from now on; its RPCs are served until answers queue up."""
+        """Stop a client from reading, and serve its RPCs until the gateway has to queue answers."""
         self.paused_clients.add(name)
-        for index in range(DEAF_RPCS):
+        for index in range(MAX_UNREAD_RPCS):
             rpc = f"deaf{index}"
             self.do_send(name, rpc, "look", f"who={index}")
             self.do_takes(rpc)
@@ -96,15 +94,15 @@
             self.until("its end", lambda: not self.gateway.executor.requests)
             if any(client.stream.unsent for client in self.gateway.client_listener.clients):
                 return
-        raise AssertionError("the kernel takes it all")
+        raise AssertionError(f"the kernel took all of {MAX_UNREAD_RPCS} unread answers")
 
     def do_sends_until_blocked(self, rpc: str, name: str, limit: str) -> None:
-        """The endpoint sends what it can of a long value to a client that does not read.
+        """Let the endpoint send a long value to a client that does not read, until it blocks.
 
         Args:
-            rpc: The RPC that is answered.
-            name: Its client.
-            limit: The kernel has fewer bytes than this for the client.
+            rpc: The RPC that the endpoint answers.
+            name: The client that sent the RPC.
+            limit: The kernel must have taken fewer bytes than this for the client.
         """
         self.paused_clients.add(name)
         peer = self.endpoint_of(rpc)
@@ -122,15 +120,18 @@
         assert relay.stream.bytes_sent < int(limit), relay.stream.bytes_sent
 
     def do_sends_remainder(self, rpc: str) -> None:
-        """The endpoint sends all that is left of the long value, and ends the answer."""
+        """Let the endpoint send the rest of the long value and complete the answer."""
         self.give(rpc, LONG_VALUE - self.stalled_after)
         self.do_ends(rpc, "$-1", "$-1")
 
     def do_waits_within(self, number: str) -> None:
-        """Check that at most so many bytes of all long values wait in the gateway."""
+        """Check that the gateway buffers at most `number` bytes of all long values.
+
+        Unless `number` is 0, it has to buffer some.
+        """
         waiting = 0
         for relay in self.gateway.endpoint_pools.buffer_budget.relays:
-            waiting += relay.waiting
+            waiting += relay.buffered_bytes
             if relay.stream:
                 waiting += relay.stream.bytes_queued - relay.stream.bytes_sent
         assert waiting <= int(number), waiting
--- a/tests/integration/gateway/race_steps.py
+++ b/tests/integration/gateway/race_steps.py
@@ -10,14 +10,14 @@
 
 
 class RaceSteps(EndpointSteps):
-    """Bring events together in one turn or one instant."""
+    """Makes events coincide in one turn or at one point in time."""
 
     def do_wait(self, seconds: str) -> None:
-        """Let time pass, a step of the clock at a time."""
+        """Advance the clock by some seconds, in small steps."""
         self.wait(float(seconds))
 
     def wait(self, seconds: float) -> None:
-        """Move the clock in small steps, with two turns after each."""
+        """Advance the clock in small steps, with two turns after each."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + CLOCK_STEP_S)
@@ -25,18 +25,18 @@
             self.turn(0)
 
     def do_stall(self, seconds: str) -> None:
-        """The process stalls for so long."""
+        """Stall the process: advance the clock without a turn."""
         self.now += float(seconds)
 
     def do_turns(self, number: str, order: str = "forward") -> None:
-        """Run so many turns that handle ready sockets in this order."""
+        """Run some turns that handle ready sockets in the order `forward` or `backward`."""
         self.gateway.scheduler.poll.backward = order == "backward"
         for _ in range(int(number)):
             self.turn()
         self.gateway.scheduler.poll.backward = False
 
     def do_disconnect_in_turn(self, name: str, seconds: str) -> None:
-        """In the turn in which the next RPC is read, a client goes and so much time passes."""
+        """Disconnect a client and advance the clock in the turn that reads the next RPC."""
         listener = self.gateway.client_listener
         executor = self.gateway.executor
         on_request = listener.on_request
@@ -50,7 +50,7 @@
         listener.on_request = on_next_request
 
     def do_query_at_close(self, name: str, rpc: str) -> None:
-        """A query comes in the instant in which the gateway ends the client's connection."""
+        """Let a query arrive at the moment at which the gateway closes the client's connection."""
         stream = self.server_client(name).stream
         peer = self.clients[name]
         fields = b"c=look,t=basic,d=2000,units=1,spread=1,first=0"
@@ -58,7 +58,7 @@
         stream.sock = CrossingSocket(stream.sock, lambda: peer.sock.send(data))
 
     def do_host_bytes_at_close(self, name: str, *text: str) -> None:
-        """Bytes of an endpoint come in the instant in which its idle connections are closed."""
+        """Let bytes of an endpoint arrive when the gateway closes its idle connections."""
         data = unescape(" ".join(text))
         peers = {
             peer.sock.getpeername(): peer for peer in self.endpoint_peers() if peer.role == name
@@ -73,12 +73,12 @@
                     )
 
     def do_fault(self, name: str) -> None:
-        """The next call of the decisions of this name raises an error."""
+        """Let the next call of this method of the controller raise an error."""
         controller = self.gateway.executor.controller
         call = getattr(controller, name)
 
         def fail(*_args: object, **_kwargs: object) -> None:
             setattr(controller, name, call)
-            raise ZeroDivisionError("a fault of ours")
+            raise ZeroDivisionError(f"injected by the scenario into the controller's {name}")
 
         setattr(controller, name, fail)
--- a/tests/integration/gateway/sockets.py
+++ b/tests/integration/gateway/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of a scenario: its ends of connections, and wrappers that force rare events to happen."""
+"""Sockets for scenarios: the peers of the gateway, and wrappers that force rare events."""
 
 import errno
 import select
@@ -17,13 +17,15 @@
 
 
 class Peer:
-    """The scenario's end of one connection, and the bytes that came on it.
+    """The scenario's end of one connection, with the bytes received on it.
 
     Attributes:
-        role: The listener that accepted the connection; empty for a client.
-        ended: Whether the other side closed or reset the connection.
-        error: What broke the connection, if it did not end in order.
-        watch_request: The last request to discovery, where this is one of its connections.
+        sock: The socket.
+        role: The name of the listener that accepted the connection; empty for a client.
+        buffer: The bytes received and not yet parsed.
+        ended: Whether the connection was closed or reset.
+        error: The error that broke the connection, if any.
+        watch_request: The last request, if this is a connection to discovery.
     """
 
     def __init__(self, sock: socket.socket, role: str = "") -> None:
@@ -37,7 +39,7 @@
         self.watch_request = b""
 
     def read(self) -> None:
-        """Take in what has come."""
+        """Read all bytes that have arrived."""
         try:
             while not self.ended and (data := self.sock.recv(READ_SIZE)):
                 self.buffer += data
@@ -51,11 +53,15 @@
     def parse(
         self, parser: Callable[[bytearray, int, Limits], Parsed | None], limits: Limits
     ) -> tuple[Parsed, bytes] | None:
-        """Take the next command or answer off the buffer.
+        """Remove the next command or answer from the buffer.
+
+        Args:
+            parser: A parser of `petrellane.net.resp`.
+            limits: The limits for the parser.
 
         Returns:
-            Its parsed form and its bytes, to which the spans of the form refer; None while it is
-            not complete.
+            The parsed form and the bytes that its spans refer to; None while the frame is
+            incomplete.
         """
         if not self.buffer:
             return None
@@ -67,13 +73,13 @@
         return parsed, data
 
     def send_all(self, data: bytes) -> None:
-        """Send all bytes, which the gateway's kernel takes without a turn of the gateway."""
+        """Send all bytes; the kernel must accept them without a turn of the gateway."""
         self.sock.setblocking(True)
         self.sock.sendall(data)
         self.sock.setblocking(False)
 
     def reset(self) -> None:
-        """End the connection by a reset."""
+        """Reset the connection."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.sock.close()
         self.buffer.clear()
@@ -81,7 +87,7 @@
 
 
 class CrossingSocket:
-    """A socket of the gateway on which bytes arrive in the instant of its shutdown or close."""
+    """Wraps a socket of the gateway so that bytes arrive just before its shutdown or close."""
 
     def __init__(self, sock: socket.socket, arrive: Callable[[], object]) -> None:
         self.sock = sock
@@ -108,22 +114,22 @@
 
 
 class FloodingSocket:
-    """A socket of the gateway whose every read brings more, as of a peer that never pauses.
+    """Wraps a socket of the gateway so that every read returns data, as from a flooding peer.
 
     Attributes:
-        maximum_reads: The most reads in one turn so far.
+        maximum_reads: The largest number of reads in one turn so far.
     """
 
     def __init__(
         self, sock: socket.socket, turn_count: Callable[[], int], limit: int, data: bytes
     ) -> None:
-        """Replace a socket.
+        """Wrap a socket.
 
         Args:
-            sock: The socket that is replaced.
+            sock: The socket to wrap.
             turn_count: Returns the number of turns so far.
-            limit: Reads in one turn beyond which a read fails.
-            data: What each read brings; as many letters x as it asks for, where this is empty.
+            limit: The number of reads per turn beyond which a read fails.
+            data: The data that each read returns; if empty, as many letters x as requested.
         """
         self.sock = sock
         self.turn_count = turn_count
@@ -137,33 +143,33 @@
         return getattr(self.sock, name)
 
     def recv(self, size: int, flags: int = 0) -> bytes:  # noqa: ARG002  # as socket.recv has them
-        """Return more bytes.
+        """Return data.
 
         Raises:
-            OSError: The turn has had too many reads.
+            OSError: The gateway has exceeded the limit of reads in this turn.
         """
         turn = self.turn_count()
         self.reads = self.reads + 1 if self.turn == turn else 1
         self.turn = turn
         self.maximum_reads = max(self.maximum_reads, self.reads)
         if self.reads > self.limit:
-            raise OSError("read for too long")
+            raise OSError(f"expected at most {self.limit} reads in one turn, found {self.reads}")
         return self.data or b"x" * size
 
 
 class StarvedListener:
-    """A listener of the gateway whose first calls of accept find no descriptor left.
+    """Wraps a listener of the gateway so that the first calls of accept find no descriptor.
 
     Attributes:
-        accept_calls: How often accept was called.
+        accept_calls: The number of calls of accept so far.
     """
 
     def __init__(self, listener: socket.socket, failures: float) -> None:
-        """Replace a listener.
+        """Wrap a listener.
 
         Args:
-            listener: The listener that is replaced.
-            failures: How many calls fail; may be infinite.
+            listener: The listener to wrap.
+            failures: The number of calls that fail; may be infinite.
         """
         self.listener = listener
         self.failures = failures
@@ -173,7 +179,7 @@
         return getattr(self.listener, name)
 
     def accept(self) -> tuple[socket.socket, object]:
-        """Accept a connection, or fail as a process without a free descriptor does."""
+        """Accept a connection, or fail with EMFILE as if no descriptor were free."""
         self.accept_calls += 1
         if self.accept_calls <= self.failures:
             raise OSError(errno.EMFILE, "no descriptor")
@@ -181,7 +187,7 @@
 
 
 class OrderedPoll:
-    """A poll that reports ready sockets in the order of their registration, or backward."""
+    """Wraps a poll object: reports ready sockets in the order of registration, or in reverse."""
 
     def __init__(self, poll: select.poll) -> None:
         self.wrapped = poll
@@ -191,18 +197,18 @@
         self.unregister = poll.unregister
 
     def poll(self, timeout: float | None) -> list[tuple[int, int]]:
-        """Wait for ready sockets, for at most so many milliseconds."""
+        """Return the ready sockets; wait for them for at most `timeout` milliseconds."""
         ready = self.wrapped.poll(timeout)
         return ready[::-1] if self.backward else ready
 
 
 def loopback_address(sock: socket.socket) -> str:
-    """Return HOST:PORT of a socket that is bound on loopback."""
+    """Return the address of a socket bound on loopback, as HOST:PORT."""
     return f"{LOOPBACK}:{sock.getsockname()[1]}"
 
 
 def occupy_backlog(address: tuple[str, int], number: int) -> list[socket.socket]:
-    """Return connections that nobody accepts, so that further ones never come up."""
+    """Open connections that fill a listener's backlog, so that further ones never come up."""
     blockers = []
     for _ in range(number):
         sock = socket.socket()
