--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -108,12 +108,12 @@
         for reply in self.pending_replies:
             budget.reserve(reply, 0)
             if reply.buffers is None:
-                self._disconnect(reply)
+                self._cancel_request(reply)
             elif reply.relay:
                 reply.relay.drop()
         self.pending_replies.clear()
 
-    def _disconnect(self, reply: Reply) -> None:
+    def _cancel_request(self, reply: Reply) -> None:
         if isinstance(reply, ClientRequest):
             self.listener.on_client_disconnected(reply)
 
@@ -134,7 +134,7 @@
         """Cancel pending requests; the stream calls this if it breaks while no greenlet reads."""
         for reply in self.pending_replies:
             if reply.buffers is None:
-                self._disconnect(reply)
+                self._cancel_request(reply)
 
     # Reading.
 
@@ -248,7 +248,7 @@
             listener.buffer_budget.reserve(self, 0)
             while (now := listener.scheduler.now()) < deadline:
                 if not self.pending_replies:
-                    # A slow client may take as long to read its replies as a long value may stall.
+                    # A slow client gets the stall timeout of a long value to read its last replies.
                     limits = listener.limits
                     time_left = limits.stall_timeout if stream.unsent else limits.linger_timeout
                     deadline = min(deadline, now + time_left)
@@ -308,7 +308,7 @@
         self.close_if_done()
 
     def _close_after_broken_relay(self, relay: ResponseRelay) -> None:
-        """Close the connection before the broken response exceeds `stall_timeout`."""
+        """Close the connection within `stall_timeout` of the last progress of a broken response."""
         deadline = relay.last_progress + self.listener.limits.stall_timeout
         self._close_when_sent(deadline - self.listener.scheduler.now())
 
@@ -333,7 +333,10 @@
     # Closing.
 
     def is_idle(self) -> bool:
-        """Return whether no reply is pending, no data is unsent and no input is unread."""
+        """Return whether no reply is pending, no data is unsent and no input is unhandled.
+
+        An offered connection is not idle, because the successor may own it already.
+        """
         stream = self.stream
         return (
             not self.handoff.is_offered
@@ -359,7 +362,7 @@
         return not self.pending_replies and not self.stream.unsent
 
     def _belongs_to_successor(self) -> bool:
-        """Return whether the successor has the connection, or will get it."""
+        """Return whether the connection is offered to the successor, or is going to be."""
         has_successor = self.listener.successor is not None
         return self.handoff.is_offered or (has_successor and not self.is_closing)
 
--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -154,7 +154,7 @@
                 is_full = True  # for the rest of this turn
                 self._reject(sock)
                 continue
-            client = ClientConnection(self, self._stream(sock))
+            client = ClientConnection(self, self._open_stream(sock))
             self.clients[client] = None
             self.silent[client] = None
             self.scheduler.spawn(client.run)
@@ -172,14 +172,14 @@
         if not self._make_room_for_client():
             self._reject(sock)
             return
-        client = ClientConnection(self, self._stream(sock))
+        client = ClientConnection(self, self._open_stream(sock))
         client.stream.buffer += data
         client.has_sent_rpc = has_sent_rpc
         self.clients[client] = None
         self.make_room(0)
         self.scheduler.spawn(client.run)
 
-    def _stream(self, sock: socket.socket) -> Stream:
+    def _open_stream(self, sock: socket.socket) -> Stream:
         return Stream(self.scheduler, self.limits, sock, break_on_half_close=True)
 
     def _reject(self, sock: socket.socket) -> None:
--- a/petrellane/gateway/client_request.py
+++ b/petrellane/gateway/client_request.py
@@ -19,7 +19,7 @@
 SUBMIT = b"SVC.SUBMIT"
 RPC_COMMANDS = frozenset({QUERY, SUBMIT})
 
-# Names of the fields that the gateway reads; `TIMEOUT_PATTERN` has that of the timeout.
+# Names of the fields that the gateway reads. `TIMEOUT_PATTERN` contains that of the timeout, `d`.
 METHOD_FIELD = "c"
 PLAN_FIELD = "t"
 CLIENT_RETRY_FIELD = "r"
@@ -58,7 +58,7 @@
     """The connection that a request arrived on."""
 
     def on_reply_ready(self) -> None:
-        """Write the reply, which is ready, or the next part of a long one."""
+        """Write the reply that is now ready, or the next part of a long one."""
 
     def is_client_disconnected(self) -> bool:
         """Return whether the client has disconnected, according to its socket."""
@@ -69,7 +69,7 @@
 
 
 class Reply:
-    """A reply in the order of replies of a connection.
+    """One reply in the queue of pending replies of a connection.
 
     Owned by the client's connection until it is written.
 
--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -58,8 +58,8 @@
     def has_room(self, owner: object) -> bool:
         """Return whether the gateway may read more of an owner's body.
 
-        It may while the budget is not used up. The owner of the oldest reservation always may, so
-        that at least one body completes.
+        The gateway reads while the budget is not used up. It always reads for the owner of the
+        oldest reservation, so that at least one body completes.
         """
         return (
             self.reserved < self.limits.buffer_budget
@@ -133,11 +133,11 @@
             self.adjust_reading()
 
     def end(self) -> None:
-        """Complete the response; the endpoint's bytes after the value were well formed."""
+        """Mark the response as complete, including well-formed data after the value."""
         self._close(RelayState.COMPLETE)
 
     def fail(self) -> None:
-        """Break the response off: the endpoint sends no more of it."""
+        """Mark the response as broken: the endpoint sends no more of it."""
         self._close(RelayState.BROKEN)
 
     def _close(self, state: RelayState) -> None:
--- a/tests/integration/gateway/client_steps.py
+++ b/tests/integration/gateway/client_steps.py
@@ -17,7 +17,7 @@
 class ClientSteps(Harness):
     """Connects clients, sends RPCs and checks the answers."""
 
-    left_to_send = b""  # the second half of the RPC of the step `begin`
+    unsent_half = b""  # the second half of the RPC of the step `begin`
 
     def do_connect(self, *names: str) -> None:
         """Connect clients; each must receive an answer to PING."""
@@ -111,14 +111,14 @@
         parts = [b"SVC.SUBMIT", b"%016x" % 7, BEGUN.encode(), fields, b"x" * body_size]
         self.sent[BEGUN] = parts
         data = resp.encode_command(*parts)
-        self.left_to_send = data[body_size // 2 :]
-        self._feed(self.clients[name], data[: body_size // 2])
+        self.unsent_half = data[body_size // 2 :]
+        self._send_in_turns(self.clients[name], data[: body_size // 2])
 
     def do_rest(self, name: str) -> None:
         """Send the second half of the command that the step `begin` sent."""
-        self._feed(self.clients[name], self.left_to_send)
+        self._send_in_turns(self.clients[name], self.unsent_half)
 
-    def _feed(self, client: Peer, data: bytes) -> None:
+    def _send_in_turns(self, client: Peer, data: bytes) -> None:
         while data:
             with contextlib.suppress(BlockingIOError):
                 data = data[client.sock.send(data) :]
--- a/tests/integration/gateway/load_steps.py
+++ b/tests/integration/gateway/load_steps.py
@@ -18,7 +18,7 @@
 class LoadSteps(EndpointSteps):
     """Sends many RPCs, and checks the limits on reads per turn and on buffered bytes."""
 
-    stalled_after = 0  # bytes that the endpoint sent before it was blocked
+    sent_before_stall = 0  # bytes that the endpoint sent before it was blocked
 
     def do_serve_many(self, number: str, name: str, method: str) -> None:
         """Send `number` RPCs one after the other, and have each served."""
@@ -115,13 +115,13 @@
             except BlockingIOError:
                 pass
             self.turn(0)
-        self.stalled_after = sent
+        self.sent_before_stall = sent
         (relay,) = self.gateway.endpoint_pools.buffer_budget.relays
         assert relay.stream.bytes_sent < int(limit), relay.stream.bytes_sent
 
     def do_sends_remainder(self, rpc: str) -> None:
         """Let the endpoint send the rest of the long value and complete the answer."""
-        self.give(rpc, LONG_VALUE - self.stalled_after)
+        self.give(rpc, LONG_VALUE - self.sent_before_stall)
         self.do_ends(rpc, "$-1", "$-1")
 
     def do_waits_within(self, number: str) -> None:
