--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -188,7 +188,7 @@
         self.pieces.clear()
 
     def adjust_reading(self) -> None:
-        """Pause or resume reading by the bytes buffered here and unsent in the client's stream."""
+        """Pause or resume reading, depending on the bytes buffered here and in `stream`."""
         buffered = self.buffered_bytes
         if self.stream and not self.is_discarding:
             buffered += self.stream.bytes_queued - self.stream.bytes_sent
