--- a/petrellane/testbed/hollow/group.py
+++ b/petrellane/testbed/hollow/group.py
@@ -129,11 +129,11 @@
             self.last_entries = {int(entry.name[1:]): entry for entry in endpoint_list.entries}
         return self.last_entries
 
-    def on_answered(self) -> None:
+    def on_reply_ready(self) -> None:
         """Count an answer."""
         self.answers += 1
 
-    def is_client_gone(self) -> bool:
+    def is_client_disconnected(self) -> bool:
         """Return False: no client leaves."""
         return False
 
