--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -150,7 +150,7 @@
         self.is_active = True
         self._reset_status()
 
-    def hand_over(self) -> None:
+    def suspend(self) -> None:
         """Leave taking part to a successor, the process that is the gateway from now on."""
         self.is_active = False
 
--- a/petrellane/gateway/hot_restart.py
+++ b/petrellane/gateway/hot_restart.py
@@ -51,7 +51,7 @@
         consensus_state = None
         participant = self.process.participant
         if participant:
-            participant.hand_over()
+            participant.suspend()
             consensus_state = participant.state.to_dict()
         return hot_restart.export_leases(
             self.executor.controller, self.scheduler.now(), consensus_state
