--- a/petrellane/config_consensus/participant.py
+++ b/petrellane/config_consensus/participant.py
@@ -1,34 +1,38 @@
-"""A participant's rules, free of I/O: what one gateway remembers and what it answers.
+"""The rules of a participant, free of I/O: what one gateway stores and how it answers messages.
 
-State, durable before any answer that depends on it (`ParticipantState`):
+The state (`ParticipantState`) is durable before the participant sends an answer that depends on it:
 
-    promised   the highest epoch answered; lower ones are rejected from then on
-    in_force   the generation that the gateway admits under
-    prepared   generations prepared here whose outcome is not known: while there are any, the
-               gateway is in doubt, and admits only what `in_force` and all of these allow
-    aborted    the last ballots known never to commit
+    promised   the highest epoch that the participant has promised; it rejects lower epochs
+    in_force   the committed generation, under which the gateway admits RPCs
+    prepared   generations that the participant has prepared and whose outcome it does not know;
+               while there are any, the gateway is in doubt and admits only what `in_force` and
+               all of these allow
+    aborted    the latest ballots that are known to be aborted
 
-Rules, each idempotent (E: the sender's epoch, G: a generation, B: a ballot):
+The rules are idempotent (E: the sender's epoch, G: a generation, B: a ballot):
 
     message            condition                            effect
     promise E          E >= promised                        promised = E
     prepare E, G, base E >= promised, G after in_force,     G joins prepared
                        base not after in_force, G not
                        aborted, settings valid here
-    commit E, G        E >= promised, G prepared here       in_force = G, prepared keeps what
-                       or sent with its content             is after G
+    commit E, G        E >= promised, G prepared here       in_force = G, prepared keeps only
+                       or sent with its content             generations after G
     abort E, B         E >= promised, B after in_force      B leaves prepared, joins aborted
-    peer's report      (from another participant)           its later in_force, its aborted and
-                                                            its prepared ballots become ours
-
-`in_force` never returns to an earlier ballot. A participant *knows* what is in force once it has
-heard from so many others that every majority has one of them; a coordinator's word is not enough,
-as another one may have gone on without this gateway. Until then, and after it has stalled, it
-admits nothing (`ParticipantStatus`).
-
-All functions return the state to remember, which takes effect once `participant_service` has
-made it durable. Whether settings are valid here is the caller's `validate`: it returns what is
-wrong in one line, or None.
+    peer's report      (from another participant)           in_force becomes the peer's if that is
+                                                            later; ballots prepared here that the
+                                                            peer aborted are aborted; generations
+                                                            that the peer prepared join prepared
+
+`in_force` never returns to an earlier ballot. A participant knows which generation is in force once
+every majority of the roster contains a peer that has answered it, or the participant itself if its
+stored state is complete. Messages from a coordinator do not count as answers: another coordinator
+may have committed a later generation without this gateway. Until the participant knows, and again
+after a stall, the gateway admits no RPCs (`ParticipantStatus`).
+
+The functions that change the state return the new state, which takes effect once
+`participant_service` has made it durable. The caller passes a function `validate` that returns in
+one line why settings are not valid at this gateway, or None if they are valid.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -46,17 +50,24 @@
 from petrellane.config_consensus.errors import MessageRejected, RejectionCause
 from petrellane.config_consensus.messages import MessageKind, PeerState, ReceivedRequest
 
-MAX_ABORTED = 16  # aborted ballots remembered: nobody asks about changes further back
-MAX_PREPARED = 8  # generations prepared at a time
-STALL_LIMIT_S = 1.0  # a stall longer than this may have excluded the gateway from a change
-PEER_POLL_INTERVAL_S = 0.5  # mean time between rounds of asking others while in doubt
-INITIAL_BALLOT = Ballot(0, NO_EPOCH)  # that of the gateway's own file
+MAX_ABORTED = 16  # aborted ballots that are stored; no message refers to older changes
+MAX_PREPARED = 8  # generations that may be prepared at the same time
+STALL_LIMIT_S = 1.0  # during a longer stall, a change may have excluded the gateway
+PEER_POLL_INTERVAL_S = 0.5  # mean pause between two rounds of polling peers
+INITIAL_BALLOT = Ballot(0, NO_EPOCH)  # ballot of the settings in the gateway's own file
 
 Validator = Callable[[dict[str, Any]], str | None]
 
 
 class ParticipantState(NamedTuple):
-    """What a participant remembers; as an answer, its report without contents."""
+    """The durable state of a participant, and its report of that state to other processes.
+
+    Attributes:
+        in_force: The committed generation, under which the gateway admits RPCs.
+        promised: The highest promised epoch.
+        prepared: The generations prepared here whose outcome is unknown, in the order of ballots.
+        aborted: The latest aborted ballots, the most recently aborted last.
+    """
 
     in_force: Generation
     promised: Epoch = NO_EPOCH
@@ -64,7 +75,7 @@
     aborted: tuple[Ballot, ...] = ()
 
     def to_dict(self) -> dict[str, Any]:
-        """The report as JSON."""
+        """Return the report as a JSON object, which omits the settings of the generations."""
         return {
             state_keys.PROMISED: list(self.promised),
             state_keys.IN_FORCE: self.in_force.identity_to_dict(),
@@ -74,17 +85,19 @@
         }
 
     def find_generation(self, ballot: Ballot) -> Generation | None:
-        """The generation of a ballot that is in force or prepared here, None for others."""
+        """Return the generation of a ballot if it is in force or prepared here, else None."""
         for generation in (self.in_force, *self.prepared):
             if generation.ballot == ballot:
                 return generation
         return None
 
 
-class HandledMessage(NamedTuple):
-    """What follows from a message: the state to remember, and the answer.
+class MessageResult(NamedTuple):
+    """The result of handling a message.
 
-    The answer is that state, or the content asked for.
+    Attributes:
+        state: The state to make durable.
+        answer: That state, or the generation that the message requested.
     """
 
     state: ParticipantState
@@ -92,7 +105,11 @@
 
 
 def admissible_settings(state: ParticipantState) -> dict[str, Any]:
-    """The settings to admit under: those in force; in doubt, what all candidates allow."""
+    """Return the settings to admit under.
+
+    These are the settings in force. While the gateway is in doubt, they are restricted to what all
+    prepared settings allow as well.
+    """
     settings = state.in_force.content
     for generation in state.prepared:
         settings = safe_settings.meet(settings, generation.content)
@@ -101,31 +118,33 @@
 
 def handle_message(
     state: ParticipantState, message: Mapping[str, Any], validate: Validator
-) -> HandledMessage:
+) -> MessageResult:
     """Handle a request of a coordinator or of another participant.
 
     Args:
-        state: what the participant remembers.
-        message: the request as JSON.
-        validate: tells why settings are not valid here, None where they are.
+        state: The participant's state.
+        message: The request as a JSON object.
+        validate: A function that returns why settings are not valid here, or None if they are.
 
     Raises:
-        MessageRejected: a rule rejects the request; status 400 where it is malformed.
+        MessageRejected: A rule rejects the request; the status is 400 if it is malformed.
     """
     try:
         request = ReceivedRequest.from_dict(message)
         if request.epoch is None:
-            return HandledMessage(state, _read(state, request))
+            return MessageResult(state, _answer_query(state, request))
         after = _apply(_promise(state, request.epoch), request, validate)
     except ValueError as error:
         raise MessageRejected(
             HTTPStatus.BAD_REQUEST, RejectionCause.MALFORMED, str(error)
         ) from None
-    return HandledMessage(after, after)
+    return MessageResult(after, after)
 
 
-def _read(state: ParticipantState, request: ReceivedRequest) -> ParticipantState | Generation:
-    """The answer to a question for state or content."""
+def _answer_query(
+    state: ParticipantState, request: ReceivedRequest
+) -> ParticipantState | Generation:
+    """Return the state or the generation that a request without an epoch asks for."""
     if request.kind is MessageKind.STATE:
         return state
     generation = state.find_generation(request.ballot())
@@ -137,7 +156,7 @@
 
 
 def _promise(state: ParticipantState, epoch: Epoch) -> ParticipantState:
-    """Follow an epoch, unless a higher one was promised."""
+    """Promise an epoch. Raise MessageRejected if a higher epoch is promised already."""
     if epoch < state.promised:
         raise MessageRejected(
             HTTPStatus.CONFLICT,
@@ -152,7 +171,7 @@
 def _apply(
     state: ParticipantState, request: ReceivedRequest, validate: Validator
 ) -> ParticipantState:
-    """Apply a request whose epoch is promised."""
+    """Return the state after a request whose epoch is promised."""
     if request.kind is MessageKind.PREPARE:
         return prepare(state, request.generation(), request.base(), validate)
     if request.kind is MessageKind.COMMIT:
@@ -165,11 +184,13 @@
 def prepare(
     state: ParticipantState, generation: Generation, base: Ballot, validate: Validator
 ) -> ParticipantState:
-    """Prepare a generation that follows `base`; one that is known already changes nothing.
+    """Prepare a generation that follows `base`.
+
+    A generation that is prepared or in force already does not change the state.
 
     Raises:
-        MessageRejected: the generation can't commit any more, `base` is not known here, the
-            settings are not valid here, or too many generations are prepared.
+        MessageRejected: The generation can no longer commit, `base` is later than the generation
+            in force here, the settings are not valid here, or too many generations are prepared.
     """
     ballot = generation.ballot
     if state.find_generation(ballot):
@@ -203,14 +224,14 @@
 
 
 def _require_valid(generation: Generation, validate: Validator) -> None:
-    if wrong := validate(generation.content):
+    if problem := validate(generation.content):
         raise MessageRejected(
-            HTTPStatus.UNPROCESSABLE_ENTITY, RejectionCause.INVALID_SETTINGS, wrong
+            HTTPStatus.UNPROCESSABLE_ENTITY, RejectionCause.INVALID_SETTINGS, problem
         )
 
 
 def _with_prepared(state: ParticipantState, generation: Generation) -> ParticipantState:
-    """The state with one more prepared generation, in the order of ballots."""
+    """Return the state with one more prepared generation, sorted by ballot."""
     prepared = sorted((*state.prepared, generation), key=lambda candidate: candidate.ballot)
     return state._replace(prepared=tuple(prepared))
 
@@ -218,11 +239,11 @@
 def commit(
     state: ParticipantState, request: ReceivedRequest, validate: Validator
 ) -> ParticipantState:
-    """Put a committed generation in force, unless a later one is.
+    """Put a committed generation in force, unless it or a later one is in force already.
 
     Raises:
-        MessageRejected: the content is neither here nor in the request, or is not valid here;
-            the decision holds all the same, and this gateway can't follow it.
+        MessageRejected: The settings are neither stored here nor part of the request, or they are
+            not valid here. The generation stays committed; this gateway cannot apply it.
     """
     ballot = request.ballot()
     if ballot <= state.in_force.ballot:
@@ -241,7 +262,7 @@
 
 
 def put_in_force(state: ParticipantState, generation: Generation) -> ParticipantState:
-    """The state with a generation in force; only later ones stay prepared."""
+    """Return the state with a generation in force; only later generations stay prepared."""
     return state._replace(
         in_force=generation,
         prepared=tuple(later for later in state.prepared if later.ballot > generation.ballot),
@@ -249,7 +270,11 @@
 
 
 def abort(state: ParticipantState, ballot: Ballot) -> ParticipantState:
-    """The state once a ballot is known never to commit; no change where it is in the past."""
+    """Return the state after a ballot is aborted.
+
+    The state does not change if the ballot is known to be aborted, or is not later than the one in
+    force.
+    """
     if ballot <= state.in_force.ballot or ballot in state.aborted:
         return state
     return state._replace(
@@ -259,13 +284,13 @@
 
 
 def missing_ballots(state: ParticipantState, peer: PeerState) -> list[Ballot]:
-    """Ballots whose content has to be fetched from a peer before its report can be merged."""
-    wanted = [peer.in_force] if peer.in_force > state.in_force.ballot else []
+    """Return the ballots whose settings must be fetched from a peer to merge its report."""
+    needed = [peer.in_force] if peer.in_force > state.in_force.ballot else []
     newest = max(peer.in_force, state.in_force.ballot)
-    wanted += [
+    needed += [
         ballot for ballot in peer.prepared if ballot > newest and ballot not in state.aborted
     ]
-    return [ballot for ballot in wanted if not state.find_generation(ballot)]
+    return [ballot for ballot in needed if not state.find_generation(ballot)]
 
 
 def merge_peer_state(
@@ -274,37 +299,35 @@
     fetched: Iterable[Generation],
     validate: Validator,
 ) -> ParticipantState:
-    """The state to remember after a peer's report.
+    """Return the state after a peer's report.
 
     Args:
-        state: what the participant remembers.
-        peer: the report.
-        fetched: the generations of `missing_ballots`.
-        validate: tells why settings are not valid here, None where they are.
+        state: The participant's state.
+        peer: The peer's report.
+        fetched: The generations of the ballots that `missing_ballots` returned.
+        validate: A function that returns why settings are not valid here, or None if they are.
 
     Raises:
-        MessageRejected: what is in force at the peer is not valid here.
+        MessageRejected: The settings in force at the peer are not valid here.
     """
-    contents = {generation.ballot: generation for generation in fetched}
+    fetched_by_ballot = {generation.ballot: generation for generation in fetched}
     for ballot in peer.aborted:
         if state.find_generation(ballot):
             state = abort(state, ballot)
     if peer.in_force > state.in_force.ballot:
-        committed = state.find_generation(peer.in_force) or contents.get(peer.in_force)
+        committed = state.find_generation(peer.in_force) or fetched_by_ballot.get(peer.in_force)
         if committed:
             _require_valid(committed, validate)
             state = put_in_force(state, committed)
     for ballot in peer.prepared:
-        generation = contents.get(ballot)
-        if generation and _may_join_prepared(state, generation, validate):
+        generation = fetched_by_ballot.get(ballot)
+        if generation and _can_prepare(state, generation, validate):
             state = _with_prepared(state, generation)
     return state
 
 
-def _may_join_prepared(
-    state: ParticipantState, generation: Generation, validate: Validator
-) -> bool:
-    """Whether a generation that a peer prepared may still commit and is valid here."""
+def _can_prepare(state: ParticipantState, generation: Generation, validate: Validator) -> bool:
+    """Return whether a generation that a peer prepared can be prepared here as well."""
     ballot = generation.ballot
     if ballot <= state.in_force.ballot or ballot in state.aborted:
         return False
@@ -314,50 +337,67 @@
 
 
 class ParticipantStatus:
-    """Whether a gateway may admit: on the roster, aware of what is in force, not stalled since.
-
-    Owned by the participant's service and replaced each time it starts to ask anew. Times are
-    seconds of one steady clock.
+    """Decides whether a gateway may admit RPCs.
+
+    It may while it is on the roster and knows which generation is in force, unless it has stalled.
+    The participant service owns this object, and replaces it when it starts or resumes. Times are
+    in seconds of one monotonic clock.
+
+    Attributes:
+        name: The gateway's name.
+        roster: The names of the participants on the roster in force.
+        is_state_complete: Whether the gateway still has its state from before it started.
+        responders: The peers that have answered since the start or the last stall.
+        last_check: The time of the last check for a stall.
+        knows_in_force: Whether the gateway knows which generation is in force.
+        stall_count: The number of stalls so far.
     """
 
-    def __init__(self, name: str, roster: Sequence[str], remembers: bool, now: float) -> None:
+    def __init__(
+        self, name: str, roster: Sequence[str], is_state_complete: bool, now: float
+    ) -> None:
         self.name = name
-        self.remembers = remembers  # whether the state of an earlier life is here
+        self.is_state_complete = is_state_complete
         self.responders: set[str] = set()
-        self.last_checked = now
+        self.last_check = now
         self.knows_in_force = False
-        self.stall_count = 0  # an answer to a question from before a stall says nothing after it
+        self.stall_count = 0
         self.set_roster(roster)
 
     def set_roster(self, roster: Sequence[str]) -> None:
-        """Take the roster in force.
+        """Set the roster in force.
 
-        A gateway outside the roster is not notified of changes, so it must not admit RPCs. One on
-        the roster knows what is in force once enough others have answered, and keeps knowing it
-        when the roster changes.
+        A gateway that is not on the roster is not notified of changes, so it must not admit RPCs. A
+        gateway on the roster knows which generation is in force once enough peers have answered,
+        and still knows it after the roster changes.
         """
         self.roster = tuple(roster)
         if self.name not in self.roster:
             self.knows_in_force = False
-        elif intersects_every_majority(self.roster, self.responders, self.remembers):
+        elif intersects_every_majority(self.roster, self.responders, self.is_state_complete):
             self.knows_in_force = True
 
-    def on_peer_answered(self, name: str, asked_at_stall: int) -> None:
-        """Count a peer whose report is remembered here.
+    def on_peer_answered(self, name: str, stall_count_at_request: int) -> None:
+        """Count a peer whose report has been merged into the state.
 
         Args:
-            name: the peer.
-            asked_at_stall: `stall_count` when it was asked; the answer is ignored where the
-                gateway has stalled since, as others may have gone on meanwhile.
+            name: The peer's name.
+            stall_count_at_request: The value of `stall_count` when the gateway sent the request.
+                If the gateway has stalled since, the answer does not count: the peers may have
+                committed a change during the stall.
         """
-        if asked_at_stall == self.stall_count:
+        if stall_count_at_request == self.stall_count:
             self.responders.add(name)
             self.set_roster(self.roster)
 
     def check_stall(self, now: float) -> bool:
-        """Note the time, often; True after a stall in which others may have gone on."""
-        has_stalled = now - self.last_checked > STALL_LIMIT_S
-        self.last_checked = max(now, self.last_checked)
+        """Return whether the gateway has stalled since the last check; call this often.
+
+        The peers may have committed a change during a stall, so the gateway no longer knows which
+        generation is in force until enough peers have answered again.
+        """
+        has_stalled = now - self.last_check > STALL_LIMIT_S
+        self.last_check = max(now, self.last_check)
         if has_stalled:
             self.responders = set()
             self.knows_in_force = False
@@ -366,5 +406,5 @@
         return has_stalled
 
     def may_admit(self, now: float) -> bool:
-        """Whether an RPC that is here now may be admitted."""
-        return self.knows_in_force and now - self.last_checked <= STALL_LIMIT_S
+        """Return whether the gateway may admit an RPC now."""
+        return self.knows_in_force and now - self.last_check <= STALL_LIMIT_S
