--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -1,9 +1,12 @@
-"""The participant at a gateway: answers control processes and other gateways, applies settings.
+"""The participant of a gateway: answers control processes and other gateways, applies settings.
 
-The rules are in `participant`; this module executes what they decide. It promises that a state is
-on the disk before it is answered or applied, that `on_ready` is called once the gateway knows which
-settings are in force and never before, and that `may_admit` is cheap. Asking other gateways for
-what this one may have missed is left to `peer_polling`.
+The rules of the protocol are in `participant`; this module executes them. It guarantees that:
+
+- a state that follows from a message is on the disk before the participant answers or applies it;
+- `on_ready` is called once, and not before the gateway knows which settings are in force;
+- `may_admit` is cheap enough to be called for each RPC.
+
+`peer_polling` asks other gateways for changes that this one may have missed.
 """
 
 import contextlib
@@ -36,20 +39,21 @@
 from petrellane.net.scheduler import Scheduler
 from petrellane.operation.management_requests import HttpResponse
 
-UPDATE_RETRY_INTERVAL_S = 0.002  # between looks whether another greenlet's update has ended
-MAX_DRIFT_LINES = 20  # of a `drift` event
+UPDATE_RETRY_INTERVAL_S = 0.002  # between two checks whether another greenlet's update has ended
+MAX_DRIFT_LINES = 20  # in a `drift` event
 
 
 @dataclass(frozen=True)
 class GatewayInterface:
-    """What a participant service needs of its gateway.
+    """The data and functions of a gateway that its participant service uses.
 
     Attributes:
-        name: the gateway's name in the roster.
-        settings: the settings of the gateway's own file.
-        validate: returns why settings can't be applied here, in one line, or None.
-        apply_settings: puts settings in force that `validate` accepts.
-        random: draws from 0 to 1.
+        name: The gateway's name in the roster.
+        settings: The settings of the gateway's own file.
+        validate: A function that returns in one line why the gateway cannot apply some settings, or
+            None if it can.
+        apply_settings: A function that applies settings that `validate` accepts.
+        random: A function that returns a random number from 0 to 1.
     """
 
     name: str
@@ -60,16 +64,19 @@
 
 
 class ParticipantService:
-    """One gateway's participant; the gateway's process owns it from its start to its end.
+    """Runs the participant of one gateway; the gateway's process owns it from its start to its end.
 
-    It owns the state, its files (through `StateWriter`) and the greenlets that ask other gateways
-    (through `PeerPoller`). The management listener that calls come in by is the gateway's.
+    It owns the participant's state, the state files (through `StateWriter`) and the greenlets that
+    poll other gateways (through `PeerPoller`). The management listener that receives calls belongs
+    to the gateway.
 
     Attributes:
-        limits: bounds of the network code; the gateway replaces them when settings change.
-        state: what this gateway has promised, prepared and put in force, as it is on the disk.
-        status: whether this gateway may admit requests.
-        is_active: whether this process is the one that takes part; a successor may be it instead.
+        limits: The limits of the network code; the gateway replaces them when settings change.
+        state: What this gateway has promised, prepared and put in force.
+        status: Whether this gateway may admit RPCs.
+        is_active: Whether this process answers for the gateway; after a hot restart, the successor
+            does.
+        is_stopped: Whether the gateway's process is shutting down.
     """
 
     def __init__(
@@ -94,54 +101,57 @@
         self._store = StateStore(config.state, self.name)
         self._writer = StateWriter(scheduler, self._store)
         self._poller = PeerPoller(self)
-        self._is_state_complete = True  # no promise of ours is missing in our state
+        self._is_state_complete = True  # whether it has every promise that this gateway made
         self._is_folder_writable = True
         self._is_updating = False
         self._on_ready: Callable[[], None] | None = None
-        self._applied: tuple[object, ...] | None = None
-        self._reported_drift: str | None = None
+        self._applied_ballots: tuple[object, ...] | None = None
+        self._logged_drift_digest: str | None = None
 
     @staticmethod
     def clock() -> float:
-        """Return seconds of a steady clock that goes on while the machine is suspended."""
+        """Return the seconds of a clock that also advances while the machine is suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     # Life cycle.
 
     def load(self) -> None:
-        """Take up the state on the disk, where there is any.
+        """Load the state from the disk, if there is one.
 
-        While the folder can't be written the state is not taken up: what is in memory is later.
+        While the folder cannot be written, the state in memory is later than the one on the disk,
+        and is kept.
         """
         found, fault = self._store.load()
         self._is_state_complete = found is not None and fault is None
         if fault:
             self.log.event("agreement_unreadable", error=fault)
         if found and self._is_folder_writable:
-            self._take_up(found)
-        if self.is_agreed():
+            self._restore(found)
+        if self.overrides_file_settings():
             self.apply_state()
             self.accept_file_settings(self._file_settings)
 
-    def _take_up(self, found: ParticipantState) -> None:
+    def _restore(self, found: ParticipantState) -> None:
+        """Make a loaded state current."""
         if found.in_force.ballot < self.state.in_force.ballot:
-            return  # never back to an earlier generation
+            return  # never return to an earlier generation
         if found.in_force.number:
             self.state = found
             return
-        self.state = self.state._replace(  # what is in force is this process's own file
+        self.state = self.state._replace(  # the settings of this process's file stay in force
             promised=found.promised, prepared=found.prepared, aborted=found.aborted
         )
 
     def start(
         self, on_ready: Callable[[], None], predecessor_state: JsonObject | None = None
     ) -> None:
-        """Take part from now on.
+        """Load the state, and start to answer calls and to poll peers.
 
         Args:
-            on_ready: Called once, when it is known which settings are in force.
-            predecessor_state: The state of the process before, as that handed it over. Where the
-                disk does not have it, other gateways are asked as after a loss of the state.
+            on_ready: A function that is called once, as soon as the gateway knows which settings
+                are in force.
+            predecessor_state: The report of the predecessor's state in a hot restart. If it differs
+                from the state on the disk, the service polls peers as after a loss of the state.
         """
         self.load()
         if predecessor_state and predecessor_state != self.state.to_dict():
@@ -151,21 +161,21 @@
         self._reset_status()
 
     def suspend(self) -> None:
-        """Leave taking part to a successor, the process that is the gateway from now on."""
+        """Stop answering calls, because the successor answers for the gateway from now on."""
         self.is_active = False
 
     def resume(self) -> None:
-        """Take part again, as the successor has ended; what it did meanwhile is on the disk."""
+        """Answer calls again after the successor has ended, from the state that it stored."""
         self.load()
         self.is_active = True
         self._reset_status()
 
     def stop(self) -> None:
-        """Ask other gateways nothing more."""
+        """Stop polling other gateways."""
         self.is_stopped = True
 
     def _reset_status(self) -> None:
-        """Know nothing of what is in force, and ask other gateways for it."""
+        """Replace the status by one that does not know what is in force, and poll peers."""
         self.status = ParticipantStatus(
             self.name, self.roster(), self._is_state_complete, self.clock()
         )
@@ -173,7 +183,7 @@
         self._poller.start()
 
     def notify_if_ready(self) -> None:
-        """Call `on_ready` where that is due: it is known now which settings are in force."""
+        """Call `on_ready` if the gateway knows what is in force and has not called it yet."""
         if not self.status.knows_in_force or not self._on_ready:
             return
         on_ready = self._on_ready
@@ -187,18 +197,18 @@
     # State.
 
     def roster(self) -> tuple[str, ...]:
-        """Return who has to agree: by the generation in force, or by our file before the first."""
+        """Return the roster of the committed generation, or that of the file if there is none."""
         if self.state.in_force.number:
             return self.state.in_force.roster
         return tuple(self.config.members)
 
-    def is_agreed(self) -> bool:
-        """Return whether a generation counts here; the gateway's own file doesn't from then on."""
+    def overrides_file_settings(self) -> bool:
+        """Return whether a committed or prepared generation overrides the gateway's file."""
         return bool(self.state.in_force.number or self.state.prepared)
 
     @contextlib.contextmanager
     def exclusive_update(self) -> Iterator[None]:
-        """Let one greenlet at a time read the state, decide, and replace it."""
+        """Prevent concurrent read-modify-write updates of the state by several greenlets."""
         while self._is_updating:
             self.scheduler.wait(UPDATE_RETRY_INTERVAL_S)
         self._is_updating = True
@@ -208,10 +218,10 @@
             self._is_updating = False
 
     def persist(self, state: ParticipantState) -> bool:
-        """Make a state durable and current, in an exclusive update of the caller's.
+        """Make a state durable and then current; the caller holds the exclusive update.
 
         Returns:
-            Whether it is; where the folder can't be written the current state stays.
+            Whether the state was written. If not, the current state stays.
         """
         error = self._writer.save(state)
         if error and self._is_folder_writable:
@@ -221,19 +231,19 @@
             self.state = state
         return error is None
 
-    def replace_unsaved(self, state: ParticipantState) -> None:
-        """Make a state current that can't be written, for the life of this process."""
+    def set_unsaved_state(self, state: ParticipantState) -> None:
+        """Make a state current that cannot be written; it is lost when this process ends."""
         self.state = state
         self._is_state_complete = False
 
     def apply_state(self) -> None:
-        """Have the gateway admit by the current state."""
+        """Apply the roster and the settings of the current state to the gateway."""
         self.status.set_roster(self.roster())
         in_force = self.state.in_force
         prepared = tuple(generation.ballot for generation in self.state.prepared)
-        if (in_force.ballot, prepared) == self._applied:
+        if (in_force.ballot, prepared) == self._applied_ballots:
             return
-        self._applied = (in_force.ballot, prepared)
+        self._applied_ballots = (in_force.ballot, prepared)
         self.gateway.apply_settings(participant.admissible_settings(self.state))
         self.log.event(
             "generation",
@@ -248,7 +258,7 @@
     # Calls.
 
     def handle_call(self, fields: Mapping[bytes, bytes], body: bytes) -> HttpResponse:
-        """Answer a call on the management listener.
+        """Answer a request to the management listener.
 
         Args:
             fields: The header fields of the request, with names in lower case.
@@ -257,7 +267,7 @@
         return answer_signed_request(self.config.key, self.name, self._handle_message, fields, body)
 
     def _handle_message(self, message: JsonObject) -> CallResult:
-        """Answer an authentic message."""
+        """Answer an authenticated message."""
         if not self.is_active:
             reason = "another process of this gateway is asked, or none yet"
             return CallResult(
@@ -284,7 +294,7 @@
             return CallResult(HTTPStatus.OK, answer.to_dict())
 
     def _log_rejection(self, message: JsonObject, rejection: MessageRejected) -> None:
-        """Log settings that can't be applied here; other rejections are the caller's business."""
+        """Log the rejection of settings that this gateway cannot apply, but no other rejection."""
         if rejection.cause is RejectionCause.INVALID_SETTINGS:
             self.log.event(
                 "agreement_refused",
@@ -296,31 +306,32 @@
     # The gateway's own file.
 
     def accept_file_settings(self, settings: JsonObject) -> bool:
-        """Take up the settings of the gateway's file, which was read anew.
+        """Put the settings of the gateway's file in force, unless agreed settings override them.
 
-        Where settings are agreed on, the file does not count; a difference is logged once.
+        A difference between the file and the agreed settings is logged once.
 
         Returns:
-            Whether the settings were taken up.
+            Whether the settings of the file are in force.
         """
-        if self.is_agreed():
-            self._report_drift(settings)
+        if self.overrides_file_settings():
+            self._log_drift(settings)
             return False
         self._file_settings = settings
         self.state = self.state._replace(in_force=self._file_generation(settings))
         return True
 
-    def _report_drift(self, settings: JsonObject) -> None:
+    def _log_drift(self, settings: JsonObject) -> None:
+        """Log how the settings of the file differ from those in force."""
         file_digest = digest(settings)
         in_force = self.state.in_force
-        if file_digest in (in_force.digest, self._reported_drift):
+        if file_digest in (in_force.digest, self._logged_drift_digest):
             return
-        self._reported_drift = file_digest
+        self._logged_drift_digest = file_digest
         lines = describe_changes(in_force.content, settings)
         self.log.event("drift", number=in_force.number, lines=lines[:MAX_DRIFT_LINES])
 
     def _file_generation(self, settings: JsonObject) -> Generation:
-        """Return the generation before the first agreed one: the settings of the file."""
+        """Return the initial generation, which has the settings of the gateway's own file."""
         return Generation(
             INITIAL_BALLOT,
             digest(settings),
@@ -331,19 +342,19 @@
     # Admission.
 
     def may_admit(self) -> bool:
-        """Return whether a request that is here now may be admitted."""
+        """Return whether the gateway may admit an RPC now."""
         if self.status.may_admit(self.clock()):
             return True
         self.check_stall()
         return self.status.knows_in_force
 
     def check_stall(self) -> None:
-        """Ask other gateways anew, where this process stalled so long that they went on without it.
+        """Poll peers if this process stalled so long that they may have committed a change.
 
-        It is to be called often, by a timer and wherever time may have passed.
+        A timer calls this often, and so does code that may run right after a stall.
         """
         if self.status.check_stall(self.clock()) and self.is_active:
             self.log.event("stood_still", known=self.status.knows_in_force)
             if not self._is_updating:
-                self.load()  # a process that took our place may have written there
+                self.load()  # another process of this gateway may have written a later state
             self._poller.start()
--- a/petrellane/config_consensus/peer_polling.py
+++ b/petrellane/config_consensus/peer_polling.py
@@ -1,8 +1,8 @@
-"""Asks other gateways what a participant may have missed.
+"""Polls other gateways for changes that a participant may have missed.
 
-That is needed after a start or a stall, until enough others have answered, and while generations
-are prepared of which the decision is not known. Which answers are needed and what follows from them
-is decided by the rules in `participant`.
+A participant polls its peers after a start or a stall, until enough of them have answered, and
+while it has prepared generations whose outcome it does not know. The rules in `participant` define
+which answers are needed and how they change the state.
 """
 
 from dataclasses import dataclass
@@ -22,13 +22,13 @@
 
 MAX_CONCURRENT_CALLS = 4
 CALL_TIMEOUT_S = 0.5
-PEERS_PER_ROUND_IN_DOUBT = 3  # while a decision is not known; it mostly comes by itself
-ROUND_CHECK_INTERVAL_S = 0.01  # between looks whether a round's calls have ended
-MIN_JITTER = 0.5  # pauses are of 0.5 to 1.5 intervals, so that gateways don't poll in step
+PEERS_PER_ROUND_IN_DOUBT = 3  # few, because a control process usually sends the outcome soon
+ROUND_CHECK_INTERVAL_S = 0.01  # between two checks whether the calls of a round have ended
+MIN_JITTER = 0.5  # a pause lasts 0.5 to 1.5 intervals, so that gateways do not poll in lockstep
 
 
 class PeerRejectedError(ConsensusError):
-    """The peer answered, but rejected the call; another address of it may accept."""
+    """The peer rejected the call; the process at another address of the peer may accept it."""
 
 
 @dataclass
@@ -36,21 +36,22 @@
     """One round of calls to some peers.
 
     Attributes:
-        pending: names of the peers that are still to be asked; the last one is the next.
-        stops_when_known: whether it ends early, once it is known what is in force.
-        running: how many greenlets make calls.
+        pending: The names of the peers that have not been called yet; the last one is next.
+        stops_when_known: Whether the round ends early, as soon as the gateway knows which
+            generation is in force.
+        active_workers: The number of greenlets that make calls.
     """
 
     pending: list[str]
     stops_when_known: bool
-    running: int = 0
+    active_workers: int = 0
 
 
 class PeerPoller:
-    """Polls the peers of one participant, which owns it.
+    """Polls the peers of one participant; the participant service owns it.
 
-    It holds no state between polls; a greenlet of its own runs only while there is something to
-    find out, and up to `MAX_CONCURRENT_CALLS` more during a round.
+    It keeps no results between two runs. One greenlet runs while the participant needs answers,
+    and up to `MAX_CONCURRENT_CALLS` more during a round.
     """
 
     def __init__(self, service: "ParticipantService") -> None:
@@ -58,7 +59,7 @@
         self._is_running = False
 
     def start(self) -> None:
-        """Poll until everything is known, unless that goes on already."""
+        """Start polling, unless it is running already or the service is stopped."""
         if self._is_running or self._service.is_stopped:
             return
         self._is_running = True
@@ -66,43 +67,43 @@
 
     def _run(self) -> None:
         try:
-            self._check_folder()
+            self._save_current_state()
             self._poll_until_known()
         finally:
             self._is_running = False
 
-    def _check_folder(self) -> None:
-        """Find out now, not in the first change, whether the state can be written."""
+    def _save_current_state(self) -> None:
+        """Save the state now, so that an unwritable folder is detected before the next change."""
         service = self._service
         with service.exclusive_update():
             service.persist(service.state)
 
     def _poll_until_known(self) -> None:
-        """Ask for as long as it is not known what is in force, or what became of a ballot."""
+        """Poll until the generation in force and the outcomes of prepared ballots are known."""
         service = self._service
         is_off_roster = False
-        while self._has_questions():
+        while self._needs_answers():
             if service.name not in service.status.roster and not is_off_roster:
                 is_off_roster = True
-                self._report_off_roster()
+                self._log_off_roster()
             if service.status.knows_in_force:
                 self._pause()
                 if not service.state.prepared and service.status.knows_in_force:
                     break
-            peers = self._draw_peers(asks_all=is_off_roster)
+            peers = self._shuffled_peers(includes_responders=is_off_roster)
             if service.status.knows_in_force:
                 peers = peers[:PEERS_PER_ROUND_IN_DOUBT]
             self._run_round(peers)
             if not service.status.knows_in_force:
                 self._pause()
 
-    def _has_questions(self) -> bool:
+    def _needs_answers(self) -> bool:
         service = self._service
         if not service.is_active or service.is_stopped:
             return False
         return not service.status.knows_in_force or bool(service.state.prepared)
 
-    def _report_off_roster(self) -> None:
+    def _log_off_roster(self) -> None:
         service = self._service
         service.log.event(
             "not_on_roster",
@@ -114,35 +115,37 @@
         jitter = MIN_JITTER + self._service.gateway.random()
         self._service.scheduler.wait(participant.PEER_POLL_INTERVAL_S * jitter)
 
-    def _draw_peers(self, asks_all: bool) -> list[str]:
-        """Return the peers to ask, in random order.
+    def _shuffled_peers(self, includes_responders: bool) -> list[str]:
+        """Return the peers to poll, in random order.
 
-        Before it is known what is in force these are the peers that have not answered yet; while
-        it is known, and for a gateway that is not on the roster, all.
+        Args:
+            includes_responders: Whether to poll peers that have answered already as well. They are
+                always polled while the gateway knows which generation is in force.
         """
         service = self._service
-        asks_all = asks_all or service.status.knows_in_force
+        includes_responders = includes_responders or service.status.knows_in_force
         peers = [
             name
             for name in service.config.members
-            if name != service.name and (asks_all or name not in service.status.responders)
+            if name != service.name
+            and (includes_responders or name not in service.status.responders)
         ]
         peers.sort(key=lambda _: service.gateway.random())
         return peers
 
     def _run_round(self, peers: list[str]) -> None:
-        """Ask these peers, a few at a time."""
+        """Poll these peers, at most `MAX_CONCURRENT_CALLS` at a time."""
         scheduler = self._service.scheduler
         poll_round = PollRound(
             peers.copy(), stops_when_known=not self._service.status.knows_in_force
         )
         for _ in range(min(MAX_CONCURRENT_CALLS, len(peers))):
-            poll_round.running += 1
-            scheduler.spawn(self._make_calls, poll_round)
-        while poll_round.running:
+            poll_round.active_workers += 1
+            scheduler.spawn(self._poll_pending_peers, poll_round)
+        while poll_round.active_workers:
             scheduler.wait(ROUND_CHECK_INTERVAL_S)
 
-    def _make_calls(self, poll_round: PollRound) -> None:
+    def _poll_pending_peers(self, poll_round: PollRound) -> None:
         service = self._service
         try:
             while poll_round.pending and service.is_active:
@@ -150,17 +153,17 @@
                     break
                 self._poll_peer(poll_round.pending.pop())
         finally:
-            poll_round.running -= 1
+            poll_round.active_workers -= 1
 
     def _poll_peer(self, name: str) -> None:
-        """Ask one peer, and take up what it knows and this gateway does not."""
+        """Poll one peer, at its addresses in order until one of them answers."""
         service = self._service
         service.check_stall()
         status = service.status
         stall_count = status.stall_count
         for address in service.config.members[name]:
             try:
-                self._learn_from(name, address)
+                self._merge_state_from(name, address)
             except (RpcError, PeerRejectedError, ValueError):
                 continue
             except MessageRejected as rejection:
@@ -168,19 +171,19 @@
                     "agreement_refused", do="learn", gateway_asked=name, error=rejection.text
                 )
                 return
-            service.check_stall()  # the answer may have waited here while this process stalled
+            service.check_stall()  # a stall may have delayed the handling of the answer
             status.on_peer_answered(name, stall_count)
             service.notify_if_ready()
             return
 
-    def _learn_from(self, name: str, address: Address) -> None:
-        """Take up what the peer at an address remembers.
+    def _merge_state_from(self, name: str, address: Address) -> None:
+        """Fetch the state of the peer at an address, and merge it into the participant's state.
 
         Raises:
-            RpcError: It does not answer.
-            PeerRejectedError: It rejects the call.
-            ValueError: Its answer is out of form.
-            MessageRejected: Settings that are in force there can't be applied here.
+            RpcError: The peer does not answer.
+            PeerRejectedError: The peer rejects the request for its state.
+            ValueError: The answer is malformed.
+            MessageRejected: The settings in force at the peer cannot be applied here.
         """
         service = self._service
         answer = self._call(address, PeerQuestion(name))
@@ -197,7 +200,7 @@
             )
             if state != service.state:
                 if not service.persist(state):
-                    service.replace_unsaved(state)
+                    service.set_unsaved_state(state)
                 service.apply_state()
 
     def _fetch_generation(self, name: str, address: Address, ballot: Ballot) -> Generation:
