--- a/petrellane/config_consensus/control_service.py
+++ b/petrellane/config_consensus/control_service.py
@@ -1,8 +1,8 @@
-"""The control process: staff propose settings to it, and it has all gateways agree on them.
+"""The control process, which commits proposed settings at all gateways or at none.
 
-The rules are in `coordinator`; this module owns the process around them: scheduler, listener,
-journal, log and signals. A decision is in the journal before anybody is notified of it. The log is
-one JSON object a line.
+The rules of the protocol are in `coordinator`. This module owns the process around them: scheduler,
+listener, journal, log and signal handling. The coordinator writes each decision to the journal
+before it notifies any gateway. The log has one JSON object per line.
 """
 
 import select
@@ -28,16 +28,16 @@
 from petrellane.operation.management_api import ManagementServer
 from petrellane.operation.management_requests import HttpResponse
 
-TICK_INTERVAL_S = 0.05  # between looks at what time alone brings
-JOURNAL_FAILED_INTERVAL_S = 1.0  # between two `journal_failed` events
+TICK_INTERVAL_S = 0.05  # between two checks for decisions that depend on time, like timeouts
+JOURNAL_FAILED_INTERVAL_S = 1.0  # minimum time between two `journal_failed` events
 MAX_DESCRIPTORS = 4096
 
 
 class ControlService:
-    """A control process, from its configuration; the command line owns it until `run` returns.
+    """Runs a control process; the command line owns it until `run` returns.
 
-    It owns the journal's file, the listener for staff (through `ManagementServer`), the sockets
-    that signals wake the scheduler by, and the greenlets that talk to gateways (through
+    It owns the journal, the listener for staff's calls (through `ManagementServer`), the sockets
+    that wake the scheduler on a signal, and the greenlets that call gateways (through
     `ParticipantNotifier`).
     """
 
@@ -48,11 +48,17 @@
         scheduler: Scheduler | None = None,
         limits: Limits | None = None,
     ) -> None:
-        """Open the journal and listen for staff.
+        """Open the journal and listen for staff's calls.
+
+        Args:
+            config: The configuration of the control process.
+            log_descriptor: The file descriptor of the log.
+            scheduler: The scheduler to run on; by default a new one.
+            limits: The limits of the network code; by default those of `call_limits`.
 
         Raises:
-            JournalError: The journal can't be used.
-            OSError: The address can't be listened at, or the journal can't be written.
+            JournalError: The journal cannot be opened or read.
+            OSError: The process cannot listen on the address, or cannot write to the journal.
         """
         self.config = config
         self.scheduler = scheduler or Scheduler()
@@ -71,8 +77,8 @@
         )
         self._notifier = self._create_notifier()
         self._staff_calls = self._create_staff_calls()
-        self._reported: tuple[object, ...] | None = None
-        self._journal_fault_logged_at = 0.0
+        self._logged_state: tuple[object, ...] | None = None
+        self._journal_failure_logged_at = 0.0
         self._signal_sockets: tuple[socket.socket, ...] = ()
         self._management = self._listen()
 
@@ -81,7 +87,7 @@
             self.coordinator,
             RpcClient(self.scheduler, self.limits, self.config.key),
             self.config.members,
-            self._take_step,
+            self._call_coordinator,
             self._report_progress,
         )
 
@@ -107,7 +113,7 @@
         return management
 
     def run(self) -> None:
-        """Serve until `stop`."""
+        """Serve until `stop` is called."""
         self._notifier.start_workers()
         self._tick()
         host, port = self.config.listen
@@ -124,11 +130,14 @@
         self.log.flush()
 
     def stop(self) -> None:
-        """Have `run` return."""
+        """Make `run` return after the current turn of the scheduler."""
         self.scheduler.stop()
 
     def stop_on_signals(self, signals: Iterable[signal.Signals]) -> None:
-        """Stop on any of these signals, each of which wakes the scheduler's poll."""
+        """Stop on any of these signals.
+
+        The interpreter writes each signal to a socket, which wakes the scheduler's poll.
+        """
         wake_receiver, wake_sender = socket.socketpair()
         wake_receiver.setblocking(False)
         wake_sender.setblocking(False)
@@ -139,26 +148,26 @@
         self.scheduler.register(wake_receiver.fileno(), select.POLLIN, lambda _events: self.stop())
 
     def _tick(self) -> None:
-        """Do what time alone brings: a change is given up, or may be decided now."""
+        """Let the coordinator make the decisions that depend on time, such as timeouts."""
         self.scheduler.call_later(TICK_INTERVAL_S, self._tick)
-        self._take_step(self.coordinator.try_to_decide, self.scheduler.now())
+        self._call_coordinator(self.coordinator.try_to_decide, self.scheduler.now())
         self._report_progress()
 
-    def _take_step(self, step: Callable[..., None], *arguments: object) -> None:
-        """Have the coordinator take a step that may write to the journal.
+    def _call_coordinator(self, method: Callable[..., None], *arguments: object) -> None:
+        """Call a method of the coordinator that may write to the journal.
 
-        Where the journal can't be written the step is not taken, and that is logged.
+        If the write fails, the coordinator does not take the step, and the error is logged.
         """
         try:
-            step(*arguments)
+            method(*arguments)
         except OSError as error:
             now = self.scheduler.now()
-            if now - self._journal_fault_logged_at > JOURNAL_FAILED_INTERVAL_S:
-                self._journal_fault_logged_at = now
+            if now - self._journal_failure_logged_at > JOURNAL_FAILED_INTERVAL_S:
+                self._journal_failure_logged_at = now
                 self.log.event("journal_failed", error=str(error))
 
     def _report_progress(self) -> None:
-        """Log the coordinator's state and wake the notifier, where something has changed."""
+        """Log the coordinator's state and wake the notifier's workers, if the state changed."""
         coordinator = self.coordinator
         in_force = coordinator.in_force
         change = coordinator.change
@@ -168,9 +177,9 @@
             in_force.ballot if in_force else None,
             change.generation.ballot if change else None,
         )
-        if current == self._reported:
+        if current == self._logged_state:
             return
-        self._reported = current
+        self._logged_state = current
         self._notifier.start_workers()
         self.log.event(
             coordinator.state,
--- a/petrellane/config_consensus/participant_notifier.py
+++ b/petrellane/config_consensus/participant_notifier.py
@@ -1,7 +1,6 @@
-"""Delivers a coordinator's messages to the participants, and their answers to the coordinator.
+"""Sends a coordinator's requests to the participants, and gives it their answers.
 
-Which message a participant is due, and what follows from its answer or silence, is decided by the
-coordinator.
+The coordinator chooses the next request for each participant, and handles its answer or failure.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -19,19 +18,19 @@
 )
 from petrellane.net.stream import Address
 
-CALL_TIMEOUT_S = 0.6  # that a participant may take to answer
+CALL_TIMEOUT_S = 0.6  # for a call to one address of a participant
 
-NO_ADDRESS = "no address in the roster"
-NOT_THE_GATEWAY = "it starts, or another process follows it"
+NO_ADDRESS_REASON = "no address in the roster"
+NOT_ACTIVE_REASON = "it starts, or another process follows it"
 
 
 class ParticipantNotifier:
-    """One greenlet a participant, which sends it one message at a time.
+    """Runs a greenlet for each participant, which sends it one request at a time.
 
-    A control service owns it; the greenlets run until the scheduler ends.
+    A control service owns the notifier. The greenlets run until the scheduler stops.
 
     Attributes:
-        call_counts: how many messages of each kind were sent.
+        call_counts: The number of requests of each kind that were sent.
     """
 
     def __init__(
@@ -39,28 +38,28 @@
         coordinator: Coordinator,
         client: RpcClient,
         addresses: Mapping[str, Sequence[Address]],
-        take_step: Callable[..., None],
+        call_coordinator: Callable[..., None],
         on_progress: Callable[[], None],
     ) -> None:
-        """Make a notifier.
+        """Create a notifier that has no greenlets yet.
 
         Args:
-            coordinator: Gives the messages, and takes what came of them.
-            client: Makes the calls.
-            addresses: The addresses of each participant.
-            take_step: Calls a method of the coordinator with arguments, and logs where the journal
-                can't be written.
-            on_progress: Called after each message.
+            coordinator: The coordinator, which supplies the requests and handles their results.
+            client: The client that makes the calls.
+            addresses: The addresses of each participant, by name.
+            call_coordinator: A function that calls a method of the coordinator with some arguments,
+                and logs the error if the journal cannot be written.
+            on_progress: A function that is called after each request and its answer or failure.
         """
         self.call_counts: dict[str, int] = {}
         self._coordinator = coordinator
         self._client = client
         self._scheduler = client.scheduler
         self._addresses = addresses
-        self._take_step = take_step
+        self._call_coordinator = call_coordinator
         self._on_progress = on_progress
         self._started: set[str] = set()
-        self._parked: dict[str, Callable[[], None]] = {}  # name -> what resumes its greenlet
+        self._wake_calls: dict[str, Callable[[], None]] = {}  # resume a waiting worker, by name
 
     def start_workers(self) -> None:
         """Start a greenlet for each participant that has none."""
@@ -70,38 +69,38 @@
                 self._scheduler.spawn(self._run_worker, name)
 
     def wake_workers(self) -> None:
-        """Have the workers look for messages now, as something has changed."""
-        for wake in list(self._parked.values()):
+        """Resume all waiting workers, because the coordinator may have new requests for them."""
+        for wake in list(self._wake_calls.values()):
             self._scheduler.call_soon(wake)
 
     def _run_worker(self, name: str) -> None:
         while True:
             request, pause_s = self._coordinator.next_message(name, self._scheduler.now())
             if request is None:
-                self._park(name, pause_s)
+                self._wait_for_wake(name, pause_s)
                 continue
             self._deliver(name, request)
             self._on_progress()
 
-    def _park(self, name: str, pause_s: float) -> None:
-        """Wait for so long, or until the workers are woken."""
+    def _wait_for_wake(self, name: str, pause_s: float) -> None:
+        """Wait for `wake_workers`, at most `pause_s` seconds."""
         current = greenlet.getcurrent()
 
         def wake() -> None:
-            if self._parked.get(name) is wake:  # else it has gone on by itself since
+            if self._wake_calls.get(name) is wake:  # false if the wait has timed out since
                 current.switch()
 
-        self._parked[name] = wake
+        self._wake_calls[name] = wake
         self._scheduler.wait(pause_s)
-        del self._parked[name]
+        del self._wake_calls[name]
 
     def _deliver(self, name: str, request: Request) -> None:
-        """Send one request, at the participant's addresses in turn until one answers it."""
+        """Send a request to the participant's addresses in order, until one of them answers."""
         kind = request.kind.value
         self.call_counts[kind] = self.call_counts.get(kind, 0) + 1
         coordinator = self._coordinator
         addresses = self._addresses.get(name, ())
-        fault = None if addresses else NO_ADDRESS
+        failure = None if addresses else NO_ADDRESS_REASON
         for address in addresses:
             try:
                 answer = self._client.call(
@@ -110,12 +109,12 @@
             except NotListeningError:
                 continue
             except NoAnswerError as error:
-                fault = str(error)
+                failure = str(error)
                 continue
             if answer.get("refused") == RejectionCause.NOT_ACTIVE:
-                fault = NOT_THE_GATEWAY
+                failure = NOT_ACTIVE_REASON
                 continue
-            self._take_step(
+            self._call_coordinator(
                 coordinator.handle_answer,
                 name,
                 request,
@@ -124,7 +123,7 @@
             )
             return
         now = self._scheduler.now()
-        if fault is None:
-            self._take_step(coordinator.handle_connection_refused, name, request, now)
+        if failure is None:
+            self._call_coordinator(coordinator.handle_connection_refused, name, request, now)
         else:
-            self._take_step(coordinator.handle_no_answer, name, request, now, fault)
+            self._call_coordinator(coordinator.handle_no_answer, name, request, now, failure)
