--- a/petrellane/config_consensus/journal.py
+++ b/petrellane/config_consensus/journal.py
@@ -1,7 +1,7 @@
-"""The journal of a control process: SQLite, one transaction a record.
+"""The journal of a control process: an SQLite database with one transaction per record.
 
-A record is on the disk when `append` returns, and is never changed. What records mean is the
-coordinator's business.
+A record is on the disk when `append` returns, and never changes. The coordinator defines what
+records mean.
 """
 
 import sqlite3
@@ -11,10 +11,10 @@
 
 from petrellane.config_consensus.errors import ConsensusError
 
-VERSION: Final = 1  # of the file's layout, in its PRAGMA user_version
-LOCK_TIMEOUT_S: Final = 0.5  # for a control process that is about to end
-INTACT: Final = "ok"  # what the integrity check of a sound file gives
-REPORT_HEADING: Final = "***"  # begins a line of the check that names the database
+VERSION: Final = 1  # version of the schema, stored in PRAGMA user_version
+LOCK_TIMEOUT_S: Final = 0.5  # allows a control process that is shutting down to release the file
+INTEGRITY_OK: Final = "ok"  # result of PRAGMA integrity_check for an undamaged file
+HEADING_PREFIX: Final = "***"  # of the lines in that result that name the database
 
 Record = dict[str, Any]  # a JSON object
 
@@ -26,46 +26,50 @@
 
 
 def first_problem(report: str) -> str:
-    """Return the first problem that a report of SQLite names, without the headings above it."""
+    """Return the first problem in a report of SQLite, without the headings above it."""
     lines = report.splitlines()
-    return next((line for line in lines if not line.startswith(REPORT_HEADING)), report)
+    return next((line for line in lines if not line.startswith(HEADING_PREFIX)), report)
 
 
 class JournalError(ConsensusError):
-    """A journal that can't be used; the text is one line that says what to do."""
+    """The journal cannot be opened or read; the text says in one line why, and what to do."""
 
 
 class Journal:
-    """One file of records, which a control process owns from its start to its end.
+    """A file of records, which a control process owns from its start to its end.
 
-    The file is created where there is none, and locked against other processes until `close`.
+    Opening a journal creates the file if it does not exist, and locks it against other processes
+    until `close`.
     """
 
     def __init__(self, path: str) -> None:
         """Open a journal.
 
+        Args:
+            path: The path of the file.
+
         Raises:
-            JournalError: The file can't be written, is damaged, of another version, or another
-                process has it.
+            JournalError: The file cannot be written, is damaged, has another version, or is locked
+                by another process.
         """
         self.path = path
         try:
             self._connection = sqlite3.connect(path, timeout=LOCK_TIMEOUT_S, isolation_level=None)
         except sqlite3.DatabaseError as error:
-            raise self._refusal(error) from None
+            raise self._open_error(error) from None
         try:
             self._lock()
             self._check_or_create_tables()
             self._connection.execute("COMMIT")
         except sqlite3.DatabaseError as error:
             self.close()
-            raise self._refusal(error) from None
+            raise self._open_error(error) from None
         except JournalError:
             self.close()
             raise
 
-    def _refusal(self, error: sqlite3.DatabaseError) -> JournalError:
-        """Return the error that says in one line why the file can't be opened as a journal."""
+    def _open_error(self, error: sqlite3.DatabaseError) -> JournalError:
+        """Return an error that says in one line why the journal cannot be opened."""
         reason = first_problem(str(error))
         if isinstance(error, sqlite3.OperationalError):
             if "locked" in reason:
@@ -83,7 +87,7 @@
 
     def _check_or_create_tables(self) -> None:
         integrity = self._query_value("PRAGMA integrity_check")
-        if integrity != INTACT:
+        if integrity != INTEGRITY_OK:
             raise sqlite3.DatabaseError(integrity)
         version = self._query_value("PRAGMA user_version")
         table_count = self._query_value("SELECT count(*) FROM sqlite_master")
@@ -101,10 +105,10 @@
         return self._connection.execute(query).fetchone()[0]
 
     def records(self) -> list[Record]:
-        """Return all records, the oldest first, each with the Unix time of its append as `at`.
+        """Return all records, oldest first, each with the Unix time of its `append` as `at`.
 
         Raises:
-            JournalError: The file can't be read, or a record is no JSON object.
+            JournalError: The file cannot be read, or a record is not valid JSON.
         """
         try:
             return [
@@ -115,14 +119,14 @@
             raise JournalError(f"{self.path}: expected records in JSON, found {error}") from None
 
     def append(self, record: Record, at: float) -> None:
-        """Add a record; it is on the disk when this returns.
+        """Add a record, which is on the disk when this method returns.
 
         Args:
-            record: What is recorded.
-            at: Unix time in seconds.
+            record: The record, a JSON object.
+            at: The time of the record, in Unix seconds.
 
         Raises:
-            OSError: The record could not be written, and none was added.
+            OSError: The record cannot be written; the journal is unchanged.
         """
         try:
             self._connection.execute(INSERT_RECORD, (at, orjson.dumps(record)))
@@ -130,5 +134,5 @@
             raise OSError(f"{self.path}: {error}") from None
 
     def close(self) -> None:
-        """Close the file, which other processes may open from then on."""
+        """Close the file and release its lock."""
         self._connection.close()
--- a/petrellane/config_consensus/message_authentication.py
+++ b/petrellane/config_consensus/message_authentication.py
@@ -1,12 +1,12 @@
 """Authentication of messages between gateways, control processes and staff's commands.
 
-All of them hold one shared key. A signature is HMAC-SHA256 (RFC 2104) in hexadecimal, carried in a
-header field. That of a request covers its body, which names its recipient, the time and a nonce;
-that of a response covers the request's signature too, so that a response to one request can't be
-passed off as one to another.
+All of them hold one shared key. A signature is an HMAC-SHA256 (RFC 2104) in hexadecimal, which a
+header field carries. The signature of a request covers its body, which names the recipient, the
+time and a nonce. The signature of a response also covers the signature of the request, so that it
+is not valid as a response to another request.
 
-Replays are the recipient's business: a participant's answers are idempotent, and a control process
-accepts each call of staff once.
+This module does not detect replays. A participant may handle a request twice, because requests to
+it are idempotent; a control process accepts each call of staff once.
 """
 
 import hashlib
@@ -23,43 +23,48 @@
 from petrellane.config_consensus.messages import JsonObject
 from petrellane.operation.management_requests import HttpResponse
 
-PARTICIPANT_PATH = b"/-/agreement"  # of a participant's calls, on a gateway's management listener
-STAFF_PATH = b"/-/settings"  # of staff's calls, on a control process's listener
-SIGNATURE_FIELD = b"petrellane-seal"  # header field, in lower case as parsers give it
+PARTICIPANT_PATH = b"/-/agreement"  # calls to a participant, on a gateway's management listener
+STAFF_PATH = b"/-/settings"  # calls of staff, on a control process's listener
+SIGNATURE_FIELD = b"petrellane-seal"  # header field, in lower case as parsers return it
 REASON_FIELD = "Petrellane-Why"  # header field that says why a request is not authentic
 NONCE_BYTES = 8
 
-# What a signature is for is its first part, so that none of one kind passes for the other.
+# The signed data starts with one of these, so that the signature of a request is not valid for a
+# response, and vice versa.
 REQUEST_CONTEXT = b"question"
 RESPONSE_CONTEXT = b"answer"
 
 
 class AuthenticationError(ConsensusError):
-    """Bytes that no holder of the key has sent, or that were sent to another recipient."""
+    """The message was not sent by a holder of the key, or has another recipient."""
 
 
 class SignedMessage(NamedTuple):
-    """A message as it is sent: its JSON body and the signature of it."""
+    """The JSON body of a message and its signature, as they are sent."""
 
     body: bytes
     signature: bytes
 
 
 class CallResult(NamedTuple):
-    """What a handler answers an authentic message with, before it is signed."""
+    """The HTTP status and the unsigned message with which a handler answers a call."""
 
     status: int
     message: JsonObject
 
 
 def compute_signature(key: bytes, *parts: bytes) -> bytes:
-    """Return the signature of some parts, each of which is counted in with its length."""
+    """Return the signature of some parts.
+
+    The signed data contains the length of each part, so that different lists of parts never have
+    the same data.
+    """
     signed_bytes = b"".join(b"%d:%b" % (len(part), part) for part in parts)
     return hmac.new(key, signed_bytes, hashlib.sha256).hexdigest().encode()
 
 
 def sign_request(key: bytes, message: JsonObject) -> SignedMessage:
-    """Encode and sign a request; its key `to` names the recipient."""
+    """Encode and sign a request, whose key `to` names the recipient."""
     body = orjson.dumps(
         message | {"nonce": secrets.token_hex(NONCE_BYTES), "at": time.time()},
     )
@@ -67,11 +72,17 @@
 
 
 def verify_request(key: bytes, recipient: str, signature: bytes, body: bytes) -> JsonObject:
-    """Return the message of a request that a holder of the key sent to this recipient.
+    """Return the message of a request after checking its signature and its recipient.
+
+    Args:
+        key: The shared key.
+        recipient: The name of this process as a recipient of requests.
+        signature: The signature of the request.
+        body: The body of the request.
 
     Raises:
-        AuthenticationError: The signature is another one, or the request is for somebody else.
-        ValueError: The body is no JSON object.
+        AuthenticationError: The signature is not valid, or the request has another recipient.
+        ValueError: The body is not a JSON object.
     """
     _verify_signature(compute_signature(key, REQUEST_CONTEXT, body), signature)
     message = _decode_object(body)
@@ -82,7 +93,7 @@
 
 
 def sign_response(key: bytes, request_signature: bytes, message: JsonObject) -> SignedMessage:
-    """Encode and sign a response to the request that has this signature."""
+    """Encode and sign a response to the request with this signature."""
     body = orjson.dumps(message)
     return SignedMessage(body, compute_signature(key, RESPONSE_CONTEXT, request_signature, body))
 
@@ -90,11 +101,17 @@
 def verify_response(
     key: bytes, request_signature: bytes, signature: bytes, body: bytes
 ) -> JsonObject:
-    """Return the message of a response to the request that has this signature.
+    """Return the message of a response after checking its signature.
+
+    Args:
+        key: The shared key.
+        request_signature: The signature of the request that the response answers.
+        signature: The signature of the response.
+        body: The body of the response.
 
     Raises:
-        AuthenticationError: The signature is another one.
-        ValueError: The body is no JSON object.
+        AuthenticationError: The signature is not valid for a response to this request.
+        ValueError: The body is not a JSON object.
     """
     expected = compute_signature(key, RESPONSE_CONTEXT, request_signature, body)
     _verify_signature(expected, signature)
@@ -108,15 +125,19 @@
     fields: Mapping[bytes, bytes],
     body: bytes,
 ) -> HttpResponse:
-    """Verify a request, have it handled and sign the answer.
+    """Verify a request, call its handler and sign the handler's answer.
 
     Args:
         key: The shared key.
-        recipient: The name that requests to this process carry.
-        handler: Answers the message. It may raise AuthenticationError, for a replay for instance,
-            and ValueError for a message that it can't parse.
+        recipient: The name of this process as a recipient of requests.
+        handler: A function that answers the message. It may raise AuthenticationError, for example
+            for a replay, and ValueError for a message that it cannot parse.
         fields: The request's header fields, with names in lower case.
         body: The request's body.
+
+    Returns:
+        The signed answer with the handler's status; an unsigned answer with status 401 for an
+        AuthenticationError, or 400 for a ValueError.
     """
     request_signature = fields.get(SIGNATURE_FIELD, b"")
     try:
@@ -141,5 +162,7 @@
 def _decode_object(body: bytes) -> JsonObject:
     message = orjson.loads(body)
     if not isinstance(message, dict):
-        raise ValueError("expected an object")  # noqa: TRY004 - malformed input, as bad JSON is
+        raise ValueError(  # noqa: TRY004 - malformed input, like invalid JSON
+            f"expected a JSON object, found {shorten(message)}"
+        )
     return message
--- a/petrellane/config_consensus/rpc_client.py
+++ b/petrellane/config_consensus/rpc_client.py
@@ -1,7 +1,7 @@
-"""Client of gateways and control processes: one signed request over HTTP/1.1, a connection a call.
+"""Client for calls to gateways and control processes.
 
-A call ends by its timeout. What an answer means, and whether a call is repeated, is the caller's
-business.
+A call sends one signed request over HTTP/1.1, on a connection of its own, and has a timeout. The
+client does not retry calls and does not interpret the answers.
 """
 
 from dataclasses import dataclass
@@ -21,29 +21,32 @@
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Address, Closed, Stream
 
-SHOWN_BYTES = 100  # of an answer that is not authentic
-
-
-IDLE_TIMEOUT_S = 1.0  # of connections; there are none between two calls
-STREAMS_PER_CONNECTION = 1
+MAX_SHOWN_BYTES = 100  # of an unsigned answer, in an error text
+IDLE_TIMEOUT_S = 1.0  # required by `Limits`; no connection stays open after its call
+ATTEMPTS_PER_CONNECTION = 1
 
 
 def call_limits(descriptors: int, timeout_s: float) -> Limits:
-    """Return the bounds of the network code of a process that makes calls and serves no RPCs."""
+    """Return the limits of the network code for a process that makes calls and serves no RPCs.
+
+    Args:
+        descriptors: The maximum number of open file descriptors.
+        timeout_s: The timeout of calls, in seconds.
+    """
     return Limits(
         sockets=descriptors,
         dial_timeout=timeout_s,
         endpoint_idle_timeout=IDLE_TIMEOUT_S,
-        attempts_per_connection=STREAMS_PER_CONNECTION,
+        attempts_per_connection=ATTEMPTS_PER_CONNECTION,
         counter_timeout=timeout_s,
     )
 
 
 class RpcError(ConsensusError):
-    """A call without an answer that can be used; the text is one line.
+    """A call failed; the text gives the reason in one line.
 
     Attributes:
-        address: whom the call went to.
+        address: The address of the peer.
     """
 
     def __init__(self, address: Address, reason: str) -> None:
@@ -52,20 +55,23 @@
 
 
 class NotListeningError(RpcError):
-    """The peer's machine refused the connection: no process listens there."""
+    """The peer's host refused the connection, because no process listens at the address."""
 
 
 class NoAnswerError(RpcError):
-    """No answer that can be read; whether the request arrived is not known."""
+    """No usable answer arrived; it is not known whether the peer received the request."""
 
 
 class UnauthenticatedAnswerError(NoAnswerError):
-    """The process that answers there does not hold our key, or is not the one that was called."""
+    """The answer has no valid signature for the request.
+
+    The process at the address has another key, or is not the one that the call is for.
+    """
 
 
 @dataclass(frozen=True)
 class RpcClient:
-    """Makes calls from greenlets of one scheduler; it holds no connection between two calls."""
+    """Makes calls from greenlets of one scheduler; it keeps no connections between calls."""
 
     scheduler: Scheduler
     limits: Limits
@@ -74,17 +80,17 @@
     def call(
         self, address: Address, path: bytes, message: JsonObject, timeout_s: float
     ) -> JsonObject:
-        """Send a message and wait for the answer to it.
+        """Send a message and return the answer; the calling greenlet waits for it.
 
         Args:
             address: The peer's IP address and port.
             path: The path of the HTTP request.
-            message: The message; its key `to` names the recipient.
-            timeout_s: Seconds that connecting may take, and that the whole call may take.
+            message: The message, whose key `to` names the recipient.
+            timeout_s: The timeout in seconds, for connecting and for the whole call.
 
         Raises:
-            NotListeningError: Nobody listens at the address.
-            NoAnswerError: No authentic answer came in time.
+            NotListeningError: No process listens at the address.
+            NoAnswerError: No authentic answer arrived before the timeout.
         """
         deadline = self.scheduler.now() + timeout_s
         stream = self._connect(address, timeout_s)
@@ -114,8 +120,11 @@
         del stream.buffer[:head_length]
         body = http.read_body(stream, fields, self.limits, deadline)
         if SIGNATURE_FIELD not in fields:
-            shown = body[:SHOWN_BYTES].decode("latin-1").strip()
-            raise AuthenticationError(f"status {status} without a seal: {shown}")
+            shown = body[:MAX_SHOWN_BYTES].decode("latin-1").strip()
+            raise AuthenticationError(
+                f"expected the header field {SIGNATURE_FIELD.decode()}, found status {status} "
+                f"without it: {shown}"
+            )
         return verify_response(self.key, request_signature, fields[SIGNATURE_FIELD], body)
 
 
--- a/petrellane/config_consensus/state_store.py
+++ b/petrellane/config_consensus/state_store.py
@@ -1,9 +1,10 @@
 """Durable state of a participant: two files in a folder that outlives the gateway's process.
 
-The files are written in turns, so that the previous one stays complete while the next is written.
-Each holds a sequence number, a version and a checksum of its content, and is flushed to the disk
-before `save` returns. A file that is truncated, of another version or of another gateway is not
-read; the state in the other file is still useful then, but may not be the last one.
+Writes alternate between the files, so that the previous state stays complete during a write. Each
+file has a sequence number, a version and a checksum of its content, and is flushed to the disk
+before `save` returns. The store does not read a file that is truncated, or that has another version
+or belongs to another gateway. The state in the other file is then still usable, but may not be the
+latest.
 """
 
 import hashlib
@@ -19,31 +20,32 @@
 from petrellane.config_consensus.errors import ConsensusError
 from petrellane.config_consensus.participant import ParticipantState
 
-VERSION: Final = 1  # of the files' layout
-SLOTS: Final = (0, 1)
+VERSION: Final = 1  # version of the file format
+SLOTS: Final = (0, 1)  # suffixes of the two files
 NAME_DIGEST_BYTES: Final = 8
 CHECKSUM_BYTES: Final = 16
 
-StoredContent = dict[str, Any]  # a state as JSON, by the keys of version 1
+StoredContent = dict[str, Any]  # a state as JSON, with the keys of version 1
 
 
 class UnreadableStateError(ConsensusError):
-    """A file that this build did not write, or not completely; the text is one line."""
+    """A file cannot be read, or has no valid state of this gateway; the text is one line."""
 
 
 class StoredState(NamedTuple):
-    """The content of one file; of two, the one with the higher sequence number is the later."""
+    """The state in one file; the file with the higher sequence number has the later state."""
 
     sequence_number: int
     state: ParticipantState
 
 
 class LoadedState(NamedTuple):
-    """What `StateStore.load` found.
+    """The result of `StateStore.load`.
 
     Attributes:
-        state: the latest state that can be read, or None where there is none.
-        fault: why that may not be the last one saved, in one line; None where it surely is.
+        state: The latest state that can be read, or None if there is none.
+        fault: The reason in one line why a later state may have been lost, or None if each of the
+            files is valid or does not exist.
     """
 
     state: ParticipantState | None
@@ -51,12 +53,21 @@
 
 
 class StateStore:
-    """The files of one gateway, which its participant service owns; they are open only in calls."""
+    """Reads and writes the state files of one gateway; its participant service owns it.
+
+    The files are open only during a call.
+
+    Attributes:
+        folder: The path of the folder.
+        gateway: The name of the gateway.
+        sequence_number: The sequence number of the state that was saved or loaded last.
+        paths: The paths of the two files.
+    """
 
     def __init__(self, folder: str, gateway: str) -> None:
         self.folder = folder
         self.gateway = gateway
-        self.sequence_number = 0  # of the last write, or the last file that was loaded
+        self.sequence_number = 0
         name = file_name(gateway)
         self.paths = [
             os.path.join(folder, f"{name}.{slot}")  # noqa: PTH118 - errors show paths as configured
@@ -64,7 +75,7 @@
         ]
 
     def load(self) -> LoadedState:
-        """Return the latest state, and why it may not be the last one that was saved."""
+        """Return the latest state that can be read, and why a later one may have been lost."""
         found: list[StoredState] = []
         fault = None
         for path in self.paths:
@@ -82,10 +93,10 @@
         return LoadedState(latest.state, fault)
 
     def save(self, state: ParticipantState) -> None:
-        """Write a state; it is on the disk when this returns.
+        """Write a state, which is on the disk when this method returns.
 
         Raises:
-            OSError: It could not be written; what was saved before can still be loaded.
+            OSError: The state cannot be written; the previous state can still be loaded.
         """
         sequence_number = self.sequence_number + 1
         path = self.paths[sequence_number % len(SLOTS)]
@@ -99,7 +110,11 @@
         self.sequence_number = sequence_number
 
     def _read(self, path: str) -> StoredState | None:
-        """Return the content of a file, None where there is none. Raises UnreadableStateError."""
+        """Return the state in a file, or None if the file does not exist.
+
+        Raises:
+            UnreadableStateError: The file cannot be read, or has no valid state of this gateway.
+        """
         try:
             return self._decode(path, Path(path).read_bytes())
         except FileNotFoundError:
@@ -110,18 +125,21 @@
             ) from None
         except (ValueError, KeyError, TypeError) as error:
             raise UnreadableStateError(
-                f"{path}: expected a whole file, found one cut short or spoilt ({error})"
+                f"{path}: expected a complete file, found a truncated or damaged one ({error})"
             ) from None
 
     def _decode(self, path: str, data: bytes) -> StoredState:
         stored = orjson.loads(data)
         if stored["version"] != VERSION:
             raise UnreadableStateError(
-                f"{path}: expected version {VERSION}, found {stored['version']}: move it away, and "
-                "the gateway asks the others"
+                f"{path}: expected version {VERSION}, found {stored['version']}: move the file "
+                "away; the gateway fetches the state from its peers"
             )
         if stored["gateway"] != self.gateway or stored["check"] != checksum(stored["remembers"]):
-            raise UnreadableStateError(f"{path}: expected what {self.gateway} wrote whole")
+            raise UnreadableStateError(
+                f"{path}: expected a state of gateway {self.gateway} with a matching checksum, "
+                "found another gateway or checksum"
+            )
         return StoredState(stored["turn"], _decode_state(stored["remembers"]))
 
     def _encode(self, sequence_number: int, state: ParticipantState) -> bytes:
@@ -137,7 +155,7 @@
         )
 
     def _flush_folder(self) -> None:
-        """Flush the folder's entries: a new file is lost without them."""
+        """Flush the directory to the disk, without which a crash may lose a new file."""
         folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(folder)
@@ -146,19 +164,19 @@
 
 
 def file_name(gateway: str) -> str:
-    """Return the name of a gateway's files, without the slot's suffix."""
+    """Return the name of a gateway's state files, without the suffix of the slot."""
     name_digest = hashlib.blake2b(gateway.encode(), digest_size=NAME_DIGEST_BYTES)
     return f"petrellane-{name_digest.hexdigest()}.agreement"
 
 
 def checksum(content: StoredContent) -> str:
-    """Return the checksum of a stored state, whatever the order of its keys."""
+    """Return the checksum of a stored state, which does not depend on the order of keys."""
     data = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
     return hashlib.blake2b(data, digest_size=CHECKSUM_BYTES).hexdigest()
 
 
 def encode_state(state: ParticipantState) -> StoredContent:
-    """Return a state as its file keeps it, with all contents."""
+    """Return a state in the form in which a file stores it, with the settings of generations."""
     return {
         state_keys.IN_FORCE: state.in_force.to_dict(),
         state_keys.PROMISED: list(state.promised),
--- a/petrellane/config_consensus/state_writer.py
+++ b/petrellane/config_consensus/state_writer.py
@@ -1,7 +1,7 @@
 """Writes a participant's state to the disk without blocking the gateway's scheduler.
 
-Flushing a file may take long, and greenlets share one thread, so each write runs in a thread of its
-own. Writes do not overlap: the participant service makes one at a time.
+A flush to the disk may take long, and all greenlets share one thread, so each write runs in a
+separate thread. The participant service makes one write at a time.
 """
 
 import select
@@ -14,13 +14,13 @@
 from petrellane.config_consensus.state_store import StateStore
 from petrellane.net.scheduler import Scheduler
 
-DONE = b"."  # what the writing thread sends once it is done
+WAKE_BYTE = b"."  # sent by the writing thread after the write
 
 
 class StateWriter:
-    """Saves states in a store. A participant service owns it for as long as the gateway runs.
+    """Saves states in a store; a participant service owns it while the gateway runs.
 
-    During a write it owns a thread and a pair of sockets by which the thread wakes the scheduler.
+    During a write it owns a thread and a socket pair with which the thread wakes the scheduler.
     """
 
     def __init__(self, scheduler: Scheduler, store: StateStore) -> None:
@@ -28,7 +28,7 @@
         self._store = store
 
     def save(self, state: ParticipantState) -> OSError | None:
-        """Wait until the state is on the disk; return the error where it can't be written."""
+        """Write a state while other greenlets run; return the error if it cannot be written."""
         wake_receiver, wake_sender = socket.socketpair()
         results: list[OSError | None] = []
         waiting_greenlet = greenlet.getcurrent()
@@ -39,7 +39,7 @@
                 results.append(None)
             except OSError as error:
                 results.append(error)
-            wake_sender.send(DONE)
+            wake_sender.send(WAKE_BYTE)
 
         def wake(_events: int) -> None:
             waiting_greenlet.switch()
