--- a/petrellane/config_consensus/participant.py
+++ b/petrellane/config_consensus/participant.py
@@ -171,7 +171,7 @@
 def _apply(
     state: ParticipantState, request: ReceivedRequest, validate: Validator
 ) -> ParticipantState:
-    """Return the state after a request whose epoch is promised."""
+    """Return the state after applying a request, whose epoch is promised already."""
     if request.kind is MessageKind.PREPARE:
         return prepare(state, request.generation(), request.base(), validate)
     if request.kind is MessageKind.COMMIT:
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -197,7 +197,7 @@
     # State.
 
     def roster(self) -> tuple[str, ...]:
-        """Return the roster of the committed generation, or that of the file if there is none."""
+        """Return the roster in force: that of the committed generation, else of the file."""
         if self.state.in_force.number:
             return self.state.in_force.roster
         return tuple(self.config.members)
@@ -294,7 +294,7 @@
             return CallResult(HTTPStatus.OK, answer.to_dict())
 
     def _log_rejection(self, message: JsonObject, rejection: MessageRejected) -> None:
-        """Log the rejection of settings that this gateway cannot apply, but no other rejection."""
+        """Log a rejection of settings that this gateway cannot apply; senders handle the others."""
         if rejection.cause is RejectionCause.INVALID_SETTINGS:
             self.log.event(
                 "agreement_refused",
