--- a/petrellane/config_consensus/messages.py
+++ b/petrellane/config_consensus/messages.py
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerQuestion:
+class PeerQuery:
     """A participant's question to another one: for its state, or for the content of a ballot."""
 
     recipient: str
--- a/petrellane/config_consensus/peer_polling.py
+++ b/petrellane/config_consensus/peer_polling.py
@@ -13,7 +13,7 @@
 from petrellane.config_consensus.canonical_settings import digest
 from petrellane.config_consensus.errors import ConsensusError, MessageRejected
 from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
-from petrellane.config_consensus.messages import JsonObject, PeerQuestion, PeerState
+from petrellane.config_consensus.messages import JsonObject, PeerQuery, PeerState
 from petrellane.config_consensus.rpc_client import RpcClient, RpcError
 from petrellane.net.stream import Address
 
@@ -183,7 +183,7 @@
             MessageRejected: Settings that are in force there can't be applied here.
         """
         service = self._service
-        answer = self._call(address, PeerQuestion(name))
+        answer = self._call(address, PeerQuery(name))
         if "refused" in answer:
             raise PeerRejectedError(name)
         peer_state = PeerState.from_dict(answer)
@@ -201,9 +201,9 @@
                 service.apply_state()
 
     def _fetch_generation(self, name: str, address: Address, ballot: Ballot) -> Generation:
-        return parse_generation(self._call(address, PeerQuestion(name, ballot)), digest)
+        return parse_generation(self._call(address, PeerQuery(name, ballot)), digest)
 
-    def _call(self, address: Address, question: PeerQuestion) -> JsonObject:
+    def _call(self, address: Address, question: PeerQuery) -> JsonObject:
         service = self._service
         client = RpcClient(service.scheduler, service.limits, service.config.key)
         return client.call(address, PARTICIPANT_PATH, question.to_dict(), CALL_TIMEOUT_S)
--- a/tests/unit/config_consensus/simulated_processes.py
+++ b/tests/unit/config_consensus/simulated_processes.py
@@ -97,7 +97,7 @@
 
     def poll_peer(self, peer: Self) -> None:
         """Take what a peer reports, as a gateway does that starts or is in doubt."""
-        question = messages.PeerQuestion(peer.name).to_dict()
+        question = messages.PeerQuery(peer.name).to_dict()
         report = messages.PeerState.from_dict(peer.handle(question))
         missing = participant.missing_ballots(self.state, report)
         fetched = [peer.generation_of(ballot) for ballot in missing]
--- a/tests/unit/config_consensus/test_messages.py
+++ b/tests/unit/config_consensus/test_messages.py
@@ -63,11 +63,11 @@
 @pytest.mark.parametrize(
     ("question", "expected"),
     [
-        (messages.PeerQuestion("g1"), '{"do":"state","to":"g1"}'),
-        (messages.PeerQuestion("g1", BALLOT), '{"do":"content","to":"g1",' + IDENTITY + "}"),
+        (messages.PeerQuery("g1"), '{"do":"state","to":"g1"}'),
+        (messages.PeerQuery("g1", BALLOT), '{"do":"content","to":"g1",' + IDENTITY + "}"),
     ],
 )
-def test_a_question_to_a_peer_on_the_wire(question: messages.PeerQuestion, expected: str) -> None:
+def test_a_question_to_a_peer_on_the_wire(question: messages.PeerQuery, expected: str) -> None:
     """A question for the state has no ballot."""
     assert to_json(question.to_dict()) == expected
 
