--- a/petrellane/config_consensus/ballots.py
+++ b/petrellane/config_consensus/ballots.py
@@ -1,8 +1,9 @@
 """Epochs, ballots, generations and majorities, with the JSON form of each.
 
-As in Paxos: an epoch is one coordinator's term, a ballot names one proposal made in an epoch, and
-a generation is the settings that were proposed under a ballot. All of these are immutable values
-with a total order. Whether a ballot commits is decided in `participant` and `coordinator`.
+The terms are those of Paxos: an epoch is the term of one coordinator, a ballot identifies one
+proposal made in an epoch, and a generation is the settings proposed under a ballot. All three are
+immutable values, and epochs and ballots are totally ordered. The modules `participant` and
+`coordinator` decide whether a ballot commits.
 """
 
 from collections.abc import Callable, Collection
@@ -10,14 +11,17 @@
 
 from petrellane.config_consensus.errors import shorten
 
-MAX_NUMBER = 2**53  # numbers stay below this, so that every JSON reader keeps them exact
-MAX_NAME_LENGTH = 64
+MAX_NUMBER = 2**53  # exclusive: JSON readers that use doubles keep smaller integers exact
+MAX_NAME_LENGTH = 64  # characters
 
 
 class Epoch(NamedTuple):
-    """A coordinator's term: participants that promised an epoch reject every lower one.
+    """The term of a coordinator: a participant that promised an epoch rejects every lower one.
 
-    `control` is the name of the control process; it orders two processes that took one number.
+    Attributes:
+        number: The number of the epoch. Epochs are ordered by it first.
+        control: The name of the control process that runs the coordinator. It orders epochs of the
+            same number, which two processes may claim.
     """
 
     number: int
@@ -28,20 +32,25 @@
 
 
 class Ballot(NamedTuple):
-    """The identity of one proposal; a later ballot supersedes an earlier one."""
+    """The identity of one proposal; a higher ballot supersedes a lower one."""
 
     number: int
     epoch: Epoch
 
     def to_dict(self) -> dict[str, Any]:
-        """The ballot as JSON."""
+        """Return the ballot as JSON."""
         return {"number": self.number, "epoch": list(self.epoch)}
 
 
 class Generation(NamedTuple):
     """Settings proposed under a ballot.
 
-    `roster` names the participants whose majority has to prepare the next generation.
+    Attributes:
+        ballot: The identity of the proposal.
+        digest: The digest of the settings, which identifies their content.
+        content: The settings, as a JSON object.
+        roster: The names of the participants. While this generation is in force, a majority of them
+            has to prepare the next one.
     """
 
     ballot: Ballot
@@ -55,11 +64,11 @@
         return self.ballot.number
 
     def identity_to_dict(self) -> dict[str, Any]:
-        """Ballot and digest as JSON, without the content."""
+        """Return the ballot and the digest as JSON, without the content."""
         return {**self.ballot.to_dict(), "digest": self.digest}
 
     def to_dict(self) -> dict[str, Any]:
-        """The whole generation as JSON."""
+        """Return the whole generation as JSON."""
         return {
             **self.identity_to_dict(),
             "content": self.content,
@@ -67,53 +76,53 @@
         }
 
 
-def _is_number(value: object) -> TypeGuard[int]:
-    """Whether a JSON value is a whole number in range; `True` is none."""
+def _is_valid_number(value: object) -> TypeGuard[int]:
+    """Return whether a JSON value is an integer in range; `True` and `False` are not."""
     return type(value) is int and 0 <= value < MAX_NUMBER
 
 
 def parse_epoch(value: object) -> Epoch:
-    """An epoch from JSON: a list of number and name.
+    """Return the epoch that a JSON list of number and name represents.
 
     Raises:
-        ValueError: `value` is no epoch.
+        ValueError: `value` is not a valid epoch.
     """
     if isinstance(value, (list, tuple)) and len(value) == 2:
         number, control = value
         is_name = isinstance(control, str) and len(control) <= MAX_NAME_LENGTH
-        if _is_number(number) and is_name:
+        if _is_valid_number(number) and is_name:
             return Epoch(number, control)
     raise ValueError(f"epoch: expected a number and a name, found {shorten(value)}")
 
 
 def parse_ballot(value: object) -> Ballot:
-    """A ballot from a JSON object that has its number and epoch.
+    """Return the ballot that the fields `number` and `epoch` of a JSON object represent.
 
     Raises:
-        ValueError: `value` holds no ballot.
+        ValueError: `value` is not an object with a valid ballot.
     """
     fields = value if isinstance(value, dict) else {}
     number = fields.get("number")
-    if not _is_number(number):
+    if not _is_valid_number(number):
         raise ValueError(f"number: expected a whole number from 0, found {shorten(number)}")
     return Ballot(number, parse_epoch(fields.get("epoch")))
 
 
 def parse_generation(value: object, digest: Callable[[dict[str, Any]], str]) -> Generation:
-    """A generation from JSON, checked against its digest.
+    """Return the generation that a JSON object represents, verified against its digest.
 
     Args:
-        value: the JSON object.
-        digest: computes the digest of settings.
+        value: The JSON object.
+        digest: A function that computes the digest of settings.
 
     Raises:
-        ValueError: `value` is no generation, or its digest is not that of its content.
+        ValueError: `value` is not a valid generation, or its digest does not match its content.
     """
     ballot = parse_ballot(value)
     fields: dict[str, Any] = value if isinstance(value, dict) else {}
     content = fields.get("content")
     roster = fields.get("members", [])
-    if not isinstance(content, dict):  # malformed input is a ValueError, whatever its type
+    if not isinstance(content, dict):  # malformed input raises ValueError, whatever its type
         raise ValueError(  # noqa: TRY004
             f"content: expected an object, found {shorten(content)}"
         )
@@ -132,23 +141,27 @@
 
 
 def majority(roster: Collection[str]) -> int:
-    """The size of the smallest majority of a roster."""
+    """Return the size of the smallest majority of a roster."""
     return len(roster) // 2 + 1
 
 
 def intersects_every_majority(
-    roster: Collection[str], responders: Collection[str], remembers: bool
+    roster: Collection[str], responders: Collection[str], has_durable_state: bool
 ) -> bool:
-    """Whether the participants that answered have a member in every majority of the roster.
+    """Return whether every majority of the roster includes a participant that has responded.
+
+    A participant that starts checks this: once it holds, no generation can have committed without
+    the knowledge of a responder.
 
     Args:
-        roster: all participants.
-        responders: the others that have answered a participant that starts.
-        remembers: whether that participant still has its own state, and so counts itself.
+        roster: The names of all participants.
+        responders: The names of the other participants that have answered the starting participant.
+        has_durable_state: Whether the starting participant still has its own durable state, and so
+            counts as a responder itself.
 
     Returns:
-        True once no majority can have committed without a responder knowing. A participant that
-        is alone on its roster has nobody to ask.
+        True once every majority includes a responder. A participant that is alone on its roster
+        has no peer to ask, so the result is True without any responder.
     """
-    others = len(roster) - majority(roster) + (0 if remembers else 1)
+    others = len(roster) - majority(roster) + (0 if has_durable_state else 1)
     return len(set(responders) & set(roster)) >= min(others, len(roster) - 1)
--- a/petrellane/config_consensus/canonical_settings.py
+++ b/petrellane/config_consensus/canonical_settings.py
@@ -1,9 +1,10 @@
-"""Shared settings in canonical form: with sorted keys and rows, and with every default filled in.
+"""The canonical form of shared settings, with sorted keys and rows and with all defaults.
 
-Settings are the JSON object that a gateway's file holds under `settings`. All of it is shared, and
-changed by consensus, except what is each gateway's own (`LOCAL_KEYS`). Functions here take and
-return plain JSON values and modify none of them. They check no more than they need: whether a
-gateway accepts settings is decided by `petrellane.config`.
+Settings are the JSON object under `settings` in a gateway's file. Consensus changes all of its
+keys except those in `LOCAL_KEYS`, which belong to each gateway alone. A row is one object in the
+list of methods or of plans. The functions take and return plain JSON values and do not modify their
+arguments. They check only what they depend on: `petrellane.config` decides whether a gateway
+accepts the settings.
 """
 
 import hashlib
@@ -12,17 +13,17 @@
 from typing import Any
 
 Settings = dict[str, Any]
-JsonValue = Any  # whatever JSON can express
+JsonValue = Any  # any value that JSON can represent
 
-LOCAL_KEYS = ("locality",)  # what a gateway knows of itself alone
+LOCAL_KEYS = ("locality",)  # keys that each gateway sets for itself
 
-WIRE_IDEMPOTENT = "pure"  # effects of methods, in the words of the settings file
+WIRE_IDEMPOTENT = "pure"  # values of a method's `effect` in the settings file
 WIRE_DEDUPLICATED = "token"
 WIRE_NON_IDEMPOTENT = "side_effect"
-KEY_SCOPES = ("none", "cell", "zone", "all")  # where a repeat is discarded, narrowest first
+KEY_SCOPES = ("none", "cell", "zone", "all")  # where duplicates are discarded, narrowest first
 DEFAULT_KEY_SCOPE = "cell"
 
-NAMED_ROWS = ("classes", "contracts")  # lists of methods and of plans, by name
+NAMED_ROW_LISTS = ("classes", "contracts")  # keys of the lists of methods and of plans
 DIGEST_BYTES = 16
 
 METHOD_DEFAULTS = {
@@ -45,7 +46,7 @@
     "extraWorth": 0,
     "overrunCost": 0,
 }
-PLAN_LIMITS = (  # a rate, 0 where there is no limit, and the fields that depend on it
+PLAN_LIMITS = (  # a rate, where 0 means no limit, and the fields that depend on the rate
     ("quotaRate", ("storeSize",)),
     ("ceilingRate", ("ceilingBurst", "ceilingSlack")),
 )
@@ -68,17 +69,17 @@
 
 
 def shared_settings(settings: Settings) -> Settings:
-    """The part of settings that is changed by consensus."""
+    """Return the part of settings that consensus changes."""
     return {key: value for key, value in settings.items() if key not in LOCAL_KEYS}
 
 
 def local_settings(settings: Settings) -> Settings:
-    """The part of settings that stays a gateway's own."""
+    """Return the part of settings that each gateway sets for itself."""
     return {key: value for key, value in settings.items() if key in LOCAL_KEYS}
 
 
 def normalize(value: JsonValue) -> JsonValue:
-    """A JSON value with sorted keys, whole numbers as integers, and without null members."""
+    """Return a JSON value with sorted keys, whole numbers as integers and no null members."""
     if isinstance(value, dict):
         return {key: normalize(value[key]) for key in sorted(value) if value[key] is not None}
     if isinstance(value, list):
@@ -88,24 +89,24 @@
     return value
 
 
-def _row_order(row: JsonValue) -> str:
-    """Sorts rows by their names, whatever these are."""
+def _row_sort_key(row: JsonValue) -> str:
+    """Return a key that sorts rows by their names, whatever the type of the names."""
     return json.dumps(row.get("name") if isinstance(row, dict) else row)
 
 
 def canonical_bytes(settings: Settings) -> bytes:
-    """The canonical form of the shared settings, equal for settings that say the same.
+    """Return the canonical form of the shared settings, as JSON in UTF-8.
 
-    JSON with sorted keys, methods and plans in the order of their names, whole numbers without a
-    fraction.
+    Keys are sorted, methods and plans are sorted by name, null members are left out and whole
+    numbers have no fraction. Settings that differ only in these points have equal canonical forms.
 
     Raises:
-        ValueError, TypeError: a value has no canonical JSON.
+        ValueError, TypeError: A value has no canonical JSON.
     """
     shared = normalize(shared_settings(settings))
-    for key in NAMED_ROWS:
+    for key in NAMED_ROW_LISTS:
         if isinstance(shared.get(key), list):
-            shared[key] = sorted(shared[key], key=_row_order)
+            shared[key] = sorted(shared[key], key=_row_sort_key)
     text = json.dumps(
         shared, separators=(",", ":"), sort_keys=True, ensure_ascii=False, allow_nan=False
     )
@@ -113,28 +114,32 @@
 
 
 def digest(settings: Settings) -> str:
-    """The identity of shared settings: 32 hex digits of blake2b over the canonical form."""
+    """Return the digest of the shared settings: 32 hex digits of BLAKE2b of the canonical form."""
     return hashlib.blake2b(canonical_bytes(settings), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def with_defaults(settings: Settings) -> Settings:
-    """The shared settings in canonical order, with every default filled in."""
+    """Return the shared settings in canonical order, with all defaults filled in."""
     shared = json.loads(canonical_bytes(settings))
     for key, defaults in SECTION_DEFAULTS.items():
         shared[key] = defaults | shared.get(key, {})
     shared = TOP_LEVEL_DEFAULTS | shared
     shared["report"]["fields"] = sorted(set(map(str, shared["report"]["fields"])))
-    shared["classes"] = [_complete_method(row) for row in shared.get("classes", [])]
-    shared["contracts"] = [_complete_plan(row) for row in shared.get("contracts", [])]
-    return normalize(shared)  # type: ignore[no-any-return]  # of an object it is one
+    shared["classes"] = [_method_with_defaults(row) for row in shared.get("classes", [])]
+    shared["contracts"] = [_plan_with_defaults(row) for row in shared.get("contracts", [])]
+    return normalize(shared)  # type: ignore[no-any-return]  # normalize returns a dict for a dict
 
 
-def _complete_method(row: Settings) -> Settings:
+def _method_with_defaults(row: Settings) -> Settings:
     return METHOD_DEFAULTS | row | _effective_key(row)
 
 
 def _effective_key(row: Settings) -> Settings:
-    """Where, and for how long, a host discards a repeat; nowhere for a method without a key."""
+    """Return the scope and the window in which hosts discard duplicates by idempotency key.
+
+    The scope is "none" and the window 0 for a method that is not deduplicated, or whose scope is
+    "none" without a window.
+    """
     scope = row.get("keyScope")
     window = row.get("window", 0)
     is_off = scope == "none" and not window
@@ -143,9 +148,9 @@
     return {"keyScope": scope if scope in ("zone", "all") else DEFAULT_KEY_SCOPE, "window": window}
 
 
-def _complete_plan(row: Settings) -> Settings:
+def _plan_with_defaults(row: Settings) -> Settings:
     plan = PLAN_DEFAULTS | row
     for rate, dependent in PLAN_LIMITS:
         if not plan[rate]:
-            plan |= dict.fromkeys(dependent, 0)  # without a rate they have no effect
+            plan |= dict.fromkeys(dependent, 0)  # they have no effect without the rate
     return plan
--- a/petrellane/config_consensus/safe_settings.py
+++ b/petrellane/config_consensus/safe_settings.py
@@ -1,10 +1,14 @@
-"""Settings that are safe while two versions may be in force: their meet, what both allow.
+"""The meet of two versions of settings: the settings that both versions allow.
 
-That is a method that both have, with the fewer attempts and the shorter times, retried only where
-both let it be; a plan that both have, at the lower quota and the lower hard limit. The meet is a
-greatest lower bound: commutative, associative, and idempotent for settings with their defaults. A
-method whose command differs (an idempotent one uses another command than the rest) is right for no
-gateway while both versions may be in force: it is left out.
+The meet is safe to admit under while either version may be in force. It contains the methods that
+both versions have, with the fewer attempts and the shorter times, and with retries only if both
+versions allow them; and the plans that both have, with the lower quota and the lower hard limit.
+The meet is a greatest lower bound: commutative, associative, and idempotent for settings with their
+defaults.
+
+An idempotent method uses another command than the other methods. The meet therefore leaves out a
+method that is idempotent in one version only: neither command is right for all gateways while both
+versions may be in force.
 """
 
 from collections.abc import Callable, Iterable
@@ -32,7 +36,7 @@
 
 
 def _lower_limit(left: JsonValue, right: JsonValue) -> JsonValue:
-    """The lower of two limits, of which 0 means none."""
+    """Return the lower of two limits, where 0 means no limit."""
     if left and right:
         return min(left, right)
     return left or right
@@ -42,7 +46,7 @@
     return bool(left) and bool(right)
 
 
-def _common(left: list[str], right: list[str]) -> list[str]:
+def _common_names(left: list[str], right: list[str]) -> list[str]:
     return [name for name in left if name in right]
 
 
@@ -69,33 +73,36 @@
     "cold": _higher,
     "coldFrom": _lower,
     "crossZone": _higher,
-    "fields": _common,
+    "fields": _common_names,
     "replicasOfMe": _lower,
 }
 
 
 def meet(left: Settings, right: Settings) -> Settings:
-    """The settings that allow what both allow, with their defaults."""
+    """Return the settings that allow only what both versions allow, with their defaults."""
     left = with_defaults(left)
     right = with_defaults(right)
-    met = _meet_fields(left, right)
+    result = _meet_fields(left, right)
     for key in SECTION_DEFAULTS:
-        met[key] = _meet_fields(left[key], right[key])
-    met["classes"] = _meet_rows(left["classes"], right["classes"], _meet_methods)
-    met["contracts"] = _meet_rows(left["contracts"], right["contracts"], _meet_plans)
-    return normalize(met)  # type: ignore[no-any-return]  # of an object it is one
+        result[key] = _meet_fields(left[key], right[key])
+    result["classes"] = _meet_rows(left["classes"], right["classes"], _meet_methods)
+    result["contracts"] = _meet_rows(left["contracts"], right["contracts"], _meet_plans)
+    return normalize(result)  # type: ignore[no-any-return]  # normalize returns a dict for a dict
 
 
 def _meet_fields(left: Settings, right: Settings) -> Settings:
-    """Fields of two objects, each by its rule; one without a rule stays where both agree."""
-    met = {}
+    """Return the meet of two objects, field by field.
+
+    A field without a rule in `MEET_RULES` is kept if both objects have the same value.
+    """
+    result = {}
     for key in left.keys() & right.keys():
         rule = MEET_RULES.get(key)
         if rule:
-            met[key] = rule(left[key], right[key])
+            result[key] = rule(left[key], right[key])
         elif left[key] == right[key]:
-            met[key] = left[key]
-    return met
+            result[key] = left[key]
+    return result
 
 
 def _meet_rows(
@@ -103,26 +110,26 @@
     right: Iterable[Settings],
     rule: Callable[[Settings, Settings], Settings | None],
 ) -> list[Settings]:
-    """The meets of the rows whose names both have, without those that have none."""
+    """Return the meets of the rows with equal names, without the rows that have no meet."""
     others = {row["name"]: row for row in right}
-    met = (rule(row, others[row["name"]]) for row in left if row["name"] in others)
-    return [row for row in met if row is not None]
+    results = (rule(row, others[row["name"]]) for row in left if row["name"] in others)
+    return [row for row in results if row is not None]
 
 
 def _meet_methods(left: Settings, right: Settings) -> Settings | None:
-    """The meet of two methods of one name; None where no command is right for both.
+    """Return the meet of two methods of one name, or None if no command is right for both.
 
-    What is deduplicated in one alone keeps its key, which clients are asked for, and is never
-    retried where it may have run.
+    A method that only one version deduplicates still requires an idempotency key from clients, but
+    is never retried after an attempt that the host may have executed.
     """
     if (left["effect"] == WIRE_IDEMPOTENT) != (right["effect"] == WIRE_IDEMPOTENT):
         return None
-    met = _meet_fields(left, right) | {"name": left["name"]}
+    result = _meet_fields(left, right) | {"name": left["name"]}
     if left["effect"] == WIRE_IDEMPOTENT:
-        return met | {"effect": WIRE_IDEMPOTENT, "keyScope": "none", "window": 0}
+        return result | {"effect": WIRE_IDEMPOTENT, "keyScope": "none", "window": 0}
     scope = min(left["keyScope"], right["keyScope"], key=KEY_SCOPES.index)
     has_key = WIRE_DEDUPLICATED in (left["effect"], right["effect"])
-    return met | {
+    return result | {
         "effect": WIRE_DEDUPLICATED if has_key else WIRE_NON_IDEMPOTENT,
         "keyScope": scope,
         "window": 0 if scope == "none" else min(left["window"], right["window"]),
@@ -130,15 +137,18 @@
 
 
 def _meet_plans(left: Settings, right: Settings) -> Settings:
-    """The meet of two plans of one name: the lower quota and hard limit, where 0 is none."""
-    met = _meet_fields(left, right) | {"name": left["name"]}
+    """Return the meet of two plans of one name, with the lower quota and hard limit."""
+    result = _meet_fields(left, right) | {"name": left["name"]}
     for rate, dependent in PLAN_LIMITS:
         limited = [row for row in (left, right) if row[rate]]
         for key in (rate, *dependent):
-            met[key] = min((row[key] for row in limited), default=0)
-    return met
+            result[key] = min((row[key] for row in limited), default=0)
+    return result
 
 
 def allows(wide: Settings, narrow: Settings) -> bool:
-    """Whether `wide` allows all that `narrow` allows: the order whose lower bound is the meet."""
+    """Return whether `wide` allows all that `narrow` allows.
+
+    `meet` returns the greatest lower bound in this order.
+    """
     return meet(wide, narrow) == with_defaults(narrow)
--- a/petrellane/config_consensus/settings_diff.py
+++ b/petrellane/config_consensus/settings_diff.py
@@ -1,6 +1,6 @@
-"""What a change of settings changes for whom, as lines for staff.
+"""The differences between two versions of settings, as lines of text for staff (operators).
 
-Fields are named by the terms of the operators' pages, and times are given in seconds.
+The lines name fields by the terms of the operators' pages and give times in seconds.
 """
 
 import json
@@ -48,12 +48,12 @@
     WIRE_DEDUPLICATED: "deduplicated",
     WIRE_NON_IDEMPOTENT: "non-idempotent",
 }
-UNLIMITED_AT_ZERO = ("quotaRate", "ceilingRate", "maxOut")
-MICROSECONDS = 1e6  # in a second
+ZERO_MEANS_UNLIMITED = ("quotaRate", "ceilingRate", "maxOut")
+MICROSECONDS_PER_SECOND = 1e6
 
 
 def describe_changes(before: Settings, after: Settings) -> list[str]:
-    """What changes for whom, a line each: methods, plans, the rest; empty where nothing does."""
+    """Return one line per difference: of methods, of plans, then of the other settings."""
     before = with_defaults(before)
     after = with_defaults(after)
     lines = []
@@ -67,12 +67,18 @@
 
 
 def _describe_row(title: str, old: Settings | None, new: Settings | None) -> list[str]:
-    """The lines of one method or plan; None where a version lacks it."""
+    """Return the lines for one method or plan.
+
+    Args:
+        title: The kind and the name, which start each line.
+        old: The earlier row, or None if the earlier version lacks it.
+        new: The later row, or None if the later version lacks it.
+    """
     if new is None:
         return [f"{title}: gone"]
     if old is None:
         shown = (
-            f"{_label(field)} {_show(field, value)}"
+            f"{_field_label(field)} {_format_value(field, value)}"
             for field, value in sorted(new.items())
             if field != "name" and value not in (0, "", "none", False)
         )
@@ -85,28 +91,31 @@
         before = old.get(field)
         after = new.get(field)
         if before != after:
-            yield f"{_label(field)} {_show(field, before)} to {_show(field, after)}"
+            yield (
+                f"{_field_label(field)} {_format_value(field, before)} "
+                f"to {_format_value(field, after)}"
+            )
 
 
 def _flatten(sections: Settings) -> Settings:
-    """An object of objects as one, by the names of the inner fields."""
+    """Return the fields of all sections in one object, under the names of the inner fields."""
     flat: Settings = {}
     for key, value in sections.items():
         flat.update(value if isinstance(value, dict) else {key: value})
     return flat
 
 
-def _label(field: str) -> str:
+def _field_label(field: str) -> str:
     return FIELD_LABELS.get(field, field)
 
 
-def _show(field: str, value: JsonValue) -> str:
-    """A value as staff read it."""
-    is_unlimited = field in UNLIMITED_AT_ZERO and not value
+def _format_value(field: str, value: JsonValue) -> str:
+    """Return a value as text for staff."""
+    is_unlimited = field in ZERO_MEANS_UNLIMITED and not value
     if value is None or is_unlimited:
         return "none"
     if field in TIME_FIELDS and isinstance(value, (int, float)):
-        return f"{value / MICROSECONDS:g} s"
+        return f"{value / MICROSECONDS_PER_SECOND:g} s"
     if isinstance(value, str):
         return EFFECT_LABELS.get(value, value)
     return json.dumps(value)
--- a/petrellane/config_consensus/state_keys.py
+++ b/petrellane/config_consensus/state_keys.py
@@ -1,6 +1,7 @@
-"""Keys of a participant's state: in its report on the wire, and in the file that keeps it.
+"""Keys of a participant's state, in its report on the wire and in its state file.
 
-Both have the same words, which stay as they are; the program's terms are on the left.
+The keys are part of both formats and do not change. The constants are named by the terms that the
+code uses.
 """
 
 from typing import Final
