--- a/petrellane/config_consensus/changes.py
+++ b/petrellane/config_consensus/changes.py
@@ -1,15 +1,18 @@
-"""A change of settings: the votes of its participants, its outcome, and its records in the journal.
+"""A change of settings: its votes, its decision and its records in the journal.
 
-A `Change` collects votes as in Paxos Commit and says when it can be decided:
+A `Change` collects votes as in Paxos Commit and derives the decision from them:
 
-    committed  every participant that was asked has prepared or is confirmed absent, and those
-               that prepared are a majority of the previous roster and of the new one
-    aborted    the same without these majorities, or somebody has not voted in time
+    committed  Every participant that was asked has prepared or is confirmed absent, and the
+               participants that prepared are a majority of the previous roster and of the new one.
+    aborted    All of them have voted, but one of these majorities is missing; or a participant has
+               not voted in time.
 
-A participant is absent where its machine refuses the connection, and confirmed absent only by a
-refusal after the last of the others has prepared: one that starts later asks its peers before it
-serves. Records are durable before anybody is notified of what they say; the journal keeps them as
-JSON objects, which `to_dict` and `parse_record` translate.
+A participant is absent if its machine refuses the connection. A refusal confirms the absence only
+if the coordinator sent that request after the last of the other participants had prepared: a
+gateway that starts later asks its peers before it serves.
+
+The journal keeps records as JSON objects, which `to_dict` and `parse_record` convert. A record is
+durable before the coordinator notifies any participant of its content.
 """
 
 from collections.abc import Collection, Iterator, Mapping
@@ -28,15 +31,15 @@
 from petrellane.config_consensus.messages import PeerState, Prepare, Request
 from petrellane.config_consensus.participant import INITIAL_BALLOT, STALL_LIMIT_S
 
-CHANGE_TIMEOUT_S = 3.0  # a change aborts when a participant has not voted by then
+CHANGE_TIMEOUT_S = 3.0  # a change aborts if a participant has not voted by then
 
-INTERRUPTED = "the control process ended before it was decided"
-ALREADY_IN_FORCE = "in force already"
-REJECTED_PREFIX = "refused by"  # begins the reason of a change that a participant rejected
+INTERRUPTED_REASON = "the control process ended before it was decided"
+ALREADY_IN_FORCE_REASON = "in force already"
+REJECTED_PREFIX = "refused by"  # starts the reason of a change that a participant rejected
 
 
 class ChangeOutcome(StrEnum):
-    """What became of a change; the values are those of the wire and of the journal."""
+    """The outcome of a change; the values appear on the wire and in the journal."""
 
     PREPARING = "preparing"
     COMMITTED = "committed"
@@ -52,21 +55,21 @@
     ABSENT = "absent"
 
 
-def rejected_by(name: str, reason: str) -> str:
-    """The reason of a change that a participant rejected."""
+def rejection_reason(name: str, reason: str) -> str:
+    """Return the reason of a change that a participant rejected."""
     return f"{REJECTED_PREFIX} {name}: {reason}"
 
 
 def is_rejection(reason: str) -> bool:
-    """Whether the reason of an aborted change is that a participant rejected it.
+    """Return whether an aborted change has this reason because a participant rejected it.
 
-    An answer to staff has the reason alone, so it is recognized by that text.
+    An answer to staff contains only the text of the reason, so the text's prefix is checked.
     """
     return reason.startswith(REJECTED_PREFIX)
 
 
 class Decision(NamedTuple):
-    """The outcome that a change has reached, and why, in one line."""
+    """The outcome of a change, and the reason for it in one line."""
 
     outcome: ChangeOutcome
     reason: str
@@ -77,20 +80,22 @@
     """One proposal and its votes; owned by the coordinator, which keeps it in its history.
 
     Attributes:
-        generation: what is proposed.
-        base: the ballot in force when it was proposed.
-        participants: who has to vote: the old roster and the new one without `excluded`.
-        excluded: participants that the proposer counts out.
-        started_at: time of the proposal, in seconds.
-        previous_roster: the roster in force when it was proposed.
-        votes: the votes so far; a participant without one has not voted.
-        last_sequence_before_proposal: sequence number of the last request before the proposal.
-        last_sequence_when_prepared: that of the last request when a participant prepared last.
-        confirmed_absent: participants that were absent after that.
-        outcome: PREPARING until it is decided.
-        purpose: why it was proposed, in one line; empty for a proposal of staff.
-        decision_reason: why it has the outcome that it has, in one line.
-        author: who proposed it.
+        generation: The proposed generation.
+        base: The ballot in force at the time of the proposal.
+        participants: The participants that have to vote: those of the previous and the new roster,
+            without `excluded`.
+        excluded: The participants that the proposer excludes from the vote.
+        started_at: The time of the proposal, in seconds.
+        previous_roster: The roster in force at the time of the proposal.
+        votes: The votes so far; a participant without an entry has not voted.
+        last_sequence_before_proposal: The sequence number of the last request before the proposal.
+        last_sequence_when_prepared: The sequence number of the last request that had been sent when
+            a participant most recently prepared.
+        confirmed_absent: The participants whose machine refused a request sent after that one.
+        outcome: The outcome; PREPARING until the change is decided.
+        purpose: The purpose of the proposal in one line; empty for a proposal of staff.
+        decision_reason: The reason for the outcome, in one line.
+        author: The author of the proposal.
     """
 
     generation: Generation
@@ -110,7 +115,7 @@
 
     @classmethod
     def interrupted(cls, generation: Generation, excluded: tuple[str, ...], author: str) -> Self:
-        """The change of an earlier process, whose outcome is unknown."""
+        """Return a change of an earlier process, whose outcome is unknown."""
         return cls(
             generation=generation,
             base=INITIAL_BALLOT,
@@ -119,13 +124,13 @@
             started_at=0.0,
             previous_roster=(),
             outcome=ChangeOutcome.UNKNOWN,
-            decision_reason=INTERRUPTED,
+            decision_reason=INTERRUPTED_REASON,
             author=author,
         )
 
     @classmethod
     def already_in_force(cls, generation: Generation, now: float) -> Self:
-        """The change to settings in force that this coordinator did not bring about."""
+        """Return a committed change for settings in force that are not in the history."""
         return cls(
             generation=generation,
             base=generation.ballot,
@@ -134,12 +139,12 @@
             started_at=now,
             previous_roster=(),
             outcome=ChangeOutcome.COMMITTED,
-            decision_reason=ALREADY_IN_FORCE,
+            decision_reason=ALREADY_IN_FORCE_REASON,
         )
 
     @property
     def reason(self) -> str:
-        """Why it was proposed, and from its outcome on why it has that one; in one line."""
+        """The purpose of the change while it is preparing, then the reason for its outcome."""
         return self.purpose if self.outcome is ChangeOutcome.PREPARING else self.decision_reason
 
     @property
@@ -148,11 +153,11 @@
         return self.generation.ballot
 
     def prepared_names(self) -> list[str]:
-        """The participants that prepared, sorted."""
+        """Return the sorted names of the participants that prepared."""
         return sorted(name for name, vote in self.votes.items() if vote is Vote.PREPARED)
 
     def to_dict(self) -> dict[str, Any]:
-        """The change as staff see it, as JSON."""
+        """Return the change as JSON, for staff."""
         return {
             "number": self.ballot.number,
             "epoch": list(self.ballot.epoch),
@@ -167,31 +172,31 @@
 
     # Votes.
 
-    def awaits(self, name: str) -> bool:
-        """Whether a participant has to be asked to prepare, for the first time or once more."""
+    def needs_prepare(self, name: str) -> bool:
+        """Return whether a participant has to be sent a prepare request, first or repeated."""
         return (
             name in self.participants
             and self.votes.get(name) is not Vote.PREPARED
             and name not in self.confirmed_absent
         )
 
-    def is_excluded_alive(self, name: str, sequence: int) -> bool:
-        """Whether a participant that was counted out answered a request since the proposal."""
+    def is_excluded_but_alive(self, name: str, sequence: int) -> bool:
+        """Return whether an excluded participant answered a request sent after the proposal."""
         return name in self.excluded and sequence > self.last_sequence_before_proposal
 
-    def is_prepared(self, request: Request, report: PeerState) -> bool:
-        """Whether a request asked to prepare this change, and the report says it is prepared."""
+    def confirms_prepare(self, request: Request, report: PeerState) -> bool:
+        """Return whether a report answers this change's prepare request and shows it prepared."""
         body = request.body
         if not isinstance(body, Prepare) or body.generation.number != self.ballot.number:
             return False
         return self.ballot in report.prepared or report.in_force >= self.ballot
 
     def record_prepared(self, name: str, last_sequence: int) -> None:
-        """Count a participant as prepared; absent ones are to be asked once more then.
+        """Record that a participant prepared; absent participants then have to be asked again.
 
         Args:
-            name: the participant.
-            last_sequence: sequence number of the last request sent to anybody.
+            name: The participant that prepared.
+            last_sequence: The sequence number of the last request sent to any participant.
         """
         if self.votes.get(name) is Vote.PREPARED:
             return
@@ -200,11 +205,11 @@
         self.last_sequence_when_prepared = last_sequence
 
     def record_absent(self, name: str, sequence: int) -> None:
-        """Count a participant whose machine refused the connection as absent.
+        """Record that a participant's machine refused the connection.
 
         Args:
-            name: the participant.
-            sequence: that of the request for which the connection was refused.
+            name: The participant.
+            sequence: The sequence number of the request for which the connection was refused.
         """
         if name not in self.participants or self.votes.get(name) is Vote.PREPARED:
             return
@@ -213,7 +218,7 @@
             self.confirmed_absent.add(name)
 
     def retract_absence(self, name: str) -> None:
-        """Forget that a participant was absent: it may run, as it only didn't answer."""
+        """Discard a recorded absence: the participant did not answer, so its process may run."""
         if self.votes.get(name) is Vote.ABSENT:
             del self.votes[name]
             self.confirmed_absent.discard(name)
@@ -223,33 +228,34 @@
     def decision(
         self, roster: tuple[str, ...], now: float, unreachable: Mapping[str, str]
     ) -> Decision | None:
-        """The decision that the votes allow by now.
+        """Return the decision that the votes and the time allow.
 
         Args:
-            roster: the roster that the change brings into force.
-            now: the time, in seconds.
-            unreachable: why participants could not be reached, for the reason.
+            roster: The roster that the change puts in force.
+            now: The time, in seconds.
+            unreachable: The reason why each unreachable participant could not be reached; the
+                reason of an abort repeats it.
 
         Returns:
-            The decision, None while it is open.
+            The decision, or None while the change is undecided.
         """
-        waiting = self._waiting()
-        first = next(waiting, None)  # searched anew at each answer, mostly found at once
+        pending = self._pending_participants()
+        first = next(pending, None)  # each answer repeats this search, which usually ends early
         if first is not None:
             if now - self.started_at < CHANGE_TIMEOUT_S:
                 return None
-            return self._timed_out(sorted((first, *waiting)), unreachable)
+            return self._timeout_decision(sorted((first, *pending)), unreachable)
         prepared = {name for name in self.participants if self.votes.get(name) is Vote.PREPARED}
         for members in (self.previous_roster, roster):
             if members and len(prepared & set(members)) < majority(members):
-                return self._without_majority(prepared, members)
+                return self._no_majority_decision(prepared, members)
         if self.excluded and now - self.started_at < 2 * STALL_LIMIT_S:
-            return None  # one that was excluded and merely stalls has to notice its stall first
+            return None  # an excluded gateway that only stalled has to detect its stall first
         return Decision(ChangeOutcome.COMMITTED, self.purpose)
 
-    def _waiting(self) -> Iterator[str]:
-        """Participants that have neither prepared nor been confirmed absent."""
-        votes = self.votes  # looked up once: a roster is gone through at each answer
+    def _pending_participants(self) -> Iterator[str]:
+        """Return an iterator over the participants neither prepared nor confirmed absent."""
+        votes = self.votes  # local variables: each answer iterates over the participants
         confirmed_absent = self.confirmed_absent
         prepared = Vote.PREPARED
         return (
@@ -259,11 +265,11 @@
         )
 
     @staticmethod
-    def _timed_out(names: list[str], unreachable: Mapping[str, str]) -> Decision:
+    def _timeout_decision(names: list[str], unreachable: Mapping[str, str]) -> Decision:
         causes = (f"{name} ({unreachable.get(name, 'no answer')})" for name in names)
         return Decision(ChangeOutcome.ABORTED, "no word from " + ", ".join(causes))
 
-    def _without_majority(self, prepared: set[str], members: Collection[str]) -> Decision:
+    def _no_majority_decision(self, prepared: set[str], members: Collection[str]) -> Decision:
         absent = ", ".join(sorted(self.confirmed_absent)) or "none"
         return Decision(
             ChangeOutcome.ABORTED,
@@ -277,32 +283,32 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochClaimed:
-    """The coordinator takes an epoch; it never takes the same one again."""
+    """The record that the coordinator claimed an epoch, which it never claims again."""
 
     kind: ClassVar[str] = "epoch"
     number: int
     control: str
 
     def to_dict(self) -> dict[str, Any]:
-        """The record as JSON."""
+        """Return the record as JSON."""
         return {"kind": self.kind, "number": self.number, "control": self.control}
 
 
 @dataclass(frozen=True, slots=True)
 class FoundInForce:
-    """The coordinator learned from participants which generation is in force."""
+    """The record that participants reported this generation as in force."""
 
     kind: ClassVar[str] = "in_force"
     generation: Generation
 
     def to_dict(self) -> dict[str, Any]:
-        """The record as JSON."""
+        """Return the record as JSON."""
         return {"kind": self.kind, "generation": self.generation.to_dict()}
 
 
 @dataclass(frozen=True, slots=True)
 class Proposed:
-    """A change begins."""
+    """The record of a proposal, which begins a change."""
 
     kind: ClassVar[str] = "proposed"
     generation: Generation
@@ -311,7 +317,7 @@
     reason: str = ""
 
     def to_dict(self) -> dict[str, Any]:
-        """The record as JSON."""
+        """Return the record as JSON."""
         return {
             "kind": self.kind,
             "generation": self.generation.to_dict(),
@@ -321,13 +327,13 @@
         }
 
     def interrupted_change(self) -> Change:
-        """The change of an earlier process, whose outcome is unknown unless a record follows."""
+        """Return the change, whose outcome is unknown unless a `Decided` record follows."""
         return Change.interrupted(self.generation, self.excluded, self.author)
 
 
 @dataclass(frozen=True, slots=True)
 class Decided:
-    """A change commits or aborts."""
+    """The record of a decision, which commits or aborts a change."""
 
     kind: ClassVar[str] = "decided"
     ballot: Ballot
@@ -337,7 +343,7 @@
     prepared: tuple[str, ...]
 
     def to_dict(self) -> dict[str, Any]:
-        """The record as JSON."""
+        """Return the record as JSON."""
         return {
             "kind": self.kind,
             **self.ballot.to_dict(),
@@ -348,7 +354,7 @@
         }
 
     def apply_to(self, change: Change) -> None:
-        """Set a change that was read from the journal to its decision."""
+        """Apply the decision to a change that was read from the journal."""
         change.outcome = self.outcome
         change.decision_reason = self.reason
         change.confirmed_absent = set(self.absent)
@@ -359,11 +365,14 @@
 
 
 def parse_record(fields: Mapping[str, Any]) -> Record | None:
-    """A record of the journal from JSON; None for a kind that this build doesn't know.
+    """Return the record of the journal that a JSON object represents.
+
+    Returns:
+        The record, or None if this build does not know its kind.
 
     Raises:
-        ValueError: the record is malformed.
-        KeyError: a field is missing.
+        ValueError: The record is malformed.
+        KeyError: A field is missing.
     """
     kind = fields["kind"]
     if kind == EpochClaimed.kind:
--- a/petrellane/config_consensus/coordinator.py
+++ b/petrellane/config_consensus/coordinator.py
@@ -1,21 +1,29 @@
-"""A coordinator's rules, free of I/O: one control process brings all participants to agree.
-
-    seeking    ask all to promise the epoch; once a majority of every roster that matters has, what
-               they report tells what is in force. A later ballot that may have committed unseen is
-               superseded: the settings in force are proposed again under a later number
-    leading    one change at a time:
-      propose  a generation under the highest number seen + 1, recorded in the journal
-      prepare  ask all participants, of the old roster and the new, that were not excluded
-      decide   by the votes (`changes`), recorded in the journal before anybody is notified
-      notify   all participants until each has the outcome (`notifications`); orphaned ballots end
-    deposed    another coordinator has a higher epoch: nothing more is sent
-
-A commit is sent only after every participant that serves has prepared, so from then on none admits
-under the old generation alone; an abort is sent only for a ballot that never will commit.
-
-`next_message` gives the request that a participant is due, the three `handle_` methods take what
-came of it. Where the journal's `append` raises OSError, the step has not been taken.
-`leadership` has the rules of an epoch, `changes` those of votes, `notifications` what is due.
+"""The rules of a coordinator, free of I/O: one control process brings all participants to agree.
+
+A coordinator is in one of three states:
+
+    seeking    It asks all participants to promise its epoch. Once a majority of every relevant
+               roster has promised, their reports show what is in force. If a later ballot may have
+               committed although no report shows it, the coordinator supersedes that ballot: it
+               proposes the settings in force again, under a higher number.
+    leading    It handles one change at a time:
+      propose  It records a generation in the journal, under the highest number seen + 1.
+      prepare  It asks all participants of the previous and the new roster to prepare the
+               generation, except those that the proposer excluded.
+      decide   It derives the decision from the votes (`changes`), and records the decision in the
+               journal before it notifies any participant.
+      notify   It notifies all participants until each has the outcome (`notifications`), and aborts
+               orphaned ballots.
+    deposed    Another coordinator has a higher epoch. This coordinator sends no further requests.
+
+The coordinator sends a commit only after every participant that serves has prepared. From then on,
+no participant admits under the previous generation alone. The coordinator sends an abort only for a
+ballot that will never commit.
+
+`next_message` returns the request that is due to a participant. `handle_answer`,
+`handle_connection_refused` and `handle_no_answer` process its result. If the journal's `append`
+raises OSError, the step has not been taken. `leadership` contains the rules of epochs, `changes`
+those of votes, and `notifications` decides which message is due.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -23,7 +31,7 @@
 
 from petrellane.config_consensus import canonical_settings
 from petrellane.config_consensus.ballots import NO_EPOCH, Ballot, Epoch, Generation, majority
-from petrellane.config_consensus.changes import Change, ChangeOutcome, rejected_by
+from petrellane.config_consensus.changes import Change, ChangeOutcome, rejection_reason
 from petrellane.config_consensus.errors import ProposalRejected
 from petrellane.config_consensus.leadership import (
     CoordinatorState,
@@ -43,7 +51,7 @@
     RequestBody,
 )
 from petrellane.config_consensus.notifications import (
-    NOBODY_LISTENS,
+    CONNECTION_REFUSED_REASON,
     POLL_INTERVAL_S,
     RETRY_INTERVAL_S,
     NextMessage,
@@ -53,20 +61,20 @@
 
 __all__ = ["ChangeOutcome", "Coordinator", "CoordinatorState"]
 
-MAX_EPOCH_CLAIMS = 5  # epochs claimed while seeking: ends the contest of two that start at once
+MAX_EPOCH_CLAIMS = 5  # while seeking: ends the duel of two coordinators that start together
 
 SUPERSEDING_AUTHOR = "the control process"
 
 
 class Coordinator:
-    """What one control process knows and does, from its start to its end.
+    """Brings all participants to agree on one generation; owned by its control process.
 
     Attributes:
-        name: the name of the control process.
-        roster: the configured participants.
-        ledger: the changes, and what is in force.
-        leadership: the epoch and its promises.
-        notifications: reports of participants and what they are due.
+        name: The name of the control process.
+        roster: The names of the configured participants.
+        ledger: The changes and the generation in force.
+        leadership: The epoch and the promises for it.
+        notifications: The reports of the participants and the messages that are due to them.
     """
 
     def __init__(
@@ -77,7 +85,12 @@
         now: float,
         records: Iterable[Mapping[str, Any]] = (),
     ) -> None:
-        """Replay the journal's records and claim the next epoch. Raises what `append` raises."""
+        """Replay the journal's records and claim the next epoch.
+
+        Raises:
+            ValueError, KeyError: A record is malformed.
+            OSError: The journal could not be written.
+        """
         self.name = name
         self.roster = tuple(roster)
         self.ledger = Ledger(journal, records)
@@ -85,41 +98,41 @@
         self.notifications = Notifications()
         self.claim_epoch(self.ledger.claimed_epoch + 1, now)
 
-    # What others look at.
+    # State that other modules read.
 
     @property
     def state(self) -> CoordinatorState:
-        """Seeking, leading or deposed."""
+        """The state: seeking, leading or deposed."""
         return self.leadership.state
 
     @property
     def reason(self) -> str:
-        """Why the coordinator was deposed, in one line; empty before."""
+        """The reason why the coordinator was deposed, in one line; empty until then."""
         return self.leadership.reason
 
     @property
     def epoch(self) -> Epoch:
-        """The epoch claimed last."""
+        """The epoch that was claimed most recently."""
         return self.leadership.epoch
 
     @property
     def in_force(self) -> Generation | None:
-        """The committed generation, None until it is known."""
+        """The generation in force; None until it is known."""
         return self.ledger.in_force
 
     @property
     def change(self) -> Change | None:
-        """The change under way."""
+        """The change in progress, if any."""
         return self.ledger.change
 
     @property
     def history(self) -> Mapping[Ballot, Change]:
-        """All changes by ballot."""
+        """All changes, by ballot."""
         return self.ledger.history
 
     @property
     def in_doubt(self) -> set[Ballot]:
-        """Ballots of earlier epochs that may have committed unseen."""
+        """The ballots of earlier epochs that may have committed although no report shows it."""
         return self.leadership.in_doubt
 
     @property
@@ -128,40 +141,44 @@
         return self.notifications.reports
 
     def describe_participant(self, name: str) -> ParticipantDescription:
-        """Where a participant stands."""
+        """Return the description of a participant's state, for staff."""
         return self.notifications.describe(name, self.in_force)
 
     def all_participants(self) -> tuple[str, ...]:
-        """The participants of the configured roster and of the one in force."""
+        """Return the participants of the configured roster and of the roster in force."""
         in_force = self.in_force.roster if self.in_force else ()
         return tuple(dict.fromkeys((*self.roster, *in_force)))
 
     def claim_epoch(self, number: int, now: float) -> None:
-        """Claim a new epoch and ask all participants anew."""
-        self.leadership.claims += 1  # also where the journal fails
-        self.leadership.claim(self.ledger.claim_epoch(number, self.name, now))
+        """Claim a new epoch, which all participants are asked to promise."""
+        self.leadership.claim_count += 1  # counts even if the journal write fails
+        self.leadership.start_epoch(self.ledger.claim_epoch(number, self.name, now))
 
     # Requests.
 
     def next_message(self, name: str, now: float) -> NextMessage:
-        """The request that a participant is due now, or how long to wait for one."""
-        pause = self.notifications.retry_pause(name, now)
+        """Return the request that is due to a participant now, or the time until the next check."""
+        pause = self.notifications.retry_pause_s(name, now)
         if pause > 0:
             return NextMessage(None, pause)
         message = self.build_message(name, now)
         if message is not None:
             return NextMessage(message, 0.0)
-        return NextMessage(None, self.notifications.poll_pause(name, now))
+        return NextMessage(None, self.notifications.poll_pause_s(name, now))
 
     def build_message(self, name: str, now: float) -> Request | None:
-        """The request that a participant is due, however soon after a failure; None: none."""
+        """Return the request that is due to a participant, ignoring pauses after failures.
+
+        Returns:
+            The request, counted as sent; None if no request is due.
+        """
         body = self.pending_message(name, now)
         if body is None:
             return None
         return self.notifications.make_request(name, self.epoch, body, now)
 
     def pending_message(self, name: str, now: float) -> RequestBody | None:
-        """What a participant is due; nothing is counted as sent."""
+        """Return the body of the request due to a participant, without counting it as sent."""
         if self.state == CoordinatorState.DEPOSED:
             return None
         if self.state == CoordinatorState.SEEKING:
@@ -175,10 +192,10 @@
         body = self.notifications.next_body(name, in_force, self.change, self.in_doubt)
         return body or self.notifications.next_poll(name, now)
 
-    # What came of requests.
+    # Results of requests.
 
     def handle_answer(self, name: str, message: Request, answer: Answer, now: float) -> None:
-        """Take a participant's answer to a request."""
+        """Handle a participant's answer to a request."""
         self.notifications.on_answered(name)
         if self.state == CoordinatorState.DEPOSED:
             return
@@ -193,9 +210,9 @@
             self.handle_no_answer(name, message, now, reason)
 
     def _handle_content(self, name: str, answer: Answer, now: float) -> None:
-        """Take the content in force; initial settings of a file, number 0, are taken as well."""
+        """Handle the content in force; generation 0, from a gateway's own file, counts as well."""
         leadership = self.leadership
-        if not isinstance(answer, Generation):  # the participant has moved on meanwhile
+        if not isinstance(answer, Generation):  # e.g. the participant has a later one in force
             leadership.missing_content = None
             leadership.promised_by.discard(name)
             return
@@ -206,65 +223,73 @@
             self.try_to_lead(now)
 
     def _handle_report(self, name: str, message: Request, report: PeerState, now: float) -> None:
-        """Take a participant's state, and its vote where it was asked for one."""
-        self._remember_report(name, report)
+        """Handle a participant's reported state, and its vote if the request asked for one."""
+        self._record_report(name, report)
         if self.state == CoordinatorState.SEEKING:
             self.try_to_lead(now)
             return
         if report.in_force > self.ledger.require_in_force().ballot:
-            self._seek_again(name, report, now)
+            self._resume_seeking(name, report, now)
             return
         change = self.change
-        if change and change.is_excluded_alive(name, message.sequence):
+        if change and change.is_excluded_but_alive(name, message.sequence):
             self.abort_change(f"{name} was counted out, and answers", now)
             return
-        if change and change.is_prepared(message, report):
+        if change and change.confirms_prepare(message, report):
             change.record_prepared(name, self.notifications.last_sequence)
         self.try_to_decide(now)
 
-    def _seek_again(self, name: str, report: PeerState, now: float) -> None:
-        """A later generation committed before us, and only now we hear of it."""
+    def _resume_seeking(self, name: str, report: PeerState, now: float) -> None:
+        """Seek again after a participant reported a later generation than the one known here."""
         if self.change:
             self.abort_change(f"generation {report.in_force.number} is in force at {name}", now)
         self.leadership.state = CoordinatorState.SEEKING
         self.try_to_lead(now)
 
-    def _remember_report(self, name: str, report: PeerState) -> None:
+    def _record_report(self, name: str, report: PeerState) -> None:
         in_force_roster = self.in_force.roster if self.in_force else None
         self.notifications.on_report(name, report, (self.roster, in_force_roster))
-        self.ledger.note_number(report.in_force.number)
+        self.ledger.observe_number(report.in_force.number)
         for ballot in report.prepared:
-            self.ledger.note_number(ballot.number)
+            self.ledger.observe_number(ballot.number)
         self.leadership.promised_by.add(name)
 
     def _handle_rejection(
         self, name: str, message: Request, rejection: Rejection, now: float
     ) -> None:
-        if rejection.is_for_epoch:
+        if rejection.is_stale_epoch:
             self._handle_higher_epoch(name, rejection, now)
             return
         notifications = self.notifications
         notifications.retry_at[name] = now + (RETRY_INTERVAL_S if self.change else POLL_INTERVAL_S)
-        if rejection.is_for_content:
+        if rejection.is_missing_generation:
             notifications.on_content_missing(name)
         elif self.change and message.kind is MessageKind.PREPARE:
-            self.abort_change(rejected_by(name, rejection.reason), now)
+            self.abort_change(rejection_reason(name, rejection.reason), now)
 
     def _handle_higher_epoch(self, name: str, rejection: Rejection, now: float) -> None:
-        """Claim a higher epoch while seeking; step down while leading."""
+        """Claim a higher epoch while seeking, or step down.
+
+        The coordinator steps down if it leads or has used up its claims.
+        """
         promised = rejection.promised
         if promised is None or promised <= self.epoch:
-            return  # malformed, or the answer to a request of an earlier epoch of ours
-        if self.state == CoordinatorState.SEEKING and self.leadership.claims < MAX_EPOCH_CLAIMS:
+            return  # malformed, or an answer to a request of an earlier epoch of this coordinator
+        if (
+            self.state == CoordinatorState.SEEKING
+            and self.leadership.claim_count < MAX_EPOCH_CLAIMS
+        ):
             self.claim_epoch(promised.number + 1, now)
         else:
             reason = f"{name} follows another control process: {rejection.reason}"
-            self.leadership.depose(reason)
+            self.leadership.step_down(reason)
             self.ledger.abandon(reason)
 
     def handle_connection_refused(self, name: str, message: Request, now: float) -> None:
-        """Nobody listens where a participant should: refused at each of its addresses."""
-        self.notifications.on_unreachable(name, NOBODY_LISTENS, now + self._retry_interval())
+        """Handle a request for which each of the participant's addresses refused the connection."""
+        self.notifications.on_unreachable(
+            name, CONNECTION_REFUSED_REASON, now + self._retry_interval_s()
+        )
         if self.change:
             self.change.record_absent(name, message.sequence)
         self.try_to_decide(now)
@@ -272,20 +297,20 @@
     def handle_no_answer(
         self, name: str, _message: Request, now: float, reason: str = "no answer"
     ) -> None:
-        """No readable answer came; whether the request arrived is not known."""
-        self.notifications.on_unreachable(name, reason, now + self._retry_interval())
+        """Handle a request without a valid answer; it may have reached the participant."""
+        self.notifications.on_unreachable(name, reason, now + self._retry_interval_s())
         if self.change:
             self.change.retract_absence(name)
         self.try_to_decide(now)
 
-    def _retry_interval(self) -> float:
+    def _retry_interval_s(self) -> float:
         is_urgent = self.change is not None or self.state == CoordinatorState.SEEKING
         return RETRY_INTERVAL_S if is_urgent else POLL_INTERVAL_S
 
-    # Taking over.
+    # Becoming the leader.
 
     def try_to_lead(self, now: float) -> None:
-        """Lead, once enough have promised and what is in force is known with its content."""
+        """Start to lead if the majorities have promised and the content in force is known."""
         leadership = self.leadership
         reports = self.notifications.reports
         if not leadership.has_majorities(quorum_rosters(self.roster, self.in_force, reports)):
@@ -294,20 +319,20 @@
         if self.in_force is None or self.in_force.ballot < highest:
             leadership.seek_content(highest, reports)
             return
-        leadership.lead()
-        prepared = leadership.prepared_after(self.in_force.ballot, reports)
-        leadership.in_doubt = {ballot for ballot in prepared if self.may_be_decided(ballot)}
+        leadership.become_leader()
+        prepared = leadership.prepared_ballots_after(self.in_force.ballot, reports)
+        leadership.in_doubt = {ballot for ballot in prepared if self.is_in_doubt(ballot)}
         self._supersede_in_doubt(now)
 
-    def may_be_decided(self, ballot: Ballot) -> bool:
-        """Whether a ballot prepared somewhere may have committed where nobody reported."""
+    def is_in_doubt(self, ballot: Ballot) -> bool:
+        """Return whether a prepared ballot may have committed although no report shows it."""
         if self.ledger.decisions.get(ballot) in (ChangeOutcome.ABORTED, ChangeOutcome.SUPERSEDED):
             return False
         roster = self.ledger.require_in_force().roster
         return self.leadership.may_have_committed(ballot, roster, self.notifications.reports)
 
     def _supersede_in_doubt(self, now: float) -> None:
-        """Propose the settings in force anew where a ballot may have committed unseen."""
+        """Propose the settings in force again if ballots in doubt remain."""
         in_force = self.ledger.require_in_force()
         in_doubt = {ballot for ballot in self.in_doubt if ballot > in_force.ballot}
         self.leadership.in_doubt = in_doubt
@@ -318,22 +343,25 @@
             )
             self._begin_change(in_force.content, (), SUPERSEDING_AUTHOR, now, purpose)
 
-    # A change.
+    # Changes.
 
     def propose(
         self, content: dict[str, Any], excluded: Sequence[str], author: str, now: float
     ) -> Change:
-        """Begin a change of settings, or join the same one.
+        """Begin a change of settings, or return the change to the same settings if there is one.
 
         Args:
-            content: the settings.
-            excluded: participants that are not asked, as they are known to be down.
-            author: who proposes.
-            now: the time, in seconds.
+            content: The settings.
+            excluded: The participants that are not asked, because they are known to be down.
+            author: The author of the proposal.
+            now: The time, in seconds.
+
+        Returns:
+            The new change, the change in progress, or the change that put these settings in force.
 
         Raises:
-            ProposalRejected: it can't be taken now.
-            OSError: the journal could not be written, and no change began.
+            ProposalRejected: The coordinator cannot accept the proposal now.
+            OSError: The journal could not be written, and no change began.
         """
         if self.state != CoordinatorState.LEADING:
             reason = self.reason or "a majority of the gateways has not answered yet"
@@ -380,7 +408,10 @@
         return self.ledger.begin(change, now)
 
     def try_to_decide(self, now: float) -> None:
-        """Decide the change under way, if its votes or the time allow it; to be called often."""
+        """Decide the change in progress if its votes or the time allow it.
+
+        The owner calls this periodically, because a change may time out.
+        """
         if self.state != CoordinatorState.LEADING:
             return
         if self.change is None:
@@ -392,9 +423,9 @@
             self.decide(decision.outcome, decision.reason, now)
 
     def abort_change(self, reason: str, now: float) -> None:
-        """Abort the change under way."""
+        """Abort the change in progress."""
         self.decide(ChangeOutcome.ABORTED, reason, now)
 
     def decide(self, outcome: ChangeOutcome, reason: str, now: float) -> None:
-        """Decide the change under way, durably; participants are notified from then on."""
+        """Record the decision of the change in progress; notifications follow it."""
         self.ledger.decide(outcome, reason, now)
--- a/petrellane/config_consensus/leadership.py
+++ b/petrellane/config_consensus/leadership.py
@@ -1,12 +1,13 @@
-"""A coordinator's epoch: which participants promised it, and what they report as it takes over.
+"""The epoch of a coordinator: the promises for it and the participants' reports.
 
-A coordinator seeks until a majority of every roster that matters has promised its epoch: that of
-its configuration, that in force and each one that a participant reports. What these participants
-report then includes whatever may have committed. A ballot that was prepared somewhere and may have
-committed unseen is *in doubt*: it is neither committed nor aborted, but superseded by a later one.
+A coordinator seeks until a majority of every relevant roster has promised its epoch: the configured
+roster, the roster in force and each roster that a participant reports. The reports of these
+participants then include every generation that may have committed. A ballot is *in doubt* if a
+participant has prepared it and it may have committed although no report shows it. The coordinator
+neither commits nor aborts such a ballot, but supersedes it by a later one.
 
-This module holds the state of one epoch and the rules over reports; `coordinator` makes epochs
-durable before they are used, and sends the messages.
+This module holds the state of one epoch and the rules over reports. `coordinator` makes each epoch
+durable before it uses it, and sends the messages.
 """
 
 from collections.abc import Iterable, Mapping
@@ -21,7 +22,7 @@
 
 
 class CoordinatorState(StrEnum):
-    """What a coordinator does with its epoch; the values are those of the wire and the log."""
+    """The state of a coordinator's epoch; the values appear on the wire and in the log."""
 
     SEEKING = "seeking"
     LEADING = "leading"
@@ -30,7 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingContent:
-    """A generation in force whose content the coordinator has to read, and who has it."""
+    """A generation in force whose content the coordinator has to read.
+
+    Attributes:
+        ballot: The ballot of the generation.
+        holders: The names of the participants that have it in force.
+    """
 
     ballot: Ballot
     holders: frozenset[str]
@@ -38,57 +44,58 @@
 
 @dataclass
 class Leadership:
-    """The epoch of one coordinator, owned by it; a new epoch starts from no promise.
+    """The epoch of one coordinator, which owns this object; a new epoch starts without promises.
 
     Attributes:
-        epoch: the epoch claimed last; of no effect before the first claim.
-        claims: how often an epoch was claimed in this life; counted by the coordinator.
-        state: seeking, leading, or deposed for good.
-        reason: why it was deposed, in one line.
-        promised_by: the participants that promised this epoch.
-        missing_content: what has to be read before it can lead.
-        in_doubt: ballots of earlier epochs that may have committed unseen.
+        epoch: The epoch that was claimed most recently; it has no meaning before the first claim.
+        claim_count: The number of claims by this process, including failed ones; the coordinator
+            increments it.
+        state: The state; DEPOSED is final.
+        reason: The reason why the coordinator was deposed, in one line.
+        promised_by: The participants that promised this epoch.
+        missing_content: The content that has to be read before the coordinator can lead.
+        in_doubt: The ballots of earlier epochs that may have committed although no report shows it.
     """
 
     epoch: Epoch
-    claims: int = 0
+    claim_count: int = 0
     state: CoordinatorState = CoordinatorState.SEEKING
     reason: str = ""
     promised_by: set[str] = field(default_factory=set)
     missing_content: MissingContent | None = None
     in_doubt: set[Ballot] = field(default_factory=set)
 
-    def claim(self, epoch: Epoch) -> None:
-        """Start a new epoch, which the caller has made durable."""
+    def start_epoch(self, epoch: Epoch) -> None:
+        """Start a new epoch, which the caller has already made durable."""
         self.epoch = epoch
         self.promised_by = set()
         self.state = CoordinatorState.SEEKING
 
-    def lead(self) -> None:
-        """Lead from now on."""
+    def become_leader(self) -> None:
+        """Change the state to LEADING."""
         self.missing_content = None
         self.state = CoordinatorState.LEADING
 
-    def depose(self, reason: str) -> None:
-        """Stop for good: another coordinator has a higher epoch."""
+    def step_down(self, reason: str) -> None:
+        """Change the state to DEPOSED, because another coordinator has a higher epoch."""
         self.state = CoordinatorState.DEPOSED
         self.reason = reason
 
     def has_majorities(self, rosters: Iterable[Roster]) -> bool:
-        """Whether a majority of each roster has promised this epoch."""
+        """Return whether a majority of each roster has promised this epoch."""
         return all(len(self.promised_by & set(roster)) >= majority(roster) for roster in rosters)
 
     def highest_in_force(self, reports: Reports) -> Ballot:
-        """The latest ballot in force at a participant that promised this epoch."""
+        """Return the highest ballot in force at a participant that promised this epoch."""
         return max(reports[name].in_force for name in self.promised_by)
 
     def seek_content(self, ballot: Ballot, reports: Reports) -> None:
-        """Read the content of a ballot, from those that have it in force."""
+        """Mark a content as missing, to be read from the participants that have it in force."""
         holders = (name for name in self.promised_by if reports[name].in_force == ballot)
         self.missing_content = MissingContent(ballot, frozenset(holders))
 
-    def prepared_after(self, ballot: Ballot, reports: Reports) -> set[Ballot]:
-        """Later ballots that participants that promised this epoch have prepared."""
+    def prepared_ballots_after(self, ballot: Ballot, reports: Reports) -> set[Ballot]:
+        """Return the later ballots that are prepared at participants that promised this epoch."""
         return {
             prepared
             for name in self.promised_by
@@ -97,12 +104,16 @@
         }
 
     def may_have_committed(self, ballot: Ballot, roster: Roster, reports: Reports) -> bool:
-        """Whether a ballot prepared somewhere may be in force where no report came from.
+        """Return whether a prepared ballot may have committed although no report shows it.
 
         Args:
-            ballot: the ballot.
-            roster: the roster in force, a majority of which had to prepare it.
-            reports: what the participants reported.
+            ballot: A ballot that a participant has prepared.
+            roster: The roster in force, of which a majority has to prepare the ballot.
+            reports: The reports of the participants.
+
+        Returns:
+            False if a participant reports the ballot as aborted, or if too many participants have
+            not prepared it for a majority of the roster.
         """
         if any(ballot in reports[name].aborted for name in self.promised_by):
             return False
@@ -117,9 +128,10 @@
 def quorum_rosters(
     configured: Roster, in_force: Generation | None, reports: Reports
 ) -> list[Roster]:
-    """The rosters of each of which a majority has to promise an epoch.
+    """Return the rosters of which a majority each has to promise an epoch.
 
-    Rosters that are one object count once; see `Notifications.on_report`.
+    The function compares rosters by identity, because `Notifications.on_report` keeps equal rosters
+    as one object. It leaves out empty rosters.
     """
     by_identity = {id(configured): configured}
     if in_force:
--- a/petrellane/config_consensus/ledger.py
+++ b/petrellane/config_consensus/ledger.py
@@ -1,8 +1,8 @@
-"""A coordinator's ledger: the changes that were proposed and decided, and what is in force.
+"""The ledger of a coordinator: the proposed and decided changes and the generation in force.
 
-Each step is recorded in the journal before it takes effect here, so a process that ends at any
-point finds on replay whatever it may have notified anybody of. Whether a change may begin, and
-how it is decided, is up to `coordinator` and `changes`.
+The ledger records each step in the journal before the step takes effect. A process that restarts
+after a crash therefore finds in the journal everything that it may have sent to participants.
+`coordinator` and `changes` decide whether a change may begin and how it is decided.
 """
 
 import math
@@ -24,31 +24,31 @@
 
 
 class RecordLog(Protocol):
-    """Where records become durable."""
+    """The interface of a journal, which makes records durable."""
 
     def append(self, record: dict[str, Any], at: float, /) -> None:
-        """Add a record; it is durable on return.
+        """Add a record, which is durable on return.
 
         Raises:
-            OSError: nothing was added.
+            OSError: The record was not added.
         """
 
 
 class Ledger:
-    """All changes of one journal; owned by the coordinator, for its life.
+    """All changes of one journal; the coordinator owns it for its lifetime.
 
     Attributes:
-        in_force: the committed generation, None until it is known.
-        change: the change under way.
-        history: all changes by ballot.
-        decisions: the outcome of each ballot that was decided here.
-        highest_number: the highest number of a generation seen.
-        last_change_at: when a change began last, in seconds.
-        claimed_epoch: the number of the highest epoch claimed.
+        in_force: The committed generation; None until it is known.
+        change: The change in progress; None if there is none.
+        history: All changes, by ballot.
+        decisions: The outcome of each ballot that this coordinator decided.
+        highest_number: The highest generation number seen.
+        last_change_at: The time at which the latest change began, in seconds.
+        claimed_epoch: The number of the highest epoch claimed.
     """
 
     def __init__(self, journal: RecordLog, records: Iterable[Mapping[str, Any]]) -> None:
-        """Replay the journal's records. Raises ValueError or KeyError where one is malformed."""
+        """Replay the journal's records. Raises ValueError or KeyError for a malformed record."""
         self.journal = journal
         self.in_force: Generation | None = None
         self.change: Change | None = None
@@ -61,14 +61,14 @@
             self._replay(parse_record(fields))
 
     def _replay(self, record: Record | None) -> None:
-        """Take up a record of an earlier process."""
+        """Apply a record that an earlier process wrote."""
         if isinstance(record, EpochClaimed):
             self.claimed_epoch = max(self.claimed_epoch, record.number)
         elif isinstance(record, FoundInForce):
-            self.note_number(record.generation.number)
-            self._advance(record.generation)
+            self.observe_number(record.generation.number)
+            self._advance_in_force(record.generation)
         elif isinstance(record, Proposed):
-            self.note_number(record.generation.number)
+            self.observe_number(record.generation.number)
             self.history[record.generation.ballot] = record.interrupted_change()
         elif isinstance(record, Decided):
             self._replay_decision(record)
@@ -80,32 +80,32 @@
             return
         record.apply_to(change)
         if record.outcome == ChangeOutcome.COMMITTED:
-            self._advance(change.generation)
+            self._advance_in_force(change.generation)
 
-    def _advance(self, generation: Generation) -> None:
-        """Put a generation in force unless a later one is."""
+    def _advance_in_force(self, generation: Generation) -> None:
+        """Put a generation in force unless a later one is in force."""
         if self.in_force is None or self.in_force.ballot < generation.ballot:
             self.in_force = generation
 
-    def note_number(self, number: int) -> None:
-        """A number is in use somewhere; later proposals take higher ones."""
+    def observe_number(self, number: int) -> None:
+        """Take account of a number in use, so that later proposals get higher ones."""
         self.highest_number = max(self.highest_number, number)
 
-    # Steps; each raises what the journal's `append` raises, and was not taken then.
+    # Steps. If the journal's `append` raises, the step raises the same error and has no effect.
 
     def claim_epoch(self, number: int, control: str, now: float) -> Epoch:
-        """Claim an epoch."""
+        """Claim an epoch, and return it once it is durable."""
         self.journal.append(EpochClaimed(number, control).to_dict(), now)
         self.claimed_epoch = max(self.claimed_epoch, number)
         return Epoch(number, control)
 
     def set_in_force(self, generation: Generation, now: float) -> None:
-        """Take what participants report in force."""
+        """Put in force the generation that participants report as in force."""
         self.journal.append(FoundInForce(generation).to_dict(), now)
         self.in_force = generation
 
     def begin(self, change: Change, now: float) -> Change:
-        """Begin a change; it is under way from then on."""
+        """Begin a change, which becomes the one in progress."""
         record = Proposed(change.generation, change.excluded, change.author, change.purpose)
         self.journal.append(record.to_dict(), now)
         self.highest_number = change.generation.number
@@ -115,7 +115,7 @@
         return change
 
     def decide(self, outcome: ChangeOutcome, reason: str, now: float) -> None:
-        """Decide the change under way; one that commits is in force from then on."""
+        """Decide the change in progress; if it commits, its generation is in force."""
         change = self.change
         if change is None:
             return
@@ -132,41 +132,41 @@
             self._mark_superseded(change.ballot)
 
     def _mark_superseded(self, committed: Ballot) -> None:
-        """Earlier changes whose outcome nobody knows have no effect any more."""
+        """Mark earlier changes of unknown outcome as superseded, as they have no effect now."""
         for change in self.history.values():
             if change.outcome == ChangeOutcome.UNKNOWN and change.ballot < committed:
                 change.outcome = ChangeOutcome.SUPERSEDED
                 change.decision_reason = f"by generation {committed.number}"
 
     def abandon(self, reason: str) -> None:
-        """Leave the change under way to another coordinator; its outcome is unknown here."""
+        """Leave the change in progress to another coordinator; its outcome is unknown here."""
         if self.change:
             self.change.outcome = ChangeOutcome.UNKNOWN
             self.change.decision_reason = reason
             self.change = None
 
-    # Questions.
+    # Queries.
 
     def require_in_force(self) -> Generation:
-        """What is in force, for a coordinator that leads and so knows it.
+        """Return the generation in force, which a coordinator that leads knows.
 
         Raises:
-            LookupError: it is not known yet.
+            LookupError: The generation in force is not known yet.
         """
         if self.in_force is None:
-            raise LookupError("in force: not known yet")
+            raise LookupError("in force: expected a known generation, found none yet")
         return self.in_force
 
     def next_generation(
         self, content: dict[str, Any], roster: tuple[str, ...], epoch: Epoch
     ) -> Generation:
-        """Settings under the next free number."""
+        """Return a generation of these settings under the next unused number."""
         in_force_number = self.in_force.number if self.in_force else 0
         ballot = Ballot(max(self.highest_number, in_force_number) + 1, epoch)
         return Generation(ballot, canonical_settings.digest(content), content, roster)
 
     def change_in_force(self, digest: str, roster: Sequence[str], now: float) -> Change | None:
-        """The change that brought these settings in force for this roster, None for others."""
+        """Return the change that put these settings in force for this roster, if any."""
         in_force = self.in_force
         if in_force is None or in_force.digest != digest or not in_force.number:
             return None
--- a/petrellane/config_consensus/messages.py
+++ b/petrellane/config_consensus/messages.py
@@ -1,13 +1,15 @@
-"""Messages of the protocol and the answers to them: typed here, JSON objects on the wire.
+"""Messages of the protocol and their answers, typed in the code and JSON objects on the wire.
 
-A coordinator sends a `Request` to one participant at a time; a participant reads it as a
-`ReceivedRequest` and answers with its state, with a generation, or with a rejection, which the
-coordinator reads by `decode_answer`. Participants ask each other for state and content in the
-same way. The wire keeps its keys: "possible" is prepared, "denied" and "deny" are aborted,
-"members" is the roster, "epoch_of" is the sender's epoch and "order" its sequence number.
+A coordinator sends a `Request` to one participant at a time. The participant parses it as a
+`ReceivedRequest` and answers with its state, a generation or a rejection, which the coordinator
+parses with `decode_answer`. Participants query each other for state and content in the same way.
 
-This module translates and checks form. What a message does is decided in `participant` and
-`coordinator`; who sent it is checked in `message_authentication`.
+Some wire keys and values differ from the terms of the code: "possible" is prepared, "denied" and
+"deny" are aborted and abort, "members" is the roster, "epoch_of" is the sender's epoch and "order"
+is the sender's sequence number.
+
+This module converts messages and checks their form. `participant` and `coordinator` decide the
+effect of a message; `message_authentication` verifies its sender.
 """
 
 from collections.abc import Mapping
@@ -28,16 +30,16 @@
 from petrellane.config_consensus.canonical_settings import digest
 from petrellane.config_consensus.errors import MessageRejected, RejectionCause, shorten
 
-MAX_REASON_LENGTH = 300  # characters of a rejection's reason that are kept
+MAX_REASON_LENGTH = 300  # characters; a longer reason of a rejection is truncated
 
-# Causes of a participant that lacks a generation which the request builds on.
-CONTENT_CAUSES = (RejectionCause.BASE_NOT_IN_FORCE, RejectionCause.UNKNOWN_GENERATION)
+# Causes of a rejection by a participant that lacks a generation on which the request depends.
+MISSING_GENERATION_CAUSES = (RejectionCause.BASE_NOT_IN_FORCE, RejectionCause.UNKNOWN_GENERATION)
 
 JsonObject = dict[str, Any]
 
 
 class MessageKind(StrEnum):
-    """What a request asks for; the values are the wire's."""
+    """The kind of a request; the values appear on the wire."""
 
     STATE = "state"
     CONTENT = "content"
@@ -49,37 +51,37 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadContent:
-    """Asks for the generation of a ballot."""
+    """A request for the generation of a ballot, with its content."""
 
     kind: ClassVar[MessageKind] = MessageKind.CONTENT
     ballot: Ballot
 
     def to_dict(self) -> JsonObject:
-        """The body as JSON."""
+        """Return the body as JSON."""
         return {"do": self.kind.value, **self.ballot.to_dict()}
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Asks for a promise of the sender's epoch; every answer reports the participant's state."""
+    """A request to promise the sender's epoch; the answer reports the participant's state."""
 
     kind: ClassVar[MessageKind] = MessageKind.PROMISE
 
     def to_dict(self) -> JsonObject:
-        """The body as JSON."""
+        """Return the body as JSON."""
         return {"do": self.kind.value}
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Asks to prepare a generation that follows `base`, the one in force."""
+    """A request to prepare a generation that follows `base`, the ballot in force."""
 
     kind: ClassVar[MessageKind] = MessageKind.PREPARE
     base: Ballot
     generation: Generation
 
     def to_dict(self) -> JsonObject:
-        """The body as JSON."""
+        """Return the body as JSON."""
         return {
             "do": self.kind.value,
             "base": self.base.to_dict(),
@@ -89,14 +91,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """Notifies of a committed generation, with its content unless the participant has it."""
+    """The notification of a committed generation.
+
+    Attributes:
+        generation: The committed generation.
+        with_content: Whether the message carries the settings, for a participant without them.
+    """
 
     kind: ClassVar[MessageKind] = MessageKind.COMMIT
     generation: Generation
     with_content: bool
 
     def to_dict(self) -> JsonObject:
-        """The body as JSON."""
+        """Return the body as JSON."""
         if self.with_content:
             return {"do": self.kind.value, **self.generation.to_dict()}
         return {"do": self.kind.value, **self.generation.identity_to_dict()}
@@ -104,13 +111,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """Notifies that a ballot will never commit."""
+    """The notification that a ballot will never commit."""
 
     kind: ClassVar[MessageKind] = MessageKind.ABORT
     ballot: Ballot
 
     def to_dict(self) -> JsonObject:
-        """The body as JSON."""
+        """Return the body as JSON."""
         return {"do": self.kind.value, **self.ballot.to_dict()}
 
 
@@ -119,10 +126,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A coordinator's message to one participant.
-
-    `sequence` rises with each request of a coordinator: it tells whether an answer, or the
-    refusal of a connection, belongs to a request from before or after some event.
+    """A message of a coordinator to one participant.
+
+    Attributes:
+        recipient: The name of the participant.
+        epoch: The epoch of the coordinator.
+        sequence: A number that increases with each request of the coordinator. It shows whether an
+            answer or a refused connection belongs to a request sent before or after an event.
+        body: The body, which depends on the kind of the request.
     """
 
     recipient: str
@@ -132,11 +143,11 @@
 
     @property
     def kind(self) -> MessageKind:
-        """What the request asks for."""
+        """The kind of the request."""
         return self.body.kind
 
     def to_dict(self) -> JsonObject:
-        """The request as JSON."""
+        """Return the request as JSON."""
         return {
             **self.body.to_dict(),
             "to": self.recipient,
@@ -147,13 +158,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerQuery:
-    """A participant's question to another one: for its state, or for the content of a ballot."""
+    """A participant's query to another one: for its state, or for the content of a ballot."""
 
     recipient: str
     ballot: Ballot | None = None
 
     def to_dict(self) -> JsonObject:
-        """The question as JSON."""
+        """Return the query as JSON."""
         if self.ballot is None:
             return {"do": MessageKind.STATE.value, "to": self.recipient}
         kind = MessageKind.CONTENT.value
@@ -161,11 +172,11 @@
 
 
 class ReceivedRequest:
-    """A request as it reaches a participant; it lives for one call.
+    """A request as a participant receives it; it exists for the duration of one call.
 
-    Kind and epoch are read at once, the rest when a rule asks for it: a stale epoch is rejected
-    whatever else the request holds, and the content of a generation that is known is not hashed.
-    All methods raise ValueError where the field they read is malformed.
+    `from_dict` parses the kind and the epoch. The methods parse the other fields on demand, so a
+    stale epoch is rejected whatever the other fields contain, and the content of a known generation
+    is not hashed. `ballot`, `base` and `generation` raise ValueError for a malformed field.
     """
 
     __slots__ = ("_fields", "epoch", "kind")
@@ -177,11 +188,11 @@
 
     @classmethod
     def from_dict(cls, fields: Mapping[str, Any]) -> Self:
-        """Read kind and epoch; questions for state and content have no epoch.
+        """Parse the kind and the epoch; queries for state and content have no epoch.
 
         Raises:
-            MessageRejected: the kind is unknown.
-            ValueError: the epoch is malformed.
+            MessageRejected: The kind is unknown.
+            ValueError: The epoch is malformed.
         """
         found: Any = fields.get("do")
         try:
@@ -198,24 +209,32 @@
 
     @property
     def has_content(self) -> bool:
-        """Whether the settings came along, not only their ballot."""
+        """Whether the request contains the settings and not only their ballot."""
         return "content" in self._fields
 
     def ballot(self) -> Ballot:
-        """The ballot that the request is about."""
+        """Return the ballot to which the request refers."""
         return parse_ballot(self._fields)
 
     def base(self) -> Ballot:
-        """The ballot that a generation to prepare follows."""
+        """Return the ballot that the generation to prepare follows."""
         return parse_ballot(self._fields.get("base"))
 
     def generation(self) -> Generation:
-        """The generation that came along, checked against its digest."""
+        """Return the generation in the request, verified against its digest."""
         return parse_generation(self._fields, digest)
 
 
 class PeerState(NamedTuple):
-    """What a participant reports of its state, without contents."""
+    """The state that a participant reports, without the contents of generations.
+
+    Attributes:
+        in_force: The ballot in force.
+        digest: The digest of the settings in force.
+        prepared: The prepared ballots whose outcome the participant does not know.
+        aborted: The latest ballots that the participant knows will never commit.
+        roster: The roster in force.
+    """
 
     in_force: Ballot
     digest: str
@@ -225,10 +244,10 @@
 
     @classmethod
     def from_dict(cls, fields: Mapping[str, Any]) -> Self:
-        """Read a report.
+        """Parse a report.
 
         Raises:
-            ValueError: the report is malformed.
+            ValueError: The report is malformed.
         """
         prepared = fields.get(state_keys.PREPARED, [])
         aborted = fields.get(state_keys.ABORTED, [])
@@ -247,25 +266,31 @@
 
 
 class Rejection(NamedTuple):
-    """A participant's answer that rejects a request."""
+    """The answer of a participant that rejects a request.
+
+    Attributes:
+        cause: The value of a `RejectionCause`, or of a cause that a later build defines.
+        reason: The reason, truncated to `MAX_REASON_LENGTH` characters.
+        promised: The epoch that the participant has promised, if the answer contains it.
+    """
 
-    cause: str  # a `RejectionCause`, or that of a later build
+    cause: str
     reason: str
-    promised: Epoch | None  # the epoch it follows, where it gave one
+    promised: Epoch | None
 
     @property
-    def is_for_epoch(self) -> bool:
-        """Whether the participant follows a higher epoch."""
+    def is_stale_epoch(self) -> bool:
+        """Whether the participant has promised a higher epoch."""
         return self.cause == RejectionCause.STALE_EPOCH
 
     @property
-    def is_for_content(self) -> bool:
-        """Whether the participant lacks a generation that the request builds on."""
-        return self.cause in CONTENT_CAUSES
+    def is_missing_generation(self) -> bool:
+        """Whether the participant lacks a generation on which the request depends."""
+        return self.cause in MISSING_GENERATION_CAUSES
 
 
 class MalformedAnswer(NamedTuple):
-    """An answer that can't be read."""
+    """An answer that cannot be parsed."""
 
     reason: str
 
@@ -283,7 +308,7 @@
 
 
 def decode_answer(request: Request, fields: Mapping[str, Any]) -> Answer:
-    """The answer to a request, from JSON; one that can't be read is a `MalformedAnswer`."""
+    """Return the answer to a request, or a `MalformedAnswer` if the JSON cannot be parsed."""
     try:
         if request.kind is MessageKind.CONTENT:
             return parse_generation(fields, digest)
--- a/petrellane/config_consensus/notifications.py
+++ b/petrellane/config_consensus/notifications.py
@@ -1,9 +1,15 @@
-"""What each participant has reported, and what it still has to be notified of.
+"""The reports of participants, and the messages that are still due to each of them.
 
-A participant is sent one message at a time, in this order of need: the committed generation that
-it lacks, the abort of an orphaned ballot (one that it prepared and that belongs to no change under
-way), the change to prepare, and otherwise a poll now and then. One that did not answer is asked
-again after a pause; one that comes back late is notified then.
+The coordinator sends a participant one message at a time. In order of priority, the message is:
+
+1. the commit of the generation in force, if the participant lacks it;
+2. the abort of an orphaned ballot, which the participant has prepared but which is neither that
+   of the change in progress nor in doubt;
+3. the prepare request of the change in progress;
+4. a poll, once per poll interval.
+
+After a failure, the coordinator asks the participant again after a pause. A participant that was
+down therefore receives its messages when it returns.
 """
 
 import math
@@ -23,19 +29,19 @@
     RequestBody,
 )
 
-POLL_INTERVAL_S = 1.0  # about, between polls of a participant that is to be notified of nothing
-RETRY_INTERVAL_S = 0.1  # until one that did not answer is asked again while a change is under way
-MIN_PAUSE_S = 0.01  # shortest pause before looking anew for a message
+POLL_INTERVAL_S = 1.0  # approximate; between polls of a participant without a due notification
+RETRY_INTERVAL_S = 0.1  # between attempts while seeking or while a change is in progress
+MIN_PAUSE_S = 0.01  # shortest pause before the next check for a due message
 
-NOBODY_LISTENS = "nobody listens there"
+CONNECTION_REFUSED_REASON = "nobody listens there"
 
 
 class NextMessage(NamedTuple):
-    """The request that a participant is due.
+    """The request that is due to a participant, or the pause until the next check.
 
     Attributes:
-        request: the request; None where nothing is due yet.
-        pause_s: seconds after which to look again at the latest; 0 where there is a request.
+        request: The request; None if none is due yet.
+        pause_s: The seconds until the next check at the latest; 0 if there is a request.
     """
 
     request: Request | None
@@ -43,11 +49,12 @@
 
 
 class ParticipantDescription(NamedTuple):
-    """Where a participant stands, as staff see it.
+    """The description of a participant's state; its field names are keys of the answer to staff.
 
     Attributes:
-        state: in a few words.
-        number: that of the generation it reported in force; None before its first report.
+        state: The state in a few words.
+        number: The number of the generation that the participant reported as in force; None before
+            its first report.
     """
 
     state: str
@@ -56,16 +63,17 @@
 
 @dataclass
 class Notifications:
-    """Reports and due messages by participant; owned by the coordinator, for its life.
+    """The reports and due messages of all participants; the coordinator owns it.
 
     Attributes:
-        reports: the last report of each participant.
-        unreachable: why a participant could not be reached last time, in a few words.
-        retry_at: when one that failed is asked again at the earliest.
-        last_sent_at: when each was sent a request last.
-        needs_content: participants that lack the content of what is in force.
-        last_sequence: sequence number of the last request.
-        last_roster: the roster reported last.
+        reports: The last report of each participant.
+        unreachable: The reason, in a few words, why each unreachable participant could not be
+            reached at the last attempt.
+        retry_at: The earliest time to ask a participant again after a failure, in seconds.
+        last_sent_at: The time of the last request to each participant, in seconds.
+        needs_content: The participants that lack the content of the generation in force.
+        last_sequence: The sequence number of the last request.
+        last_roster: The roster that was reported last.
     """
 
     reports: dict[str, PeerState] = field(default_factory=dict)
@@ -76,26 +84,32 @@
     last_sequence: int = 0
     last_roster: tuple[str, ...] = ()
 
-    # What was sent and what came of it.
+    # Requests and their results.
 
     def make_request(self, name: str, epoch: Epoch, body: RequestBody, now: float) -> Request:
-        """The next request to a participant, counted as sent now."""
+        """Return the next request to a participant, counted as sent now."""
         self.last_sent_at[name] = now
         self.last_sequence += 1
         return Request(name, epoch, self.last_sequence, body)
 
     def on_answered(self, name: str) -> None:
-        """A participant has answered, whatever it said."""
+        """Clear the failure of a participant that has answered, whatever the answer."""
         self.retry_at.pop(name, None)
         self.unreachable.pop(name, None)
 
     def on_report(
         self, name: str, report: PeerState, known_rosters: Iterable[tuple[str, ...] | None]
     ) -> None:
-        """A participant has reported its state.
+        """Handle a participant's report of its state.
+
+        A roster that equals a known one, or the one reported last, is replaced by that object.
+        Otherwise there would be as many equal rosters as participants, and the coordinator would
+        iterate over all of them at each answer.
 
-        A roster that equals a known one, or the one reported last, is kept as that object: else
-        as many equal rosters as there are participants would be gone through at each answer.
+        Args:
+            name: The participant.
+            report: The report.
+            known_rosters: The rosters that the coordinator uses; None for one that is not known.
         """
         candidates = (*known_rosters, self.last_roster)
         equal = (known for known in candidates if known is not None and known == report.roster)
@@ -104,40 +118,43 @@
         self.needs_content.discard(name)
 
     def on_unreachable(self, name: str, reason: str, retry_at: float) -> None:
-        """A participant could not be reached."""
+        """Handle a failed attempt to reach a participant."""
         self.retry_at[name] = retry_at
         self.unreachable[name] = reason
 
     def on_content_missing(self, name: str) -> None:
-        """A participant lacks the content of what is in force; it is sent at once."""
+        """Schedule the content in force for a participant that lacks it, without a pause."""
         self.needs_content.add(name)
         self.retry_at.pop(name)
 
-    # What is due.
+    # Due messages.
 
-    def retry_pause(self, name: str, now: float) -> float:
-        """Seconds until a participant may be asked again after a failure; 0 or less: now."""
+    def retry_pause_s(self, name: str, now: float) -> float:
+        """Return the seconds until a participant may be asked again; 0 or less means now."""
         return self.retry_at.get(name, -math.inf) - now
 
-    def poll_pause(self, name: str, now: float) -> float:
-        """Seconds until a participant that is due nothing is polled, never quite 0."""
+    def poll_pause_s(self, name: str, now: float) -> float:
+        """Return the seconds until a participant without due messages is polled, above 0."""
         elapsed = now - self.last_sent_at.get(name, -POLL_INTERVAL_S)
         return max(MIN_PAUSE_S, POLL_INTERVAL_S - elapsed)
 
     def is_poll_due(self, name: str, now: float) -> bool:
-        """Whether a participant has been sent nothing for a poll interval."""
+        """Return whether a participant was sent no request for a poll interval."""
         return now - self.last_sent_at.get(name, -POLL_INTERVAL_S) >= POLL_INTERVAL_S
 
     def next_body(
         self, name: str, in_force: Generation, change: Change | None, in_doubt: set[Ballot]
     ) -> RequestBody | None:
-        """What a participant has to be notified of or asked for; None: nothing but polls.
+        """Return the body of the message due to a participant, apart from polls.
 
         Args:
-            name: the participant.
-            in_force: the committed generation.
-            change: the change under way.
-            in_doubt: ballots that must not be aborted.
+            name: The participant.
+            in_force: The committed generation.
+            change: The change in progress.
+            in_doubt: The ballots that must not be aborted.
+
+        Returns:
+            The body, or None if nothing but a poll can be due.
         """
         if name in self.needs_content:
             return Commit(in_force, with_content=True)
@@ -145,19 +162,19 @@
         if report and report.in_force < in_force.ballot:
             return Commit(in_force, with_content=in_force.ballot not in report.prepared)
         if report:
-            orphaned = _first_orphaned(report, in_force, change, in_doubt)
+            orphaned = _first_orphaned_ballot(report, in_force, change, in_doubt)
             if orphaned:
                 return Abort(orphaned)
-        if change and change.awaits(name):
+        if change and change.needs_prepare(name):
             return Prepare(change.base, change.generation)
         return None
 
     def next_poll(self, name: str, now: float) -> RequestBody | None:
-        """A poll where one is due."""
+        """Return the body of a poll if one is due, else None."""
         return Promise() if self.is_poll_due(name, now) else None
 
     def describe(self, name: str, in_force: Generation | None) -> ParticipantDescription:
-        """Where a participant stands."""
+        """Return the description of a participant's state."""
         report = self.reports.get(name)
         number = report.in_force.number if report else None
         if name in self.unreachable:
@@ -167,10 +184,10 @@
         return ParticipantDescription(_describe_report(report, in_force), number)
 
 
-def _first_orphaned(
+def _first_orphaned_ballot(
     report: PeerState, in_force: Generation, change: Change | None, in_doubt: set[Ballot]
 ) -> Ballot | None:
-    """The first prepared ballot of a report that will never commit."""
+    """Return the first prepared ballot of a report that will never commit, if any."""
     for ballot in report.prepared:
         is_open = ballot in in_doubt or (change is not None and ballot == change.ballot)
         if not is_open and ballot > in_force.ballot:
--- a/tests/unit/config_consensus/convergence.py
+++ b/tests/unit/config_consensus/convergence.py
@@ -1,28 +1,28 @@
-"""Whether a fleet comes to one generation once all faults have ended."""
+"""Checks that a fleet converges to one generation once all faults have ended."""
 
 from petrellane.config_consensus.coordinator import CoordinatorState
 from tests.unit.config_consensus.fleet_steps import Step, StepKind
 from tests.unit.config_consensus.simulated_fleet import SimulatedFleet
 from tests.unit.config_consensus.simulated_processes import CrashPoint
 
-ROUNDS = 40  # far more than a fleet without faults needs
+ROUNDS = 40  # far more than a fleet without faults needs to converge
 
 
 def heal(fleet: SimulatedFleet) -> str | None:
-    """End all faults and let the fleet come to rest; return what stays wrong, in a line."""
-    control = _restart(fleet)
+    """End all faults, run the fleet and return in one line what is still wrong, if anything."""
+    control = _restart_processes(fleet)
     for _ in range(ROUNDS):
-        if fleet.coordinator(control).state == CoordinatorState.DEPOSED:  # staff start it again
+        if fleet.coordinator(control).state == CoordinatorState.DEPOSED:  # staff restart it
             fleet.take(Step(StepKind.START_COORDINATOR, control))
         fleet.run_round(control)
         if violation := fleet.violation():
             return violation
     _poll_peers(fleet)
-    return _difference(fleet, control)
+    return _describe_divergence(fleet, control)
 
 
-def _restart(fleet: SimulatedFleet) -> str:
-    """Start all gateways that are down, and one control process alone; return its name."""
+def _restart_processes(fleet: SimulatedFleet) -> str:
+    """Start all gateways that are down and a single control process; return its name."""
     for participant in fleet.participants.values():
         if not participant.is_running:
             participant.start()
@@ -35,7 +35,7 @@
 
 
 def _poll_peers(fleet: SimulatedFleet) -> None:
-    """Let each gateway that admits nothing yet ask all others once more."""
+    """Let each gateway that does not admit yet poll all other gateways once."""
     for participant in fleet.participants.values():
         if participant.admits_under() is not None:
             continue
@@ -44,8 +44,8 @@
                 participant.poll_peer(peer)
 
 
-def _difference(fleet: SimulatedFleet, control: str) -> str | None:
-    """Return how the gateways differ in what is in force, or that one admits nothing."""
+def _describe_divergence(fleet: SimulatedFleet, control: str) -> str | None:
+    """Return how the gateways differ, or that one does not admit; None if they converged."""
     states = {
         (participant.state.in_force.ballot, len(participant.state.prepared))
         for participant in fleet.participants.values()
@@ -53,9 +53,9 @@
     if len(states) != 1 or next(iter(states))[1]:
         coordinator = fleet.coordinator(control)
         return (
-            f"not at one generation after a heal: {sorted(states)}, "
-            f"control {coordinator.state} {coordinator.epoch} {coordinator.reason}"
+            f"gateways differ after healing: (in force, prepared count) {sorted(states)}, "
+            f"coordinator {coordinator.state} in {coordinator.epoch}: {coordinator.reason}"
         )
     if not all(participant.admits_under() for participant in fleet.participants.values()):
-        return "a gateway stays out of service"
+        return "a gateway does not admit after healing"
     return None
--- a/tests/unit/config_consensus/exploration.py
+++ b/tests/unit/config_consensus/exploration.py
@@ -1,4 +1,4 @@
-"""Plays the steps of a simulated fleet: all orders of them, or one order that a seed draws."""
+"""Executes the steps of a simulated fleet in all orders, or in one order that a seed determines."""
 
 import random
 from typing import NamedTuple
@@ -7,30 +7,45 @@
 from tests.unit.config_consensus.fleet_steps import Budget, Step
 from tests.unit.config_consensus.simulated_fleet import SimulatedFleet
 
-UNLIMITED_DEPTH = 999  # more steps than any order has before nothing new comes of one
-HEAL_INTERVAL = 7  # of so many new states one is healed
+UNLIMITED_DEPTH = 999  # more steps than any order needs to reach its last new state
+HEAL_INTERVAL = 7  # one in this many new states is healed
 
 
 class Violation(NamedTuple):
-    """What breaks a guarantee, in a line, and the steps that lead there."""
+    """A violated guarantee.
+
+    Attributes:
+        text: What violates the guarantee, in one line.
+        steps: The steps that lead to the violation.
+    """
 
     text: str
     steps: tuple[Step, ...]
 
 
 class Exploration(NamedTuple):
-    """How many states an exploration has seen, and the first violation in them."""
+    """The result of an exploration.
+
+    Attributes:
+        state_count: The number of distinct states reached.
+        violation: The first violation; None if there is none.
+    """
 
     state_count: int
     violation: Violation | None
 
 
 def explore(fleet: SimulatedFleet, max_depth: int, max_states: int) -> Exploration:
-    """Play all orders of steps from here, up to a number of steps and of states.
+    """Explore all orders of steps from the state of a fleet.
 
-    It goes breadth first, so the first violation is one of the shortest.
+    The search is breadth-first, so the first violation has the fewest steps.
+
+    Args:
+        fleet: The fleet in its initial state.
+        max_depth: The number of steps after which the exploration ends.
+        max_states: The number of states at which the exploration ends.
     """
-    seen = {fleet.mark()}
+    seen = {fleet.state_digest()}
     frontier: list[tuple[SimulatedFleet, tuple[Step, ...]]] = [(fleet, ())]
     for _ in range(max_depth):
         reached: list[tuple[SimulatedFleet, tuple[Step, ...]]] = []
@@ -38,10 +53,10 @@
             for step in origin.available_steps():
                 successor = origin.copy()
                 successor.take(step)
-                mark = successor.mark()
-                if mark in seen:
+                digest = successor.state_digest()
+                if digest in seen:
                     continue
-                seen.add(mark)
+                seen.add(digest)
                 steps = (*path, step)
                 if text := _check(successor, number=len(seen) - 1):
                     return Exploration(len(seen), Violation(text, steps))
@@ -55,7 +70,7 @@
 
 
 def _check(fleet: SimulatedFleet, number: int) -> str | None:
-    """Return what is wrong in a new state, or once it is healed; the latter for some of them."""
+    """Return the violation in a new state or, for one in `HEAL_INTERVAL` states, after healing."""
     violation = fleet.violation()
     if not violation and number % HEAL_INTERVAL == 0:
         return heal(fleet.copy())
@@ -63,38 +78,44 @@
 
 
 class RandomRun(NamedTuple):
-    """A fleet, the generator that draws its steps, and how many of them are drawn."""
+    """A run of random steps.
+
+    Attributes:
+        fleet: The fleet.
+        rng: The generator that chooses the steps.
+        length: The maximum number of steps.
+    """
 
     fleet: SimulatedFleet
-    chance: random.Random
+    rng: random.Random
     length: int
 
 
 def random_run(seed: int) -> RandomRun:
-    """Draw a fleet of up to five gateways and the length of its run from a seed."""
-    chance = random.Random(seed)
-    participant_count = chance.choice((1, 2, 3, 3, 4, 5))
-    controls = chance.choice((("a",), ("a", "b")))
+    """Return a run that a seed determines, of a fleet with up to five gateways."""
+    rng = random.Random(seed)
+    participant_count = rng.choice((1, 2, 3, 3, 4, 5))
+    controls = rng.choice((("a",), ("a", "b")))
     budget = Budget(
-        proposals=chance.choice((1, 2, 4)),
-        crashes=chance.choice((0, 1, 3, 6)),
-        faults=chance.choice((0, 3, 12)),
-        journal_losses=int(chance.random() < 0.3),
+        proposals=rng.choice((1, 2, 4)),
+        crashes=rng.choice((0, 1, 3, 6)),
+        faults=rng.choice((0, 3, 12)),
+        journal_losses=int(rng.random() < 0.3),
     )
     return RandomRun(
-        SimulatedFleet(participant_count, controls, budget), chance, chance.choice((20, 60, 150))
+        SimulatedFleet(participant_count, controls, budget), rng, rng.choice((20, 60, 150))
     )
 
 
 def play(run: RandomRun) -> Violation | None:
-    """Play a run and heal the fleet at its end; return the violation, None where there is none."""
+    """Execute a run, heal the fleet afterwards, and return the violation if there is one."""
     fleet = run.fleet
     path: list[Step] = []
     for _ in range(run.length):
         steps = fleet.available_steps()
         if not steps:
             break
-        path.append(run.chance.choice(steps))
+        path.append(run.rng.choice(steps))
         fleet.take(path[-1])
         if violation := fleet.violation():
             return Violation(violation, tuple(path))
@@ -104,5 +125,5 @@
 
 
 def play_seed(seed: int) -> Violation | None:
-    """Play the run that a seed draws."""
+    """Execute the run that a seed determines."""
     return play(random_run(seed))
--- a/tests/unit/config_consensus/planted.py
+++ b/tests/unit/config_consensus/planted.py
@@ -1,4 +1,4 @@
-"""Faults of one line planted in the rules of config consensus, each of which seeded runs find."""
+"""One-line faults planted in the rules of config consensus, each of which seeded runs detect."""
 
 import contextlib
 import dataclasses
@@ -11,13 +11,19 @@
 from petrellane.config_consensus.messages import Answer, PeerState, Request
 from petrellane.config_consensus.participant import ParticipantState
 
-LATEST_SEQUENCE = 1 << 60  # higher than that of any request
+LATEST_SEQUENCE = 1 << 60  # higher than the sequence number of any request
 
 Rule = Callable[..., Any]
 
 
 class Replacement(NamedTuple):
-    """A rule, by its owner and its name there, and what makes the faulty one from it."""
+    """The replacement of a rule by a faulty one.
+
+    Attributes:
+        owner: The module or class that has the rule as an attribute.
+        name: The name of the attribute.
+        make_faulty: A function that makes the faulty rule from the original one.
+    """
 
     owner: object
     name: str
@@ -25,123 +31,123 @@
 
 
 def early_refusal_confirms_absence(handle_connection_refused: Rule) -> Rule:
-    """A refusal from before the last participant had prepared counts as one after it."""
+    """Return a rule that lets a refusal confirm an absence even if votes follow it."""
 
-    def planted_rule(process: Coordinator, name: str, message: Request, now: float) -> None:
+    def faulty_rule(self: Coordinator, name: str, message: Request, now: float) -> None:
         later = dataclasses.replace(message, sequence=LATEST_SEQUENCE)
-        handle_connection_refused(process, name, later, now)
+        handle_connection_refused(self, name, later, now)
 
-    return planted_rule
+    return faulty_rule
 
 
 def absence_is_confirmed_once(handle_answer: Rule) -> Rule:
-    """Absent participants are not asked once more after the last has prepared."""
+    """Return a rule that does not ask absent participants again after the last has prepared."""
 
-    def planted_rule(
-        process: Coordinator, name: str, message: Request, answer: Answer, now: float
+    def faulty_rule(
+        self: Coordinator, name: str, message: Request, answer: Answer, now: float
     ) -> None:
-        confirmed = set(process.change.confirmed_absent) if process.change else set()
-        handle_answer(process, name, message, answer, now)
-        if process.change:
-            process.change.confirmed_absent |= confirmed - {name}
-            process.try_to_decide(now)
+        confirmed = set(self.change.confirmed_absent) if self.change else set()
+        handle_answer(self, name, message, answer, now)
+        if self.change:
+            self.change.confirmed_absent |= confirmed - {name}
+            self.try_to_decide(now)
 
-    return planted_rule
+    return faulty_rule
 
 
 def no_answer_is_absence(_handle_no_answer: Rule) -> Rule:
-    """A participant that does not answer counts as down."""
+    """Return a rule that counts a participant without an answer as absent."""
 
-    def planted_rule(
-        process: Coordinator, name: str, message: Request, now: float, _reason: str = ""
+    def faulty_rule(
+        self: Coordinator, name: str, message: Request, now: float, _reason: str = ""
     ) -> None:
-        process.handle_connection_refused(name, message, now)
+        self.handle_connection_refused(name, message, now)
 
-    return planted_rule
+    return faulty_rule
 
 
 def timeout_commits(try_to_decide: Rule) -> Rule:
-    """A change that is not settled in time is committed in place of aborted."""
+    """Return a rule that commits a change that times out, instead of aborting it."""
 
-    def planted_rule(process: Coordinator, now: float) -> None:
-        is_leading = process.state == coordinator.CoordinatorState.LEADING
-        change = process.change if is_leading else None
+    def faulty_rule(self: Coordinator, now: float) -> None:
+        is_leading = self.state == coordinator.CoordinatorState.LEADING
+        change = self.change if is_leading else None
         if change and now - change.started_at >= changes.CHANGE_TIMEOUT_S:
-            process.decide(coordinator.ChangeOutcome.COMMITTED, "", now)
+            self.decide(coordinator.ChangeOutcome.COMMITTED, "", now)
         else:
-            try_to_decide(process, now)
+            try_to_decide(self, now)
 
-    return planted_rule
+    return faulty_rule
 
 
 def in_doubt_is_aborted(try_to_lead: Rule) -> Rule:
-    """Whatever is not known to have been decided is aborted."""
+    """Return a rule that aborts ballots in doubt."""
 
-    def planted_rule(process: Coordinator, now: float) -> None:
-        with patch.object(Coordinator, "may_be_decided", lambda _process, _ballot: False):
-            try_to_lead(process, now)
+    def faulty_rule(self: Coordinator, now: float) -> None:
+        with patch.object(Coordinator, "is_in_doubt", lambda _self, _ballot: False):
+            try_to_lead(self, now)
 
-    return planted_rule
+    return faulty_rule
 
 
 def epochs_are_ignored(handle_message: Rule) -> Rule:
-    """A gateway obeys any control process."""
+    """Return a rule under which a gateway accepts requests of any epoch."""
 
-    def planted_rule(state: ParticipantState, *arguments: object) -> object:
+    def faulty_rule(state: ParticipantState, *arguments: object) -> object:
         return handle_message(state._replace(promised=ballots.NO_EPOCH), *arguments)
 
-    return planted_rule
+    return faulty_rule
 
 
 def prepared_of_peers_is_ignored(missing_ballots: Rule) -> Rule:
-    """A gateway that starts learns what is in force, but not what is prepared."""
+    """Return a rule under which a starting gateway ignores what its peers have prepared."""
 
-    def planted_rule(state: ParticipantState, report: PeerState) -> object:
+    def faulty_rule(state: ParticipantState, report: PeerState) -> object:
         return missing_ballots(state, report._replace(prepared=()))
 
-    return planted_rule
+    return faulty_rule
 
 
 def majority_of_one(_majority: Rule) -> Rule:
-    """One answer is enough to lead and to decide."""
+    """Return a rule that counts one participant as a majority, to lead and to decide."""
 
-    def planted_rule(_roster: Collection[str]) -> int:
+    def faulty_rule(_roster: Collection[str]) -> int:
         return 1
 
-    return planted_rule
+    return faulty_rule
 
 
 def serves_before_peers_answer(_intersects_every_majority: Rule) -> Rule:
-    """A gateway that starts serves by what it remembers."""
+    """Return a rule under which a starting gateway serves without answers of its peers."""
 
-    def planted_rule(
-        _roster: Collection[str], _responders: Collection[str], _remembers: bool
+    def faulty_rule(
+        _roster: Collection[str], _responders: Collection[str], _has_durable_state: bool
     ) -> bool:
         return True
 
-    return planted_rule
+    return faulty_rule
 
 
 def one_peer_too_few(intersects_every_majority: Rule) -> Rule:
-    """A gateway that starts asks one peer fewer than it has to."""
+    """Return a rule under which a starting gateway needs one answer fewer than it should."""
 
-    def planted_rule(
-        roster: Collection[str], responders: Collection[str], remembers: bool
+    def faulty_rule(
+        roster: Collection[str], responders: Collection[str], has_durable_state: bool
     ) -> object:
         not_asked = sorted(set(roster) - set(responders))[:1]
-        return intersects_every_majority(roster, {*responders, *not_asked}, remembers)
+        return intersects_every_majority(roster, {*responders, *not_asked}, has_durable_state)
 
-    return planted_rule
+    return faulty_rule
 
 
 def aborted_stays_prepared(_abort: Rule) -> Rule:
-    """What was aborted stays prepared."""
+    """Return a rule under which an aborted ballot stays prepared."""
 
-    def planted_rule(state: ParticipantState, ballot: ballots.Ballot) -> ParticipantState:
+    def faulty_rule(state: ParticipantState, ballot: ballots.Ballot) -> ParticipantState:
         aborted = (*state.aborted, ballot)[-participant.MAX_ABORTED :]
         return state._replace(aborted=aborted)
 
-    return planted_rule
+    return faulty_rule
 
 
 FAULTS: dict[str, tuple[Replacement, ...]] = {
@@ -173,7 +179,11 @@
 
 @contextlib.contextmanager
 def planted(fault: str) -> Iterator[None]:
-    """Have a fault in the rules."""
+    """Replace the rules of a fault by faulty ones inside the context.
+
+    Args:
+        fault: A key of `FAULTS`.
+    """
     with contextlib.ExitStack() as stack:
         for owner, name, make_faulty in FAULTS[fault]:
             rule = getattr(owner, name)
--- a/tests/unit/config_consensus/simulated_fleet.py
+++ b/tests/unit/config_consensus/simulated_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of the rules alone: participants, control processes, and a network with faults.
+"""A simulated fleet that runs the rules: participants, control processes and a faulty network.
 
-All that can happen is a step, so that each order of steps can be played. `exploration` plays them,
-`convergence` ends the faults and checks what the fleet comes to.
+Every event is an explicit step, so that tests can execute the steps in any order. `exploration`
+executes them; `convergence` ends the faults and checks the resulting state.
 """
 
 import copy
@@ -28,17 +28,21 @@
     copy_coordinator,
 )
 
-MARK_BYTES = 16
+STATE_DIGEST_BYTES = 16
 
 
 class SimulatedFleet:
-    """Participants and control processes, with the steps that can be taken now.
+    """Participants and control processes, and the steps that are possible in their state.
 
     Attributes:
-        coordinators: The control processes by name; None for one that is down.
-        delayed_requests: Requests that may still arrive.
-        refusals: Refused connections that their control process has not learnt of.
+        participants: The gateways, by name.
+        journals: The journals of the control processes, by name.
+        coordinators: The coordinators of the control processes, by name; None for a process that is
+            down.
+        delayed_requests: The requests that may still arrive.
+        refusals: The refused connections of which the control process has not learned yet.
         now: The time, in seconds.
+        budget: The events that may still happen.
     """
 
     def __init__(
@@ -54,15 +58,15 @@
         self.budget = budget or Budget()
 
     def coordinator(self, control: str) -> Coordinator:
-        """Return the coordinator of a control process that runs."""
+        """Return the coordinator of a running control process."""
         coordinator = self.coordinators[control]
         assert coordinator is not None
         return coordinator
 
-    # Which steps can be taken.
+    # Possible steps.
 
     def available_steps(self) -> list[Step]:
-        """Return all that can happen next; seeded runs rely on the order."""
+        """Return all possible next steps; the results of seeded runs depend on their order."""
         steps: list[Step] = []
         for control, coordinator in self.coordinators.items():
             if coordinator is None:
@@ -128,14 +132,14 @@
     # Steps of processes.
 
     def take(self, step: Step) -> None:
-        """Take one step."""
+        """Execute one step."""
         try:
             HANDLERS[step.kind](self, step)
         except CrashInWriteError:
             self.crash_coordinator(step.process)
 
     def crash_coordinator(self, control: str) -> None:
-        """End a control process, and what it waits for with it."""
+        """End a control process and drop the refusals that it has not learned of."""
         self.coordinators[control] = None
         self.refusals = [refusal for refusal in self.refusals if refusal.control != control]
 
@@ -185,8 +189,8 @@
     def _poll_peer(self, step: Step) -> None:
         self.participants[step.process].poll_peer(self.participants[step.peer])
 
-    # Steps of the network. A fault is counted once the coordinator has taken what came of it: one
-    # that crashes in a write meanwhile costs none.
+    # Steps of the network. Steps that deliver a request spend the budget only after the coordinator
+    # has handled the result, so a fault costs nothing if the coordinator crashes in a write.
 
     def _next_request(self, step: Step) -> DelayedMessage:
         request = self.coordinator(step.process).build_message(step.peer, self.now)
@@ -194,7 +198,7 @@
         return DelayedMessage(step.process, step.peer, request)
 
     def _deliver(self, message: DelayedMessage) -> messages.Answer:
-        """Have the participant handle a request, and return its answer."""
+        """Deliver a request to the participant, and return its answer."""
         request = message.request
         answer = self.participants[message.participant].handle(request.to_dict())
         return messages.decode_answer(request, answer)
@@ -253,17 +257,20 @@
         coordinator.handle_connection_refused(refusal.participant, refusal.request, self.now)
 
     def run_round(self, control: str) -> None:
-        """Let half a poll interval pass, and send each participant what it is due."""
+        """Advance the time by half a poll interval, and send each participant its due request."""
         self.now += notifications.POLL_INTERVAL_S / 2
         for name in self.participants:
             if self.coordinator(control).pending_message(name, self.now) is not None:
                 self.take(Step(StepKind.EXCHANGE, control, name))
         self.coordinator(control).try_to_decide(self.now)
 
-    # What holds, and which state this is.
+    # The guarantee, and the identity of a state.
 
     def violation(self) -> str | None:
-        """Return what breaks the guarantee now, in a line; None where nothing does."""
+        """Return what violates the guarantee now, in one line; None if nothing does.
+
+        The guarantee is that one generation allows everything that any gateway admits.
+        """
         admitting = {
             name: ballots
             for name, participant in self.participants.items()
@@ -271,12 +278,12 @@
         }
         if not admitting or set.intersection(*admitting.values()):
             return None
-        return "no generation allows all that is admitted: " + "; ".join(
+        return "no generation allows everything that is admitted: " + "; ".join(
             f"{name} {sorted(ballots)}" for name, ballots in admitting.items()
         )
 
     def key(self) -> tuple[object, ...]:
-        """Return what tells this state from others, but for what has no effect any more."""
+        """Return a key that is equal for states with the same possible future."""
         return (
             [participant.key() for participant in self.participants.values()],
             [
@@ -290,19 +297,22 @@
         )
 
     def _refusal_key(self, refusal: DelayedMessage) -> tuple[str, bool]:
-        """A refusal counts by whether it confirms an absence; see `Change.record_absent`."""
+        """Return the participant of a refusal and whether it would confirm an absence.
+
+        `Change.record_absent` has the rule.
+        """
         change = self.coordinator(refusal.control).change
         confirms = (
             change is not None and refusal.request.sequence > change.last_sequence_when_prepared
         )
         return refusal.participant, confirms
 
-    def mark(self) -> bytes:
-        """Return the key's digest, which is short enough to remember by the million."""
-        return hashlib.blake2b(repr(self.key()).encode(), digest_size=MARK_BYTES).digest()
+    def state_digest(self) -> bytes:
+        """Return a digest of the key, short enough to keep millions of them in memory."""
+        return hashlib.blake2b(repr(self.key()).encode(), digest_size=STATE_DIGEST_BYTES).digest()
 
     def copy(self) -> Self:
-        """Return another fleet in the same state; what never changes is shared."""
+        """Return a copy of the fleet, which shares immutable parts with the original."""
         fleet = copy.copy(self)
         fleet.delayed_requests = list(self.delayed_requests)
         fleet.refusals = list(self.refusals)
--- a/tests/unit/config_consensus/simulated_processes.py
+++ b/tests/unit/config_consensus/simulated_processes.py
@@ -1,6 +1,6 @@
-"""The processes of a simulated fleet: participants with their memory, and journals of coordinators.
+"""The processes of a simulated fleet: participants, and the journals of coordinators.
 
-A process may crash at any point. What it had made durable outlives the crash, the rest is lost.
+A process may crash at any point. Durable state survives the crash; all other state is lost.
 """
 
 import copy
@@ -19,7 +19,7 @@
 
 
 class CrashPoint(StrEnum):
-    """Where in its next write to the journal a control process crashes."""
+    """The point in its next write to the journal at which a control process crashes."""
 
     NONE = ""
     BEFORE_WRITE = "before"
@@ -27,15 +27,15 @@
 
 
 class CrashInWriteError(Exception):
-    """The control process crashed in a write to its journal."""
+    """A control process crashes in a write to its journal."""
 
 
 class SimulatedJournal:
     """The durable records of a control process.
 
     Attributes:
-        records: What was written.
-        crash_point: Where the process crashes in its next write.
+        records: The records written so far.
+        crash_point: The point of the next write at which the process crashes.
     """
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         self.crash_point = CrashPoint.NONE
 
     def append(self, record: dict[str, Any], _now: float, /) -> None:
-        """Add a record, unless the process crashes before."""
+        """Add a record, unless the process crashes before the write."""
         if self.crash_point is CrashPoint.BEFORE_WRITE:
             raise CrashInWriteError
         self.records.append(record)
@@ -51,14 +51,14 @@
             raise CrashInWriteError
 
     def copy(self) -> Self:
-        """Return another journal with the same records."""
+        """Return a copy of the journal with the same records."""
         journal = copy.copy(self)
         journal.records = list(self.records)
         return journal
 
 
 class SimulatedParticipant:
-    """A gateway: `state` is durable, while `status` and `is_running` end with its process."""
+    """A gateway: `state` is durable, whereas `status` is lost when its process ends."""
 
     def __init__(self, name: str, roster: tuple[str, ...]) -> None:
         self.name = name
@@ -91,39 +91,39 @@
         self.status.knows_in_force = False
 
     def start(self) -> None:
-        """Start the process anew, with what was durable."""
+        """Start the process with its durable state."""
         self.is_running = True
         self.status = self._new_status()
 
     def poll_peer(self, peer: Self) -> None:
-        """Take what a peer reports, as a gateway does that starts or is in doubt."""
-        question = messages.PeerQuery(peer.name).to_dict()
-        report = messages.PeerState.from_dict(peer.handle(question))
+        """Merge the state of a peer, as a gateway does that starts or is in doubt."""
+        query = messages.PeerQuery(peer.name).to_dict()
+        report = messages.PeerState.from_dict(peer.handle(query))
         missing = participant.missing_ballots(self.state, report)
         fetched = [peer.generation_of(ballot) for ballot in missing]
         self.state = participant.merge_peer_state(self.state, report, fetched, accept)
         self.status.on_peer_answered(peer.name, self.status.stall_count)
 
     def generation_of(self, ballot: ballots.Ballot) -> ballots.Generation:
-        """Return a generation that is in force or prepared here."""
+        """Return a generation that this gateway has in force or prepared."""
         generation = self.state.find_generation(ballot)
         assert generation is not None
         return generation
 
     def admits_under(self) -> set[ballots.Ballot] | None:
-        """Return the ballots that all allow what is admitted here; None: nothing is admitted."""
+        """Return the ballots that all allow what this gateway admits; None if it admits nothing."""
         if not self.is_running or not self.status.knows_in_force:
             return None
         return {generation.ballot for generation in (self.state.in_force, *self.state.prepared)}
 
     def key(self) -> tuple[object, ...]:
-        """Return what tells this state from others; who answered is of no use once it knows."""
+        """Return a key of the state, with responders only if what is in force is unknown."""
         knows_in_force = self.status.knows_in_force
         responders = () if knows_in_force else tuple(sorted(self.status.responders))
         return self.state, self.is_running, knows_in_force, responders
 
     def copy(self) -> Self:
-        """Return another participant in the same state."""
+        """Return a copy of the participant in the same state."""
         other = copy.copy(self)
         other.status = copy.copy(self.status)
         other.status.responders = set(self.status.responders)
@@ -133,7 +133,7 @@
 def copy_coordinator(
     original: coordinator.Coordinator, journal: SimulatedJournal
 ) -> coordinator.Coordinator:
-    """Return another coordinator in the same state that writes to this journal."""
+    """Return a copy of a coordinator in the same state that writes to another journal."""
     other = copy.copy(original)
     other.notifications = copy.copy(original.notifications)
     for field in ("reports", "last_sent_at", "unreachable", "retry_at", "needs_content"):
@@ -156,7 +156,7 @@
 
 
 def coordinator_key(process: coordinator.Coordinator) -> tuple[object, ...]:
-    """Return what tells the state of a coordinator from others, but for what has no effect."""
+    """Return a key of a coordinator's state, without the parts that have no further effect."""
     leadership = process.leadership
     notifications = process.notifications
     change = process.change
@@ -170,5 +170,5 @@
         sorted(notifications.needs_content),
         sorted(leadership.in_doubt),
         leadership.missing_content and leadership.missing_content.ballot,
-        leadership.claims,
+        leadership.claim_count,
     )
