--- a/tests/unit/config_consensus/__init__.py
+++ b/tests/unit/config_consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of config consensus: its rules in a simulated network, and parts of its services."""
+"""Tests of config consensus: the rules in a simulated network, and parts of the services."""
--- a/tests/unit/config_consensus/orders.py
+++ b/tests/unit/config_consensus/orders.py
@@ -1,9 +1,10 @@
-"""Plays all orders of events for a fleet of a size, for as long as that takes.
+"""Explores all orders of events for a fleet of a given size, without a time limit.
 
     python -m tests.unit.config_consensus.orders GATEWAYS CONTROLS
 
-Optional numbers behind these are CRASHES, FAULTS, PROPOSALS (1 each) and MAX_STATES. It prints
-the number of states and the first violation with its steps. The exit code is 1 where there is one.
+Optional further arguments are CRASHES, FAULTS, PROPOSALS (1 each by default) and MAX_STATES. The
+command prints the number of states and the first violation with its steps. The exit code is 1 if
+there is a violation.
 """
 
 from typing import Annotated
@@ -17,7 +18,7 @@
 CONTROLS = ("a", "b", "c")
 
 
-def main(  # noqa: PLR0913 - the command's arguments, each a number of something
+def main(  # noqa: PLR0913 - the arguments of the command
     gateways: Annotated[int, typer.Argument()],
     controls: Annotated[int, typer.Argument(max=len(CONTROLS))],
     crashes: Annotated[int, typer.Argument()] = 1,
@@ -25,12 +26,12 @@
     proposals: Annotated[int, typer.Argument()] = 1,
     max_states: Annotated[int, typer.Argument()] = 1_000_000,
 ) -> None:
-    """Play all orders of events for a fleet, and print what they come to."""
+    """Explore all orders of events for a fleet, and print the result."""
     budget = Budget(proposals, crashes, faults)
     fleet = SimulatedFleet(gateways, CONTROLS[:controls], budget)
     state_count, violation = explore(fleet, UNLIMITED_DEPTH, max_states)
     is_complete = state_count < max_states
-    extent = "all" if is_complete else "no end: more than were asked for"
+    extent = "all" if is_complete else "incomplete: MAX_STATES reached"
     print(f"{state_count} states, {extent}")
     if violation:
         print(violation.text, *violation.steps, sep="\n  ")
--- a/tests/unit/config_consensus/participant_states.py
+++ b/tests/unit/config_consensus/participant_states.py
@@ -1,4 +1,4 @@
-"""States of a participant, which tests of its rules and of its store have in common."""
+"""States of a participant that tests of its rules and of its store share."""
 
 from petrellane.config_consensus import canonical_settings
 from petrellane.config_consensus.ballots import Ballot, Epoch, Generation
@@ -14,6 +14,6 @@
 
 
 def state_with_prepared(*numbers: int) -> ParticipantState:
-    """Return a state with generation 0 in force, and these prepared."""
+    """Return a state with generation 0 in force and the given generations prepared."""
     prepared = tuple(GENERATIONS[number] for number in numbers)
     return ParticipantState(GENERATIONS[0], EPOCH, prepared)
--- a/tests/unit/config_consensus/settings_examples.py
+++ b/tests/unit/config_consensus/settings_examples.py
@@ -1,10 +1,14 @@
-"""Settings that the simulated gateways agree on."""
+"""Settings that the tests of config consensus propose."""
 
 from typing import Any
 
 
 def settings_with_timeout(timeout: int) -> dict[str, Any]:
-    """Return settings of one method, which gives up after this time."""
+    """Return settings with one method.
+
+    Args:
+        timeout: The deadline of the method, in microseconds.
+    """
     return {
         "classes": [{"name": "look", "effect": "pure", "giveUp": timeout}],
         "contracts": [],
@@ -18,5 +22,5 @@
 
 
 def accept(_settings: dict[str, Any]) -> str | None:
-    """Find nothing wrong with any settings."""
+    """Accept any settings, as a `Validator`."""
     return None
--- a/tests/unit/config_consensus/test_coordinator.py
+++ b/tests/unit/config_consensus/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Changes that a coordinator takes, decides and rejects, in a simulated fleet without faults."""
+"""Changes that a coordinator accepts, decides and rejects, in a simulated fleet without faults."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 from tests.unit.config_consensus.simulated_fleet import SimulatedFleet
 from tests.unit.config_consensus.simulated_processes import CrashInWriteError, CrashPoint
 
-ROUNDS = 30  # more than a change takes
+ROUNDS = 30  # more than a change needs
 
 
 @pytest.fixture
@@ -33,13 +33,13 @@
 
 
 def run_rounds(fleet: SimulatedFleet) -> None:
-    """Let the control process notify all gateways until nothing is due."""
+    """Run enough rounds for the control process to send all due requests."""
     for _ in range(ROUNDS):
         fleet.run_round("a")
 
 
 def exchange_with_all(fleet: SimulatedFleet, coordinator: Coordinator) -> None:
-    """Send each gateway the request that it is due, and take its answer."""
+    """Send each gateway its due request, and handle its answer."""
     for name, gateway in fleet.participants.items():
         request = coordinator.build_message(name, fleet.now)
         assert request is not None
@@ -50,7 +50,7 @@
 def test_an_excluded_gateway_that_answers_ends_the_change(
     fleet: SimulatedFleet, coordinator: Coordinator
 ) -> None:
-    """A proposer that excludes a gateway is wrong where it runs: the change is aborted."""
+    """A change aborts if a gateway that its proposer excluded as down answers a request."""
     change = coordinator.propose(NEW_SETTINGS, ("g2",), "staff", fleet.now)
     run_rounds(fleet)
     expected = (ChangeOutcome.ABORTED, "g2 was counted out, and answers")
@@ -60,7 +60,7 @@
 def test_an_excluded_gateway_may_have_stalled(
     fleet: SimulatedFleet, coordinator: Coordinator
 ) -> None:
-    """Nothing is decided without it before it would notice that it did."""
+    """A change without an excluded gateway commits only after the gateway could detect a stall."""
     started_at = fleet.now
     fleet.participants["g2"].crash()
     change = coordinator.propose(NEW_SETTINGS, ("g2",), "staff", fleet.now)
@@ -81,7 +81,10 @@
 
 
 def test_one_change_at_a_time(fleet: SimulatedFleet, coordinator: Coordinator) -> None:
-    """Another one is rejected meanwhile; the same one is joined, also once it is in force."""
+    """During a change, other settings are rejected, and the same settings return the same change.
+
+    The same settings return the change after its commit as well.
+    """
     change = coordinator.propose(NEW_SETTINGS, (), "staff", fleet.now)
     assert coordinator.propose(dict(NEW_SETTINGS), (), "staff", fleet.now) is change
     with pytest.raises(errors.ProposalRejected):
--- a/tests/unit/config_consensus/test_cost.py
+++ b/tests/unit/config_consensus/test_cost.py
@@ -1,4 +1,4 @@
-"""What a control process's rules cost by the number of participants, in operations counted."""
+"""The cost of a coordinator's rules by the number of participants, in interpreter operations."""
 
 import json
 from collections.abc import Callable
@@ -15,11 +15,11 @@
 Function = Callable[..., Any]
 
 INITIAL_SETTINGS: JsonObject = {"classes": []}
-TURN_S = 0.1  # between two turns in which each participant is sent what it is due
+ROUND_INTERVAL_S = 0.1  # between two rounds, in which each participant is sent its due requests
 
 
-class Name(str):
-    """A name of which each comparison and each hash takes operations that are counted."""
+class CountedName(str):
+    """A name whose comparisons and hashes run interpreter operations, so that they are counted."""
 
     __slots__ = ()
 
@@ -31,39 +31,44 @@
 
 
 class NullJournal:
-    """A journal without records."""
+    """A journal that discards its records."""
 
     def append(self, record: dict[str, Any], at: float, /) -> None:
-        """Ignore a record."""
+        """Discard a record."""
 
 
-def copy_by_wire(message: JsonObject) -> JsonObject:
-    """Return a message as it arrives: none of its parts is the sender's object."""
+def json_round_trip(message: JsonObject) -> JsonObject:
+    """Return a copy of a message, encoded and decoded, which shares no object with it."""
     received: JsonObject = json.loads(json.dumps(message))
     return received
 
 
-def unchanged(function: Function) -> Function:
-    """Return a function whose cost is not counted."""
+def without_counting(function: Function) -> Function:
+    """Return the function itself, so that its operations are not counted."""
     return function
 
 
 class SimulatedRoster:
-    """Participants that all answer at once, in the order of the roster, and their coordinator.
+    """A coordinator and its participants, which answer immediately and in the order of the roster.
 
     Attributes:
-        refusing: Participants where nobody listens.
-        unreachable: Participants that no request reaches.
+        names: The names of the participants.
+        states: The state of each participant.
+        coordinator: The coordinator.
+        now: The time, in seconds.
+        refusing: The participants whose machine refuses connections.
+        unreachable: The participants that no request reaches.
     """
 
-    def __init__(self, size: int, wrap: Callable[[Function], Function] = unchanged) -> None:
-        """Make a roster.
+    def __init__(self, size: int, wrap: Callable[[Function], Function] = without_counting) -> None:
+        """Create a roster.
 
         Args:
             size: The number of participants.
-            wrap: Wraps what the coordinator's process calls, to count its cost.
+            wrap: A function that wraps the functions of the coordinator's process, to count their
+                operations.
         """
-        self.names = tuple(Name(f"g{number}") for number in range(size))
+        self.names = tuple(CountedName(f"g{number}") for number in range(size))
         digest = canonical_settings.digest(INITIAL_SETTINGS)
         initial = Generation(participant.INITIAL_BALLOT, digest, INITIAL_SETTINGS, self.names)
         self.states = dict.fromkeys(self.names, participant.ParticipantState(initial))
@@ -73,11 +78,11 @@
         self._handle_answer = wrap(self.coordinator.handle_answer)
         self._encode = wrap(Request.to_dict)
         self._decode = wrap(messages.decode_answer)
-        self.refusing: set[Name] = set()
-        self.unreachable: set[Name] = set()
+        self.refusing: set[CountedName] = set()
+        self.unreachable: set[CountedName] = set()
 
     def exchange_all(self) -> int:
-        """Exchange requests and answers until none is due; return how many were sent."""
+        """Send requests until none is due; return the number of requests sent."""
         sent_count = 0
         for name in self.names:
             while request := self._next_message(name, self.now)[0]:
@@ -85,54 +90,58 @@
                 self._exchange(name, request)
         return sent_count
 
-    def _exchange(self, name: Name, request: Request) -> None:
+    def _exchange(self, name: CountedName, request: Request) -> None:
         if name in self.refusing:
             self.coordinator.handle_connection_refused(name, request, self.now)
             return
         if name in self.unreachable:
             self.coordinator.handle_no_answer(name, request, self.now)
             return
-        received = copy_by_wire(self._encode(request))
+        received = json_round_trip(self._encode(request))
         self.states[name], report = participant.handle_message(self.states[name], received, accept)
-        answer = self._decode(request, copy_by_wire(report.to_dict()))
+        answer = self._decode(request, json_round_trip(report.to_dict()))
         self._handle_answer(name, request, answer, self.now)
 
-    def take_turns(self, count: int) -> None:
-        """Let time pass, and exchange what is due meanwhile."""
+    def run_rounds(self, count: int) -> None:
+        """Advance the time in rounds, and send the due requests in each."""
         for _ in range(count):
-            self.now += TURN_S
+            self.now += ROUND_INTERVAL_S
             self.exchange_all()
 
     def seek(self) -> None:
-        """Have the coordinator lead."""
+        """Send requests until the coordinator leads."""
         while self.coordinator.state != CoordinatorState.LEADING and self.exchange_all():
             pass
 
     def propose(self, method: str) -> Change:
-        """Propose settings of one method."""
+        """Propose settings with one method."""
         settings = {"classes": [{"name": method}]}
         return self.coordinator.propose(settings, (), "", self.now)
 
     def commit_change(self) -> Change:
-        """Propose a change and have it notified to all."""
+        """Propose a change, and send requests until none is due."""
         change = self.propose("m")
         while self.exchange_all():
             pass
         return change
 
     def in_force_numbers(self) -> set[int]:
-        """Return the numbers of the generations in force."""
+        """Return the numbers of the generations in force at the participants."""
         return {state.in_force.number for state in self.states.values()}
 
 
 class OperationCounter:
-    """Counts the interpreter's operations in the functions that it wraps."""
+    """Counts the interpreter operations of the functions that it wraps.
+
+    Attributes:
+        total: The number of operations counted so far.
+    """
 
     def __init__(self) -> None:
         self.total = 0
 
     def wrap(self, function: Function) -> Function:
-        """Return the function, whose operations are counted from now on."""
+        """Return a function that calls the given one and counts its operations."""
 
         def counted(*arguments: object) -> object:
             results: list[object] = []
@@ -143,11 +152,12 @@
 
 
 class Cost(NamedTuple):
-    """Operations of the coordinator alone for each participant, and what it came to.
+    """The cost of a coordinator, without that of its participants.
 
     Attributes:
-        per_participant: Those until it leads, and those for a change.
-        roster: The roster afterwards.
+        per_participant: The operations per participant until the coordinator leads, and those for a
+            change.
+        roster: The roster after the change.
         change: The change.
     """
 
@@ -157,7 +167,7 @@
 
 
 def measure(size: int) -> Cost:
-    """Measure what a roster of a size costs its coordinator."""
+    """Return the cost of a coordinator with a roster of the given size."""
     counter = OperationCounter()
     roster = SimulatedRoster(size, counter.wrap)
     roster.seek()
@@ -168,7 +178,7 @@
 
 
 def test_cost_for_a_participant_is_linear_in_the_roster() -> None:
-    """Four times the participants cost up to four times as much for each."""
+    """With four times the participants, each costs at most about four times as much."""
     small = measure(40)
     large = measure(160)
     assert large.roster.coordinator.state == CoordinatorState.LEADING
@@ -181,21 +191,24 @@
 
 
 def test_a_partition_holds_a_change_up_until_it_ends() -> None:
-    """A tenth of the roster is down, and a quarter of it is partitioned off for a while."""
+    """A change aborts during a partition, and the next one commits after it.
+
+    One tenth of the roster is down throughout; one quarter is unreachable at first.
+    """
     roster = SimulatedRoster(240)
     roster.seek()
     roster.refusing = set(roster.names[::10])
     roster.unreachable = set(roster.names[180:]) - roster.refusing
     change = roster.propose("m")
     for _ in range(40):
-        roster.take_turns(1)
+        roster.run_rounds(1)
         roster.coordinator.try_to_decide(roster.now)
     assert change.outcome == ChangeOutcome.ABORTED
     assert roster.in_force_numbers() == {0}
     roster.unreachable = set()
-    roster.take_turns(20)
+    roster.run_rounds(20)
     change = roster.propose("n")
-    roster.take_turns(40)
+    roster.run_rounds(40)
     assert change.outcome == ChangeOutcome.COMMITTED
     assert change.confirmed_absent == roster.refusing
     running = set(roster.names) - roster.refusing
--- a/tests/unit/config_consensus/test_event_orders.py
+++ b/tests/unit/config_consensus/test_event_orders.py
@@ -1,7 +1,7 @@
 """The guarantees of config consensus in a simulated network.
 
-All orders of requests, losses, duplicates and crashes are played for small fleets, and orders that
-a seed or hypothesis draws for larger ones.
+The tests execute all orders of requests, losses, duplicates and crashes in small fleets, and orders
+that a seed or hypothesis determines in larger ones.
 """
 
 import pytest
@@ -35,7 +35,7 @@
 def test_all_orders_of_events(
     participant_count: int, controls: tuple[str, ...], budget: Budget, minimum_states: int
 ) -> None:
-    """No order of events breaks a guarantee, and there are many of them."""
+    """No order of events violates a guarantee, and the exploration reaches many states."""
     fleet = SimulatedFleet(participant_count, controls, budget)
     state_count, violation = explore(fleet, MAX_DEPTH, MAX_STATES)
     assert violation is None
@@ -43,19 +43,19 @@
 
 
 def test_a_control_process_that_loses_its_journal() -> None:
-    """One that starts with an empty journal breaks no guarantee."""
+    """A control process that restarts with an empty journal violates no guarantee."""
     fleet = SimulatedFleet(3, ("a",), Budget(crashes=2, faults=0, journal_losses=1))
     assert explore(fleet, MAX_DEPTH, max_states=12_000).violation is None
 
 
 def test_seeded_runs_of_up_to_five_gateways() -> None:
-    """No run that a seed draws breaks a guarantee."""
+    """No run of random steps violates a guarantee."""
     for seed in range(SEED_COUNT):
         assert play_seed(seed) is None, seed
 
 
 class LargerFleet(RuleBasedStateMachine):
-    """Six gateways and two control processes, with steps that hypothesis draws; healed at last."""
+    """Six gateways and two control processes, whose steps hypothesis chooses; healed at the end."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -63,23 +63,23 @@
 
     @rule(choice=st.integers(0, 10_000))
     def step(self, choice: int) -> None:
-        """Take one of the steps that can be taken."""
+        """Take one of the possible steps."""
         steps = self.fleet.available_steps()
         if steps:
             self.fleet.take(steps[choice % len(steps)])
 
     @invariant()
     def guarantee_holds(self) -> None:
-        """No gateway admits what another one may not."""
+        """Check that one generation allows everything that the gateways admit."""
         assert self.fleet.violation() is None
 
     def teardown(self) -> None:
-        """Heal the fleet."""
+        """Heal the fleet and check that it converges."""
         assert heal(self.fleet) is None
 
 
 def test_larger_fleets() -> None:
-    """No run of a larger fleet that hypothesis draws breaks a guarantee."""
+    """No run of a larger fleet violates a guarantee."""
     run_state_machine_as_test(
         LargerFleet,
         settings=settings(max_examples=60, stateful_step_count=60, derandomize=True, deadline=None),
--- a/tests/unit/config_consensus/test_journal.py
+++ b/tests/unit/config_consensus/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal of a control process: one process at a time, and refused where it is damaged."""
+"""The journal of a control process: it opens in one process at a time, and only if undamaged."""
 
 import gc
 import os
@@ -11,18 +11,18 @@
 from petrellane.config_consensus.journal import Journal, JournalError
 
 RECORD_COUNT = 40
-CUT_STEP = 509  # bytes; prime, so that cuts fall on all parts of a page
+CUT_STEP = 509  # bytes; a prime, so that cuts fall on all parts of a page
 
 
 @pytest.fixture
 def path(tmp_path: pathlib.Path) -> pathlib.Path:
-    """Return where there is no journal yet."""
+    """Return the path of a journal that does not exist yet."""
     return tmp_path / "journal.db"
 
 
 @pytest.fixture
 def complete_journal(path: pathlib.Path) -> bytes:
-    """Write a journal of several pages, and return its bytes."""
+    """Write a journal of several database pages, and return its bytes."""
     journal = Journal(str(path))
     for number in range(RECORD_COUNT):
         record = {"kind": "epoch", "number": number, "text": "x" * 200}
@@ -32,7 +32,7 @@
 
 
 def test_a_journal_has_what_was_appended(path: pathlib.Path) -> None:
-    """Records outlive the process; another one can't open the file meanwhile."""
+    """Records persist after a close; a second process cannot open the file before that."""
     journal = Journal(str(path))
     journal.append({"kind": "epoch", "number": 1}, 5.0)
     with pytest.raises(JournalError, match="another control process has it"):
@@ -45,7 +45,7 @@
 def test_a_journal_cut_at_any_byte_is_complete_or_refused(
     path: pathlib.Path, complete_journal: bytes
 ) -> None:
-    """No part of the records is taken for all of them."""
+    """A truncated journal never opens with only some of its records."""
     for length in [*range(0, len(complete_journal), CUT_STEP), len(complete_journal) - 1]:
         path.write_bytes(complete_journal[:length])
         try:
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def no_garbage_collection() -> Iterator[None]:
-    """Have nothing that was left open closed by chance."""
+    """Disable garbage collection, which would close files that the code left open."""
     gc.disable()
     yield
     gc.enable()
@@ -74,7 +74,7 @@
 def test_a_damaged_journal_is_refused_by_its_first_problem_and_closed(
     path: pathlib.Path, complete_journal: bytes
 ) -> None:
-    """The error names one problem, and the file is not left open."""
+    """The error names the first problem, and the file does not stay open."""
     path.write_bytes(complete_journal[:-CUT_STEP])
     with pytest.raises(JournalError) as refusal:
         Journal(str(path))
@@ -83,7 +83,7 @@
 
 
 def test_a_journal_of_another_version(path: pathlib.Path) -> None:
-    """The error says which build reads it."""
+    """The error tells staff to start the build that wrote the journal."""
     database = sqlite3.connect(path)
     database.execute("CREATE TABLE records (x)")
     database.execute("PRAGMA user_version = 7")
--- a/tests/unit/config_consensus/test_messages.py
+++ b/tests/unit/config_consensus/test_messages.py
@@ -34,7 +34,7 @@
 
 
 def request(body: messages.RequestBody) -> messages.Request:
-    """Return a request to a participant."""
+    """Return a request to a participant with the given body."""
     return messages.Request("g0", EPOCH, 7, body)
 
 
@@ -56,24 +56,24 @@
     ],
 )
 def test_a_request_on_the_wire(body: messages.RequestBody, expected: str) -> None:
-    """Each kind of request has its keys, in their order."""
+    """Each kind of request has its keys on the wire, in a fixed order."""
     assert to_json(request(body).to_dict()) == "{" + expected + "," + ENVELOPE + "}"
 
 
 @pytest.mark.parametrize(
-    ("question", "expected"),
+    ("query", "expected"),
     [
         (messages.PeerQuery("g1"), '{"do":"state","to":"g1"}'),
         (messages.PeerQuery("g1", BALLOT), '{"do":"content","to":"g1",' + IDENTITY + "}"),
     ],
 )
-def test_a_question_to_a_peer_on_the_wire(question: messages.PeerQuery, expected: str) -> None:
-    """A question for the state has no ballot."""
-    assert to_json(question.to_dict()) == expected
+def test_a_question_to_a_peer_on_the_wire(query: messages.PeerQuery, expected: str) -> None:
+    """A query for the state has no ballot."""
+    assert to_json(query.to_dict()) == expected
 
 
 def test_a_request_is_read_as_it_was_sent() -> None:
-    """All fields come through the wire."""
+    """All fields of a request survive encoding and decoding."""
     sent = request(messages.Prepare(Ballot(1, Epoch(1, "b")), GENERATION))
     received = messages.ReceivedRequest.from_dict(json.loads(to_json(sent.to_dict())))
     assert received.kind is messages.MessageKind.PREPARE
@@ -96,7 +96,7 @@
 
 
 def test_a_state_is_read() -> None:
-    """A participant's report is read from its wire keys."""
+    """A participant's report is parsed from its wire keys."""
     assert messages.decode_answer(request(messages.Promise()), STATE) == messages.PeerState(
         BALLOT, "d", (Ballot(4, EPOCH),), (Ballot(2, Epoch(1, "b")),), ("g0", "g1")
     )
@@ -115,7 +115,7 @@
     ],
 )
 def test_an_answer_that_can_not_be_read(answer: dict[str, Any], reason: str) -> None:
-    """A malformed answer is one, with what was expected; nothing is raised."""
+    """A malformed answer becomes a `MalformedAnswer` with the reason; no error is raised."""
     decoded = messages.decode_answer(request(messages.Promise()), answer)
     assert decoded == messages.MalformedAnswer(reason)
 
@@ -133,18 +133,18 @@
     ],
 )
 def test_a_rejection_is_read(answer: dict[str, Any], expected: messages.Rejection) -> None:
-    """A rejection may lack its reason and its epoch; a long reason is cut."""
+    """A rejection may lack the reason and the epoch; a long reason is truncated."""
     assert messages.decode_answer(request(messages.Promise()), answer) == expected
 
 
 def test_a_content_is_read_and_checked() -> None:
-    """A content has to have the digest that it names."""
-    question = request(messages.ReadContent(BALLOT))
-    assert messages.decode_answer(question, GENERATION.to_dict()) == GENERATION
+    """A generation is accepted only if its digest matches its content."""
+    query = request(messages.ReadContent(BALLOT))
+    assert messages.decode_answer(query, GENERATION.to_dict()) == GENERATION
     forged = GENERATION.to_dict() | {"digest": "0"}
-    assert isinstance(messages.decode_answer(question, forged), messages.MalformedAnswer)
+    assert isinstance(messages.decode_answer(query, forged), messages.MalformedAnswer)
     rejection = {"refused": "unknown", "why": "no such generation here"}
-    assert isinstance(messages.decode_answer(question, rejection), messages.Rejection)
+    assert isinstance(messages.decode_answer(query, rejection), messages.Rejection)
 
 
 RECORDS = [
@@ -169,11 +169,11 @@
 
 @pytest.mark.parametrize(("record", "expected"), RECORDS)
 def test_a_record_of_the_journal(record: changes.Record, expected: str) -> None:
-    """Each kind of record has its stored form, and is read from it."""
+    """Each kind of record has a fixed stored form, from which it can be parsed."""
     assert to_json(record.to_dict()) == expected
     assert changes.parse_record(json.loads(expected) | {"at": 5.0}) == record
 
 
 def test_a_record_of_a_kind_that_this_build_does_not_know() -> None:
-    """A record of a later build is passed over."""
+    """A record of an unknown kind, written by a later build, is ignored."""
     assert changes.parse_record({"kind": "later", "at": 5.0}) is None
--- a/tests/unit/config_consensus/test_participant.py
+++ b/tests/unit/config_consensus/test_participant.py
@@ -1,4 +1,4 @@
-"""What a participant answers and remembers, and when it may admit."""
+"""The answers and the state of a participant, and the times at which it may admit."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
 from tests.unit.config_consensus.settings_examples import NEW_SETTINGS, OTHER_SETTINGS, accept
 
 BASE = Ballot(0, EPOCH)
-# As a coordinator proposes it that has no roster yet.
+# Without a roster, as if its coordinator had none.
 PROPOSED = Generation(Ballot(1, EPOCH), canonical_settings.digest(NEW_SETTINGS), NEW_SETTINGS)
 
 NUMBERS = st.integers(0, 5)
@@ -46,19 +46,19 @@
 
 
 def handle(state: ParticipantState, message: JsonObject) -> ParticipantState:
-    """Return the state that a participant remembers after a request."""
+    """Return the state of a participant after a request."""
     after, _ = participant.handle_message(state, message, accept)
     return after
 
 
 def test_a_late_commit_changes_nothing() -> None:
-    """What is in force never returns to an earlier generation."""
+    """A commit of an earlier generation does not replace the one in force."""
     state = handle(state_with_prepared(1, 2), request("commit", GENERATIONS[2]))
     assert handle(state, request("commit", GENERATIONS[1])).in_force == GENERATIONS[2]
 
 
 def test_a_later_generation_stays_prepared() -> None:
-    """A commit ends only earlier doubt; then what both allow is admitted."""
+    """A commit leaves later generations prepared; the gateway admits what all of them allow."""
     state = handle(state_with_prepared(1, 2), request("commit", GENERATIONS[1]))
     assert (state.in_force, state.prepared) == (GENERATIONS[1], (GENERATIONS[2],))
     met = safe_settings.meet(NEW_SETTINGS, OTHER_SETTINGS)
@@ -78,7 +78,7 @@
     ],
 )
 def test_a_request_that_is_rejected(cause: str, fields: dict[str, object]) -> None:
-    """The cause of a rejection is that of the wire."""
+    """A rejection has the cause that is sent on the wire."""
     state = state_with_prepared()
     with pytest.raises(errors.MessageRejected) as rejection:
         handle(state, request("prepare", PROPOSED, **fields))
@@ -86,7 +86,7 @@
 
 
 def test_an_aborted_generation_is_rejected() -> None:
-    """What was aborted is not prepared afterwards."""
+    """A generation cannot be prepared after its abort."""
     state = handle(state_with_prepared(), request("deny", GENERATIONS[1]))
     with pytest.raises(errors.MessageRejected) as rejection:
         handle(state, request("prepare", PROPOSED))
@@ -94,7 +94,7 @@
 
 
 def test_settings_that_are_not_valid_are_rejected() -> None:
-    """The rejection gives the reason that the validation gives."""
+    """The rejection contains the reason from the validator."""
     reason = "settings.classes: wrong"
     with pytest.raises(errors.MessageRejected) as rejection:
         participant.handle_message(
@@ -117,19 +117,19 @@
 
 
 def test_a_gateway_that_stalled_polls_its_peers_again() -> None:
-    """Others may have gone on meanwhile; until a peer answers it admits nothing."""
+    """After a stall, a gateway admits only once a peer answers, as it may have missed a change."""
     status = participant.ParticipantStatus("g0", ROSTER, True, 0.0)
     assert not status.may_admit(0.1)
     status.on_peer_answered("g1", 0)
     assert status.may_admit(0.1)
     after_stall = 0.1 + participant.STALL_LIMIT_S
-    assert not status.may_admit(after_stall)  # it is noticed before anything else is
+    assert not status.may_admit(after_stall)  # even before `check_stall` detects the stall
     assert status.check_stall(after_stall)
     assert not status.knows_in_force
-    status.on_peer_answered("g1", 0)  # the answer to a question from before the stall
+    status.on_peer_answered("g1", 0)  # an answer to a query sent before the stall
     assert not status.knows_in_force
     status.on_peer_answered("g1", status.stall_count)
     assert status.knows_in_force
     status.set_roster(("g1", "g2"))
     status.on_peer_answered("g2", status.stall_count)
-    assert not status.knows_in_force  # off the roster, nobody notifies it of changes
+    assert not status.knows_in_force  # coordinators do not notify gateways outside the roster
--- a/tests/unit/config_consensus/test_planted_faults.py
+++ b/tests/unit/config_consensus/test_planted_faults.py
@@ -1,4 +1,4 @@
-"""Seeded runs find each fault that is planted in the rules."""
+"""Seeded runs detect each fault that is planted in the rules."""
 
 import pytest
 
@@ -10,6 +10,6 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_planted_fault_is_found(fault: str) -> None:
-    """Some seeded run breaks a guarantee under each fault."""
+    """With the fault, at least one seeded run violates a guarantee."""
     with planted(fault):
-        assert any(play_seed(seed) for seed in range(SEED_COUNT)), "no seed finds it"
+        assert any(play_seed(seed) for seed in range(SEED_COUNT)), "no seed detects it"
--- a/tests/unit/config_consensus/test_replay_guard.py
+++ b/tests/unit/config_consensus/test_replay_guard.py
@@ -1,4 +1,4 @@
-"""Calls of staff: a recorded call does nothing when it is sent again."""
+"""Protection against replays: a call of staff has no effect when it is sent again."""
 
 import pytest
 
@@ -19,13 +19,13 @@
 
 @pytest.mark.parametrize("sent_at", [NOW - MAX_CALL_AGE_S - 1, 1061.0, None, "1000", [1]])
 def test_a_call_of_staff_is_new(sent_at: object) -> None:
-    """A call from too long ago, of the future or without a time is not accepted."""
+    """A call is rejected if its time is too old, in the future, missing or not a number."""
     with pytest.raises(AuthenticationError, match="at: expected a new call of the last 60 s"):
         ReplayGuard(lambda: NOW).check({"at": sent_at, "nonce": "a"})
 
 
 def test_a_nonce_is_remembered_as_long_as_its_call_could_be_new() -> None:
-    """Also that of a call whose sender's clock is ahead."""
+    """A replay is rejected as long as its time is valid, even if the sender's clock is ahead."""
     times = iter([NOW, NOW + 2 * MAX_CALL_AGE_S])
     guard = ReplayGuard(lambda: next(times))
     sent_at = NOW + MAX_CALL_AGE_S
--- a/tests/unit/config_consensus/test_safe_settings.py
+++ b/tests/unit/config_consensus/test_safe_settings.py
@@ -1,4 +1,4 @@
-"""The meet of settings, their digest, and the texts of what a change changes."""
+"""The meet of settings, their digest, and the description of a change."""
 
 import random
 
@@ -83,18 +83,18 @@
 
 
 def check_method_is_narrower(met: Settings, method: Settings) -> None:
-    """Check that a method of the meet does nothing that this version of it forbids."""
+    """Check that a method of the meet does nothing that the method of one version forbids."""
     uses_same_command = (met["effect"] == "pure") == (method["effect"] == "pure")
     assert uses_same_command
     lacks_expected_key = met["effect"] == "side_effect" and method["effect"] == "token"
     assert not lacks_expected_key
     assert met["giveUp"] <= method["giveUp"]
-    if method["effect"] == "side_effect":  # nothing that may have run is retried
+    if method["effect"] == "side_effect":  # no retry of what the host may have executed
         assert (met["keyScope"], met["window"]) == ("none", 0)
 
 
 def check_plan_is_narrower(met: Settings, plan: Settings) -> None:
-    """Check that a plan of the meet has no limit above that of this version; 0 is no limit."""
+    """Check that no limit of the meet is above that of one version, where 0 means no limit."""
     for limit in ("quotaRate", "ceilingRate", "maxOut"):
         if plan[limit]:
             assert 0 < met[limit] <= plan[limit]
@@ -118,7 +118,7 @@
 
 
 def test_description_of_changes() -> None:
-    """Rows that went, came and changed are named, with old and new values."""
+    """The description names removed, added and changed rows, with old and new values."""
     before = {
         "classes": [{"name": "look", "effect": "pure", "giveUp": 4_000_000}],
         "contracts": [{"name": "sold", "ceilingRate": 40}],
--- a/tests/unit/config_consensus/test_staff_commands.py
+++ b/tests/unit/config_consensus/test_staff_commands.py
@@ -1,4 +1,4 @@
-"""Staff's commands: their exit codes and output, by what the control process answers."""
+"""The exit codes and the output of staff commands, by the answer of the control process."""
 
 import pytest
 
@@ -28,7 +28,12 @@
 
 
 class FakeClient(ControlClient):
-    """Gives answers in turn, or raises them where they are errors, and records the calls."""
+    """A client that returns or raises the given answers in turn and records the calls.
+
+    Attributes:
+        answers: The answers and errors that have not been used yet.
+        calls: The kind and the arguments of each call.
+    """
 
     def __init__(self, *answers: JsonObject | rpc_client.RpcError) -> None:
         super().__init__(ControlConfig("c", ADDRESS, "", b"", {}))
@@ -36,7 +41,7 @@
         self.calls: list[tuple[StaffCall, dict[str, object]]] = []
 
     def call(self, kind: StaffCall, **arguments: object) -> JsonObject:
-        """Return the next answer."""
+        """Return the next answer, or raise it if it is an error."""
         self.calls.append((kind, arguments))
         answer = self.answers.pop(0)
         if isinstance(answer, rpc_client.RpcError):
@@ -86,7 +91,7 @@
     ],
 )
 def test_exit_code_of_a_change(answer: JsonObject, exit_code: ExitCode) -> None:
-    """A script can tell what came of a change by the exit code."""
+    """The exit code tells a script the outcome of a change."""
     client = FakeClient(answer)
     code = SettingsCommands(client, as_json=False).propose_again(1, ["g2"], wait_s=0.0)
     assert code == exit_code
@@ -98,7 +103,7 @@
 def test_a_change_is_followed_to_its_end(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """A lost answer on the way does not end it."""
+    """A command follows a change to its end despite a lost answer."""
     monkeypatch.setattr(commands, "FOLLOW_INTERVAL_S", 0.0)
     lost = rpc_client.NoAnswerError(ADDRESS, "timed out")
     client = FakeClient(CHANGE, CHANGE, lost, COMMITTED)
@@ -131,7 +136,7 @@
     text: str,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """The output says why, in a line."""
+    """The output states the cause in one line."""
     with pytest.raises(CommandFailedError) as failure:
         SettingsCommands(FakeClient(answer), as_json=False).show_status()
     assert failure.value.exit_code == exit_code
--- a/tests/unit/config_consensus/test_state_store.py
+++ b/tests/unit/config_consensus/test_state_store.py
@@ -1,4 +1,4 @@
-"""A participant's durable state: what is saved is loaded, and a damaged file is known to be."""
+"""The durable state of a participant: saved states are loaded, and damaged files are detected."""
 
 import pathlib
 
@@ -20,7 +20,7 @@
 
 
 def test_what_is_saved_is_loaded(tmp_path: pathlib.Path) -> None:
-    """The last state is loaded, and by its own gateway alone."""
+    """A gateway loads its last saved state; another gateway with the same folder does not."""
     for state in (INITIAL_STATE, PREPARED_STATE, COMMITTED_STATE):
         StateStore(str(tmp_path), "g0").save(state)
         assert StateStore(str(tmp_path), "g0").load() == (state, None)
@@ -35,17 +35,17 @@
     return pathlib.Path(store.paths[store.sequence_number % 2])
 
 
-def load_anew(store: StateStore) -> tuple[ParticipantState | None, str | None]:
-    """Return what another process finds, which has the same folder."""
+def load_in_new_store(store: StateStore) -> tuple[ParticipantState | None, str | None]:
+    """Return the state and the fault that another process with the same folder loads."""
     return StateStore(store.folder, store.gateway).load()
 
 
 def test_a_file_that_is_cut_at_any_byte(store: StateStore, last_file: pathlib.Path) -> None:
-    """It is never taken for complete, and the one before is still there."""
+    """A truncated file is reported as a fault, and the previous state is loaded."""
     data = last_file.read_bytes()
     for length in range(len(data)):
         last_file.write_bytes(data[:length])
-        state, fault = load_anew(store)
+        state, fault = load_in_new_store(store)
         assert state == INITIAL_STATE
         assert fault
         assert "\n" not in fault
@@ -55,13 +55,13 @@
     """The fault names the version that this build reads."""
     data = last_file.read_bytes()
     last_file.write_bytes(data.replace(b'"version":1', b'"version":2'))
-    _, fault = load_anew(store)
+    _, fault = load_in_new_store(store)
     assert fault is not None
     assert "expected version 1" in fault
 
 
 def test_a_folder_that_can_not_be_written(store: StateStore) -> None:
-    """A state that could not be saved is an error."""
+    """An error is raised if the state cannot be saved."""
     store.save(INITIAL_STATE)
     store.folder = "/nowhere"
     store.paths = ["/nowhere/0", "/nowhere/1"]
--- a/tests/unit/config_consensus/test_state_writer.py
+++ b/tests/unit/config_consensus/test_state_writer.py
@@ -1,4 +1,4 @@
-"""Writes of a participant's state to the disk: other greenlets go on meanwhile."""
+"""Writes of a participant's state to the disk, which do not block other greenlets."""
 
 import greenlet
 import pytest
@@ -11,10 +11,11 @@
 
 
 class BlockingStore(StateStore):
-    """A store that writes nothing, and only returns once another greenlet has run.
+    """A store that writes nothing and blocks until another greenlet has run.
 
     Attributes:
-        other_has_run: Set by the other greenlet.
+        error: The error that `save` raises, if any.
+        other_has_run: Whether the other greenlet has run, which sets this attribute.
     """
 
     def __init__(self, error: OSError | None) -> None:
@@ -23,7 +24,7 @@
         self.other_has_run = False
 
     def save(self, _state: ParticipantState) -> None:
-        """Wait for the other greenlet, then raise the error where there is one."""
+        """Wait for the other greenlet, then raise the error if there is one."""
         while not self.other_has_run:
             pass
         if self.error:
@@ -32,7 +33,7 @@
 
 @pytest.mark.parametrize("error", [None, OSError(28, "No space left on device")])
 def test_a_write_does_not_block_other_greenlets(error: OSError | None) -> None:
-    """The write ends only once the other one has run; its error is returned."""
+    """Another greenlet runs during a write, and the error of the write is returned."""
     scheduler = Scheduler()
     store = BlockingStore(error)
     results: list[OSError | None] = []
