--- a/petrellane/gateway/hot_restart.py
+++ b/petrellane/gateway/hot_restart.py
@@ -89,4 +89,4 @@
 
     def on_predecessor_still_running(self) -> None:
         """Note that the predecessor gave nothing, and may go on."""
-        hot_restart.predecessor_still_running(self.executor.controller, self.scheduler.now())
+        hot_restart.withhold_hard_limits(self.executor.controller, self.scheduler.now())
--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -141,7 +141,7 @@
     return int(in_flight_before - lease.in_flight)
 
 
-def predecessor_still_running(controller: AdmissionController, now: float) -> None:
+def withhold_hard_limits(controller: AdmissionController, now: float) -> None:
     """A predecessor gave up nothing, and may still use its shares of hard limits.
 
     Ours stay empty until it is surely gone.
--- a/tests/unit/operation/test_hot_restart.py
+++ b/tests/unit/operation/test_hot_restart.py
@@ -194,7 +194,7 @@
 def test_a_predecessor_that_hands_nothing_over() -> None:
     """Its hard limits may still refill: those of a customer refill in one process at a time."""
     controller, _ = controller_with_lease(api.Plan("q"))
-    hot_restart.predecessor_still_running(controller, 110.0)
+    hot_restart.withhold_hard_limits(controller, 110.0)
     lease = controller.lease_manager.lease_of(api.Customer("d", LIMITED_PLAN), 111.0)
     refills = [lease.refill_hard_limit(now) for now in (112.0, 119.9, 121.0)]
     assert refills == [0.0, 0.0, 2.0]
