--- a/petrellane/gateway/hot_restart.py
+++ b/petrellane/gateway/hot_restart.py
@@ -63,7 +63,7 @@
         self.process.client_listener.set_successor(successor)
         if successor:
             return
-        hot_restart.resume(self.executor.controller, self.scheduler.now())
+        hot_restart.resume_hard_limit_refill(self.executor.controller, self.scheduler.now())
         if self.process.participant:
             self.process.participant.resume()
 
--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -149,7 +149,7 @@
     controller.lease_manager.started_at = now + PREDECESSOR_GONE_AFTER_S
 
 
-def resume(controller: AdmissionController, now: float) -> None:
+def resume_hard_limit_refill(controller: AdmissionController, now: float) -> None:
     """The successor is gone, and what was given up with it: shares grow again, from nothing."""
     for lease in controller.lease_manager.leases.values():
         lease.hard_limit_filled_at = min(lease.hard_limit_filled_at, now)
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -201,7 +201,7 @@
 
     def resume_leases(self) -> None:
         """The process that followed is gone: go on with what is left."""
-        hot_restart.resume(self._admission_controller(), self.clock())
+        hot_restart.resume_hard_limit_refill(self._admission_controller(), self.clock())
 
     def import_leases(
         self, predecessor: SimulatedGateway, messages: Iterable[dict[str, Any]]
--- a/tests/unit/operation/test_hot_restart.py
+++ b/tests/unit/operation/test_hot_restart.py
@@ -172,7 +172,7 @@
     hot_restart.release_in_flight(new, 110.0, customer, 5)
     assert new_lease.in_flight == 0
     # Once the new process is gone, what it had is nobody's.
-    hot_restart.resume(old, 150.0)
+    hot_restart.resume_hard_limit_refill(old, 150.0)
     assert old_lease.refill_hard_limit(151.0) == pytest.approx(5.0, rel=0, abs=1e-8)
 
 
