--- a/petrellane/operation/lifecycle.py
+++ b/petrellane/operation/lifecycle.py
@@ -41,7 +41,7 @@
 
     Attributes:
         state: The current state.
-        since: Unix time at which the last drain or shutdown began.
+        drain_started_at: Unix time at which the last drain or shutdown began.
         has_successor: Whether another process takes over the clients, after a hot restart.
     """
 
@@ -68,7 +68,7 @@
         self.final_answer_delay_s = final_answer_delay_s
         self.max_deadline_s = max_deadline_s
         self.state = LifecycleState.STARTING
-        self.since = 0.0
+        self.drain_started_at = 0.0
         self.has_successor = False
 
     @property
@@ -105,7 +105,7 @@
         """
         if self.state in _NOT_LEAVING:
             self.state = LifecycleState.DRAINING
-            self.since = now
+            self.drain_started_at = now
         return True
 
     def resume(self) -> bool:
@@ -123,7 +123,7 @@
         if self.state is LifecycleState.ENDING:
             return
         if self.state in _NOT_LEAVING:
-            self.since = now
+            self.drain_started_at = now
         self.state = LifecycleState.ENDING
 
     def complete_drain(self, client_count: int) -> bool:
@@ -139,7 +139,7 @@
 
     def closes_idle_connections(self, now: float) -> bool:
         """Whether a connection with no reply pending is closed."""
-        return self.state not in _NOT_LEAVING and now - self.since >= self.change_over_s
+        return self.state not in _NOT_LEAVING and now - self.drain_started_at >= self.change_over_s
 
     def accepts_command(
         self, now: float, connected_at: float, has_pending_replies: bool = False
@@ -153,7 +153,7 @@
             return not (has_pending_replies and self.closes_idle_connections(now))
         if self.state in _NOT_LEAVING:
             return True
-        return now - max(self.since, connected_at) < self.last_command_s
+        return now - max(self.drain_started_at, connected_at) < self.last_command_s
 
     def final_answer_time(self, longest_deadline: float) -> float:
         """The Unix time by which all that is open is answered.
@@ -166,4 +166,4 @@
         """
         if self.state is not LifecycleState.ENDING:
             return math.inf
-        return self.since + min(longest_deadline, self.max_deadline_s) + self.final_answer_delay_s
+        return self.drain_started_at + min(longest_deadline, self.max_deadline_s) + self.final_answer_delay_s
