--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -47,7 +47,7 @@
 ItemT = TypeVar("ItemT")
 
 
-def answer_transfer_request(request: TransferRequest) -> TransferRefusal | None:
+def validate_transfer_request(request: TransferRequest) -> TransferRefusal | None:
     """The refusal of a request of another version; None where the transfer may begin."""
     if request.version == PROTOCOL_VERSION:
         return None
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -277,7 +277,7 @@
             link.send(reply)
 
     def _on_transfer_request(self, link: MessageLink, request: TransferRequest) -> None:
-        refusal = hot_restart.answer_transfer_request(request)
+        refusal = hot_restart.validate_transfer_request(request)
         if refusal or self._successor:
             link.send(refusal or TransferRefusal(PROTOCOL_VERSION))
             return
--- a/tests/unit/operation/test_hot_restart.py
+++ b/tests/unit/operation/test_hot_restart.py
@@ -204,8 +204,8 @@
     """A request of the same version is accepted; one of another is refused with ours."""
     version = hot_restart_messages.PROTOCOL_VERSION
     request = hot_restart_messages.TransferRequest(version)
-    assert hot_restart.answer_transfer_request(request) is None
-    refusal = hot_restart.answer_transfer_request(hot_restart_messages.TransferRequest(0))
+    assert hot_restart.validate_transfer_request(request) is None
+    refusal = hot_restart.validate_transfer_request(hot_restart_messages.TransferRequest(0))
     assert refusal is not None
     assert hot_restart_messages.encode(refusal) == {"refused": version}
 
