--- a/petrellane/operation/backoff.py
+++ b/petrellane/operation/backoff.py
@@ -1,15 +1,16 @@
-"""When discovery is polled next, and how long a poll may take.
-
-Rules free of I/O: `Backoff` learns when a poll starts and how it ends, and answers with times. It
-promises that a poll starts at most `max_interval` seconds after the one before started, whatever
-the outcome of that one. So where an answer takes `t` seconds or less, every change is known at
-most `max_interval + t` seconds after discovery had it and could be reached. Sockets, the endpoint
-list and the log are left to others.
-
-Polls of many gateways must not come in step, and gateways that come back too soon keep discovery
-overloaded; yet no pause may be longer than `max_interval`. So what all gateways meet at once (a
-rejection, a change) is followed by a draw over most of that interval, which spreads them; further
-draws are from its upper end, which costs the fewest polls.
+"""The schedule of discovery polls: the time of the next poll and the timeout of each poll.
+
+The module contains no I/O: the caller tells `Backoff` when a poll starts and how it ends, and
+`Backoff` computes times. Each poll starts at most `max_interval` seconds after the start of the
+previous poll, whatever the outcome of that poll. If discovery answers within `t` seconds, the
+gateway therefore receives every change at most `max_interval + t` seconds after discovery has the
+change and is reachable. The caller owns the sockets, the endpoint list and the log.
+
+The polls of many gateways must not synchronize, and gateways that retry too soon keep discovery
+overloaded, yet no pause may exceed `max_interval`. After an event that all gateways see at the
+same time (a rejection, a change), each gateway therefore draws its pause from most of that
+interval, which spreads the gateways. It takes later draws from the upper end of the interval,
+which needs the fewest polls.
 """
 
 import enum
@@ -17,10 +18,10 @@
 from typing import NamedTuple
 
 DESYNCHRONIZING_DRAW_MINIMUM = 0.2
-"""Lower end of a draw, as a fraction of its maximum, that spreads gateways which are in step."""
+"""The minimum of a random draw that desynchronizes gateways, as a fraction of its maximum."""
 
 STEADY_DRAW_MINIMUM = 0.8
-"""Lower end of a draw, as a fraction of its maximum, of a gateway that is out of step."""
+"""The minimum of a random draw of a desynchronized gateway, as a fraction of its maximum."""
 
 JITTER_MINIMUM = 0.5
 """The shortest jittered pause, as a fraction of the pause before jitter."""
@@ -30,7 +31,7 @@
 
 
 class PollFailure(enum.Enum):
-    """Why a poll brought no endpoint list."""
+    """The reason why a poll returned no endpoint list."""
 
     TIMED_OUT = "silent"
     FAILED = "failed"
@@ -38,15 +39,15 @@
 
 
 class PollTimes(NamedTuple):
-    """The times of polls, all in seconds.
+    """The intervals and timeouts of polls, all in seconds.
 
     Attributes:
-        max_interval: From the start of a poll to that of the next, at most.
-        first_interval: The same before the first list.
-        max_hold: How long discovery may hold a poll that waits for changes.
-        grace: How much later the answer to such a poll may arrive.
-        poll_timeout: The time of a poll that waits for no changes.
-        initial_pause: The pause after a first failure, about.
+        max_interval: The maximum interval between the starts of two consecutive polls.
+        first_interval: The maximum interval between two polls before the first endpoint list.
+        max_hold: The maximum time for which discovery may hold a long poll.
+        grace: The time that the answer to a long poll may take after the end of its hold.
+        poll_timeout: The timeout of a poll that discovery answers without a hold.
+        initial_pause: The pause after the first failure, before jitter.
     """
 
     max_interval: float
@@ -58,48 +59,48 @@
 
 
 class Backoff:
-    """The poll schedule of one gateway; its discovery client owns it.
+    """The poll schedule of one gateway; the gateway's discovery client owns it.
 
     Attributes:
-        times: The times that polls keep.
-        is_failing: Whether the last poll brought no list.
-        deadline: Unix time at which the poll in progress counts as timed out.
+        times: The intervals and timeouts of polls.
+        is_failing: Whether the last poll returned no endpoint list.
+        deadline: The Unix time at which the current poll times out.
     """
 
     def __init__(self, random: Callable[[], float], times: PollTimes) -> None:
-        """Start before the first poll.
+        """Initialize the schedule before the first poll.
 
         Args:
-            random: Draws from 0 to 1.
-            times: The times that polls keep.
+            random: A function that returns a random number between 0 and 1.
+            times: The intervals and timeouts of polls.
 
         Raises:
-            ValueError: There is no room for a pause between polls.
+            ValueError: The timeouts leave no time for a pause between two polls.
         """
-        _check_room_for_pause(times)
+        _validate_times(times)
         self.times = times
         self.is_failing = False
         self.deadline = 0.0
         self._random = random
         self._interval = times.first_interval
         self._next_pause = times.initial_pause
-        # The next poll waits for no changes: an answer to it proves that discovery is reachable.
+        # The next poll does not wait for changes: an answer proves that discovery is reachable.
         self._probes_next = False
-        # We have drawn a time of our own since the last event that all gateways met at once.
+        # The gateway has drawn a random time since the last event that all gateways saw together.
         self._is_desynchronized = False
         self._started_at = 0.0
         self._hold = 0.0
 
     def start_poll(self, now: float, is_watch: bool) -> float:
-        """Start a poll, with the dialing of its connection where that is needed.
+        """Start a poll, including the dialing of its connection if there is none.
 
         Args:
-            now: Unix time.
-            is_watch: Whether the poll asks for changes since a version, and so may be held; a
-                complete list comes at once.
+            now: The current Unix time.
+            is_watch: Whether the poll requests the changes since a version, which discovery may
+                hold. Discovery returns a complete list immediately.
 
         Returns:
-            The Unix time at which the poll counts as timed out.
+            The Unix time at which the poll times out.
         """
         self._started_at = now
         if is_watch and not self._probes_next:
@@ -111,14 +112,14 @@
         return self.deadline
 
     def remaining_hold(self, now: float) -> float:
-        """Seconds that discovery may hold the poll that is sent now: dialing took its part."""
+        """Return the seconds that discovery may hold the poll, less the time spent on dialing."""
         return max(0.0, min(self._hold, self.deadline - self.times.grace - now))
 
     def on_success(self, has_changes: bool) -> None:
-        """The poll brought a list.
+        """Record that the poll returned an endpoint list.
 
-        Changes reach all watching gateways at the same time; a gateway whose polls failed before
-        gets them at a time of its own.
+        Changes reach all watching gateways at the same time. A gateway whose previous poll failed
+        receives them at a different time, so they do not synchronize it with others.
         """
         self._is_desynchronized = self._is_desynchronized and (self.is_failing or not has_changes)
         self.is_failing = False
@@ -127,11 +128,12 @@
         self._interval = self.times.max_interval
 
     def pause_after(self, failure: PollFailure, now: float) -> float:
-        """Seconds until the next poll, after one that brought no list.
+        """Record that the poll failed and return the seconds until the next poll.
 
-        The poll after a timeout or failure waits for no changes, so that discovery that is
-        unreachable can be distinguished from one that has no changes. A gateway that was rejected
-        knows that discovery is reachable, and a poll to prove it would only be rejected again.
+        The poll after a timeout or a failure does not wait for changes, so that the gateway can
+        distinguish an unreachable discovery service from one without changes. After a rejection
+        the gateway knows that discovery is reachable, and discovery would only reject a poll that
+        verifies this.
         """
         pause = self._pause_length(failure)
         if failure is PollFailure.TIMED_OUT:
@@ -147,7 +149,7 @@
         return self._draw(remaining)
 
     def _pause_length(self, failure: PollFailure) -> float:
-        """The pause before jitter; a timeout was a pause itself."""
+        """Return the pause before jitter, in seconds; a timeout already served as a pause."""
         if failure is PollFailure.TIMED_OUT:
             return self.times.initial_pause
         if failure is PollFailure.REJECTED:
@@ -155,13 +157,13 @@
         return self._next_pause
 
     def _draw(self, maximum: float) -> float:
-        """A time of our own, up to so many seconds."""
+        """Return a random time of at most `maximum` seconds."""
         minimum = STEADY_DRAW_MINIMUM if self._is_desynchronized else DESYNCHRONIZING_DRAW_MINIMUM
         self._is_desynchronized = True
         return maximum * (minimum + (1 - minimum) * self._random())
 
 
-def _check_room_for_pause(times: PollTimes) -> None:
+def _validate_times(times: PollTimes) -> None:
     longest_poll = max(times.max_hold + times.grace, times.poll_timeout)
     longest_pause = JITTER_MAXIMUM * times.initial_pause
     if (
@@ -169,7 +171,7 @@
         or times.poll_timeout + longest_pause > times.first_interval
     ):
         raise ValueError(
-            f"expected calls of {times.max_hold} + {times.grace} and {times.poll_timeout} s that "
-            f"leave room for a pause of {longest_pause} within {times.max_interval} and "
-            f"{times.first_interval} s"
+            f"expected poll timeouts that leave time for a pause of {longest_pause} s, found a "
+            f"long poll of {times.max_hold} + {times.grace} s and a poll of {times.poll_timeout} s "
+            f"in intervals of {times.max_interval} s and {times.first_interval} s"
         )
--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -38,7 +38,7 @@
 
 LEASES_PER_MESSAGE = 100
 
-PREDECESSOR_GONE_AFTER_S = 10.0
+PREDECESSOR_EXIT_LIMIT_S = 10.0
 """A predecessor is gone by then: it is asked to end within 6 s and killed 3.7 s later."""
 
 CustomerLookup = Callable[[str, str, int, int], Customer | None]
@@ -146,7 +146,7 @@
 
     Ours stay empty until it is surely gone.
     """
-    controller.lease_manager.started_at = now + PREDECESSOR_GONE_AFTER_S
+    controller.lease_manager.started_at = now + PREDECESSOR_EXIT_LIMIT_S
 
 
 def resume_hard_limit_refill(controller: AdmissionController, now: float) -> None:
@@ -197,7 +197,7 @@
     """What follows from a message: an answer, an item that is ours now, an item to drop."""
 
     reply: ConnectionReceived | None = None
-    owned: ItemT | None = None
+    adopted: ItemT | None = None
     dropped: ItemT | None = None
 
 
@@ -230,7 +230,7 @@
             self.lease_rows += message.rows
             self.in_flight.update(dict(in_flight_of(row) for row in message.rows))
         if isinstance(message, ConnectionReleased):
-            return ReceiverStep(owned=self._pending.pop(message.number, None), dropped=item)
+            return ReceiverStep(adopted=self._pending.pop(message.number, None), dropped=item)
         if isinstance(message, ConnectionRetained) and item is None:
             return ReceiverStep(dropped=self._pending.pop(message.number, None))
         return ReceiverStep(dropped=item)
--- a/petrellane/operation/hot_restart_messages.py
+++ b/petrellane/operation/hot_restart_messages.py
@@ -50,11 +50,11 @@
 class ConnectionOffer(NamedTuple):
     """A client connection, with its descriptor and the bytes that were read from it.
 
-    `has_asked` tells whether its client has sent a command before.
+    `has_sent_rpc` tells whether its client has sent a command before.
     """
 
     number: int
-    has_asked: bool = False
+    has_sent_rpc: bool = False
 
 
 class ConnectionReceived(NamedTuple):
@@ -108,14 +108,14 @@
 }
 """The key of the JSON object that holds the first field of a message."""
 
-_HAS_ASKED_KEY = "asked"
+_HAS_SENT_RPC_KEY = "asked"
 
 
 def encode(message: Message) -> JsonObject:
     """The JSON object of a message."""
     data: JsonObject = {_KEYS[type(message)]: message[0]}
     if isinstance(message, ConnectionOffer):
-        data[_HAS_ASKED_KEY] = message.has_asked
+        data[_HAS_SENT_RPC_KEY] = message.has_sent_rpc
     return data
 
 
@@ -125,7 +125,7 @@
         if key in data:
             message = kind(data[key])
             if isinstance(message, ConnectionOffer):
-                return message._replace(has_asked=bool(data.get(_HAS_ASKED_KEY)))
+                return message._replace(has_sent_rpc=bool(data.get(_HAS_SENT_RPC_KEY)))
             return message
     return None
 
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -50,7 +50,7 @@
 
     sock: socket.socket
     data: bytes
-    has_asked: bool
+    has_sent_rpc: bool
 
 
 @dataclass(frozen=True)
@@ -157,13 +157,13 @@
         message = packet.message
         handoff = None
         if packet.sock:
-            has_asked = isinstance(message, ConnectionOffer) and message.has_asked
-            handoff = ClientHandoff(packet.sock, packet.data, has_asked)
+            has_sent_rpc = isinstance(message, ConnectionOffer) and message.has_sent_rpc
+            handoff = ClientHandoff(packet.sock, packet.data, has_sent_rpc)
         step = self._receiver.on_message(message, handoff)
         if step.reply:
             link.send(step.reply)
-        if step.owned:
-            self._handlers.adopt_connection(*step.owned)
+        if step.adopted:
+            self._handlers.adopt_connection(*step.adopted)
         if step.dropped:
             step.dropped.sock.close()
         if isinstance(message, ConsensusState):
@@ -284,7 +284,7 @@
         self._successor = link
         self._sender = hot_restart.HandoffSender()
         messages = self._handlers.export_state()
-        self._log.event("succeeded", leases=_exported_leases(messages))
+        self._log.event("succeeded", leases=_exported_lease_count(messages))
         for message in messages:
             link.send(message)
         self._handlers.on_successor(self)
@@ -306,7 +306,7 @@
         self,
         sock: socket.socket,
         data: bytes,
-        has_asked: bool,
+        has_sent_rpc: bool,
         on_settled: Callable[[bool], None],
     ) -> None:
         """Offer a client connection to the successor.
@@ -314,7 +314,7 @@
         Args:
             sock: The client's socket, from which nothing is read while the offer stands.
             data: What was read from it.
-            has_asked: Whether the client has sent a command before.
+            has_sent_rpc: Whether the client has sent a command before.
             on_settled: Called once, with whether the connection is the successor's now.
 
         Raises:
@@ -324,7 +324,7 @@
         if self._successor is None or sender is None:
             raise RuntimeError("no successor to offer a connection to")
         number = sender.offer(on_settled)
-        self._successor.send(ConnectionOffer(number, has_asked), data, sock.fileno())
+        self._successor.send(ConnectionOffer(number, has_sent_rpc), data, sock.fileno())
         self._scheduler.call_later(
             self._limits.handoff_timeout, partial(self._withdraw_offer, sender, number, on_settled)
         )
@@ -360,7 +360,7 @@
             self._listener = None
 
 
-def _exported_leases(messages: list[Message]) -> int:
+def _exported_lease_count(messages: list[Message]) -> int:
     """The count of the `LeasesComplete` that ends the messages."""
     last = messages[-1]
     if not isinstance(last, LeasesComplete):
--- a/petrellane/operation/lifecycle.py
+++ b/petrellane/operation/lifecycle.py
@@ -1,13 +1,13 @@
 """The lifecycle of a gateway process: starting, serving, draining, drained, ending.
 
-Rules free of I/O. `Lifecycle` receives management calls and signals together with the time at
-which they arrived, and answers plain questions. Each call has one defined result in each state.
-Closing connections and notifying callers is left to the services that own them.
+The module contains no I/O. `Lifecycle` receives management calls and signals together with the
+time of their arrival, and reports what the current state permits. Each call has one defined result
+in each state. The services that own the connections close them and notify their callers.
 
     starting --start--> serving
     starting or serving --drain--> draining --(no client left)--> drained
     draining or drained --resume--> serving
-    any state --begin_shutdown--> ending, from which nothing leads back
+    any state --begin_shutdown--> ending, which is final
 """
 
 import enum
@@ -15,7 +15,7 @@
 
 
 class LifecycleState(enum.StrEnum):
-    """A state of the process; the values appear in management answers and in the log."""
+    """A state of the process; management responses and the log contain the values."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -25,46 +25,47 @@
 
 
 REPORTED_WITH_SUCCESSOR = "followed"
-"""What management answers say of a serving process whose clients go to its successor."""
+"""The state in management responses of a serving process that hands its clients to a successor."""
 
-# Read for each command, where a class attribute of an enumeration would cost more.
+# Module constants, because each command reads them and an enumeration's attributes are slower.
 _ENDING = LifecycleState.ENDING
-_NOT_LEAVING = (LifecycleState.STARTING, LifecycleState.SERVING)
-_PASSES_HEALTH_CHECK = (*_NOT_LEAVING, _ENDING)
+_BEFORE_DRAIN = (LifecycleState.STARTING, LifecycleState.SERVING)
+_PASSES_HEALTH_CHECK = (*_BEFORE_DRAIN, _ENDING)
 _RESUMABLE = (LifecycleState.DRAINING, LifecycleState.DRAINED)
 
 
 class Lifecycle:
-    """Whether this process accepts clients and their commands.
+    """Decides whether the process accepts clients and their commands.
 
-    One per process, owned by the gateway, from its start to its end.
+    The gateway process owns one instance for its whole lifetime.
 
     Attributes:
         state: The current state.
-        drain_started_at: Unix time at which the last drain or shutdown began.
-        has_successor: Whether another process takes over the clients, after a hot restart.
+        drain_started_at: The Unix time at which the last drain or shutdown began.
+        has_successor: Whether another process takes over the clients in a hot restart.
     """
 
     def __init__(
         self,
-        change_over_s: float,
-        last_command_s: float,
+        grace_period_s: float,
+        command_cutoff_s: float,
         final_answer_delay_s: float = math.inf,
         max_deadline_s: float = math.inf,
     ) -> None:
-        """Start in the state `STARTING`.
+        """Initialize the lifecycle in the state `STARTING`.
 
         Args:
-            change_over_s: Seconds after the begin of a drain or shutdown in which clients still
-                arrive and are served as before.
-            last_command_s: Seconds after the begin of a drain from which on an open connection
-                accepts no new command.
-            final_answer_delay_s: What is still open this long, plus the longest deadline, after the
-                shutdown began is given its final answer then: the process is killed soon after.
-            max_deadline_s: A longer deadline counts as this in that sum.
+            grace_period_s: The seconds after the start of a drain or shutdown for which the
+                process still accepts and serves clients as before.
+            command_cutoff_s: The seconds after the start of a drain, or after a later connect,
+                from which on a connection accepts no new command.
+            final_answer_delay_s: The seconds beyond the longest deadline that a shutdown waits
+                before the gateway sends a final answer to every open request. The platform kills
+                the process soon after.
+            max_deadline_s: The upper limit, in seconds, of the longest deadline in that sum.
         """
-        self.change_over_s = change_over_s
-        self.last_command_s = last_command_s
+        self.grace_period_s = grace_period_s
+        self.command_cutoff_s = command_cutoff_s
         self.final_answer_delay_s = final_answer_delay_s
         self.max_deadline_s = max_deadline_s
         self.state = LifecycleState.STARTING
@@ -73,37 +74,37 @@
 
     @property
     def reported_state(self) -> str:
-        """The state as management answers give it."""
+        """The state as management responses report it."""
         if self.has_successor and self.state is LifecycleState.SERVING:
             return REPORTED_WITH_SUCCESSOR
         return self.state
 
     @property
     def is_ready(self) -> bool:
-        """Whether the process accepts clients and will go on to."""
+        """Whether the process accepts clients and no successor takes them over."""
         return self.state is LifecycleState.SERVING and not self.has_successor
 
     @property
     def passes_health_check(self) -> bool:
         """Whether a client's health check (PING) succeeds.
 
-        It does while the process ends: the platform takes such a process out of service, the
-        clients need not.
+        The health check succeeds during a shutdown: the platform takes the process out of
+        service, so the clients do not have to.
         """
         return self.state in _PASSES_HEALTH_CHECK
 
     def start(self) -> None:
-        """Serve from now on, unless a drain or a shutdown was requested before."""
+        """Start to serve, unless a drain or a shutdown was requested before."""
         if self.state is LifecycleState.STARTING:
             self.state = LifecycleState.SERVING
 
     def drain(self, now: float) -> bool:
-        """Let all clients go; a repeated call keeps the times of the first one.
+        """Start to drain all clients; a repeated call keeps the start time of the first.
 
         Returns:
-            True always: a process that is ending empties all the same.
+            Always True, because a process that shuts down drains its clients as well.
         """
-        if self.state in _NOT_LEAVING:
+        if self.state in _BEFORE_DRAIN:
             self.state = LifecycleState.DRAINING
             self.drain_started_at = now
         return True
@@ -112,25 +113,25 @@
         """Accept clients again after a drain.
 
         Returns:
-            Whether the process is ready now: not while it starts or ends or has a successor.
+            Whether the process is ready: False while it starts, shuts down or has a successor.
         """
         if self.state in _RESUMABLE:
             self.state = LifecycleState.SERVING
         return self.is_ready
 
     def begin_shutdown(self, now: float) -> None:
-        """End for good; a drain in progress keeps the time at which it began."""
+        """Start the shutdown, which is final; a drain in progress keeps its start time."""
         if self.state is LifecycleState.ENDING:
             return
-        if self.state in _NOT_LEAVING:
+        if self.state in _BEFORE_DRAIN:
             self.drain_started_at = now
         self.state = LifecycleState.ENDING
 
     def complete_drain(self, client_count: int) -> bool:
-        """Become drained when no client is left.
+        """Change from draining to drained if no client is connected.
 
         Returns:
-            True when this call completed the drain.
+            Whether this call completed the drain.
         """
         if self.state is LifecycleState.DRAINING and not client_count:
             self.state = LifecycleState.DRAINED
@@ -138,31 +139,37 @@
         return False
 
     def closes_idle_connections(self, now: float) -> bool:
-        """Whether a connection with no reply pending is closed."""
-        return self.state not in _NOT_LEAVING and now - self.drain_started_at >= self.change_over_s
+        """Return whether the gateway closes connections without a pending reply."""
+        return self.state not in _BEFORE_DRAIN and now - self.drain_started_at >= self.grace_period_s
 
     def accepts_command(
         self, now: float, connected_at: float, has_pending_replies: bool = False
     ) -> bool:
-        """Whether a connection accepts a new command; one that is refused gets an answer.
+        """Return whether a connection accepts a new command.
 
-        An ending process accepts a command that had begun to arrive, but none behind replies that
-        are still pending: such a connection would never end.
+        The gateway answers a command that it does not accept with a rejection. After the grace
+        period of a shutdown, it accepts a command that was already arriving, but no command on a
+        connection with pending replies: such a connection would never become idle.
+
+        Args:
+            now: The current Unix time.
+            connected_at: The Unix time at which the client connected.
+            has_pending_replies: Whether replies on the connection are pending.
         """
         if self.state is _ENDING:
             return not (has_pending_replies and self.closes_idle_connections(now))
-        if self.state in _NOT_LEAVING:
+        if self.state in _BEFORE_DRAIN:
             return True
-        return now - max(self.drain_started_at, connected_at) < self.last_command_s
+        return now - max(self.drain_started_at, connected_at) < self.command_cutoff_s
 
     def final_answer_time(self, longest_deadline: float) -> float:
-        """The Unix time by which all that is open is answered.
+        """Return the Unix time by which the gateway answers all open requests.
 
         Args:
-            longest_deadline: Seconds, the longest deadline of any method.
+            longest_deadline: The longest deadline of any method, in seconds.
 
         Returns:
-            Infinity unless the process is ending.
+            The Unix time; infinity unless the process is shutting down.
         """
         if self.state is not LifecycleState.ENDING:
             return math.inf
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -104,12 +104,12 @@
         for sock in accept_waiting(
             self.listener, self.limits.accepts_per_turn, self._on_descriptor_shortage
         ):
-            self._make_room()
+            self._evict_oldest()
             stream = Stream(self._scheduler, self.limits, sock, urgent=True)
             self.callers[stream] = None
             self._scheduler.spawn(self._serve, stream)
 
-    def _make_room(self) -> None:
+    def _evict_oldest(self) -> None:
         """Close the oldest connection, one that got its answer before one that did not."""
         for streams in (self.answered, self.callers):
             if streams and len(self.callers) + len(self.answered) >= self.limits.max_callers:
--- a/petrellane/operation/management_requests.py
+++ b/petrellane/operation/management_requests.py
@@ -34,7 +34,7 @@
 }
 """The reason phrase of each status that an answer may have."""
 
-MAX_LENGTH_DIGITS = 9
+MAX_CONTENT_LENGTH_DIGITS = 9
 """A Content-Length of more digits is no length."""
 
 _REQUEST_LINE_WORDS = 3
@@ -109,7 +109,7 @@
         RequestError: There is no plain Content-Length, or it is more than `max_length` bytes.
     """
     text = headers.get(b"content-length", b"")
-    if b"transfer-encoding" in headers or not text.isdigit() or len(text) > MAX_LENGTH_DIGITS:
+    if b"transfer-encoding" in headers or not text.isdigit() or len(text) > MAX_CONTENT_LENGTH_DIGITS:
         raise RequestError(411)
     length = int(text)
     if length > max_length:
