--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -334,7 +334,7 @@
         if self.client_listener.successor:  # clients go to the next process, not away
             self._end_clients()
             return
-        change_over = self.lifecycle.drain_started_at + self.limits.change_over - self.scheduler.now()
+        change_over = self.lifecycle.draining_since + self.limits.change_over - self.scheduler.now()
         self.scheduler.call_later(max(0.0, change_over), self._end_clients)
 
     def _end_clients(self) -> None:
--- a/petrellane/operation/lifecycle.py
+++ b/petrellane/operation/lifecycle.py
@@ -41,7 +41,7 @@
 
     Attributes:
         state: The current state.
-        drain_started_at: The Unix time at which the last drain or shutdown began.
+        draining_since: The Unix time at which the last drain or shutdown began.
         has_successor: Whether another process takes over the clients in a hot restart.
     """
 
@@ -69,7 +69,7 @@
         self.final_answer_delay_s = final_answer_delay_s
         self.max_deadline_s = max_deadline_s
         self.state = LifecycleState.STARTING
-        self.drain_started_at = 0.0
+        self.draining_since = 0.0
         self.has_successor = False
 
     @property
@@ -106,7 +106,7 @@
         """
         if self.state in _BEFORE_DRAIN:
             self.state = LifecycleState.DRAINING
-            self.drain_started_at = now
+            self.draining_since = now
         return True
 
     def resume(self) -> bool:
@@ -124,7 +124,7 @@
         if self.state is LifecycleState.ENDING:
             return
         if self.state in _BEFORE_DRAIN:
-            self.drain_started_at = now
+            self.draining_since = now
         self.state = LifecycleState.ENDING
 
     def complete_drain(self, client_count: int) -> bool:
@@ -140,7 +140,7 @@
 
     def closes_idle_connections(self, now: float) -> bool:
         """Return whether the gateway closes connections without a pending reply."""
-        return self.state not in _BEFORE_DRAIN and now - self.drain_started_at >= self.grace_period_s
+        return self.state not in _BEFORE_DRAIN and now - self.draining_since >= self.grace_period_s
 
     def accepts_command(
         self, now: float, connected_at: float, has_pending_replies: bool = False
@@ -160,7 +160,7 @@
             return not (has_pending_replies and self.closes_idle_connections(now))
         if self.state in _BEFORE_DRAIN:
             return True
-        return now - max(self.drain_started_at, connected_at) < self.command_cutoff_s
+        return now - max(self.draining_since, connected_at) < self.command_cutoff_s
 
     def final_answer_time(self, longest_deadline: float) -> float:
         """Return the Unix time by which the gateway answers all open requests.
@@ -173,4 +173,4 @@
         """
         if self.state is not LifecycleState.ENDING:
             return math.inf
-        return self.drain_started_at + min(longest_deadline, self.max_deadline_s) + self.final_answer_delay_s
+        return self.draining_since + min(longest_deadline, self.max_deadline_s) + self.final_answer_delay_s
