--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -1,13 +1,14 @@
-"""How one process of a gateway takes over from another without a gap: a hot restart.
+"""The protocol of a hot restart, in which one gateway process takes over from another.
 
-Rules free of I/O. To everybody else the two processes, predecessor and successor, are one gateway:
-each lease, each share of a hard limit and each client connection has one holder at a time. The
-predecessor gives things up before it sends them, so that what is lost on the way has no holder.
-A connection is handed over in three steps: offered, received, released. The successor reads from it
-after the third step only, and the predecessor may withdraw it until the second one.
+The module contains no I/O. Peers see the two processes, predecessor and successor, as one gateway:
+at most one of them holds each lease, each share of a hard limit and each client connection. The
+predecessor gives up leases and shares before it sends them, so neither process holds what is lost
+in transit. The handoff of a connection has three steps: offered, received, released. The successor
+reads from the connection only after the third step, and the predecessor may withdraw the offer
+until it learns of the second one.
 
-Sockets and time limits are left to `hot_restart_transport`, the form of the messages to
-`hot_restart_messages`, the state of a lease to the decisions.
+`hot_restart_transport` owns the sockets and timeouts, `hot_restart_messages` the encoding of the
+messages, and the package `decisions` the state of a lease.
 """
 
 import math
@@ -39,16 +40,16 @@
 LEASES_PER_MESSAGE = 100
 
 PREDECESSOR_EXIT_LIMIT_S = 10.0
-"""A predecessor is gone by then: it is asked to end within 6 s and killed 3.7 s later."""
+"""The time by which a predecessor has exited: it gets SIGTERM within 6 s, SIGKILL 3.7 s later."""
 
 CustomerLookup = Callable[[str, str, int, int], Customer | None]
-"""The customer of a name, plan, first gateway and gateway count; None where there is no plan."""
+"""Finds a customer by name, plan, first gateway and gateway count; None for an unknown plan."""
 
 ItemT = TypeVar("ItemT")
 
 
 def validate_transfer_request(request: TransferRequest) -> TransferRefusal | None:
-    """The refusal of a request of another version; None where the transfer may begin."""
+    """Return the refusal of a request of another protocol version; None if the version matches."""
     if request.version == PROTOCOL_VERSION:
         return None
     return TransferRefusal(PROTOCOL_VERSION)
@@ -57,13 +58,14 @@
 def export_leases(
     controller: AdmissionController, now: float, consensus_state: JsonObject | None = None
 ) -> list[Message]:
-    """Give up all leases of the predecessor.
+    """Give up all leases of the predecessor and encode them for the successor.
 
     Args:
-        controller: The predecessor's decisions, which hold the leases no more after this.
-        now: Unix time.
-        consensus_state: What the predecessor reports of settings that gateways agree on, where
-            they do.
+        controller: The predecessor's admission controller; afterwards its leases contain only the
+            hard-limit units of waiting RPCs.
+        now: The current Unix time.
+        consensus_state: The predecessor's state in the consensus on settings, if the gateways
+            use consensus.
 
     Returns:
         The messages to send, in order; the last one is a `LeasesComplete`.
@@ -92,7 +94,10 @@
 
 
 def _replace_infinities(state: JsonObject) -> JsonObject:
-    """The same with 0 for infinity, which JSON lacks: credit of a plan without quota is unused."""
+    """Return the state with 0 in place of each number that JSON cannot encode.
+
+    The credit of a plan without quota is infinite, and the gateway does not use it.
+    """
     return {
         name: 0.0 if isinstance(value, float) and not math.isfinite(value) else value
         for name, value in state.items()
@@ -107,10 +112,16 @@
 ) -> int:
     """Take over the leases that a predecessor gave up.
 
-    A malformed row, or one of an unknown plan, has no holder from then on.
+    The lease of a malformed row, or of a row with an unknown plan, is lost.
+
+    Args:
+        controller: The successor's admission controller.
+        now: The current Unix time.
+        rows: The encoded leases.
+        find_customer: The function that finds the customer of a row.
 
     Returns:
-        How many leases were taken over.
+        The number of imported leases.
     """
     count = 0
     for row in rows:
@@ -130,10 +141,16 @@
 def release_in_flight(
     controller: AdmissionController, now: float, customer: Customer, count: int
 ) -> int:
-    """Some attempts of a customer that were in flight at the predecessor have ended.
+    """Release attempts of a customer that were in flight at the predecessor and have ended.
+
+    Args:
+        controller: The successor's admission controller.
+        now: The current Unix time.
+        customer: The customer of the attempts.
+        count: The number of attempts that have ended.
 
     Returns:
-        How many of them the customer's lease counted.
+        The number by which the in-flight count of the customer's lease decreased.
     """
     lease = controller.lease_manager.lease_of(customer, now)
     in_flight_before = lease.in_flight
@@ -142,26 +159,29 @@
 
 
 def withhold_hard_limits(controller: AdmissionController, now: float) -> None:
-    """A predecessor gave up nothing, and may still use its shares of hard limits.
+    """Keep the successor's hard limits empty until the predecessor has certainly exited.
 
-    Ours stay empty until it is surely gone.
+    A predecessor that did not answer may still use its shares of the hard limits.
     """
     controller.lease_manager.started_at = now + PREDECESSOR_EXIT_LIMIT_S
 
 
 def resume_hard_limit_refill(controller: AdmissionController, now: float) -> None:
-    """The successor is gone, and what was given up with it: shares grow again, from nothing."""
+    """Restart the refill of the predecessor's hard limits after the successor has exited.
+
+    The units that the predecessor handed over are lost with the successor.
+    """
     for lease in controller.lease_manager.leases.values():
         lease.hard_limit_filled_at = min(lease.hard_limit_filled_at, now)
 
 
 class HandoffSender(Generic[ItemT]):
-    """The predecessor's end: which connections are offered and not yet received.
+    """The predecessor's side of the handoff: the offers that the successor has not received.
 
-    Lives as long as the link to one successor.
+    The transport owns one instance for each successor, while that successor is connected.
 
     Attributes:
-        offered: What is offered, by the number of the offer.
+        offered: The offered items, by offer number.
     """
 
     def __init__(self) -> None:
@@ -169,23 +189,23 @@
         self._last_number = 0
 
     def offer(self, item: ItemT) -> int:
-        """Offer an item; its number."""
+        """Offer an item and return the number of the offer."""
         self._last_number += 1
         self.offered[self._last_number] = item
         return self._last_number
 
     def withdraw(self, number: int) -> bool:
-        """Withdraw an offer; False where it was received before."""
+        """Withdraw an offer and return whether it was still pending."""
         return self.offered.pop(number, None) is not None
 
     def on_received(
         self, number: int
     ) -> tuple[ItemT | None, ConnectionReleased | ConnectionRetained]:
-        """The successor has an item.
+        """Handle the successor's confirmation that it has received an item.
 
         Returns:
-            The item, which the predecessor has to let go of, or None where it was withdrawn; and
-            the message that tells the successor which.
+            A pair of the item, which the predecessor must release (None if the offer was
+            withdrawn), and the message that tells the successor the result.
         """
         item = self.offered.pop(number, None)
         if item is None:
@@ -194,7 +214,13 @@
 
 
 class ReceiverStep(NamedTuple, Generic[ItemT]):
-    """What follows from a message: an answer, an item that is ours now, an item to drop."""
+    """The result of a message at the successor.
+
+    Attributes:
+        reply: The message to send to the predecessor, if any.
+        adopted: The item that now belongs to the successor, if any.
+        dropped: The item that the successor must close, if any.
+    """
 
     reply: ConnectionReceived | None = None
     adopted: ItemT | None = None
@@ -202,13 +228,14 @@
 
 
 class HandoffReceiver(Generic[ItemT]):
-    """The successor's end: what it has received and does not own yet.
+    """The successor's side of the handoff: the received items that it does not own yet.
 
-    Lives as long as the link to the predecessor.
+    The successor creates one instance for its transfer from the predecessor.
 
     Attributes:
-        lease_rows: Rows of leases that are received and not imported.
-        in_flight: By customer, how many attempts the predecessor still has in flight.
+        lease_rows: The received leases that are not imported yet.
+        in_flight: The attempts in flight at the predecessor by customer name, less the requests
+            that the predecessor has reported as ended.
     """
 
     def __init__(self) -> None:
@@ -220,8 +247,11 @@
         """Handle a message of the predecessor.
 
         Args:
-            message: None stands for a message that this version does not know.
-            item: The connection that came with it, if any.
+            message: The message; None for a message that this version does not know.
+            item: The connection that the message carries, if any.
+
+        Returns:
+            The reply to send and the items to adopt or to close.
         """
         if isinstance(message, ConnectionOffer) and item is not None:
             self._pending[message.number] = item
@@ -236,12 +266,16 @@
         return ReceiverStep(dropped=item)
 
     def on_request_ended(self, customer: str) -> bool:
-        """A request of a customer has ended there; whether its lease came with it in flight."""
+        """Handle the end of a customer's request at the predecessor.
+
+        Returns:
+            Whether the in-flight count that arrived with the customer's lease was still positive.
+        """
         self.in_flight[customer] -= 1
         return self.in_flight[customer] >= 0
 
     def on_sender_lost(self) -> list[ItemT]:
-        """The predecessor is gone; the connections that it did not release are to be dropped."""
+        """Handle the end of the link; return the unreleased items, which the caller must close."""
         pending = list(self._pending.values())
         self._pending = {}
         return pending
--- a/petrellane/operation/hot_restart_link.py
+++ b/petrellane/operation/hot_restart_link.py
@@ -1,8 +1,8 @@
-"""One connection between the two processes of a hot restart: packets on a Unix socket.
+"""A connection between the two processes of a hot restart: packets on a Unix socket.
 
-Service: it owns the socket. A message is one packet: a JSON object, a line end, the bytes that go
-with it, and at most one descriptor. The form of the JSON is in `hot_restart_messages`; who connects
-to whom, and when, is left to `hot_restart_transport`.
+The link owns the socket. Each message is one packet: a JSON object, a newline, optional data bytes
+and at most one file descriptor. `hot_restart_messages` encodes the JSON objects, and
+`hot_restart_transport` opens and accepts the connections.
 """
 
 import contextlib
@@ -20,7 +20,13 @@
 
 
 class Packet(NamedTuple):
-    """A received message with what came along; `message` is None where it is unknown."""
+    """A received packet.
+
+    Attributes:
+        message: The message; None if this version does not know it.
+        data: The bytes after the JSON object and its newline.
+        sock: The socket of the received descriptor, if any.
+    """
 
     message: Message | None
     data: bytes
@@ -28,7 +34,10 @@
 
 
 class MessageLink:
-    """One connection between two processes; it closes itself at the peer's end or at nonsense."""
+    """A connection between two processes, owned by the `HotRestartTransport` that created it.
+
+    The link closes itself when the peer closes the connection or sends a malformed packet.
+    """
 
     def __init__(
         self,
@@ -38,32 +47,38 @@
         on_packet: Callable[["MessageLink", Packet], None],
         on_closed: Callable[["MessageLink"], None],
     ) -> None:
-        """Read from a connected socket, which the link owns from now on.
+        """Take ownership of a connected socket and start to read from it.
 
         Args:
-            scheduler: Reports when the socket is ready.
-            limits: Sizes.
-            sock: A SOCK_SEQPACKET socket.
-            on_packet: Called with each message.
-            on_closed: Called once, at the end.
+            scheduler: The scheduler that reports when the socket is ready.
+            limits: The limits, which contain the maximum packet size.
+            sock: A connected SOCK_SEQPACKET socket.
+            on_packet: The callback for each received packet.
+            on_closed: The callback for the closed connection; the link calls it once.
         """
         self._scheduler = scheduler
         self._limits = limits
         self._sock = sock
         self._on_packet = on_packet
         self._on_closed = on_closed
-        # Packets, and the descriptors that go with each, which the socket did not accept yet.
+        # Packets with their descriptors that the socket has not accepted yet.
         self._unsent: deque[tuple[bytes, list[int]]] = deque()
         sock.setblocking(False)
         scheduler.register(sock.fileno(), select.POLLIN, self._on_events, urgent=True)
 
     @property
     def has_unsent(self) -> bool:
-        """Whether a message still waits for the socket."""
+        """Whether the socket has not accepted all messages yet."""
         return bool(self._unsent)
 
     def send(self, message: Message, data: bytes = b"", descriptor: int | None = None) -> None:
-        """Send a message, now or as soon as the socket accepts it; never waits."""
+        """Send a message without blocking; the link queues it until the socket accepts it.
+
+        Args:
+            message: The message.
+            data: The data bytes that follow the message in its packet.
+            descriptor: The file descriptor to send with the packet, if any.
+        """
         packet = orjson.dumps(encode(message)) + b"\n" + bytes(data)
         self._unsent.append((packet, [] if descriptor is None else [descriptor]))
         self._flush()
@@ -111,7 +126,10 @@
 
     @staticmethod
     def _parse(packet: bytes, descriptors: list[int], flags: int) -> Packet | None:
-        """The parts of a packet; None at the end of the connection, which is an empty packet."""
+        """Return the parsed packet; None if the packet is malformed.
+
+        An empty packet, which the socket returns after the peer has closed, is malformed too.
+        """
         sockets = [socket.socket(fileno=number) for number in descriptors] if packet else []
         head, _, data = packet.partition(b"\n")
         content: Any = None
--- a/petrellane/operation/hot_restart_messages.py
+++ b/petrellane/operation/hot_restart_messages.py
@@ -1,9 +1,9 @@
-"""The messages of a hot restart and their one codec.
+"""The messages of a hot restart and their codec.
 
-Two processes of one gateway, the predecessor and its successor, exchange these messages; the two
-may be of different versions. So the JSON keys are fixed, an unknown message is ignored, and the
-codec is the only place that knows the keys. Which bytes carry a message is left to
-`hot_restart_transport`, its meaning to `hot_restart`.
+Two processes of one gateway, the predecessor and its successor, exchange these messages. The
+processes may run different versions, so the JSON keys are fixed, a process ignores an unknown
+message, and only this codec contains the keys. `hot_restart_link` frames the messages as packets,
+and `hot_restart` defines their semantics.
 """
 
 from collections.abc import Mapping
@@ -15,42 +15,44 @@
 
 
 class TransferRequest(NamedTuple):
-    """The successor asks for all that the predecessor holds."""
+    """Requests the leases and client connections of the predecessor."""
 
     version: int
 
 
 class TransferRefusal(NamedTuple):
-    """The predecessor keeps what it holds: it knows another version, or has a successor."""
+    """Refuses a transfer: the predecessor speaks another version or already has a successor."""
 
     version: int
 
 
 class ConsensusState(NamedTuple):
-    """The predecessor's consensus state, as its participant reports it to others.
+    """The predecessor's consensus state, as its participant reports it to other participants.
 
-    Not read here: the successor compares it with its own.
+    The codec does not interpret the state; the successor compares it with its own.
     """
 
     state: JsonObject
 
 
 class LeaseBatch(NamedTuple):
-    """Some leases that the predecessor gave up; `decode_lease` reads a row."""
+    """A batch of leases that the predecessor gave up; `decode_lease` decodes a row."""
 
     rows: list[JsonObject]
 
 
 class LeasesComplete(NamedTuple):
-    """All leases are sent."""
+    """Marks the end of the leases and contains their number."""
 
     lease_count: int
 
 
 class ConnectionOffer(NamedTuple):
-    """A client connection, with its descriptor and the bytes that were read from it.
+    """Offers a client connection; its packet carries the descriptor and the unprocessed bytes.
 
-    `has_sent_rpc` tells whether its client has sent a command before.
+    Attributes:
+        number: The number of the offer.
+        has_sent_rpc: Whether the client has sent an RPC before.
     """
 
     number: int
@@ -58,25 +60,25 @@
 
 
 class ConnectionReceived(NamedTuple):
-    """The successor has the descriptor, and does not read from it yet."""
+    """Confirms that the successor has the descriptor; it does not read from it yet."""
 
     number: int
 
 
 class ConnectionReleased(NamedTuple):
-    """The connection belongs to the successor, which reads from it now."""
+    """Transfers the connection to the successor, which now reads from it."""
 
     number: int
 
 
 class ConnectionRetained(NamedTuple):
-    """The connection stays with the predecessor: the successor closes its descriptor."""
+    """Withdraws the offer: the predecessor keeps the connection, the successor closes its copy."""
 
     number: int
 
 
 class RequestEnded(NamedTuple):
-    """A request of this customer has ended at the predecessor."""
+    """Reports that a request of this customer has ended at the predecessor."""
 
     customer: str
 
@@ -106,13 +108,13 @@
     ConnectionRetained: "kept",
     RequestEnded: "ended",
 }
-"""The key of the JSON object that holds the first field of a message."""
+"""The JSON key of the first field of each message, which also identifies the message."""
 
 _HAS_SENT_RPC_KEY = "asked"
 
 
 def encode(message: Message) -> JsonObject:
-    """The JSON object of a message."""
+    """Return the JSON object of a message."""
     data: JsonObject = {_KEYS[type(message)]: message[0]}
     if isinstance(message, ConnectionOffer):
         data[_HAS_SENT_RPC_KEY] = message.has_sent_rpc
@@ -120,7 +122,7 @@
 
 
 def decode(data: JsonObject) -> Message | None:
-    """The message of a JSON object; None where this version knows no such message."""
+    """Return the message of a JSON object; None if this version does not know the message."""
     for kind, key in _KEYS.items():
         if key in data:
             message = kind(data[key])
@@ -131,7 +133,7 @@
 
 
 class LeaseRecord(NamedTuple):
-    """One lease as it is handed over; the decisions own the form of its `state`."""
+    """One lease in a transfer; the package `decisions` defines the format of `state`."""
 
     customer: str
     plan: str
@@ -141,7 +143,7 @@
 
 
 def encode_lease(record: LeaseRecord) -> JsonObject:
-    """The row of a lease in a `LeaseBatch`."""
+    """Return the row of a lease in a `LeaseBatch`."""
     return {
         "customer": record.customer,
         "plan": record.plan,
@@ -152,10 +154,12 @@
 
 
 def decode_lease(row: JsonObject) -> LeaseRecord:
-    """The lease of a row.
+    """Return the lease of a row.
 
     Raises:
-        KeyError, TypeError, ValueError: The row is malformed.
+        KeyError: The row lacks a field.
+        TypeError: A field has the wrong type.
+        ValueError: A field is not a number.
     """
     return LeaseRecord(
         row["customer"], row["plan"], int(row["first"]), int(row["spread"]), row["lease"]
@@ -163,9 +167,10 @@
 
 
 def in_flight_of(row: JsonObject) -> tuple[str, int]:
-    """The customer of a row and how many of its attempts the predecessor has in flight.
+    """Return the customer name of a row and the number of attempts in flight at the predecessor.
 
     Raises:
-        KeyError, TypeError: The row is malformed.
+        KeyError: The row lacks a field.
+        TypeError: A field has the wrong type.
     """
     return row["customer"], row["lease"]["out"]
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -1,7 +1,8 @@
-"""Carries a hot restart between two processes, over a Unix socket in a folder that both see.
+"""The transport of a hot restart: a Unix socket in a folder that both processes can access.
 
-Service: it owns the listener and the time limits. Packets are in `hot_restart_link`, the messages
-in `hot_restart_messages`; what they mean, and who owns what when, is in `hot_restart`.
+The transport owns the listener and the timeouts. `hot_restart_link` sends and receives the packets,
+`hot_restart_messages` encodes the messages, and `hot_restart` defines their semantics and which
+process owns a connection at each step.
 """
 
 import hashlib
@@ -33,11 +34,11 @@
 )
 
 _BACKLOG = 4
-"""Connections that wait at the listener: one successor, and some that were killed while asking."""
+"""The listener's backlog: one successor and a few that were killed while they connected."""
 
 
 def socket_name(gateway: str) -> str:
-    """The name of a gateway's socket; other gateways may have theirs in the same folder."""
+    """Return the file name of a gateway's socket; gateways may share the folder."""
     return f"petrellane-{hashlib.blake2b(gateway.encode(), digest_size=8).hexdigest()}.sock"
 
 
@@ -46,7 +47,13 @@
 
 
 class ClientHandoff(NamedTuple):
-    """A client connection on its way: its socket, what was read from it, whether it has asked."""
+    """A client connection during its handoff.
+
+    Attributes:
+        sock: The client's socket.
+        data: The bytes that the predecessor has read but not processed.
+        has_sent_rpc: Whether the client has sent an RPC before.
+    """
 
     sock: socket.socket
     data: bytes
@@ -55,18 +62,22 @@
 
 @dataclass(frozen=True)
 class HotRestartHandlers:
-    """What the gateway does at the steps of a hot restart.
+    """The gateway's callbacks for the steps of a hot restart.
 
     Attributes:
-        export_state: Gives up what the successor is to have; the messages that carry it.
-        on_successor: Called with the transport once there is a successor to offer connections to,
-            and with None when it is gone again.
-        import_leases: Takes over rows of leases; how many.
-        adopt_connection: Takes over a client connection: its socket, what was read from it, and
-            whether its client has sent a command before.
-        release_in_flight: Called with a customer and how many of its requests ended that the
-            predecessor had in flight.
-        on_predecessor_still_running: The predecessor goes on with all that it holds.
+        export_state: The function that gives up the state for the successor and returns the
+            messages that contain it.
+        on_successor: The callback for a change of the successor. The transport calls it with
+            itself when it can offer connections to a successor, and with None when that successor
+            disconnects.
+        import_leases: The function that imports rows of leases and returns their number.
+        adopt_connection: The function that takes over a client connection, given its socket, the
+            bytes that the predecessor has read but not processed, and whether the client has sent
+            an RPC before.
+        release_in_flight: The callback for ended requests of the predecessor, with the customer
+            name and their number.
+        on_predecessor_still_running: The callback for a predecessor that hands over no state and
+            may continue to use it.
     """
 
     export_state: Callable[[], list[Message]]
@@ -78,14 +89,14 @@
 
 
 class HotRestartTransport:
-    """Both ends of a hot restart: first the successor's, then the predecessor's.
+    """Both sides of a hot restart: first the successor's, then the predecessor's.
 
-    One per process, owned by the gateway, from its start to its end.
+    The gateway process owns one instance for its whole lifetime.
 
     Attributes:
-        consensus_state: What the predecessor reports of settings that gateways agree on; None
-            before that came, and where they do not.
-        links: The connections of processes that may become our successor, oldest first.
+        consensus_state: The predecessor's state in the consensus on settings; None before it
+            arrives and if the gateways do not use consensus.
+        links: The connections from processes that may become the successor, oldest first.
     """
 
     def __init__(
@@ -112,25 +123,26 @@
         self._on_ready: Callable[[], None] | None = None
 
     def socket_path(self) -> str:
-        """Where the socket is.
+        """Return the path of the socket.
 
-        Paths of sockets are short and those of folders are not, so the path starts at the folder's
-        descriptor.
+        The maximum length of a socket path is shorter than the path of a folder may be, so the
+        path refers to the folder by its descriptor.
 
         Raises:
-            OSError: There is no such folder.
+            OSError: The folder cannot be opened.
         """
         if self._folder is None:
             self._folder = os.open(_socket_folder(), os.O_RDONLY | os.O_DIRECTORY)
         return f"/proc/self/fd/{self._folder}/{self._socket_name}"
 
-    # The successor's end.
+    # The successor's side.
 
     def request_transfer(self, on_ready: Callable[[], None]) -> None:
-        """Ask the predecessor for what it holds.
+        """Request the predecessor's leases and connections.
 
         Args:
-            on_ready: Called once there is nothing more to wait for.
+            on_ready: The callback that the transport calls once, when the transfer of the leases
+                is complete or has failed.
         """
         self._on_ready = on_ready
         self._receiver = hot_restart.HandoffReceiver()
@@ -138,7 +150,7 @@
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
             sock.connect(self.socket_path())
-        except OSError:  # no predecessor, or only its file is left, or we have no descriptor
+        except OSError:  # no predecessor, a stale socket file, or no free descriptor
             if sock:
                 sock.close()
             self._scheduler.call_soon(self._finish_transfer, "none before")
@@ -179,7 +191,10 @@
             link.close()
 
     def _on_transfer_timeout(self) -> None:
-        """A predecessor that stands still keeps what it has; what it sends later has no holder."""
+        """Close the link to a predecessor that does not respond.
+
+        The predecessor keeps its connections; leases that it gives up later are lost.
+        """
         if self._on_ready and self._predecessor:
             self._predecessor.close()
 
@@ -192,24 +207,28 @@
         self._predecessor = None
         self._finish_transfer("not answered")
 
-    def _finish_transfer(self, how: str, **figures: int) -> None:
-        """Go on without the predecessor, once; `how` and the figures go to the log."""
+    def _finish_transfer(self, outcome: str, **log_fields: int) -> None:
+        """Log the outcome of the transfer, start to serve and listen for a successor.
+
+        Only the first call has an effect.
+        """
         on_ready = self._on_ready
         self._on_ready = None
         if not on_ready:
             return
-        self._log.event("succeeds", how=how, **figures)
-        if how == "not answered":
+        self._log.event("succeeds", how=outcome, **log_fields)
+        if outcome == "not answered":
             self._handlers.on_predecessor_still_running()
         on_ready()
         self.listen()
 
-    # The predecessor's end.
+    # The predecessor's side.
 
     def listen(self) -> None:
-        """Let a successor find us; the socket file of a process that is gone is replaced.
+        """Listen for a successor and replace the socket file of an earlier process.
 
-        Where that can't be, nobody can take over without a loss; all else goes on.
+        If the process cannot listen, it serves clients all the same, but a successor cannot take
+        over its leases and connections.
         """
         self.close()
         try:
@@ -245,9 +264,8 @@
         if not self._listener:
             return
         for sock in accept_waiting(self._listener, 1, self._on_descriptor_shortage):
-            if (
-                len(self.links) >= self._limits.max_callers
-            ):  # the oldest that is no successor makes way
+            if len(self.links) >= self._limits.max_callers:
+                # Closes the oldest link that does not belong to the successor.
                 next(link for link in self.links if link is not self._successor).close()
             link = MessageLink(
                 self._scheduler,
@@ -259,7 +277,7 @@
             self.links[link] = None
 
     def _on_descriptor_shortage(self, _error: OSError) -> None:
-        """Accept again soon: the listener would be ready at every poll."""
+        """Pause accepting for `accept_retry_delay`: the listener would be ready at every poll."""
         if self._listener:
             self._scheduler.unregister(self._listener.fileno())
             self._scheduler.call_later(self._limits.accept_retry_delay, self._resume_accepting)
@@ -290,7 +308,10 @@
         self._handlers.on_successor(self)
 
     def _on_successor_lost(self, link: MessageLink) -> None:
-        """What is here is ours again; what was given up has no holder."""
+        """Keep the connections that the successor does not own and listen for another successor.
+
+        The leases that the predecessor gave up are lost with the successor.
+        """
         self.links.pop(link, None)
         sender = self._sender
         if link is not self._successor or sender is None:
@@ -312,17 +333,18 @@
         """Offer a client connection to the successor.
 
         Args:
-            sock: The client's socket, from which nothing is read while the offer stands.
-            data: What was read from it.
-            has_sent_rpc: Whether the client has sent a command before.
-            on_settled: Called once, with whether the connection is the successor's now.
+            sock: The client's socket; the caller must not read from it while the offer is pending.
+            data: The bytes that the caller has read from the socket but not processed.
+            has_sent_rpc: Whether the client has sent an RPC before.
+            on_settled: The callback for the result of the offer; the transport calls it once, with
+                whether the connection now belongs to the successor.
 
         Raises:
             RuntimeError: There is no successor.
         """
         sender = self._sender
         if self._successor is None or sender is None:
-            raise RuntimeError("no successor to offer a connection to")
+            raise RuntimeError("expected a connected successor for the offer, found none")
         number = sender.offer(on_settled)
         self._successor.send(ConnectionOffer(number, has_sent_rpc), data, sock.fileno())
         self._scheduler.call_later(
@@ -339,17 +361,17 @@
             on_settled(False)
 
     def report_request_ended(self, customer: str) -> None:
-        """A request of this customer has ended here; a successor is notified."""
+        """Tell the successor, if any, that a request of this customer has ended."""
         if self._successor:
             self._successor.send(RequestEnded(customer))
 
     @property
     def has_unsent(self) -> bool:
-        """Whether a successor still has messages to get."""
+        """Whether messages to the successor are still waiting for the socket."""
         return self._successor is not None and self._successor.has_unsent
 
     def close(self) -> None:
-        """Let no successor find us any more."""
+        """Stop listening for a successor."""
         if self._folder is not None:
             os.close(self._folder)
             self._folder = None
@@ -361,7 +383,7 @@
 
 
 def _exported_lease_count(messages: list[Message]) -> int:
-    """The count of the `LeasesComplete` that ends the messages."""
+    """Return the number of leases from the `LeasesComplete` that ends the messages."""
     last = messages[-1]
     if not isinstance(last, LeasesComplete):
         raise TypeError(f"expected LeasesComplete as the last message, found {last!r}")
--- a/petrellane/operation/lifecycle.py
+++ b/petrellane/operation/lifecycle.py
@@ -147,9 +147,9 @@
     ) -> bool:
         """Return whether a connection accepts a new command.
 
-        The gateway answers a command that it does not accept with a rejection. After the grace
-        period of a shutdown, it accepts a command that was already arriving, but no command on a
-        connection with pending replies: such a connection would never become idle.
+        The gateway rejects other commands with a reply. After the grace period of a shutdown, it
+        still accepts a command that has begun to arrive, but none on a connection with pending
+        replies: such a connection might never become idle.
 
         Args:
             now: The current Unix time.
@@ -173,4 +173,8 @@
         """
         if self.state is not LifecycleState.ENDING:
             return math.inf
-        return self.draining_since + min(longest_deadline, self.max_deadline_s) + self.final_answer_delay_s
+        return (
+            self.draining_since
+            + min(longest_deadline, self.max_deadline_s)
+            + self.final_answer_delay_s
+        )
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -1,8 +1,9 @@
-"""The management listener: HTTP/1.1, one request per connection, answered however busy we are.
+"""The management server: HTTP/1.1 with one request per connection, even when the gateway is busy.
 
-Service: it owns the sockets. What a request means is in `management_requests`, what it does in
-`lifecycle`. Connections are bounded in number (the oldest incomplete request makes way) and in
-time. Other parts register handlers: paths whose requests have a body.
+The server owns the sockets. `management_requests` parses the requests, and `lifecycle` contains
+their effects. The server limits the number of connections (it closes the oldest, with an answered
+request before an incomplete one) and their duration. Other modules register handlers for paths
+whose requests have a body.
 """
 
 import select
@@ -18,19 +19,20 @@
 
 Headers = Mapping[bytes, bytes]
 Handler = Callable[[Headers, bytes], HttpResponse]
-"""Answers a request, given its header fields and its body."""
+"""Returns the response to a request, given its header fields and its body."""
 
 _HEAD_END = b"\r\n\r\n"
 
 
 class ManagementServer:
-    """Accepts management requests; the process owns it from its start to its end.
+    """Serves management requests; the process owns one instance for its whole lifetime.
 
     Attributes:
-        limits: Sizes and times; replaced when the configuration changes.
-        handlers: Path of a POST request to the handler that answers it.
-        callers: Connections whose request is incomplete, oldest first.
-        answered: Connections that got their answer and are not closed yet, oldest first.
+        limits: The size limits and timeouts; a change of the configuration replaces them.
+        handlers: The handlers of POST requests, by path.
+        callers: The connections whose request has no response yet, oldest first.
+        answered: The open connections whose request has a response, oldest first.
+        listener: The listening socket; None while the server does not listen.
     """
 
     def __init__(
@@ -41,15 +43,15 @@
         on_state_changed: Callable[[], None],
         free_descriptor: Callable[[OSError], bool | None],
     ) -> None:
-        """Wire the parts; nothing listens yet.
+        """Initialize the server without a listener.
 
         Args:
-            scheduler: Runs a greenlet per request.
-            limits: Sizes and times.
-            lifecycle: What requests report and change.
-            on_state_changed: Called after each request that changed the state.
-            free_descriptor: Called when no descriptor is left for a connection; returns whether it
-                has freed one.
+            scheduler: The scheduler that runs a greenlet for each request.
+            limits: The size limits and timeouts.
+            lifecycle: The lifecycle that requests report and change.
+            on_state_changed: The callback for each request that has changed the state.
+            free_descriptor: The function that the server calls when no file descriptor is left
+                for a connection; it returns whether it has freed one.
         """
         self.limits = limits
         self.handlers: dict[bytes, Handler] = {}
@@ -66,13 +68,13 @@
         """Listen at an address.
 
         Raises:
-            OSError: The address can't be had.
+            OSError: The address cannot be bound.
         """
         self.listener = open_listener(address, self.limits.backlog)
         self.resume_accepting()
 
     def resume_accepting(self) -> None:
-        """Accept connections, where we listen."""
+        """Accept connections if the server listens."""
         if self.listener and not self._is_accepting:
             self._is_accepting = True
             self._scheduler.register(
@@ -93,7 +95,7 @@
             self.listener = None
 
     def _on_descriptor_shortage(self, error: OSError) -> None:
-        """Accept again soon where no descriptor can be freed: every poll would report us ready."""
+        """Pause accepting if no descriptor can be freed: the listener would be ready each poll."""
         if not self._free_descriptor(error):
             self.pause_accepting()
             self._scheduler.call_later(self.limits.accept_retry_delay, self.resume_accepting)
@@ -110,7 +112,7 @@
             self._scheduler.spawn(self._serve, stream)
 
     def _evict_oldest(self) -> None:
-        """Close the oldest connection, one that got its answer before one that did not."""
+        """Close the oldest connections above the limit, those with a response first."""
         for streams in (self.answered, self.callers):
             if streams and len(self.callers) + len(self.answered) >= self.limits.max_callers:
                 oldest = next(iter(streams))
@@ -118,7 +120,7 @@
                 oldest.close()
 
     def _serve(self, stream: Stream) -> None:
-        """Answer one request, then end; what follows its head is read and ignored."""
+        """Answer one request and close the connection; further input is read and discarded."""
         deadline = self._scheduler.now() + self.limits.call_timeout
         try:
             stream.write(self._answer(stream, deadline))
@@ -138,7 +140,7 @@
             stream.close()
 
     def _answer(self, stream: Stream, deadline: float) -> bytes:
-        """Read a request and execute it; the bytes that answer it."""
+        """Read a request, execute it and return the bytes of the response."""
         try:
             head = self._read_head(stream, deadline)
             methods = management_requests.METHODS | dict.fromkeys(self.handlers, b"POST")
@@ -154,7 +156,7 @@
         return management_requests.encode_state(status, self._lifecycle.reported_state)
 
     def _read_head(self, stream: Stream, deadline: float) -> bytes:
-        """Read up to the empty line, which stays in the buffer with all before it."""
+        """Read up to the empty line and return the bytes before it; both stay in the buffer."""
         while (end := stream.buffer.find(_HEAD_END)) < 0:
             if len(stream.buffer) > self.limits.max_head_size:
                 raise RequestError(431)
--- a/petrellane/operation/management_requests.py
+++ b/petrellane/operation/management_requests.py
@@ -1,7 +1,7 @@
-"""What a management request means and how it is answered.
+"""Parsing, execution and responses of management requests.
 
-Rules free of I/O: parsing of a request's head, its effect on the lifecycle, and the bytes of the
-answer. Sockets and time limits are left to `management_api`.
+The module contains no I/O: it parses the head of a request, applies the request to the lifecycle
+and encodes the response. `management_api` owns the sockets and timeouts.
 """
 
 from collections.abc import Mapping
@@ -32,20 +32,20 @@
     503: "Service Unavailable",
     507: "Insufficient Storage",
 }
-"""The reason phrase of each status that an answer may have."""
+"""The reason phrase of each status that a response may have."""
 
 MAX_CONTENT_LENGTH_DIGITS = 9
-"""A Content-Length of more digits is no length."""
+"""The maximum number of digits of a valid Content-Length."""
 
 _REQUEST_LINE_WORDS = 3
 _HTTP_1 = b"HTTP/1."
 
 
 class RequestError(Exception):
-    """A request that is refused before it has any effect.
+    """A request that the server rejects before it has any effect.
 
     Attributes:
-        status: The status that answers it.
+        status: The HTTP status of the response.
     """
 
     def __init__(self, status: int) -> None:
@@ -54,7 +54,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """An answer: its status, its JSON body, and header fields besides the standard ones."""
+    """A response: its status, its JSON body, and its additional header fields."""
 
     status: int
     body: bytes
@@ -62,14 +62,14 @@
 
 
 def parse_path(head: bytes, methods: Mapping[bytes, bytes] = METHODS) -> bytes:
-    """The path of a request.
+    """Return the path of a request.
 
     Args:
-        head: The request up to its empty line.
-        methods: The HTTP method of each path that is served.
+        head: The request line and header fields, without the empty line.
+        methods: The HTTP method of each path that the server supports.
 
     Raises:
-        RequestError: The head is malformed, or its path or method is not served.
+        RequestError: The head is malformed, or the server does not support its path or method.
     """
     request_line, *fields = head.split(b"\r\n")
     words = request_line.split(b" ")
@@ -97,19 +97,28 @@
 
 
 def parse_headers(head: bytes) -> dict[bytes, bytes]:
-    """The header fields of a well-formed head, by their names in lower case."""
+    """Return the header fields of a well-formed head, by their names in lower case."""
     pairs = (field.partition(b":") for field in head.split(b"\r\n")[1:])
     return {name.strip().lower(): value.strip() for name, _, value in pairs}
 
 
 def parse_body_length(headers: Mapping[bytes, bytes], max_length: int) -> int:
-    """The length of the body that follows these header fields.
+    """Return the length of the body that follows these header fields, in bytes.
+
+    Args:
+        headers: The header fields, by their names in lower case.
+        max_length: The maximum length of a body, in bytes.
 
     Raises:
-        RequestError: There is no plain Content-Length, or it is more than `max_length` bytes.
+        RequestError: The Content-Length is missing, malformed or more than `max_length`, or the
+            body has a Transfer-Encoding.
     """
     text = headers.get(b"content-length", b"")
-    if b"transfer-encoding" in headers or not text.isdigit() or len(text) > MAX_CONTENT_LENGTH_DIGITS:
+    if (
+        b"transfer-encoding" in headers
+        or not text.isdigit()
+        or len(text) > MAX_CONTENT_LENGTH_DIGITS
+    ):
         raise RequestError(411)
     length = int(text)
     if length > max_length:
@@ -121,7 +130,7 @@
     """Apply a request for one of the paths in `METHODS` to the lifecycle.
 
     Returns:
-        The status that answers it.
+        The HTTP status of the response.
     """
     if path == READY_PATH:
         return 200 if lifecycle.is_ready else 503
@@ -130,14 +139,14 @@
 
 
 def encode_state(status: int, state: str) -> bytes:
-    """The bytes of an answer that reports the gateway's state."""
+    """Return the bytes of a response that reports the gateway's state."""
     body = orjson.dumps({"state": state, "status": status}, option=orjson.OPT_APPEND_NEWLINE)
     headers = {"Allow": "GET, POST"} if status == 405 else {}
     return encode_response(HttpResponse(status, body, headers))
 
 
 def encode_response(response: HttpResponse) -> bytes:
-    """The bytes of an answer, after which the connection ends."""
+    """Return the bytes of a response, which announce that the server closes the connection."""
     extra = "".join(f"{name}: {value}\r\n" for name, value in response.headers.items())
     head = (
         f"HTTP/1.1 {response.status} {REASONS[response.status]}\r\n"
