--- a/tests/unit/operation/__init__.py
+++ b/tests/unit/operation/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of operation without a socket."""
+"""Unit tests of the package `operation`, without sockets."""
--- a/tests/unit/operation/test_backoff.py
+++ b/tests/unit/operation/test_backoff.py
@@ -1,4 +1,4 @@
-"""When discovery is polled next."""
+"""Tests of the schedule of discovery polls."""
 
 import random
 from collections import Counter
@@ -13,7 +13,7 @@
 
 GATEWAYS = 200
 SECONDS = 60
-SETTLED = range(10, SECONDS)  # seconds in which the first rush is over
+STEADY_SECONDS = range(10, SECONDS)  # the seconds after the initial burst of polls
 NEWS = "news"
 NO_NEWS = "none"
 OUTCOMES = [PollFailure.FAILED, PollFailure.TIMED_OUT, PollFailure.REJECTED, NEWS, NO_NEWS]
@@ -43,9 +43,10 @@
 def test_next_poll_begins_in_time(
     polls: list[tuple[PollFailure | str, float, bool]], chance: random.Random, has_moved: bool
 ) -> None:
-    """Whatever becomes of polls, the next begins within the bound.
+    """The next poll starts within the maximum interval, whatever the outcome of the previous one.
 
-    It is never at once after a failure, and a poll that may be held leaves its grace period.
+    A poll after a failure never starts immediately, and the hold of a long poll ends before its
+    grace period.
     """
     maximum = Limits.first_watch_interval if has_moved else Limits.watch_interval
     backoff = backoff_of(chance.random, maximum)
@@ -74,13 +75,13 @@
 
 @pytest.mark.parametrize(("maximum", "at_first", "hold"), [(5.0, 3.0, 4.0), (5.0, 2.0, 3.8)])
 def test_times_without_slack_are_refused(maximum: float, at_first: float, hold: float) -> None:
-    """Times between which nothing is left for a dial or a pause are an error."""
+    """Timeouts that leave no time for a pause between polls raise an error."""
     with pytest.raises(ValueError):
         Backoff(random.random, PollTimes(maximum, at_first, hold, 1.0, 2.0, 0.1))
 
 
 def test_rejected_gateways_come_back_spread() -> None:
-    """Gateways that are rejected at once, time and again, do not come back at once."""
+    """Gateways that discovery rejects repeatedly at the same time do not retry at the same time."""
     polls: Counter[int] = Counter()
     for seed in range(GATEWAYS):
         backoff = backoff_of(random.Random(seed).random)
@@ -90,12 +91,12 @@
             backoff.start_poll(now, True)
             now += backoff.pause_after(PollFailure.REJECTED, now)
     assert max(count for second, count in polls.items() if second) < 75
-    # In the long run, each polls once in four seconds and a half.
-    assert sum(polls[second] for second in SETTLED) / len(SETTLED) < 46
+    # In the steady state, each of the 200 gateways polls about every 4.5 s.
+    assert sum(polls[second] for second in STEADY_SECONDS) / len(STEADY_SECONDS) < 46
 
 
 def test_watches_in_step_come_apart() -> None:
-    """Gateways that had news at once, and none after that, do not stay in step."""
+    """Gateways that receive a change at the same time, and none later, do not stay synchronized."""
     polls: Counter[int] = Counter()
     for seed in range(GATEWAYS):
         backoff = backoff_of(random.Random(seed).random)
@@ -107,4 +108,4 @@
             backoff.on_success(False)
             polls[int(now)] += 1
     assert max(polls.values()) < 95
-    assert sum(polls[second] for second in SETTLED) / len(SETTLED) < 60
+    assert sum(polls[second] for second in STEADY_SECONDS) / len(STEADY_SECONDS) < 60
--- a/tests/unit/operation/test_buffer_budget.py
+++ b/tests/unit/operation/test_buffer_budget.py
@@ -1,4 +1,4 @@
-"""The budget of bytes that wait in the gateway."""
+"""Tests of the budget for long values that the gateway buffers."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 @pytest.fixture
 def budget() -> BufferBudget:
-    """Return a budget of 1,000 bytes, which two growing bodies have filled."""
+    """Return a budget of 1,000 bytes in which two growing bodies have reserved 1,200 bytes."""
     budget = BufferBudget(Limits(256, 1.0, 1.0, 1, 1.0, buffer_budget=1000))
     for size in (300, 600):
         budget.reserve("first", size)
@@ -17,7 +17,7 @@
 
 
 def test_bodies_beyond_the_budget_come_one_after_the_other(budget: BufferBudget) -> None:
-    """The first body goes on without room, and stays the first however often it grows."""
+    """Only the oldest body may grow beyond the budget, and it keeps this right while it grows."""
     rooms = [budget.has_room(body) for body in ("first", "second", "third")]
     assert rooms == [True, False, False]
     budget.reserve("first", 900)
--- a/tests/unit/operation/test_hot_restart.py
+++ b/tests/unit/operation/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""The rules of a hot restart: who reads a connection, and who holds credit and hard limits."""
+"""Tests of the hot restart protocol: which process owns connections, credit and hard limits."""
 
 import itertools
 from collections.abc import Sequence
@@ -33,11 +33,11 @@
 
 
 class Handoff:
-    """A sender and a receiver with the messages between them; lives for one example.
+    """A sender and a receiver with the messages in transit; each example creates one.
 
     Attributes:
-        old_readers: Connections that the old process reads again.
-        new_readers: Connections that the new process reads.
+        old_readers: The connections that the old process reads again.
+        new_readers: The connections that the new process reads.
     """
 
     def __init__(self) -> None:
@@ -50,13 +50,13 @@
         self.connections = itertools.count()
 
     def offer(self) -> None:
-        """Offer one more connection."""
+        """Offer another connection."""
         connection = next(self.connections)
         number = self.sender.offer(connection)
         self.to_new.append((hot_restart_messages.ConnectionOffer(number, False), connection))
 
     def withdraw(self, choice: int) -> None:
-        """Take back one of the connections that are offered."""
+        """Withdraw one of the pending offers."""
         if not self.sender.offered:
             return
         number = sorted(self.sender.offered)[choice % len(self.sender.offered)]
@@ -64,7 +64,7 @@
         self.sender.withdraw(number)
 
     def deliver_to_new(self) -> None:
-        """Let the oldest message to the new process arrive."""
+        """Deliver the oldest message to the new process."""
         if not self.to_new:
             return
         message, connection = self.to_new.pop(0)
@@ -76,14 +76,14 @@
             self.to_old.append(answer)
 
     def deliver_to_old(self) -> None:
-        """Let the oldest message to the old process arrive."""
+        """Deliver the oldest message to the old process."""
         if not self.to_old:
             return
         _, answer = self.sender.on_received(self.to_old.pop(0).number)
         self.to_new.append((answer, None))
 
     def cut(self) -> None:
-        """Break the link; what was offered stays with the old process."""
+        """Break the link; the old process keeps the connections with a pending offer."""
         self.old_readers |= set(self.sender.offered.values())
         dropped = {connection for (connection,) in self.receiver.on_sender_lost()}
         assert not self.old_readers & self.new_readers
@@ -101,9 +101,9 @@
     st.booleans(),
 )
 def test_a_connection_has_one_reader(steps: list[tuple[str, int]], is_cut: bool) -> None:
-    """No two processes read a connection, whatever the order of messages and timeouts.
+    """At most one process reads a connection, whatever the order of messages and timeouts.
 
-    When the link is cut, nothing has two holders.
+    This also holds after the link breaks.
     """
     handoff = Handoff()
     for step, choice in steps:
@@ -121,7 +121,7 @@
 
 
 def controller_at(now: float, seed: int) -> AdmissionController:
-    """Return a controller that started at this time."""
+    """Return a controller that has started at this time."""
     controller = AdmissionController(**CONTROLLER_SETTINGS, seed=seed)
     controller.start(now)
     return controller
@@ -130,7 +130,7 @@
 def controller_with_lease(
     plan: api.Plan, waiting: Sequence[api.Rpc] = ()
 ) -> tuple[AdmissionController, Lease]:
-    """Return a controller with one lease of this plan, for which RPCs wait."""
+    """Return a controller with one lease of this plan, and the lease with the waiting RPCs."""
     controller = controller_at(100.0, seed=1)
     lease = controller.lease_manager.lease_of(api.Customer("c", plan), 110.0)
     lease.waiting += waiting
@@ -138,7 +138,7 @@
 
 
 def exported_rows(controller: AdmissionController) -> list[dict[str, Any]]:
-    """Return the rows of leases that a controller hands over, as they come over the wire."""
+    """Return the rows of the leases that a controller exports, after JSON encoding and decoding."""
     messages = [
         hot_restart_messages.encode(message)
         for message in hot_restart.export_leases(controller, 110.0)
@@ -149,7 +149,10 @@
 
 
 def test_credit_and_hard_limit_have_one_holder() -> None:
-    """Both go to the new process, but for what waits here; here neither grows any more."""
+    """The old process hands over credit and hard limits, and neither refills there afterwards.
+
+    It keeps only the hard-limit units of its waiting RPCs.
+    """
     customer = api.Customer("c", LIMITED_PLAN)
     waiting = api.Rpc(METHOD, api.Customer("c", LIMITED_PLAN), 3.0, 112.0, 110.0)
     old, old_lease = controller_with_lease(LIMITED_PLAN, [waiting])
@@ -171,13 +174,13 @@
     assert new_lease.refill_hard_limit(111.0) == pytest.approx(refilled, rel=0, abs=1e-8)
     hot_restart.release_in_flight(new, 110.0, customer, 5)
     assert new_lease.in_flight == 0
-    # Once the new process is gone, what it had is nobody's.
+    # After the new process has exited, its units are lost: the old one refills what it kept.
     hot_restart.resume_hard_limit_refill(old, 150.0)
     assert old_lease.refill_hard_limit(151.0) == pytest.approx(5.0, rel=0, abs=1e-8)
 
 
 def test_a_plan_without_a_quota() -> None:
-    """Its credit is infinite, which no message can say: it goes over as none and is not used."""
+    """JSON cannot encode the infinite credit: the export contains 0, which the lease never uses."""
     old, old_lease = controller_with_lease(api.Plan("open"))
     old_lease.granted = float("inf")
     old_lease.available = float("inf")
@@ -192,7 +195,10 @@
 
 
 def test_a_predecessor_that_hands_nothing_over() -> None:
-    """Its hard limits may still refill: those of a customer refill in one process at a time."""
+    """The predecessor may still refill its hard limits, so the successor's stay empty meanwhile.
+
+    Otherwise a customer's hard limit would refill in both processes at the same time.
+    """
     controller, _ = controller_with_lease(api.Plan("q"))
     hot_restart.withhold_hard_limits(controller, 110.0)
     lease = controller.lease_manager.lease_of(api.Customer("d", LIMITED_PLAN), 111.0)
@@ -201,7 +207,7 @@
 
 
 def test_another_version_is_refused() -> None:
-    """A request of the same version is accepted; one of another is refused with ours."""
+    """A request of another version is refused, and the refusal contains the receiver's version."""
     version = hot_restart_messages.PROTOCOL_VERSION
     request = hot_restart_messages.TransferRequest(version)
     assert hot_restart.validate_transfer_request(request) is None
@@ -212,14 +218,14 @@
 
 @pytest.mark.parametrize(("message", "text"), MESSAGES)
 def test_messages_keep_their_wire_form(message: hot_restart_messages.Message, text: bytes) -> None:
-    """Processes of two versions talk to each other: keys and their order stay."""
+    """The keys and their order must not change: the two processes may run different versions."""
     assert orjson.dumps(hot_restart_messages.encode(message)) == text
     decoded = hot_restart_messages.decode(orjson.loads(text))
     assert (type(decoded), decoded) == (type(message), message)
 
 
 def test_lease_records_keep_their_wire_form() -> None:
-    """Keys of a lease and their order stay."""
+    """The keys of a lease and their order must not change."""
     record = hot_restart_messages.LeaseRecord("c", "p", 3, 2, {"out": 1})
     row = b'{"customer":"c","plan":"p","first":3,"spread":2,"lease":{"out":1}}'
     assert orjson.dumps(hot_restart_messages.encode_lease(record)) == row
@@ -227,5 +233,5 @@
 
 
 def test_an_unknown_message_is_no_message() -> None:
-    """A message whose key is unknown is decoded as None."""
+    """A message with an unknown key decodes to None."""
     assert hot_restart_messages.decode({"another": 1}) is None
--- a/tests/unit/operation/test_lifecycle.py
+++ b/tests/unit/operation/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The states of a gateway's service: what each call answers, and how a shutdown proceeds."""
+"""Tests of the lifecycle: the result of each call in each state, and the course of a shutdown."""
 
 import math
 
@@ -30,7 +30,7 @@
 def test_each_call_in_each_state(
     before: LifecycleState, call: str, answer: bool, after: LifecycleState
 ) -> None:
-    """A call has its answer and leads to its state."""
+    """Each call returns the expected result and leads to the expected state."""
     lifecycle = Lifecycle(0.5, 1.8)
     lifecycle.state = before
     reply = lifecycle.drain(10.0) if call == "drain" else lifecycle.resume()
@@ -51,7 +51,7 @@
 
 @given(st.lists(st.sampled_from(["drain", "resume", "end", "empty"]), max_size=12))
 def test_shutdown_is_final(calls: list[str]) -> None:
-    """A gateway that ends goes on ending; one that is not ready closes idle connections in time."""
+    """A shutdown is final, and a gateway that is not ready closes idle connections in time."""
     lifecycle = Lifecycle(0.5, 1.8)
     now = 100.0
     is_ending = False
@@ -66,26 +66,26 @@
 
 
 def test_repeated_drain_keeps_its_times() -> None:
-    """A second drain does not begin the periods of the first anew."""
+    """A second drain does not restart the time limits of the first."""
     lifecycle = Lifecycle(0.5, 1.8)
     lifecycle.drain(10.0)
     lifecycle.drain(11.0)
     assert lifecycle.closes_idle_connections(10.5)
     assert not lifecycle.accepts_command(11.9, connected_at=3.0)
-    # A client that connected late is refused, but gets an answer.
+    # The cutoff of a client that connects during the drain starts at its connect.
     assert lifecycle.accepts_command(11.9, connected_at=11.0)
 
 
 def test_shutdown_accepts_no_command_behind_pending_replies() -> None:
-    """After the grace period, a client with pending replies gets no further command accepted."""
+    """After the grace period, a connection with pending replies accepts no further command."""
     lifecycle = Lifecycle(0.5, 1.8, 0.5, 3.0)
     lifecycle.start()
     assert lifecycle.final_answer_time(1.0) == math.inf
     lifecycle.begin_shutdown(10.0)
     assert lifecycle.accepts_command(10.4, 3.0, has_pending_replies=True)
-    # A command that had begun is accepted.
+    # A command on a connection without pending replies is accepted.
     assert lifecycle.accepts_command(12.0, 3.0, has_pending_replies=False)
     assert not lifecycle.accepts_command(10.6, 3.0, has_pending_replies=True)
     assert lifecycle.final_answer_time(1.0) == 11.5
-    # Three seconds are the longest that a shutdown waits.
+    # A deadline above the maximum of 3 s counts as 3 s.
     assert lifecycle.final_answer_time(9.0) == 13.5
--- a/tests/unit/operation/test_management_requests.py
+++ b/tests/unit/operation/test_management_requests.py
@@ -1,4 +1,4 @@
-"""Requests to the management API: which are accepted, and the status that refuses the others."""
+"""Tests of the parsing of management requests, and of the status for each malformed request."""
 
 import pytest
 from hypothesis import given
@@ -8,7 +8,7 @@
 
 
 def verdict(head: bytes) -> tuple[bytes | None, int]:
-    """Return the path of a request and 0, or None and the status that refuses it."""
+    """Return the path of a request and 0, or None and the status of the rejection."""
     try:
         return management_requests.parse_path(head), 0
     except management_requests.RequestError as error:
@@ -31,14 +31,14 @@
     ],
 )
 def test_status_of_a_request(head: bytes, status: int) -> None:
-    """A request has a path, or the status that refuses it."""
+    """The parser returns the path of a valid request, and the expected status for another."""
     path, refused_with = verdict(head)
     assert (bool(path), refused_with) == (not status, status)
 
 
 @given(st.binary(max_size=200))
 def test_any_bytes_have_a_verdict(head: bytes) -> None:
-    """Whatever comes is a known path or a status with a reason phrase."""
+    """Any input is parsed as a known path or rejected with a status that has a reason phrase."""
     path, status = verdict(head)
     if path:
         assert path in management_requests.METHODS
--- a/tests/unit/operation/test_settings_reload.py
+++ b/tests/unit/operation/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""New settings, as the decisions and the reader of configuration take them."""
+"""Tests of reloaded settings in the admission controller and in the configuration parser."""
 
 import copy
 from typing import Any
@@ -18,10 +18,10 @@
 
 
 def test_a_lease_goes_on_under_another_plan() -> None:
-    """Neither its hard limit nor what is in flight is lost or made anew.
+    """A lease keeps its hard limit and its attempts in flight when the customer's plan changes.
 
-    The current window goes on to its end with what the new plan gives in so long; the next window
-    is the new plan's.
+    The current window keeps its end, with an allowance that the new plan gives in its length. The
+    next window has the length and allowance of the new plan.
     """
     customer = api.Customer("c", OLD_PLAN)
     controller = AdmissionController(**CONTROLLER_SETTINGS, seed=1)
@@ -45,12 +45,12 @@
 
 
 def parse_settings(settings: dict[str, Any]) -> config.Settings:
-    """Return settings as the gateway reads them."""
+    """Return settings as the gateway parses them."""
     return config.parse_settings(config.Section(settings, "settings"))
 
 
 def test_knowledge_of_a_method_outlives_its_change_and_not_its_end() -> None:
-    """A changed method keeps its answer times; those of a removed one are forgotten."""
+    """A changed method keeps its latency samples; a removed method loses them."""
     before = parse_settings(BASE_CONFIG["settings"])
     changed = copy.deepcopy(BASE_CONFIG["settings"])
     changed["classes"][0]["effect"] = "side_effect"
@@ -90,7 +90,7 @@
     ids=".".join,
 )
 def test_a_file_without_a_key_in_force_is_refused(path: tuple[str, ...]) -> None:
-    """A key that the configuration in force has may not be missing from the next one."""
+    """A reloaded file must contain every key of the active configuration."""
     before = config.parse_config(copy.deepcopy(BASE_CONFIG))
     changed = copy.deepcopy(BASE_CONFIG)
     place = changed
@@ -102,7 +102,7 @@
 
 
 def test_a_file_without_the_last_endpoint_list_is_accepted() -> None:
-    """The last endpoint list is no setting."""
+    """A reloaded file may lack the last endpoint list, which is not a setting."""
     before = config.parse_config(copy.deepcopy(BASE_CONFIG))
     changed = copy.deepcopy(BASE_CONFIG)
     del changed["known"]
