--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -210,7 +210,7 @@
     def _finish_transfer(self, outcome: str, **log_fields: int) -> None:
         """Log the outcome of the transfer, start to serve and listen for a successor.
 
-        Only the first call has an effect.
+        Only the first call for a transfer has an effect.
         """
         on_ready = self._on_ready
         self._on_ready = None
@@ -277,7 +277,7 @@
             self.links[link] = None
 
     def _on_descriptor_shortage(self, _error: OSError) -> None:
-        """Pause accepting for `accept_retry_delay`: the listener would be ready at every poll."""
+        """Pause accepting for `accept_retry_delay`; else each poll reports the listener."""
         if self._listener:
             self._scheduler.unregister(self._listener.fileno())
             self._scheduler.call_later(self._limits.accept_retry_delay, self._resume_accepting)
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -95,7 +95,7 @@
             self.listener = None
 
     def _on_descriptor_shortage(self, error: OSError) -> None:
-        """Pause accepting if no descriptor can be freed: the listener would be ready each poll."""
+        """Pause accepting if no descriptor can be freed; else each poll reports the listener."""
         if not self._free_descriptor(error):
             self.pause_accepting()
             self._scheduler.call_later(self.limits.accept_retry_delay, self.resume_accepting)
@@ -112,7 +112,7 @@
             self._scheduler.spawn(self._serve, stream)
 
     def _evict_oldest(self) -> None:
-        """Close the oldest connections above the limit, those with a response first."""
+        """Close the oldest connection if the limit is reached, preferably one with a response."""
         for streams in (self.answered, self.callers):
             if streams and len(self.callers) + len(self.answered) >= self.limits.max_callers:
                 oldest = next(iter(streams))
--- a/tests/integration/operation/__init__.py
+++ b/tests/integration/operation/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of whole processes: hot restarts, and long values."""
+"""Tests of complete gateway processes: hot restarts and long values."""
--- a/tests/integration/operation/conftest.py
+++ b/tests/integration/operation/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of tests with whole processes of a gateway."""
+"""Fixtures of the tests with complete gateway processes."""
 
 from collections.abc import Iterator
 
@@ -9,13 +9,13 @@
 
 @pytest.fixture
 def deployment() -> Iterator[Deployment]:
-    """All that a gateway talks to, with the usual configuration."""
-    made = Deployment()
-    yield made
-    made.close()
+    """Yield a gateway's peers with the default configuration."""
+    created = Deployment()
+    yield created
+    created.close()
 
 
 @pytest.fixture
 def old(deployment: Deployment) -> GatewayProcess:
-    """A process of the gateway that accepts clients."""
+    """Return a process of the gateway that accepts clients."""
     return deployment.start_ready()
--- a/tests/integration/operation/deployment.py
+++ b/tests/integration/operation/deployment.py
@@ -1,6 +1,6 @@
-"""Whole processes of a gateway, and what they talk to: an endpoint, the counter and discovery.
+"""Gateway processes and their peers: an endpoint, the counter and discovery.
 
-The peers run on loopback in threads of the test's process.
+The peers run on loopback in threads of the test process.
 """
 
 import contextlib
@@ -34,21 +34,21 @@
 )
 
 LIMITS = Limits(256, 1.0, 1.0, 1, 1.0)
-LONG_RPC = b"big"  # the id of the RPC with a long value
-LONG_VALUE = 300_000  # bytes of that value
-PATIENCE_S = 20.0  # after which what is expected counts as never coming
-# The counter is a thread beside other work: 80 ms, as the scenarios have it, pass on a busy
-# machine, and its gateway then rejects what these tests expect to be served. An RPC's client
-# waits 900 ms.
+LONG_RPC_ID = b"big"  # the id of the RPC with a long value
+LONG_VALUE_SIZE = 300_000  # bytes of that value
+WAIT_TIMEOUT_S = 20.0
+# The counter runs in a thread of the test process. On a busy machine its replies exceed the 80 ms
+# of the scenarios, and the gateway then rejects RPCs that these tests expect to succeed. The client
+# of an RPC waits 900 ms.
 COUNTER_TIMEOUT_US = 700_000
-CALL_S = 2.0  # within which a management call is answered
+CALL_TIMEOUT_S = 2.0  # of a management call
 READ_SIZE = 1 << 16
-BULK = ord("$")
+BULK_TYPE = ord("$")
 READY_PATH = "/-/ready"
 
 
-def commands(sock: socket.socket) -> Iterator[list[bytes]]:
-    """Yield the commands that come on a connection, each as its parts."""
+def read_commands(sock: socket.socket) -> Iterator[list[bytes]]:
+    """Yield the commands that arrive on a connection, each as a list of its parts."""
     buffer = bytearray()
     while True:
         while parsed := resp.parse_command(buffer, 0, LIMITS):
@@ -62,7 +62,7 @@
 
 
 def read_answer(sock: socket.socket) -> bytes:
-    """Return the next answer on a connection, as a line or $VALUE; b"" at the connection's end."""
+    """Return the next reply, as its line or as `$` and its value; b"" for a closed connection."""
     buffer = bytearray()
     while not (parsed := resp.parse_reply(buffer, 0, LIMITS)):
         data = sock.recv(READ_SIZE)
@@ -70,50 +70,50 @@
             return b""
         buffer += data
     kind, span, _ = parsed
-    assert span is not None, "an answer without a value"
-    prefix = b"$" if kind == BULK else b"%c" % kind
+    assert span is not None, "expected a reply with a value, found a null reply"
+    prefix = b"$" if kind == BULK_TYPE else b"%c" % kind
     return prefix + bytes(buffer[slice(*span)])
 
 
-def bulk(data: bytes) -> bytes:
-    """Return a bulk string."""
+def encode_bulk_string(data: bytes) -> bytes:
+    """Return the RESP encoding of a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(data), data)
 
 
 class GatewayProcess(subprocess.Popen[bytes]):
-    """A process of the gateway; the deployment that started it ends it.
+    """A process of the gateway; the deployment that starts it also stops it.
 
     Attributes:
-        management: The address of its management API.
+        management: The address of the process's management API.
     """
 
     management: Address
 
     def call(self, method: str, path: str) -> int:
-        """Return the status of a management call; 0 where nobody answers."""
+        """Return the status of a management call; 0 if the call fails."""
         try:
-            with socket.create_connection(self.management, CALL_S) as sock:
+            with socket.create_connection(self.management, CALL_TIMEOUT_S) as sock:
                 sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
                 return int(sock.recv(4096).split(b" ")[1])
         except OSError:
             return 0
 
     def wait_until_ready(self) -> float:
-        """Wait until the process accepts clients, and return the seconds that it took."""
-        began = time.monotonic()
+        """Wait until the process accepts clients, and return the elapsed seconds."""
+        started_at = time.monotonic()
         while self.call("GET", READY_PATH) != 200:
-            assert time.monotonic() - began < PATIENCE_S, "never ready"
-            assert self.poll() is None, "never ready"
+            assert time.monotonic() - started_at < WAIT_TIMEOUT_S, "timed out before ready"
+            assert self.poll() is None, "process exited before ready"
             time.sleep(0.02)
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
-    def terminate_in_order(self) -> None:
-        """Send SIGTERM and check that the process ends without an error."""
+    def terminate_gracefully(self) -> None:
+        """Send SIGTERM and check that the process exits with status 0."""
         self.send_signal(signal.SIGTERM)
-        assert self.wait(PATIENCE_S) == 0
+        assert self.wait(WAIT_TIMEOUT_S) == 0
 
     def discard(self) -> None:
-        """End the process, whatever its state."""
+        """Kill the process, whatever its state."""
         if self.poll() is None:
             self.send_signal(signal.SIGCONT)
             self.kill()
@@ -123,7 +123,7 @@
                 stream.close()
 
     def descriptor_count(self) -> int:
-        """Return how many descriptors the process has open."""
+        """Return the number of file descriptors that the process has open."""
         return len(list(Path(f"/proc/{self.pid}/fd").iterdir()))
 
     def resident_kb(self) -> int:
@@ -133,16 +133,16 @@
 
 
 class Deployment:
-    """All that a gateway talks to; its processes share a listening socket and a folder.
+    """The peers and processes of one gateway, which share a listening socket and a folder.
 
-    Made for one test, then closed.
+    Each test creates one deployment and closes it.
 
     Attributes:
-        config: The configuration as it was written first.
-        rows: The endpoint list; discovery answers with its state at the time.
-        gates: Events for which the endpoint waits before it answers the RPC of this id.
-        executed: The ids of the RPCs that the endpoint had.
-        counter_is_silent: While it is set, the counter says nothing.
+        config: The initial configuration.
+        rows: The rows of the endpoint list; discovery sends their current state.
+        gates: The events for which the endpoint waits before it answers an RPC, by RPC id.
+        executed: The ids of the RPCs that the endpoint has received.
+        counter_is_silent: The event during which the counter sends no replies.
     """
 
     def __init__(self, *changes: str) -> None:
@@ -170,54 +170,54 @@
         self.write(self.config)
 
     def write(self, config: Config) -> None:
-        """Replace the file of configuration."""
+        """Replace the configuration file."""
         self.file.write_text(json.dumps(config))
 
     def close(self) -> None:
-        """End all processes and peers."""
+        """Stop all processes and peers."""
         self.resources.close()
 
     def serve(self, handler: Callable[[socket.socket], None]) -> str:
-        """Serve connections, a thread each, and return the address."""
+        """Serve connections, each in its own thread, and return the address."""
         return serve_connections(self.resources, handler)
 
     def _serve_endpoint(self, sock: socket.socket) -> None:
-        """Answer each RPC with its id, once the gate of that id is open, where it has one.
+        """Answer each RPC with its id, after the gate of that id is open, if there is one.
 
-        Half of the long value comes before its gate is open.
+        The endpoint sends half of the long value before its gate opens.
         """
-        for parts in commands(sock):
+        for parts in read_commands(sock):
             rpc = parts[2]
             self.executed.append(rpc.decode())
             gate = self.gates.get(rpc.decode())
-            if rpc == LONG_RPC:
-                half = LONG_VALUE // 2
-                sock.sendall(b"*3\r\n$%d\r\n" % LONG_VALUE + b"x" * half)
-                self.gates[rpc.decode()].wait(PATIENCE_S)
-                sock.sendall(b"x" * (LONG_VALUE - half) + b"\r\n$-1\r\n$-1\r\n")
+            if rpc == LONG_RPC_ID:
+                half = LONG_VALUE_SIZE // 2
+                sock.sendall(b"*3\r\n$%d\r\n" % LONG_VALUE_SIZE + b"x" * half)
+                self.gates[rpc.decode()].wait(WAIT_TIMEOUT_S)
+                sock.sendall(b"x" * (LONG_VALUE_SIZE - half) + b"\r\n$-1\r\n$-1\r\n")
                 continue
             if gate:
-                gate.wait(PATIENCE_S)
-            sock.sendall(b"*3\r\n" + bulk(rpc) + b"$-1\r\n$-1\r\n")
+                gate.wait(WAIT_TIMEOUT_S)
+            sock.sendall(b"*3\r\n" + encode_bulk_string(rpc) + b"$-1\r\n$-1\r\n")
 
     def _serve_counter(self, sock: socket.socket) -> None:
-        for _, name, amount, _ in commands(sock):
+        for _, name, amount, _ in read_commands(sock):
             while self.counter_is_silent.is_set():
                 time.sleep(0.01)
             with self.lock:
                 total = self.counter_totals.get(name, 0.0) + float(amount)
                 self.counter_totals[name] = total
-            sock.sendall(bulk(b"%g" % total))
+            sock.sendall(encode_bulk_string(b"%g" % total))
 
     def _serve_discovery(self, sock: socket.socket) -> None:
         sock.recv(4096)
         body = json.dumps({"index": 2, "snapshot": True, "endpoints": self.rows}).encode()
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         sock.recv(4096)
-        threading.Event().wait(PATIENCE_S)
+        threading.Event().wait(WAIT_TIMEOUT_S)
 
     def start(self, **variables: str) -> GatewayProcess:
-        """Start a process of the gateway, with a management address of its own."""
+        """Start a process of the gateway with a new management address."""
         management = free_address()
         environment = gateway_environment(self.file, management, self.listener) | variables
         process = GatewayProcess(
@@ -238,31 +238,31 @@
         return process
 
     def hot_restart_path(self) -> str:
-        """Return the path of the socket on which the next process asks."""
+        """Return the path of the socket to which a successor connects."""
         return str(self.folder / socket_name(self.config["name"]))
 
     def connect(self) -> socket.socket:
-        """Return a client's connection."""
-        sock = socket.create_connection(self.address, PATIENCE_S)
+        """Return a new client connection."""
+        sock = socket.create_connection(self.address, WAIT_TIMEOUT_S)
         self.resources.callback(sock.close)
         return sock
 
 
 class RpcOptions(TypedDict, total=False):
-    """Fields of an RPC that have a usual value.
+    """The optional fields of an RPC.
 
     Attributes:
-        method: Its method; `look` is usual.
-        customer: The number of its customer; 1 is usual.
-        left_ms: When its client gives up; 3,000 are usual.
-        more: Further fields, each with a comma before it.
-        verb: The command; usually the one that fits the method.
+        method: The method; by default `look`.
+        customer: The customer's number; by default 1.
+        timeout_ms: The client's timeout in milliseconds; by default 3,000.
+        extra_fields: Additional fields, each with a leading comma.
+        verb: The command; by default the one for the method.
     """
 
     method: bytes
     customer: int
-    left_ms: int
-    more: bytes
+    timeout_ms: int
+    extra_fields: bytes
     verb: bytes
 
 
@@ -272,20 +272,20 @@
     usual_verb = b"SVC.QUERY" if method == b"look" else b"SVC.SUBMIT"
     fields = b"c=%b,t=basic,d=%d,units=1,spread=1,first=0%b" % (
         method,
-        options.get("left_ms", 3000),
-        options.get("more", b""),
+        options.get("timeout_ms", 3000),
+        options.get("extra_fields", b""),
     )
     verb = options.get("verb", usual_verb)
     client.sendall(resp.encode_command(verb, b"%016x" % options.get("customer", 1), rpc, fields))
 
 
-def ask(
+def send_and_check(
     client: socket.socket,
     rpc: bytes,
     expected: bytes | None = None,
     **options: Unpack[RpcOptions],
 ) -> None:
-    """Send an RPC and check how its answer begins: with its id, where nothing else is expected."""
+    """Send an RPC and check that its reply starts with `expected`, by default the RPC's id."""
     send_rpc(client, rpc, **options)
     expected = expected or b"$" + rpc
     assert read_answer(client)[: len(expected)] == expected
--- a/tests/integration/operation/test_long_values.py
+++ b/tests/integration/operation/test_long_values.py
@@ -1,4 +1,4 @@
-"""Many long values at once through one process with little memory."""
+"""Tests of many concurrent long values in one process with a low memory limit."""
 
 import socket
 import time
@@ -7,11 +7,11 @@
 import pytest
 
 from tests.integration.operation.deployment import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Deployment,
     GatewayProcess,
-    commands,
     read_answer,
+    read_commands,
     send_rpc,
 )
 
@@ -19,35 +19,35 @@
 CLIENTS = 32
 MEMORY_MB = 64
 SMALL_BUFFER = 8192
-TRIES = 50  # a single endpoint rejects some RPCs at first
+MAX_TRIES = 50  # the gateway initially rejects some RPCs, as the deployment has one endpoint
 FAST_RPCS = 20
 
 
 @pytest.fixture
 def deployment() -> Iterator[Deployment]:
-    """A gateway with little memory, whose endpoint answers some RPCs with long values."""
-    made = Deployment(f"limits.memory_mb={MEMORY_MB}")
-    made.rows[0]["address"] = made.serve(serve_endpoint)
-    made.write(made.config)
-    yield made
-    made.close()
+    """Yield a deployment with little memory, whose endpoint answers some RPCs with long values."""
+    created = Deployment(f"limits.memory_mb={MEMORY_MB}")
+    created.rows[0]["address"] = created.serve(serve_endpoint)
+    created.write(created.config)
+    yield created
+    created.close()
 
 
 def serve_endpoint(sock: socket.socket) -> None:
-    """Answer RPCs whose ids begin with `long` with a long value, others with a short one."""
-    for parts in commands(sock):
+    """Answer RPCs whose ids start with `long` with a long value, others with a short one."""
+    for parts in read_commands(sock):
         size = SIZE if parts[2].startswith(b"long") else 5
         sock.sendall(b"*3\r\n$%d\r\n" % size + b"x" * size + b"\r\n$-1\r\n$-1\r\n")
 
 
-def begin_long_value(deployment: Deployment, number: int) -> socket.socket:
-    """Return a connection on which a long value begins to come, and reads nothing of it."""
+def start_long_value(deployment: Deployment, number: int) -> socket.socket:
+    """Return a connection on which a long value has started to arrive; it is not read."""
     sock = socket.socket()
     deployment.resources.callback(sock.close)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
-    sock.settimeout(PATIENCE_S)
+    sock.settimeout(WAIT_TIMEOUT_S)
     sock.connect(deployment.address)
-    for attempt in range(TRIES):
+    for attempt in range(MAX_TRIES):
         send_rpc(sock, b"long%d.%d" % (number, attempt), customer=number + 2)
         if sock.recv(1, socket.MSG_PEEK) == b"$":
             break
@@ -70,23 +70,23 @@
 
 
 def test_clients_that_stop_reading(deployment: Deployment, old: GatewayProcess) -> None:
-    """Long values wait within the limit of memory, beside clients with short ones.
+    """Clients that stop reading keep the process within its memory limit and delay no others.
 
-    All clients get what the endpoint sent.
+    Each client finally receives its complete value.
     """
-    clients = [begin_long_value(deployment, number) for number in range(CLIENTS)]
-    took_s = []
+    clients = [start_long_value(deployment, number) for number in range(CLIENTS)]
+    durations_s = []
     answers = []
     memory_kb = 0
     for number in range(FAST_RPCS):
-        began = time.monotonic()
+        started_at = time.monotonic()
         client = deployment.connect()
         send_rpc(client, b"fast%d" % number)
         answers.append(read_answer(client)[:1])
-        took_s.append(time.monotonic() - began)
+        durations_s.append(time.monotonic() - started_at)
         time.sleep(0.05)
         memory_kb = max(memory_kb, old.resident_kb())
-    assert max(took_s) < 1.0
+    assert max(durations_s) < 1.0
     assert answers.count(b"$") > 10
     assert memory_kb / 1024 < MEMORY_MB
     assert old.descriptor_count() < 256
--- a/tests/unit/operation/test_backoff.py
+++ b/tests/unit/operation/test_backoff.py
@@ -57,7 +57,7 @@
             bound = Limits.first_watch_interval if has_moved else Limits.watch_interval
             assert now - began <= bound + 1e-9
         began = now
-        # At another address the complete list is asked for.
+        # The gateway requests the complete list from a new discovery address.
         until = backoff.start_poll(now, watches and not has_moved)
         assert until - began <= Limits.watch_interval
         dialed = began + share * share * (until - began)
--- a/tests/unit/operation/test_settings_reload.py
+++ b/tests/unit/operation/test_settings_reload.py
@@ -20,8 +20,8 @@
 def test_a_lease_goes_on_under_another_plan() -> None:
     """A lease keeps its hard limit and its attempts in flight when the customer's plan changes.
 
-    The current window keeps its end, with an allowance that the new plan gives in its length. The
-    next window has the length and allowance of the new plan.
+    The current window keeps its end and gets the allowance that the new plan's rate gives in the
+    length of that window. The next window has the length and allowance of the new plan.
     """
     customer = api.Customer("c", OLD_PLAN)
     controller = AdmissionController(**CONTROLLER_SETTINGS, seed=1)
