--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -30,7 +30,7 @@
     Attributes:
         limits: The size limits and timeouts; a change of the configuration replaces them.
         handlers: The handlers of POST requests, by path.
-        callers: The connections whose request has no response yet, oldest first.
+        unanswered: The connections whose request has no response yet, oldest first.
         answered: The open connections whose request has a response, oldest first.
         listener: The listening socket; None while the server does not listen.
     """
@@ -55,7 +55,7 @@
         """
         self.limits = limits
         self.handlers: dict[bytes, Handler] = {}
-        self.callers: dict[Stream, None] = {}
+        self.unanswered: dict[Stream, None] = {}
         self.answered: dict[Stream, None] = {}
         self.listener: socket.socket | None = None
         self._scheduler = scheduler
@@ -108,13 +108,13 @@
         ):
             self._evict_oldest()
             stream = Stream(self._scheduler, self.limits, sock, urgent=True)
-            self.callers[stream] = None
+            self.unanswered[stream] = None
             self._scheduler.spawn(self._serve, stream)
 
     def _evict_oldest(self) -> None:
         """Close the oldest connection if the limit is reached, preferably one with a response."""
-        for streams in (self.answered, self.callers):
-            if streams and len(self.callers) + len(self.answered) >= self.limits.max_callers:
+        for streams in (self.answered, self.unanswered):
+            if streams and len(self.unanswered) + len(self.answered) >= self.limits.max_callers:
                 oldest = next(iter(streams))
                 del streams[oldest]
                 oldest.close()
@@ -124,7 +124,7 @@
         deadline = self._scheduler.now() + self.limits.call_timeout
         try:
             stream.write(self._answer(stream, deadline))
-            self.callers.pop(stream, None)
+            self.unanswered.pop(stream, None)
             self.answered[stream] = None
             stream.write_eof()
             linger = self.limits.call_timeout if stream.unsent else self.limits.linger_timeout
@@ -135,7 +135,7 @@
         except (Closed, TimeoutError):
             pass
         finally:
-            for streams in (self.callers, self.answered):
+            for streams in (self.unanswered, self.answered):
                 streams.pop(stream, None)
             stream.close()
 
--- a/tests/integration/gateway/load_steps.py
+++ b/tests/integration/gateway/load_steps.py
@@ -70,7 +70,7 @@
             text: What each read brings; the letter x alone, where this is empty.
         """
         if name == "staff":
-            stream = next(reversed(self.gateway.management.callers))
+            stream = next(reversed(self.gateway.management.unanswered))
             peer = self.callers[-1]
         else:
             stream = self.server_client(name).stream
