--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -277,7 +277,10 @@
             self.links[link] = None
 
     def _on_descriptor_shortage(self, _error: OSError) -> None:
-        """Pause accepting for `accept_retry_delay`; else each poll reports the listener."""
+        """Pause accepting for `accept_retry_delay`.
+
+        Otherwise every poll would report the listener as ready.
+        """
         if self._listener:
             self._scheduler.unregister(self._listener.fileno())
             self._scheduler.call_later(self._limits.accept_retry_delay, self._resume_accepting)
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -95,7 +95,10 @@
             self.listener = None
 
     def _on_descriptor_shortage(self, error: OSError) -> None:
-        """Pause accepting if no descriptor can be freed; else each poll reports the listener."""
+        """Pause accepting for `accept_retry_delay` if no descriptor can be freed.
+
+        Otherwise every poll would report the listener as ready.
+        """
         if not self._free_descriptor(error):
             self.pause_accepting()
             self._scheduler.call_later(self.limits.accept_retry_delay, self.resume_accepting)
--- a/petrellane/operation/management_requests.py
+++ b/petrellane/operation/management_requests.py
@@ -146,7 +146,7 @@
 
 
 def encode_response(response: HttpResponse) -> bytes:
-    """Return the bytes of a response, which announce that the server closes the connection."""
+    """Return the bytes of a response with the header `Connection: close`."""
     extra = "".join(f"{name}: {value}\r\n" for name, value in response.headers.items())
     head = (
         f"HTTP/1.1 {response.status} {REASONS[response.status]}\r\n"
--- a/tests/integration/operation/test_hot_restart_faults.py
+++ b/tests/integration/operation/test_hot_restart_faults.py
@@ -33,7 +33,7 @@
 def test_the_old_process_dies_during_the_restart(
     deployment: Deployment, old: GatewayProcess
 ) -> None:
-    """The new process accepts clients, whenever the old one is killed and leaves a socket file.
+    """The new process accepts clients, whenever the old one is killed, despite its socket file.
 
     Each connection was handed over or is closed, so that no two processes read from it.
     """
--- a/tests/unit/operation/test_hot_restart.py
+++ b/tests/unit/operation/test_hot_restart.py
@@ -130,7 +130,7 @@
 def controller_with_lease(
     plan: api.Plan, waiting: Sequence[api.Rpc] = ()
 ) -> tuple[AdmissionController, Lease]:
-    """Return a controller with one lease of this plan, and the lease with the waiting RPCs."""
+    """Return a controller and its lease of a customer with this plan; the RPCs wait for it."""
     controller = controller_at(100.0, seed=1)
     lease = controller.lease_manager.lease_of(api.Customer("c", plan), 110.0)
     lease.waiting += waiting
