--- a/petrellane/gateway/hot_restart.py
+++ b/petrellane/gateway/hot_restart.py
@@ -63,7 +63,7 @@
         self.process.client_listener.set_successor(successor)
         if successor:
             return
-        hot_restart.resume(self.executor.controller, self.scheduler.now())
+        hot_restart.resume_hard_limit_refill(self.executor.controller, self.scheduler.now())
         if self.process.participant:
             self.process.participant.resume()
 
@@ -89,4 +89,4 @@
 
     def on_predecessor_still_running(self) -> None:
         """Note that the predecessor gave nothing, and may go on."""
-        hot_restart.predecessor_still_running(self.executor.controller, self.scheduler.now())
+        hot_restart.withhold_hard_limits(self.executor.controller, self.scheduler.now())
--- a/tests/integration/gateway/load_steps.py
+++ b/tests/integration/gateway/load_steps.py
@@ -68,7 +68,7 @@
             text: The data that each read returns; letters x if empty.
         """
         if name == "staff":
-            stream = next(reversed(self.gateway.management.callers))
+            stream = next(reversed(self.gateway.management.unanswered))
             peer = self.callers[-1]
         else:
             stream = self.server_client(name).stream
