--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -38,7 +38,7 @@
 )
 from petrellane.gateway.customers import Customers
 from petrellane.gateway.endpoint_updates import endpoint_updates
-from petrellane.gateway.load_report import COST_FIGURE, parse_load_report, take_reported_use
+from petrellane.gateway.load_report import COST_METRIC, parse_load_report, take_reported_use
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -309,7 +309,7 @@
             self._finish(attempt.rpc, replies.value_head(len(value)), value, replies.VALUE_END)
         is_over = attempt.rpc not in self.requests
         figures = parse_load_report(report, self.limits.max_load_figure)
-        cost = figures.pop(COST_FIGURE, 0.0)
+        cost = figures.pop(COST_METRIC, 0.0)
         self._notify_controller(
             attempt.rpc,
             self.controller.on_attempt_ended,
--- a/petrellane/gateway/load_report.py
+++ b/petrellane/gateway/load_report.py
@@ -1,6 +1,6 @@
 """The load report that an endpoint's answer may carry."""
 
-COST_FIGURE = "cost"  # the units that an RPC cost in the end
+COST_METRIC = "cost"  # the units that an RPC cost in the end
 USE_FIGURE = "used"
 NOT_REPORTED = 0
 
