--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -38,7 +38,7 @@
 )
 from petrellane.gateway.customers import Customers
 from petrellane.gateway.endpoint_updates import endpoint_updates
-from petrellane.gateway.load_report import COST_METRIC, parse_load_report, take_reported_use
+from petrellane.gateway.load_report import COST_METRIC, parse_load_report, pop_reported_usage
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -318,7 +318,7 @@
             outcome,
             over=is_over,
             took=max(MINIMUM_DURATION_S, now - attempt.sent_at),
-            usage=take_reported_use(figures),
+            usage=pop_reported_usage(figures),
             units=cost if cost <= self.settings.max_units else 0.0,
             report=figures,
         )
--- a/petrellane/gateway/load_report.py
+++ b/petrellane/gateway/load_report.py
@@ -24,7 +24,7 @@
     return figures
 
 
-def take_reported_use(figures: dict[str, float]) -> int:
+def pop_reported_usage(figures: dict[str, float]) -> int:
     """Take an endpoint's figure of use out of a load report.
 
     Returns:
