--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -58,7 +58,7 @@
             process.restart_watch()
         self._log_settings("reloaded", before.settings, settings, moved=moved)
 
-    def check_agreed(self, content: Mapping[str, Any]) -> str | None:
+    def validate_agreed_settings(self, content: Mapping[str, Any]) -> str | None:
         """Return why agreed settings will not do here, in one line; None where they do."""
         try:
             self._with_agreed(content)
@@ -67,7 +67,7 @@
         return None
 
     def adopt_agreed(self, content: Mapping[str, Any]) -> None:
-        """Put agreed settings in force, which `check_agreed` has accepted."""
+        """Put agreed settings in force, which `validate_agreed_settings` has accepted."""
         before = self.process.config.settings
         settings = self._with_agreed(content).settings
         self._apply(settings)
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -137,7 +137,7 @@
             GatewayInterface(
                 name=self.config.name,
                 settings=self.config.raw["settings"],
-                validate=self.configuration.check_agreed,
+                validate=self.configuration.validate_agreed_settings,
                 apply_settings=self.configuration.adopt_agreed,
                 random=self.executor.controller.random,
             ),
--- a/tests/integration/testbed/planted.py
+++ b/tests/integration/testbed/planted.py
@@ -125,14 +125,14 @@
     """A gateway of an older build, which does not know what it is sent."""
     from petrellane.gateway.configuration_changes import ConfigurationChanges
 
-    check_agreed = ConfigurationChanges.check_agreed
+    validate_agreed_settings = ConfigurationChanges.validate_agreed_settings
 
     def planted(self: ConfigurationChanges, content: Mapping[str, Any]) -> str | None:
         if len(content["classes"]) > KNOWN_METHODS:
             return "settings.classes: expected three at most"
-        return check_agreed(self, content)
+        return validate_agreed_settings(self, content)
 
-    ConfigurationChanges.check_agreed = planted
+    ConfigurationChanges.validate_agreed_settings = planted
 
 
 def file_is_adopted() -> None:
