--- a/tests/integration/gateway/endpoint_steps.py
+++ b/tests/integration/gateway/endpoint_steps.py
@@ -82,9 +82,9 @@
 
     def do_sends_part(self, rpc: str, number: str) -> None:
         """The endpoint sends so many bytes of the value."""
-        self.give(rpc, int(number))
+        self.send_value(rpc, int(number))
 
-    def give(self, rpc: str, number: int) -> None:
+    def send_value(self, rpc: str, number: int) -> None:
         """Send bytes of a value while the gateway takes them off."""
         peer = self.endpoint_of(rpc)
         limit = time.monotonic() + PATIENCE_S
--- a/tests/integration/gateway/load_steps.py
+++ b/tests/integration/gateway/load_steps.py
@@ -123,7 +123,7 @@
 
     def do_sends_remainder(self, rpc: str) -> None:
         """The endpoint sends all that is left of the long value, and ends the answer."""
-        self.give(rpc, LONG_VALUE - self.stalled_after)
+        self.send_value(rpc, LONG_VALUE - self.stalled_after)
         self.do_ends(rpc, "$-1", "$-1")
 
     def do_waits_within(self, number: str) -> None:
