--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -1,7 +1,8 @@
-"""What of the configuration changes while the gateway serves, and how it is put in force.
+"""Applies configuration changes to a running gateway.
 
-Settings change by a reload of the file or, where gateways agree on them, by a committed change.
-Checks are `petrellane.config`'s; here the checked values are handed to the running services.
+The settings change when the gateway reloads its configuration file or, under settings consensus,
+when its participant applies a generation. `petrellane.config` validates a configuration; this
+module hands the validated values to the running services.
 """
 
 from __future__ import annotations
@@ -18,22 +19,24 @@
 
 
 class ConfigurationChanges:
-    """Puts other settings and addresses in force.
+    """Applies new settings and new addresses.
 
-    Owned by `GatewayProcess`, whose `config` and `limits` it replaces.
+    `GatewayProcess` owns it. It replaces the `config` and `limits` of that process.
     """
 
     def __init__(self, process: GatewayProcess) -> None:
         self.process = process
 
     def reload(self, load: Callable[[Config], Config]) -> None:
-        """Apply a configuration that is read anew.
+        """Reload the configuration and apply it.
 
-        Settings and the addresses of discovery and the counter are applied; all else stays as at
-        the start. A wrong configuration changes nothing and is logged.
+        The gateway applies the settings and the addresses of discovery and the counter. Everything
+        else keeps its value from the start of the process. An invalid configuration is logged and
+        changes nothing.
 
         Args:
-            load: Reads the configuration, given the one in force; raises ConfigError.
+            load: Reads the new configuration, given the one in force. Raises ConfigError if the
+                configuration is invalid.
         """
         process = self.process
         before = process.config
@@ -42,8 +45,8 @@
         except ConfigError as error:
             process.log.event("reload_rejected", error=str(error))
             return
-        counter = config.counter or before.counter  # it cannot be removed in service
-        moved = _moved_addresses(before, config)
+        counter = config.counter or before.counter  # a reload cannot remove the counter
+        changed_addresses = _changed_addresses(before, config)
         settings = config.settings
         file_settings = config.raw["settings"]
         if process.participant and not process.participant.accept_file_settings(file_settings):
@@ -51,42 +54,42 @@
         process.config = before._replace(
             discovery=config.discovery, counter=counter, raw=config.raw
         )
-        self._apply(settings)
-        if "counter" in moved and counter and process.counter_client:
-            process.counter_client.move(counter)
-        if "discovery" in moved:
+        self._apply_settings(settings)
+        if "counter" in changed_addresses and counter and process.counter_client:
+            process.counter_client.change_address(counter)
+        if "discovery" in changed_addresses:
             process.restart_watch()
-        self._log_settings("reloaded", before.settings, settings, moved=moved)
+        self._log_settings("reloaded", before.settings, settings, moved=changed_addresses)
 
     def validate_agreed_settings(self, content: Mapping[str, Any]) -> str | None:
-        """Return why agreed settings will not do here, in one line; None where they do."""
+        """Return why this gateway cannot apply agreed settings, in one line; None if it can."""
         try:
-            self._with_agreed(content)
+            self._with_agreed_settings(content)
         except ConfigError as error:
             return str(error)
         return None
 
-    def adopt_agreed(self, content: Mapping[str, Any]) -> None:
-        """Put agreed settings in force, which `validate_agreed_settings` has accepted."""
+    def apply_agreed_settings(self, content: Mapping[str, Any]) -> None:
+        """Apply agreed settings that `validate_agreed_settings` has accepted."""
         before = self.process.config.settings
-        settings = self._with_agreed(content).settings
-        self._apply(settings)
+        settings = self._with_agreed_settings(content).settings
+        self._apply_settings(settings)
         self._log_settings("settings", before, settings)
 
-    def _with_agreed(self, content: Mapping[str, Any]) -> Config:
-        """Return the configuration with agreed settings and what of them is this gateway's own.
+    def _with_agreed_settings(self, content: Mapping[str, Any]) -> Config:
+        """Return the configuration with agreed settings merged with the local ones of this gateway.
 
         Raises:
-            ConfigError: The settings will not do here.
+            ConfigError: The gateway cannot apply the settings.
         """
-        # Imported where it is needed: a gateway alone starts without it.
+        # Imported lazily: a gateway without consensus starts faster without it.
         from petrellane.config_consensus import canonical_settings
 
         config = self.process.config
         merged = {**canonical_settings.local_settings(config.raw["settings"]), **content}
         return config.with_settings(merged)
 
-    def _apply(self, settings: Settings) -> None:
+    def _apply_settings(self, settings: Settings) -> None:
         process = self.process
         process.config = process.config._replace(settings=settings)
         process.limits = process.limits.with_settings_of(process.config)
@@ -103,17 +106,20 @@
         )
 
 
-def _moved_addresses(before: Config, now: Config) -> list[str]:
-    """Return which of the addresses that may change have done so; one cannot be removed."""
-    moved = []
+def _changed_addresses(before: Config, now: Config) -> list[str]:
+    """Return the names of the addresses that a reload changes.
+
+    An address that the new configuration removes does not count as changed.
+    """
+    changed_addresses = []
     if before.discovery and before.discovery != now.discovery:
-        moved.append("discovery")
+        changed_addresses.append("discovery")
     if before.counter and before.counter != (now.counter or before.counter):
-        moved.append("counter")
-    return moved
+        changed_addresses.append("counter")
+    return changed_addresses
 
 
 def _changed_names(before: Mapping[str, object], now: Mapping[str, object]) -> list[str]:
-    """Return the names that came, went or stand for something else."""
+    """Return the sorted names that were added, removed or given another value."""
     names = before.keys() | now.keys()
     return sorted(name for name in names if before.get(name) is not now.get(name))
--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -1,9 +1,8 @@
 """The client of the shared counter.
 
-Additions go out on few connections, each on an idle one where there is one: an answer that is
-malformed ends its connection, and with it whatever waits behind. An addition is reported late by
-our own clock.
-When an addition is made, and of how much, is decided elsewhere.
+The client keeps a few connections. It prefers an idle one for each addition, because a malformed
+reply ends its connection and fails the additions that are pending behind it. The timeout of an
+addition runs on the gateway's clock. The decisions choose when to add and how much.
 """
 
 from __future__ import annotations
@@ -26,7 +25,7 @@
     from petrellane.gateway.runtime import Address, Runtime
     from petrellane.net.scheduler import Timer
 
-# Types of answers, by their first byte.
+# Reply types, by their first byte.
 BULK_STRING = ord("$")
 ERROR_LINE = ord("-")
 
@@ -34,8 +33,8 @@
 class PendingAdd:
     """One addition, from `CounterClient.send` until its outcome is reported.
 
-    `end_offset` is the number of bytes that its connection's stream has sent once the addition is
-    completely out; None while it is not written.
+    `end_offset` is the value of the stream's `bytes_sent` at which the whole addition has been
+    sent. It is None until the addition is written.
     """
 
     __slots__ = ("add", "end_offset", "is_reported", "sent_at", "timer")
@@ -43,16 +42,16 @@
     def __init__(self, add: CounterAdd, sent_at: float) -> None:
         self.add = add
         self.sent_at = sent_at
-        self.timer: Timer  # set at once by who makes it
+        self.timer: Timer  # set by `CounterClient.send`
         self.end_offset: int | None = None
         self.is_reported = False
 
 
 class CounterConnection:
-    """One connection to the counter; answers come in the order of the additions.
+    """One connection to the counter, which replies in the order of the additions.
 
-    Made and listed by its `CounterClient`, until `end`. Owns its stream with the socket, and the
-    additions on it.
+    `CounterClient` creates and lists it until `end`. It owns its stream, which holds the socket,
+    and the additions that are pending on it.
     """
 
     def __init__(self, client: CounterClient) -> None:
@@ -63,11 +62,11 @@
         self.last_used_at: float = client.scheduler.now()
 
     def run(self) -> None:
-        """Dial, write what waits, and read answers until the connection ends."""
+        """Connect, write the queued additions, and read replies until the connection ends."""
         try:
             self._serve()
         except resp.Malformed:
-            if self.pending:  # its answer came: it was added, to what total is not known
+            if self.pending:  # the reply proves that it was added; the total is unknown
                 self.client.report(self.pending.popleft(), ERROR, 0.0)
             self.end()
         except (OSError, Closed):
@@ -80,18 +79,18 @@
         )
         self.stream = stream
         for pending in [pending for pending in self.pending if pending.is_reported]:
-            self.pending.remove(pending)  # its time is over, and it was never written
+            self.pending.remove(pending)  # timed out before it was written
         for pending in self.pending:
             self._write(stream, pending)
-        while self in client.connections:  # it may have been ended while it dialed
-            self._read_answers(stream)
+        while self in client.connections:  # `end` may have run during the dial
+            self._read_replies(stream)
             if not self.pending and self.address != client.address:
                 break
             stream.fill()
         self.end()
 
     def send(self, pending: PendingAdd) -> None:
-        """Send an addition, once the connection is up."""
+        """Write an addition, or queue it until the connection is established."""
         self.pending.append(pending)
         if self.stream:
             self._write(self.stream, pending)
@@ -106,28 +105,28 @@
         pending.end_offset = stream.bytes_queued
         self.last_used_at = self.client.scheduler.now()
 
-    def _read_answers(self, stream: Stream) -> None:
-        """Take the answers that have come completely.
+    def _read_replies(self, stream: Stream) -> None:
+        """Process the replies that are complete in the buffer.
 
-        Answers to additions that are already reported late are discarded.
+        The reply to an addition that has timed out is discarded.
         """
         buffer = stream.buffer
         while found := resp.parse_reply(buffer, 0, self.client.limits):
             kind, content, end = found
             if not self.pending:
-                raise resp.Malformed("an answer to nothing")
-            outcome, total = self._decode_answer(buffer, kind, content)
+                raise resp.Malformed("reply without a pending addition")
+            outcome, total = self._decode_reply(buffer, kind, content)
             del buffer[:end]
             self.client.report(self.pending.popleft(), outcome, total)
 
     @staticmethod
-    def _decode_answer(
+    def _decode_reply(
         buffer: bytearray, kind: int, content: Span | list[Span | None] | None
     ) -> tuple[Outcome, float]:
-        """Return an answer's outcome and total.
+        """Return the outcome and the total of a reply.
 
         Raises:
-            Malformed: It has none of the forms of an answer.
+            Malformed: The reply is neither a finite total nor an error line.
         """
         if kind == BULK_STRING and isinstance(content, tuple):
             try:
@@ -135,19 +134,26 @@
             except ValueError:
                 total = math.nan
             if not math.isfinite(total):
-                raise resp.Malformed("a total out of form")
+                raise resp.Malformed("counter total: expected a finite number")
             return OK, total
         if kind != ERROR_LINE:
-            raise resp.Malformed("an answer out of form")
-        return FULL, 0.0  # rejected: nothing was added
+            raise resp.Malformed(f"counter reply: expected type '$' or '-', found {chr(kind)!r}")
+        return FULL, 0.0  # the counter rejected the addition: nothing was added
 
-    def is_stuck(self, now: float) -> bool:
-        """Return whether an answer is due for so long that nothing should wait behind it."""
+    def is_stalled(self, now: float) -> bool:
+        """Return whether the oldest addition has waited for its reply longer than the timeout.
+
+        No further addition is queued on such a connection.
+        """
         timeout = self.client.limits.counter_timeout
         return bool(self.pending) and now - self.pending[0].sent_at > timeout
 
     def end(self) -> None:
-        """Close the connection, and report the additions on it as the socket proves them."""
+        """Close the connection and report the pending additions.
+
+        An addition that was sent completely ends `RESET`, as the counter may have executed it. Any
+        other ends `UNREACHABLE`.
+        """
         if self.stream:
             self.stream.close()
         if self in self.client.connections:
@@ -155,19 +161,19 @@
         unanswered = self.pending
         self.pending = deque()
         for pending in unanswered:
-            is_written = (
+            is_fully_sent = (
                 self.stream is not None
                 and pending.end_offset is not None
                 and pending.end_offset <= self.stream.bytes_sent
             )
-            self.client.report(pending, RESET if is_written else UNREACHABLE, 0.0)
+            self.client.report(pending, RESET if is_fully_sent else UNREACHABLE, 0.0)
 
 
 class CounterClient:
-    """Executes additions to the shared counter.
+    """Sends additions to the shared counter.
 
-    Made by `GatewayProcess` where a counter is configured, for the life of the process. Owns its
-    connections, the additions' timers, and a timer that retires idle connections.
+    `GatewayProcess` creates it if a counter is configured, and keeps it until the process ends. It
+    owns its connections, the timers of the additions, and a timer that closes idle connections.
     """
 
     def __init__(
@@ -176,31 +182,33 @@
         address: Address,
         on_reply: Callable[[CounterAdd, Outcome, float], object],
     ) -> None:
-        """Begin with no connection.
+        """Start without a connection.
 
         Args:
-            runtime: Scheduler, limits and log.
-            address: Where the counter is.
-            on_reply: Called once per addition with its outcome and, where that is ok, the total.
+            runtime: The scheduler, the limits and the log.
+            address: The address of the counter.
+            on_reply: Called once per addition with the addition, its outcome and the total, which
+                is meaningful only if the outcome is `OK`.
         """
         self.scheduler = runtime.scheduler
         self.limits = runtime.limits
         self.address = address
         self.on_reply = on_reply
         self.connections: list[CounterConnection] = []
-        self.scheduler.call_later(self.limits.check_interval, self._retire_idle)
+        self.scheduler.call_later(self.limits.check_interval, self._close_idle)
 
     def send(self, add: CounterAdd) -> None:
-        """Send an addition; its outcome is reported once."""
+        """Send an addition and report its outcome exactly once."""
         pending = PendingAdd(add, self.scheduler.now())
-        on_late = partial(self._on_late, pending)
-        pending.timer = self.scheduler.call_later(self.limits.counter_timeout, on_late)
+        on_timeout = partial(self._on_timeout, pending)
+        pending.timer = self.scheduler.call_later(self.limits.counter_timeout, on_timeout)
         self._connection_for(pending.sent_at).send(pending)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Use another address from now on.
 
-        What is written on old connections is settled there; what is not goes to the new address.
+        Additions that are already written complete on their old connections. The others are sent to
+        the new address.
         """
         self.address = address
         for connection in list(self.connections):
@@ -215,39 +223,39 @@
                     self._connection_for(self.scheduler.now()).send(pending)
 
     def _connection_for(self, now: float) -> CounterConnection:
-        """Return an idle connection, a new one, or the one with the fewest additions on it."""
+        """Return an idle connection, a new one, or the one with the fewest pending additions."""
         usable = [each for each in self.connections if each.address == self.address]
-        # The last one used first, so that others can be retired.
+        # Prefers the most recently used connection, so that the others become idle and close.
         idle = [connection for connection in usable if not connection.pending]
         for connection in sorted(idle, key=_last_used_at, reverse=True):
             stream = connection.stream
             if stream and stream.is_read_idle() and not stream.buffer:
                 return connection
-            connection.end()  # spoilt, or ended by the counter
+            connection.end()  # holds unexpected bytes, or the counter closed it
             usable.remove(connection)
         if len(usable) >= self.limits.counter_connections:
-            answering = [connection for connection in usable if not connection.is_stuck(now)]
-            if answering:
-                return min(answering, key=_pending_count)
-            usable[0].end()  # the counter is silent on it
+            responsive = [connection for connection in usable if not connection.is_stalled(now)]
+            if responsive:
+                return min(responsive, key=_pending_count)
+            usable[0].end()  # the counter does not reply on it
         connection = CounterConnection(self)
         self.connections.append(connection)
         self.scheduler.spawn(connection.run)
         return connection
 
-    def _on_late(self, pending: PendingAdd) -> None:
+    def _on_timeout(self, pending: PendingAdd) -> None:
         self.report(pending, LATE if pending.end_offset else UNREACHABLE, 0.0)
 
     def report(self, pending: PendingAdd, outcome: Outcome, total: float) -> None:
-        """Report what became of an addition, once, at the end of this turn."""
+        """Report the outcome of an addition, once, at the end of this turn."""
         if not pending.is_reported:
             pending.is_reported = True
             pending.timer.cancel()
             self.scheduler.call_soon(self.on_reply, pending.add, outcome, total)
 
-    def _retire_idle(self) -> None:
-        """Retire idle connections before the counter does."""
-        self.scheduler.call_later(self.limits.check_interval, self._retire_idle)
+    def _close_idle(self) -> None:
+        """Close connections that are idle, or left at an old address, before the counter does."""
+        self.scheduler.call_later(self.limits.check_interval, self._close_idle)
         before = self.scheduler.now() - self.limits.counter_idle_timeout
         for connection in list(self.connections):
             is_idle = not connection.pending or connection.address != self.address
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -1,9 +1,9 @@
 """One connection to an endpoint, and the attempts that are in flight on it.
 
-Attempts are answered in the order in which they were written. What became of each is reported
-exactly as the socket proves it: an attempt never ran when its connection did not come up or broke
-before the attempt's last byte was written, and may have run when that happened later. Which attempt
-is written where is for `endpoint_pool`.
+The endpoint replies to attempts in the order in which they were written. The outcome of an attempt
+follows from the state of the socket: the endpoint cannot have executed an attempt if the connection
+failed before the last byte of the attempt was sent, and may have executed it if the connection
+failed later. `endpoint_pool` chooses the connection for each attempt.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
     from petrellane.gateway.endpoint_pool import EndpointPool
     from petrellane.net.scheduler import Timer
 
-# Types of answers, by their first byte.
+# Reply types, by their first byte.
 ARRAY = ord("*")
 ERROR_LINE = ord("-")
 
 
-class Answer(NamedTuple):
-    """What an answer says: the outcome, the value, and the load report that came with it."""
+class DecodedReply(NamedTuple):
+    """A decoded reply: the outcome, the value, and the load report that it carries."""
 
     outcome: Outcome
     value: bytes
@@ -47,11 +47,20 @@
 
 
 class PendingAttempt:
-    """An attempt on the network, from `EndpointPools.send` until its outcome is reported.
-
-    `connection` is None until it is written. `end_offset` is then the number of bytes that the
-    connection's stream has sent once the attempt is completely out; None while it is being written.
-    `abandoned_as` is the outcome to report once its connection allows, None while it is awaited.
+    """An attempt, from `EndpointPools.send` until its outcome is reported.
+
+    Attributes:
+        request: The request of the client.
+        attempt: The attempt as the decisions describe it.
+        pool: The pool of its endpoint; None if the endpoint takes no attempts.
+        deadline: The deadline, in Unix seconds.
+        connection: The connection that the attempt is written to; None until then.
+        timer: The timer of `send_by` or of the deadline.
+        end_offset: The value of the stream's `bytes_sent` at which the whole attempt has been sent.
+            None until the attempt is written.
+        is_relaying: Whether the gateway has started to relay its response to the client.
+        abandoned_as: The outcome that is reported when the connection ends, if the gateway has
+            abandoned the attempt; None if it has not.
     """
 
     __slots__ = (
@@ -73,7 +82,7 @@
         pool: EndpointPool | None,
         deadline: float,
     ) -> None:
-        """Begin an attempt; `pool` is None where its endpoint takes none."""
+        """Start an attempt; `pool` is None if its endpoint takes no attempts."""
         self.request = request
         self.attempt = attempt
         self.pool = pool
@@ -81,33 +90,35 @@
         self.connection: EndpointConnection | None = None
         self.timer: Timer | None = None
         self.end_offset: int | None = None
-        self.is_relaying = False  # its response has begun to go to the client
+        self.is_relaying = False
         self.abandoned_as: Outcome | None = None
 
 
 class EndpointConnection:
     """One connection to an endpoint.
 
-    Made by its `EndpointPool`, which lists it as idle or busy from the end of the dial until `end`.
-    Owns its stream with the socket, the attempts in flight, and the relay of a long response.
+    `EndpointPool` creates it, and lists it as idle or busy from the end of the dial until `end`. It
+    owns its stream, which holds the socket, the attempts in flight, and the relay of a long
+    response.
     """
 
     def __init__(self, pool: EndpointPool) -> None:
         self.pool = pool
         self.address = pool.address
-        self.stream: Stream  # from the end of the dial on
+        self.stream: Stream  # set when the dial succeeds
         self.in_flight: deque[PendingAttempt] = deque()
         self.idle_since = 0.0
-        self.last_answer_at = 0.0  # 0: it has answered nothing
-        self.is_retiring = False
+        self.last_reply_at = 0.0  # 0 until the first reply
+        self.is_draining = False
         self.is_ended = False
-        # A long response: its relay, the bytes of its value to come, and its answer's parts.
+        # The relay of a long response, the bytes of its value that are still to be read, and the
+        # number of items in the reply array.
         self.relay: ResponseRelay | None = None
         self.relay_bytes_left = 0
-        self.relay_parts = 0
+        self.relay_item_count = 0
 
     def run(self) -> None:
-        """Dial, then read answers until the connection ends."""
+        """Dial, then read replies until the connection ends."""
         pool = self.pool
         pools = pool.pools
         try:
@@ -123,7 +134,7 @@
         pool.on_connection_free(self)
         try:
             while True:
-                self._read_answers()
+                self._read_replies()
                 self.stream.fill()
         except (Closed, resp.Malformed):
             pass
@@ -131,7 +142,7 @@
             self.end()
 
     def write(self, pending: PendingAttempt) -> None:
-        """Write an attempt with the time that it has left."""
+        """Write an attempt, with the time that remains until its deadline."""
         now = self.pool.pools.scheduler.now()
         pending.connection = self
         pending.end_offset = None
@@ -140,30 +151,31 @@
         pending.end_offset = self.stream.bytes_queued
 
     def can_pipeline(self) -> bool:
-        """Return whether one more attempt may be written behind those in flight.
+        """Return whether another attempt may be written behind those in flight.
 
-        It may not behind bytes that the endpoint does not take, where it would wait unseen, nor at
-        an address that the endpoint has left.
+        An attempt must not queue behind bytes that the endpoint has not taken yet: it would wait in
+        the buffer of the stream, from which the pool cannot move it to another connection. Nor may
+        it go to an address that the endpoint has left.
         """
         return not (
-            self.is_retiring
+            self.is_draining
             or self.stream.unsent
             or self.stream.broken
             or self.address != self.pool.address
             or len(self.in_flight) >= self.pool.pools.limits.attempts_per_connection
         )
 
-    def is_clean(self) -> bool:
-        """Return whether nothing has come that belongs to no attempt.
+    def is_reusable(self) -> bool:
+        """Return whether the connection is open and holds no bytes that belong to no attempt.
 
-        It would pass for the answer to the next one.
+        The gateway would take such bytes for the reply to the next attempt.
         """
         return not self.stream.buffer and bool(self.stream.is_read_idle())
 
-    # Answers.
+    # Replies.
 
-    def _read_answers(self) -> None:
-        """Take the answers that have come completely, and what has come of a long one."""
+    def _read_replies(self) -> None:
+        """Process complete replies, and relay the available part of a long one."""
         buffer = self.stream.buffer
         limits = self.pool.pools.limits
         while not self.is_ended:
@@ -180,56 +192,59 @@
                 return
             kind, content, end = reply
             if not self.in_flight:
-                raise resp.Malformed("an answer to nothing")
-            answer = self._decode_answer(kind, content)
+                raise resp.Malformed("reply without an attempt in flight")
+            decoded = self._decode_reply(kind, content)
             del buffer[:end]
-            self._on_answer(answer)
+            self._on_reply(decoded)
 
-    def _on_answer(self, answer: Answer) -> None:
-        """Report the answer to the attempt that was written first."""
+    def _on_reply(self, decoded: DecodedReply) -> None:
+        """Report a reply for the oldest attempt in flight."""
         pool = self.pool
         pending = self.in_flight.popleft()
         if self.relay:
             relay = self.relay
             self.relay = None
             relay.end()
-        self.last_answer_at = pool.last_answer_at = pool.pools.scheduler.now()
-        pool.on_connection_free(self)  # first, as what follows may be for this endpoint as well
-        pool.pools.report(pending, answer.outcome, answer.value, answer.report)
+        self.last_reply_at = pool.last_reply_at = pool.pools.scheduler.now()
+        # Called before the report, which may send another attempt to this endpoint.
+        pool.on_connection_free(self)
+        pool.pools.report(pending, decoded.outcome, decoded.value, decoded.report)
 
-    def _decode_answer(self, kind: int, content: list[Span | None] | Span | None) -> Answer:
-        """Return what an answer says.
+    def _decode_reply(self, kind: int, content: list[Span | None] | Span | None) -> DecodedReply:
+        """Decode a reply.
 
         Raises:
-            Malformed: It has none of the forms of an answer.
+            Malformed: The reply is not an array with a value, BUSY or ERR.
         """
         if kind == ARRAY and isinstance(content, list) and content and content[0]:
-            value, used, report = [*content, None, None][:3]
-            reports = (self._bytes_at(used), self._bytes_at(report))
-            return Answer(OK, self._bytes_at(value), b",".join(filter(None, reports)))
+            value, cost, report = [*content, None, None][:3]
+            reports = (self._bytes_at(cost), self._bytes_at(report))
+            return DecodedReply(OK, self._bytes_at(value), b",".join(filter(None, reports)))
         text = b""
         if kind == ERROR_LINE and not isinstance(content, list):
             text = self._bytes_at(content)
         words = text.split(b" ")
         if text == b"BUSY" or (text.startswith(b"BUSY ") and b"=" in words[-1]):
-            return Answer(FULL, b"", b"")
+            return DecodedReply(FULL, b"", b"")
         if not text.startswith(b"ERR"):
-            raise resp.Malformed("an answer out of form")
-        return Answer(ERROR, b"", b",".join(word for word in words if b"=" in word))
+            raise resp.Malformed(
+                f"endpoint reply: expected an array, BUSY or ERR, found type {chr(kind)!r}"
+            )
+        return DecodedReply(ERROR, b"", b",".join(word for word in words if b"=" in word))
 
     def _bytes_at(self, span: Span | None) -> bytes:
         return bytes(self.stream.buffer[slice(*span)]) if span else b""
 
     # Long responses.
 
-    def _begin_relay(self, buffer: bytearray, parts: int, length: int, start: int) -> None:
-        """Begin to pass a long response on as it comes, or to discard it where nobody waits."""
+    def _begin_relay(self, buffer: bytearray, item_count: int, length: int, start: int) -> None:
+        """Start to relay a long response, or to discard it if no client waits for it."""
         if not self.in_flight:
-            raise resp.Malformed("an answer to nothing")
+            raise resp.Malformed("reply without an attempt in flight")
         pools = self.pool.pools
         pending = self.in_flight[0]
         self.relay_bytes_left = length
-        self.relay_parts = parts
+        self.relay_item_count = item_count
         del buffer[:start]
         self.stream.limit_kernel_buffer(socket.SO_RCVBUF)
         self.relay = ResponseRelay(
@@ -242,29 +257,40 @@
             self.relay.drop()
 
     def _relay_data(self, buffer: bytearray) -> None:
-        """Pass on some of a long value; what follows its end reads like the rest of a short one."""
+        """Relay a part of a long value.
+
+        After the last byte, an array head with an empty value is put in front of the buffer, so
+        that the remaining items are parsed like those of a short reply.
+        """
         data = bytes(buffer[: self.relay_bytes_left])
         del buffer[: len(data)]
         self.relay_bytes_left -= len(data)
         if not self.relay_bytes_left:
-            buffer[:0] = b"*%d\r\n$0\r\n" % self.relay_parts
+            buffer[:0] = b"*%d\r\n$0\r\n" % self.relay_item_count
         if self.relay:
             self.relay.push(data)
 
     def _on_relay_unwanted(self) -> None:
-        """End the connection, at once or when the attempts behind are abandoned as well."""
+        """Abandon the attempt whose response is relayed.
+
+        The connection ends at the end of this turn if all attempts in flight are abandoned.
+        """
         self.in_flight[0].abandoned_as = self.in_flight[0].abandoned_as or CANCELLED
         if self.is_abandoned():
             self.pool.pools.scheduler.call_soon(self.end)
 
-    # The end.
+    # Ending.
 
     def is_abandoned(self) -> bool:
-        """Return whether nobody waits for any of the attempts in flight."""
+        """Return whether all attempts in flight are abandoned."""
         return all(pending.abandoned_as for pending in self.in_flight)
 
     def end(self) -> None:
-        """Close the connection, and report the attempts in flight as the socket proves them."""
+        """Close the connection and report the attempts in flight.
+
+        An attempt that was sent completely ends `RESET`, or with the outcome it was abandoned with.
+        Any other ends `UNREACHABLE`, or `NEVER_SENT` if it was abandoned as never sent.
+        """
         if self.is_ended:
             return
         self.is_ended = True
@@ -275,29 +301,34 @@
         self.in_flight = deque()
         self.pool.remove(self)
         for pending in in_flight:
-            is_written = (
+            is_fully_sent = (
                 pending.end_offset is not None and pending.end_offset <= self.stream.bytes_sent
             )
-            outcome: Outcome = RESET if is_written else UNREACHABLE
-            if pending.abandoned_as and (is_written or pending.abandoned_as == NEVER_SENT):
+            outcome: Outcome = RESET if is_fully_sent else UNREACHABLE
+            if pending.abandoned_as and (is_fully_sent or pending.abandoned_as == NEVER_SENT):
                 outcome = pending.abandoned_as
             self.pool.pools.report(pending, outcome)
 
     def give_up(self, pending: PendingAttempt, outcome: Outcome) -> None:
-        """Stop waiting for an attempt without ending the others on the connection.
+        """Abandon an attempt because the endpoint does not reply to it.
 
-        Where the endpoint has answered nothing since it was sent, idle connections from before may
-        be as dead: none of them is to swallow the next attempt.
+        If no connection to the endpoint has carried a reply since the attempt was sent, connections
+        that have been idle since before may be dead too. They are closed so that the next attempt
+        does not go to one of them.
         """
-        if self.pool.last_answer_at < pending.attempt.sent_at:
-            self.pool.retire(pending.attempt.sent_at)
+        if self.pool.last_reply_at < pending.attempt.sent_at:
+            self.pool.close_idle(pending.attempt.sent_at)
         self.abandon(pending, outcome)
 
     def abandon(self, pending: PendingAttempt, outcome: Outcome) -> None:
-        """Stop waiting for an attempt, with no doubt about the endpoint."""
+        """Abandon an attempt for a reason that does not cast doubt on the endpoint.
+
+        The connection takes no further attempts, and ends when all its attempts are abandoned.
+        """
         pending.abandoned_as = outcome
-        self.is_retiring = True
+        self.is_draining = True
         if self.is_abandoned():
             self.end()
-        elif outcome == LATE:  # nothing can be sent in its place, so this may be reported now
+        elif outcome == LATE:
+            # A late attempt is not retried, so its outcome need not wait for the connection.
             self.pool.pools.report(pending, outcome)
--- a/petrellane/gateway/endpoint_pool.py
+++ b/petrellane/gateway/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one endpoint, and the attempts that wait for one of them."""
+"""The connections to one endpoint, and the attempts that wait for a connection."""
 
 from __future__ import annotations
 
@@ -18,37 +18,38 @@
 
 
 class EndpointPool:
-    """One endpoint's connections.
+    """The connections to one endpoint.
 
-    Made by `EndpointPools` with the endpoint's first attempt, dropped when it holds nothing or the
-    endpoint leaves the list; attempts in flight then still complete. Owns its connections, the
-    queue, and the timer until an idle connection may be used again.
+    `EndpointPools` creates it with the first attempt to the endpoint. It drops the pool when the
+    pool holds nothing, or when the endpoint leaves the list; attempts in flight then still
+    complete. The pool owns its connections, the queue of attempts, and the timer that dispatches
+    the queue again after the reuse delay of idle connections.
     """
 
     def __init__(self, pools: EndpointPools, endpoint: Endpoint, address: Address) -> None:
         self.pools = pools
         self.endpoint = endpoint
         self.address = address
-        self.idle: deque[EndpointConnection] = deque()  # the last one used is the next one used
+        self.idle: deque[EndpointConnection] = deque()  # most recently used last
         self.busy: dict[EndpointConnection, None] = {}
         self.queue: deque[PendingAttempt] = deque()
         self.dials = 0
-        self.last_answer_at = 0.0
+        self.last_reply_at = 0.0
         self.reuse_timer: Timer | None = None
 
     def assign(self, pending: PendingAttempt) -> None:
-        """Write an attempt to an idle connection, let it wait for a new one, or pipeline it."""
+        """Queue an attempt and dispatch the queue."""
         self.queue.append(pending)
         self.dispatch()
 
     def dispatch(self) -> None:
-        """Serve the queue, the oldest attempt first.
+        """Send the queued attempts, the oldest first.
 
-        An attempt goes to an idle connection that may be used again, else waits for a dial of its
-        own, else goes to any idle connection, else behind others. One that is not to be sent any
-        more is handed back, whichever way its turn comes.
+        An attempt goes to an idle connection whose reuse delay has passed. Otherwise it waits for a
+        new connection. If none may be opened, it goes to any idle connection, or is pipelined
+        behind other attempts. Stale attempts are reported as never sent.
         """
-        while self._has_waiting():
+        while self._has_sendable_attempt():
             connection = self._take_idle(self.pools.limits.reuse_delay)
             if connection:
                 self._write(connection)
@@ -57,7 +58,7 @@
         self._set_reuse_timer()
 
     def _set_reuse_timer(self) -> None:
-        """Dispatch again once idle connections may be used, as they may be ready before a dial."""
+        """Dispatch again after the reuse delay, as idle connections may be ready before a dial."""
         if self.queue and self.idle and not self.reuse_timer:
             self.reuse_timer = self.pools.scheduler.call_later(
                 self.pools.limits.reuse_delay, self._on_reuse_timer
@@ -72,49 +73,56 @@
         connection.write(self.queue.popleft())
 
     def _dial_or_write(self) -> bool:
-        """Dial for the first attempt, or write it without delay; return False if it must wait."""
+        """Dial for the oldest attempt or write it without delay; return False if it must wait."""
         if len(self.queue) <= self.dials:
             return False
-        return self._dial() or self._write_without_delay()
+        return self._dial() or self._write_ignoring_reuse_delay()
 
-    def _write_without_delay(self) -> bool:
-        """Write to any idle connection, or behind the fewest attempts; False if none takes it."""
+    def _write_ignoring_reuse_delay(self) -> bool:
+        """Write the oldest attempt without regard to the reuse delay.
+
+        It goes to any idle connection, or behind the fewest attempts in flight.
+
+        Returns:
+            Whether a connection took the attempt.
+        """
         connection = self._take_idle(0.0)
         if connection:
             self._write(connection)
             return True
-        shared = [connection for connection in self.busy if connection.can_pipeline()]
-        if not shared:
+        pipelinable = [connection for connection in self.busy if connection.can_pipeline()]
+        if not pipelinable:
             return False
-        min(shared, key=_in_flight).write(self.queue.popleft())
+        min(pipelinable, key=_in_flight_count).write(self.queue.popleft())
         return True
 
-    def _has_waiting(self) -> bool:
-        """Return whether an attempt waits that is still to be sent; hand back stale ones first."""
+    def _has_sendable_attempt(self) -> bool:
+        """Return whether an attempt is queued; first report stale ones as never sent."""
         pools = self.pools
         while self.queue and pools.is_stale(self.queue[0]):
             pools.scheduler.call_soon(pools.report, self.queue.popleft(), NEVER_SENT)
         return bool(self.queue)
 
     def _take_idle(self, reuse_delay: float) -> EndpointConnection | None:
-        """Take the idle connection that was used last, of those that are still good.
+        """Take the most recently used idle connection that is reusable; None if there is none.
 
         Args:
-            reuse_delay: Seconds since its last answer, at least. An endpoint may answer twice, some
-                milliseconds apart: on a connection used again at once the second answer would pass
-                for that to the next attempt.
+            reuse_delay: The minimum time since the last reply, in seconds. An endpoint may reply
+                twice to one attempt, some milliseconds apart. On a connection that is reused
+                immediately, the gateway would take the second reply for the reply to the next
+                attempt.
         """
         before = self.pools.scheduler.now() - reuse_delay
-        reusable = [connection for connection in self.idle if connection.last_answer_at <= before]
+        reusable = [connection for connection in self.idle if connection.last_reply_at <= before]
         for connection in reversed(reusable):
             self.idle.remove(connection)
-            if connection.is_clean():
+            if connection.is_reusable():
                 return connection
             connection.end()
         return None
 
     def _dial(self) -> bool:
-        """Begin a new connection; return False where there is no room for one."""
+        """Start to open a connection; return False if a limit does not allow one more."""
         pools = self.pools
         connections = self.dials + len(self.busy) + len(self.idle)
         if connections >= pools.limits.connections_per_endpoint:
@@ -128,14 +136,18 @@
         return True
 
     def on_connection_free(self, connection: EndpointConnection) -> None:
-        """Give a connection that has come up or been answered on the next attempt, or idle it."""
+        """Handle a connection that is established or has carried a reply.
+
+        The connection takes queued attempts or becomes idle. It ends if it holds unexpected bytes,
+        or if it takes no further attempts and all those in flight are abandoned.
+        """
         if connection.stream.broken:
             return
-        if not connection.in_flight and not connection.is_clean():
+        if not connection.in_flight and not connection.is_reusable():
             connection.end()
             return
         if (
-            connection.is_retiring
+            connection.is_draining
             or self.endpoint.state != READY
             or connection.address != self.address
         ):
@@ -150,35 +162,39 @@
             self.dispatch()
 
     def on_dial_failed(self) -> None:
-        """Fail the attempt that has waited longest, unless a connection is to come for it."""
+        """Fail the oldest queued attempt, unless each one still has a dial in progress."""
         self.dials -= 1
         if len(self.queue) > self.dials:
             self.pools.report(self.queue.popleft(), UNREACHABLE)
 
     def remove(self, connection: EndpointConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self.pools.open_connections -= 1
         self.busy.pop(connection, None)
         if connection in self.idle:
             self.idle.remove(connection)
-        if self.queue:  # an attempt may wait that no dial will serve
+        if self.queue:  # an attempt may be queued for which no dial is in progress
             self.pools.scheduler.call_soon(self.dispatch)
 
-    def withdraw(self) -> None:
-        """End idle connections and hand back the queue, as the endpoint wants nothing new."""
-        self.retire(math.inf)
+    def drain(self) -> None:
+        """Close idle connections; if the endpoint is not ready, report the queue as never sent."""
+        self.close_idle(math.inf)
         while self.endpoint.state != READY and self.queue:
             self.pools.scheduler.call_soon(self.pools.report, self.queue.popleft(), NEVER_SENT)
 
     def is_unused(self) -> bool:
-        """Return whether it holds nothing: a new one would be the same."""
+        """Return whether the pool holds nothing, so that it can be dropped and created again."""
         return not (self.queue or self.dials or self.busy or self.idle or self.reuse_timer)
 
-    def retire(self, before: float) -> None:
-        """End idle connections that were last used before a time."""
+    def close_idle(self, before: float) -> None:
+        """Close connections that have been idle since before a time.
+
+        Args:
+            before: The time, in Unix seconds.
+        """
         while self.idle and self.idle[0].idle_since < before:
             self.idle[0].end()
 
 
-def _in_flight(connection: EndpointConnection) -> int:
+def _in_flight_count(connection: EndpointConnection) -> int:
     return len(connection.in_flight)
--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -1,7 +1,8 @@
-"""The endpoint side: the pools of all endpoints, and the attempts that are pending on them.
+"""The pools of all endpoints, and the attempts that are pending on them.
 
-It sends an attempt when it is given one and reports its outcome once, exactly as the sockets prove
-it. Which endpoint an attempt goes to, and for how long, is decided elsewhere.
+`EndpointPools` sends each attempt that it is given, and reports its outcome exactly once, as it
+follows from the state of the sockets. The decisions choose the endpoint and the timeout of an
+attempt.
 """
 
 from __future__ import annotations
@@ -24,26 +25,27 @@
     from petrellane.gateway.runtime import Address, Runtime
 
 
-class AttemptEvents(Protocol):
-    """What is called for the attempts that are pending."""
+class AttemptCallbacks(Protocol):
+    """Callbacks for pending attempts."""
 
     def on_response_started(
         self, pending: PendingAttempt, relay: ResponseRelay, length: int
     ) -> bool:
-        """Begin a long response; return False where nobody waits for it."""
+        """Start a long response; return False if no client waits for it."""
 
     def on_attempt_ended(
         self, pending: PendingAttempt, outcome: Outcome, value: bytes, report: bytes
     ) -> None:
-        """Take an attempt's outcome, once."""
+        """Handle the outcome of an attempt; called once per attempt."""
 
 
 class EndpointPools:
-    """The pools of endpoints by endpoint, and all pending attempts.
+    """The pool of each endpoint, and all pending attempts.
 
-    Made by `GatewayProcess` for the life of the process. An endpoint has a pool while that holds
-    anything, so that there are no more pools than connections and attempts, however many endpoints
-    are listed. Owns the pools, the attempts' timers, and a timer that retires what is idle.
+    `GatewayProcess` creates it and keeps it until the process ends. An endpoint has a pool only
+    while the pool holds connections or attempts, so the number of pools does not grow with the
+    endpoint list. `EndpointPools` owns the pools, the timers of the attempts, and a timer for
+    periodic checks.
     """
 
     def __init__(
@@ -51,15 +53,15 @@
         runtime: Runtime,
         buffer_budget: BufferBudget,
         client_count: Callable[[], int],
-        events: AttemptEvents,
+        events: AttemptCallbacks,
     ) -> None:
-        """Begin with no pool.
+        """Start without pools.
 
         Args:
-            runtime: Scheduler, limits and log.
-            buffer_budget: The memory for long responses.
-            client_count: Returns how many descriptors clients have.
-            events: Called for the attempts.
+            runtime: The scheduler, the limits and the log.
+            buffer_budget: The memory budget of long responses.
+            client_count: Returns the number of descriptors that clients hold.
+            events: Callbacks for the attempts.
         """
         self.scheduler = runtime.scheduler
         self.limits = runtime.limits
@@ -69,27 +71,27 @@
         self.on_attempt_ended = events.on_attempt_ended
         self.pools: dict[Endpoint, EndpointPool] = {}
         self.open_connections = 0
-        self.counts: Counter[str] = Counter()  # figures since the last line of the log
+        self.counts: Counter[str] = Counter()  # events since the last `figures` log line
         self.pending_attempts: dict[SendAttempt, PendingAttempt] = {}
         self.scheduler.call_later(self.limits.check_interval, self._run_periodic_checks)
 
     # Endpoints.
 
     def on_endpoint_changed(self, endpoint: Endpoint, address: Address | None) -> None:
-        """Apply an endpoint's address, and whether it is ready."""
+        """Apply the address and the state of an endpoint that has changed."""
         pool = self.pools.get(endpoint)
         if pool and address and (pool.address != address or endpoint.state != READY):
             pool.address = address
-            pool.withdraw()
+            pool.drain()
 
     def on_endpoint_removed(self, endpoint: Endpoint) -> None:
-        """Drop the pool of an endpoint that left the list; attempts in flight may complete."""
+        """Drop the pool of an endpoint that has left the list; attempts in flight may complete."""
         pool = self.pools.pop(endpoint, None)
         if pool:
-            pool.withdraw()
+            pool.drain()
 
-    def _pool_of(self, endpoint: Endpoint) -> EndpointPool | None:
-        """Return an endpoint's pool; None where it is not ready and has none."""
+    def _pool_for(self, endpoint: Endpoint) -> EndpointPool | None:
+        """Return the pool of an endpoint, created if the endpoint is ready; None if it is not."""
         pool = self.pools.get(endpoint)
         if pool is None and endpoint.state == READY:
             name, _, port = endpoint.address.rpartition(":")
@@ -101,7 +103,7 @@
 
     def send(self, request: ClientRequest, attempt: SendAttempt) -> None:
         """Start an attempt."""
-        pool = self._pool_of(attempt.endpoint)
+        pool = self._pool_for(attempt.endpoint)
         pending = PendingAttempt(request, attempt, pool, attempt.sent_at + attempt.timeout)
         self.pending_attempts[attempt] = pending
         if pool is None or self.is_stale(pending):
@@ -112,7 +114,11 @@
         pool.assign(pending)
 
     def _on_timer(self, pending: PendingAttempt) -> None:
-        """End an attempt whose time is over: all of it, or that to be sent, if it still waits."""
+        """Handle the expiry of an attempt's deadline or of its `send_by` time.
+
+        At the deadline, the attempt is given up as `LATE`. At an earlier `send_by`, an attempt that
+        is still queued ends `NEVER_SENT`, and one that is written has until its deadline.
+        """
         if pending.attempt.send_by >= pending.deadline:
             self._give_up(pending, LATE)
         elif self._remove_from_queue(pending):
@@ -125,7 +131,7 @@
 
     @staticmethod
     def _remove_from_queue(pending: PendingAttempt) -> bool:
-        """Take an attempt out of its pool's queue; return False where it is not in it."""
+        """Remove an attempt from the queue of its pool; return False if it is not queued."""
         pool = pending.pool
         if pool is None or pending not in pool.queue:
             return False
@@ -133,10 +139,12 @@
         return True
 
     def is_stale(self, pending: PendingAttempt) -> bool:
-        """Return whether an attempt is not to be sent any more.
+        """Return whether an attempt must not be sent any more.
 
-        Its RPC is over, its time, or its endpoint's. Where the client may have left unseen for a
-        while, its socket is asked: that costs little beside a turn that takes so long.
+        That is so if its RPC has finished, its endpoint is not ready, or its deadline or `send_by`
+        time has passed. If the process has stalled or this turn takes long, the client may have
+        disconnected without a poll event, so the gateway also checks the socket of the client. That
+        check costs little beside the stall.
         """
         now = self.scheduler.now()
         attempt = pending.attempt
@@ -152,7 +160,7 @@
         )
 
     def cancel(self, attempt: SendAttempt) -> None:
-        """Stop waiting for an attempt; its outcome is still reported."""
+        """Cancel an attempt; its outcome is still reported."""
         pending = self.pending_attempts.get(attempt)
         if pending and not (pending.abandoned_as or pending.is_relaying):
             self.scheduler.call_soon(self._give_up, pending, CANCELLED)
@@ -160,11 +168,16 @@
     def on_client_disconnected(
         self, attempts: Iterable[SendAttempt], may_cancel: bool = True
     ) -> None:
-        """Stop the attempts of a client that has gone.
+        """Stop the attempts of a client that has disconnected.
+
+        A queued attempt is reported as never sent. The unsent rest of a partly sent attempt is
+        dropped, so the endpoint never receives it completely. If the connection of an attempt has
+        carried no reply yet, the endpoint may not have accepted that connection, and may start the
+        attempt later; the gateway cancels the attempt.
 
-        What waits is handed back, and what its endpoint does not have completely never gets there.
-        On a connection that the endpoint has not answered on yet, the connection may be late in
-        coming up there and the attempt still to begin: it is cancelled, where `may_cancel` allows.
+        Args:
+            attempts: The attempts of the client.
+            may_cancel: Whether attempts that were sent completely may be cancelled.
         """
         for pending in filter(None, map(self.pending_attempts.get, attempts)):
             connection = pending.connection
@@ -179,30 +192,30 @@
                 connection.stream.unsent.clear()  # nothing is written behind it: see can_pipeline
                 connection.give_up(pending, NEVER_SENT)
             elif may_cancel:
-                self.scheduler.call_soon(self._cancel_unanswered, pending)
+                self.scheduler.call_soon(self._cancel_without_reply, pending)
 
-    def _cancel_unanswered(self, pending: PendingAttempt) -> None:
-        """Cancel an attempt on a connection that its endpoint has not answered on."""
+    def _cancel_without_reply(self, pending: PendingAttempt) -> None:
+        """Cancel a pending attempt if its connection has carried no reply."""
         connection = pending.connection
         if (
             connection is not None
             and pending.attempt in self.pending_attempts
-            and not (connection.last_answer_at or pending.abandoned_as or pending.is_relaying)
+            and not (connection.last_reply_at or pending.abandoned_as or pending.is_relaying)
         ):
             connection.abandon(pending, CANCELLED)
 
     def expire(self, attempts: Iterable[SendAttempt]) -> None:
-        """End the time of some attempts now."""
+        """Expire attempts now, before their deadlines."""
         for pending in list(filter(None, map(self.pending_attempts.get, attempts))):
             self._give_up(pending, LATE)
 
     def _give_up(self, pending: PendingAttempt, outcome: Outcome) -> None:
-        """Stop waiting for an attempt, unless that has been done or its response is under way.
+        """Give up an attempt, unless it has been given up or its response is being relayed.
 
         Args:
             pending: The attempt.
-            outcome: What is reported of an attempt that was written. One that still waits in its
-                pool's queue is always UNREACHABLE, as nothing of it was sent.
+            outcome: The outcome of an attempt that has been written. An attempt that is still
+                queued always ends `UNREACHABLE`, because no byte of it was sent.
         """
         if pending.attempt not in self.pending_attempts or pending.is_relaying:
             return
@@ -215,7 +228,10 @@
         self.report(pending, UNREACHABLE)
 
     def begin_response(self, pending: PendingAttempt, relay: ResponseRelay, length: int) -> bool:
-        """Begin a long response, which no deadline cuts off; return whether somebody takes it."""
+        """Start a long response; return whether a client takes it.
+
+        The timer of the attempt is cancelled, so no deadline cuts the response off.
+        """
         if pending.timer:
             pending.timer.cancel()
         pending.is_relaying = self.on_response_started(pending, relay, length)
@@ -224,19 +240,19 @@
     def report(
         self, pending: PendingAttempt, outcome: Outcome, value: bytes = b"", report: bytes = b""
     ) -> None:
-        """Report what became of an attempt, once."""
+        """Report the outcome of an attempt, once."""
         if self.pending_attempts.pop(pending.attempt, None):
             if pending.timer:
                 pending.timer.cancel()
             self.on_attempt_ended(pending, outcome, value, report)
 
-    # Room.
+    # Descriptors.
 
     def make_room(self, number: int) -> bool:
-        """Close idle connections until `number` more fit beside the clients.
+        """Close the longest idle connections until `number` more descriptors are free.
 
         Returns:
-            Whether they fit.
+            Whether so many are free.
         """
         room = self.limits.endpoint_capacity(self.client_count()) - number
         while self.open_connections > room:
@@ -248,7 +264,7 @@
         return True
 
     def _run_periodic_checks(self) -> None:
-        """Retire what has been idle for long, and dial for what waits without a dial."""
+        """Expire stalled relays, close idle connections, dispatch queues and drop unused pools."""
         self.scheduler.call_later(self.limits.check_interval, self._run_periodic_checks)
         now = self.scheduler.now()
         stalled_before = now - self.limits.stall_timeout
@@ -259,7 +275,7 @@
             self.counts["stood still"] += 1
             relay.expire()
         for endpoint, pool in list(self.pools.items()):
-            pool.retire(now - self.limits.endpoint_idle_timeout)
+            pool.close_idle(now - self.limits.endpoint_idle_timeout)
             pool.dispatch()
             if pool.is_unused():
                 del self.pools[endpoint]
--- a/petrellane/gateway/hot_restart.py
+++ b/petrellane/gateway/hot_restart.py
@@ -47,7 +47,7 @@
     def export_state(self) -> list[Message]:
         """Give up what the successor is to have, and return what it was."""
         for pool in self.process.endpoint_pools.pools.values():
-            pool.retire(math.inf)
+            pool.close_idle(math.inf)
         consensus_state = None
         participant = self.process.participant
         if participant:
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -138,7 +138,7 @@
                 name=self.config.name,
                 settings=self.config.raw["settings"],
                 validate=self.configuration.validate_agreed_settings,
-                apply_settings=self.configuration.adopt_agreed,
+                apply_settings=self.configuration.apply_agreed_settings,
                 random=self.executor.controller.random,
             ),
         )
