--- a/petrellane/gateway/endpoint_updates.py
+++ b/petrellane/gateway/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""What an endpoint list says of each endpoint that it is about, as events for the controller."""
+"""Converts an endpoint list to events for the admission controller."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """One row of an endpoint list: whom it names, where it is (None: gone), and the event."""
+    """The update of one endpoint: its name, its address (None if it is gone), and the event."""
 
     name: str
     address: Address | None
@@ -24,9 +24,14 @@
 def endpoint_updates(
     endpoint_list: EndpointListUpdate, known: dict[str, Endpoint]
 ) -> Iterator[EndpointUpdate]:
-    """Yield an update for each endpoint that a list names or, if complete, leaves out.
+    """Yield an update for each endpoint of a list.
 
-    Endpoints that the list names for the first time are added to `known`.
+    A complete list also yields an update to `GONE` for each known endpoint that it does not
+    contain. Endpoints that are new are added to `known`.
+
+    Args:
+        endpoint_list: A complete list, or changes.
+        known: The known endpoints, by name.
     """
     missing = dict(known) if endpoint_list.full else {}
     for entry in endpoint_list.entries:
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -1,9 +1,9 @@
-"""The watch of the endpoint list: it goes on while discovery answers, and restarts when it fails.
+"""Watches the endpoint list at discovery, and retries after failures.
 
-When discovery is asked next is decided in `petrellane/operation/backoff.py`. A list is checked to
-its last row before any of it is passed on, so that a malformed one changes nothing; the next
-request asks for changes since its version once it is in force. Rows are checked a chunk in a turn,
-and the list is passed on by a call that may wait likewise.
+`petrellane/operation/backoff.py` decides when the next request starts. A list is validated
+completely before any of it is passed on, so a malformed list changes nothing. Once the list is in
+force, the next request asks for changes since its version. To keep turns short, the watch validates
+a chunk of rows per turn. Applying the list may take several turns too.
 """
 
 from __future__ import annotations
@@ -23,33 +23,34 @@
 
     from petrellane.gateway.runtime import Address, Runtime
 
-PATH = "/registry/instances"
+ENDPOINT_LIST_PATH = "/registry/instances"
 STATUS_OK = 200
 
 
 class DiscoveryRejectedError(Malformed):
-    """Discovery is there and answers with an error status: it has more to do than it can."""
+    """Discovery is reachable but answers with an error status, as when it is overloaded."""
 
 
 class EndpointListConsumer(Protocol):
-    """Whom the lists are for."""
+    """The receiver of the lists."""
 
     def on_endpoint_list(self, endpoint_list: EndpointListUpdate) -> None:
-        """Apply a list, which may wait for other turns."""
+        """Apply a list; the call may yield turns to other work."""
 
     def on_watch_failed(self) -> None:
-        """Note the first failed request in a row."""
+        """Handle the first failure after a successful request."""
 
     def is_applying_endpoint_list(self) -> bool:
-        """Return whether a list is being applied, during which no other may be given."""
+        """Return whether a list is being applied; no other list may be passed on meanwhile."""
 
 
 class EndpointWatch:
-    """One watch of the list at one address.
+    """A watch of the endpoint list at one address of discovery.
 
-    Made by `GatewayProcess`, which runs it in a greenlet of its own and ends it when discovery
-    moves. Owns the connection to discovery. One line of the log says that discovery is away, and
-    one that it is back. A request has one time for its dial and its answer, however that comes.
+    `GatewayProcess` creates it, runs it in its own greenlet, and ends it when the address of
+    discovery changes. It owns the connection to discovery. It logs one line when discovery becomes
+    unreachable and one when discovery recovers. A single deadline covers the dial, the request and
+    the response, however slowly the response arrives.
     """
 
     def __init__(
@@ -63,10 +64,10 @@
         """Prepare to watch.
 
         Args:
-            runtime: Scheduler, limits and log.
-            address: Where discovery is.
-            index: The version that is in force; None asks for a complete list.
-            consumer: Whom the lists are for.
+            runtime: The scheduler, the limits and the log.
+            address: The address of discovery.
+            index: The version of the list that is in force; None to request a complete list.
+            consumer: The receiver of the lists.
             random: Draws from 0 to 1, for the backoff.
         """
         self.scheduler = runtime.scheduler
@@ -93,36 +94,36 @@
         self.is_ended = False
 
     def end(self) -> None:
-        """Stop watching: whatever still comes is not passed on."""
+        """Stop watching; a response that is still pending is discarded."""
         self.is_ended = True
         if self.stream:
             self.stream.close()
 
     def run(self) -> None:
-        """Watch until the end."""
+        """Watch until `end`."""
         while not self.is_ended:
             error = self._watch_until_failure()
             if error is not None:
-                self.scheduler.wait(self._pause_after(error))
+                self.scheduler.wait(self._retry_delay(error))
 
     def _watch_until_failure(self) -> Exception | None:
-        """Watch on one connection.
+        """Watch on one connection until it fails or closes.
 
-        The connection is closed before a pause, as nobody reads from it meanwhile: what the peer
-        had ended would be ready at every poll.
+        The connection is closed before the retry delay, because no greenlet reads from it during
+        the delay. If the peer closed it meanwhile, every poll would return immediately.
 
         Returns:
-            The failure; None where the connection just does not go on, or at the end.
+            The failure; None if the connection is not kept alive, or the watch has ended.
         """
         stream = None
         try:
-            until = self._begin_request()
+            deadline = self._begin_request()
             stream = Stream.dial(
-                self.scheduler, self.limits, self.address, until - self.scheduler.now()
+                self.scheduler, self.limits, self.address, deadline - self.scheduler.now()
             )
             self.stream = stream
-            while self._apply(*self._request(stream, until)) and not self.is_ended:
-                until = self._begin_request()
+            while self._apply(*self._request(stream, deadline)) and not self.is_ended:
+                deadline = self._begin_request()
         except (OSError, Closed, Malformed, ConfigError, ValueError) as error:
             if self.is_ended:
                 return None
@@ -134,49 +135,55 @@
         return None
 
     def _begin_request(self) -> float:
-        """Return the time by which a request that begins now has to be answered."""
-        until: float = self.backoff.start_poll(self.scheduler.now(), self.index is not None)
-        return until
+        """Start a request in the backoff schedule and return its deadline, in Unix seconds."""
+        deadline: float = self.backoff.start_poll(self.scheduler.now(), self.index is not None)
+        return deadline
 
     def _report_failure(self, error: Exception) -> None:
-        """Report the first failure in a row."""
+        """Report a failure, unless the request before failed too."""
         if not self.backoff.is_failing:
             self.log.event("discovery_unreachable", error=str(error))
             self.consumer.on_watch_failed()
 
-    def _pause_after(self, error: Exception) -> float:
-        """Return how long to wait after a failure, in seconds."""
+    def _retry_delay(self, error: Exception) -> float:
+        """Return the delay before the next request after a failure, in seconds."""
         outcome = PollFailure.FAILED
         if isinstance(error, TimeoutError):
             outcome = PollFailure.TIMED_OUT
         elif isinstance(error, DiscoveryRejectedError):
             outcome = PollFailure.REJECTED
-        pause: float = self.backoff.pause_after(outcome, self.scheduler.now())
-        return pause
+        delay: float = self.backoff.pause_after(outcome, self.scheduler.now())
+        return delay
 
-    def _request(self, stream: Stream, until: float) -> tuple[EndpointListUpdate, bool]:
-        """Ask once; return the list or its changes, and whether the connection goes on."""
+    def _request(self, stream: Stream, deadline: float) -> tuple[EndpointListUpdate, bool]:
+        """Send one request.
+
+        Returns:
+            The complete list or the changes, and whether the connection is kept alive.
+        """
         limits = self.limits
-        path = PATH
-        if self.index is not None:  # an index of 0 is one too
+        path = ENDPOINT_LIST_PATH
+        if self.index is not None:  # 0 is a valid version
             hold_ms = int(self.backoff.remaining_hold(self.scheduler.now()) * 1e3)
             path += f"?from={self.index}&hold_ms={hold_ms}"
         stream.write(http.encode_get(path, f"{self.address[0]}:{self.address[1]}"))
         while not (found := http.parse_response_head(stream.buffer, limits)):
-            http.read_more(stream, until)
+            http.read_more(stream, deadline)
         status, fields, end = found
-        if status != STATUS_OK:  # what else it says may have no end
-            raise DiscoveryRejectedError(f"status {status}")
+        if status != STATUS_OK:  # the body is not read, as it may have no end
+            raise DiscoveryRejectedError(
+                f"HTTP status {status} from discovery, expected {STATUS_OK}"
+            )
         del stream.buffer[:end]
-        endpoint_list = self.decode(http.read_body(stream, fields, limits, until))
+        endpoint_list = self.decode(http.read_body(stream, fields, limits, deadline))
         return endpoint_list, http.is_keep_alive(fields)
 
     def decode(self, body: bytes) -> EndpointListUpdate:
-        """Return the list of an answer's body, checked a chunk of its rows in a turn.
+        """Parse the body of a response, validating a chunk of rows per turn.
 
         Raises:
             ConfigError: A row is malformed.
-            ValueError: The body is no JSON.
+            ValueError: The body is not JSON.
             Closed: The watch has ended meanwhile.
         """
         section = Section(orjson.loads(body), "list")
@@ -188,18 +195,22 @@
         return endpoint_list
 
     def _yield_turn(self) -> None:
-        """Let others have their turn; raise Closed where the watch has ended in it."""
+        """Yield to other work for one turn.
+
+        Raises:
+            Closed: The watch has ended meanwhile.
+        """
         self.scheduler.wait(0)
         if self.is_ended:
-            raise Closed("ended here")
+            raise Closed("the endpoint watch has ended")
 
-    def _apply(self, endpoint_list: EndpointListUpdate, is_lasting: bool) -> bool:
-        """Pass on what a request brought; return whether the connection goes on."""
+    def _apply(self, endpoint_list: EndpointListUpdate, is_keep_alive: bool) -> bool:
+        """Pass on a response; return whether the connection is kept alive."""
         index = endpoint_list.index
         if self.index is not None and index < self.index and not endpoint_list.full:
             self.log.event("discovery_restarted", before=self.index, index=index)
-            self.index = None  # its numbers began anew: what they count from is not what we have
-            return is_lasting
+            self.index = None  # discovery restarted its numbering: request a complete list
+            return is_keep_alive
         if self.backoff.is_failing:
             self.log.event("discovery_recovered", index=index)
         self.backoff.on_success(bool(endpoint_list.entries))
@@ -207,6 +218,6 @@
             self._yield_turn()
         self.consumer.on_endpoint_list(endpoint_list)
         self.index = index
-        if not endpoint_list.entries:  # guards against answers without end
+        if not endpoint_list.entries:  # bounds the request rate if discovery does not hold requests
             self.scheduler.wait(self.limits.unchanged_watch_delay)
-        return is_lasting
+        return is_keep_alive
--- a/petrellane/gateway/hot_restart.py
+++ b/petrellane/gateway/hot_restart.py
@@ -1,8 +1,9 @@
-"""The gateway's side of a hot restart: what it gives to a successor and takes from a predecessor.
+"""The gateway's part in a hot restart, as predecessor and as successor.
 
-Imported only where the configuration names an inherited listening socket: without one, a gateway
-starts without this module and what it stands on. The rules are in
-`petrellane.operation.hot_restart`, the packets in `petrellane.operation.hot_restart_transport`.
+This module is imported only if the configuration names an inherited listening socket. A gateway
+without one starts faster without the module and its imports. The rules are in
+`petrellane.operation.hot_restart`, the transport is in
+`petrellane.operation.hot_restart_transport`.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class GatewayHotRestart:
-    """Answers the steps of a hot restart; owned by its transport, for the life of the process."""
+    """Handles the steps of a hot restart; its transport owns it until the process ends."""
 
     def __init__(self, process: GatewayProcess) -> None:
         self.process = process
@@ -28,7 +29,7 @@
         self.scheduler = process.scheduler
 
     def make_transport(self) -> HotRestartTransport:
-        """Return the transport that calls back here; it opens nothing yet."""
+        """Return a transport that calls the methods of this object; it opens no socket yet."""
         return HotRestartTransport(
             self.scheduler,
             self.process.limits,
@@ -45,7 +46,11 @@
         )
 
     def export_state(self) -> list[Message]:
-        """Give up what the successor is to have, and return what it was."""
+        """Give up the state that goes to the successor, and return the messages that carry it.
+
+        Idle connections to endpoints are closed, and the participant stops taking part in
+        consensus.
+        """
         for pool in self.process.endpoint_pools.pools.values():
             pool.close_idle(math.inf)
         consensus_state = None
@@ -58,7 +63,7 @@
         )
 
     def on_successor(self, successor: HotRestartTransport | None) -> None:
-        """Give way to a successor, or go on when it is gone (None)."""
+        """Hand over to a successor, or resume if the successor is gone (None)."""
         self.process.lifecycle.has_successor = bool(successor)
         self.process.client_listener.set_successor(successor)
         if successor:
@@ -68,7 +73,7 @@
             self.process.participant.resume()
 
     def import_leases(self, rows: list[dict[str, Any]]) -> int:
-        """Take over the leases that the predecessor has given up; return how many."""
+        """Import the leases that the predecessor has given up; return their number."""
         plans = self.executor.settings.plans
         customers = self.executor.customers
         now = self.scheduler.now()
@@ -81,12 +86,17 @@
         return hot_restart.import_leases(self.executor.controller, now, rows, customer_of)
 
     def on_predecessor_requests_ended(self, name: str, number: int) -> None:
-        """Note that so many requests of a customer, still open at the predecessor, have ended."""
+        """Release requests in flight that have ended at the predecessor.
+
+        Args:
+            name: The name of the customer.
+            number: The number of its requests that have ended.
+        """
         controller = self.executor.controller
         for customer in self.executor.customers.with_name(name):
             now = self.scheduler.now()
             number -= hot_restart.release_in_flight(controller, now, customer, number)
 
     def on_predecessor_still_running(self) -> None:
-        """Note that the predecessor gave nothing, and may go on."""
+        """Handle a predecessor that has exported no state and may still be serving."""
         hot_restart.predecessor_still_running(self.executor.controller, self.scheduler.now())
--- a/petrellane/gateway/load_report.py
+++ b/petrellane/gateway/load_report.py
@@ -1,18 +1,18 @@
-"""The load report that an endpoint's answer may carry."""
+"""The load report that an endpoint's reply may carry."""
 
-COST_METRIC = "cost"  # the units that an RPC cost in the end
-USE_FIGURE = "used"
+COST_METRIC = "cost"  # the actual cost of an RPC, in units
+USAGE_METRIC = "used"
 NOT_REPORTED = 0
 
 
 def parse_load_report(text: bytes, maximum: float) -> dict[str, float]:
-    """Return the figures of a load report such as `a=1,b=2`.
+    """Return the metrics of a load report such as `a=1,b=2`.
 
-    What is no number, or none that an endpoint can mean (below 0, above `maximum`), is left out.
+    A value that is not a number, negative, or above `maximum` is left out.
     """
-    figures: dict[str, float] = {}
+    metrics: dict[str, float] = {}
     if not text:
-        return figures
+        return metrics
     for part in text.decode("latin-1").split(","):
         name, _, number = part.partition("=")
         try:
@@ -20,16 +20,16 @@
         except ValueError:
             continue
         if 0 <= value <= maximum:
-            figures[name] = value
-    return figures
+            metrics[name] = value
+    return metrics
 
 
-def pop_reported_usage(figures: dict[str, float]) -> int:
-    """Take an endpoint's figure of use out of a load report.
+def pop_reported_usage(metrics: dict[str, float]) -> int:
+    """Remove the usage metric from a load report and return it in encoded form.
 
     Returns:
-        1 + the figure, so that a use of 0 differs from `NOT_REPORTED`: every caller of the
-        controller gives it in this form.
+        1 + the usage, so that a usage of 0 differs from `NOT_REPORTED`. Every caller of the
+        controller reports usage in this form.
     """
-    use = figures.pop(USE_FIGURE, None)
-    return NOT_REPORTED if use is None else 1 + int(use)
+    usage = metrics.pop(USAGE_METRIC, None)
+    return NOT_REPORTED if usage is None else 1 + int(usage)
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -1,6 +1,6 @@
-"""One gateway as a process: makes its services, connects them, starts and ends them.
+"""One gateway process: creates its services, connects them, and starts and stops them.
 
-Embed it with `GatewayProcess(config).run()`, or give it a scheduler of your own.
+To embed a gateway, call `GatewayProcess(config).run()`, or pass a scheduler.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from petrellane.gateway.endpoint_watch import EndpointWatch
 from petrellane.gateway.response_relay import BufferBudget
 from petrellane.gateway.runtime import Runtime
-from petrellane.gateway.signals import SignalWatch
+from petrellane.gateway.signals import SignalDispatcher
 from petrellane.net.limits import Limits
 from petrellane.net.log import Logger
 from petrellane.net.scheduler import Scheduler
@@ -43,16 +43,16 @@
 
 
 class HasLimits(Protocol):
-    """A service that is given other limits when the settings change."""
+    """A service whose limits are replaced when the settings change."""
 
     limits: Limits
 
 
 class GatewayProcess:
-    """A gateway that serves until it is ended.
+    """A gateway and all its services.
 
-    One per process, except in tests and embeddings that give it a scheduler. Owns every service of
-    the daemon, the log and, unless it was given one, the scheduler.
+    There is one per process, except in tests and in programs that pass a scheduler. It owns every
+    service of the gateway, the log and, unless one is passed, the scheduler.
     """
 
     def __init__(
@@ -62,9 +62,13 @@
         limits: Limits | None = None,
         scheduler: Scheduler | None = None,
     ) -> None:
-        """Make all services; nothing is opened before `start`.
+        """Create all services; no socket is opened before `start`.
 
-        Without `limits`, those that the configuration sets are taken.
+        Args:
+            config: The configuration.
+            log_descriptor: The descriptor that the log is written to.
+            limits: The limits; by default those that the configuration sets.
+            scheduler: The scheduler; by default a new one.
         """
         self.config = config
         self.limits: Limits = limits or Limits.from_config(config)
@@ -93,7 +97,7 @@
         self.hot_restart_transport: HotRestartTransport | None = None
         if config.listen_fd is not None:
             self._make_hot_restart_transport()
-        self.signals: SignalWatch | None = None
+        self.signals: SignalDispatcher | None = None
 
     def _make_client_side(self, buffer_budget: BufferBudget) -> None:
         self.client_listener = ClientListener(
@@ -122,7 +126,7 @@
         self.endpoint_watch = self.make_watch(config.known.index if config.known.entries else None)
 
     def _make_participant(self, consensus: ConsensusConfig) -> None:
-        # Imported where it is asked for: a gateway alone starts without it.
+        # Imported lazily: a gateway without consensus starts faster without it.
         from petrellane.config_consensus.message_authentication import PARTICIPANT_PATH
         from petrellane.config_consensus.participant_service import (
             GatewayInterface,
@@ -146,14 +150,18 @@
         self.management.handlers[PARTICIPANT_PATH] = self.participant.handle_call
 
     def _make_hot_restart_transport(self) -> None:
-        # Imported where it is needed: a gateway alone starts without it.
+        # Imported lazily: a gateway without hot restart starts faster without it.
         from petrellane.gateway.hot_restart import GatewayHotRestart
 
         self.hot_restart_transport = GatewayHotRestart(self).make_transport()
         self.executor.hot_restart_transport = self.hot_restart_transport
 
     def make_watch(self, index: int | None) -> EndpointWatch:
-        """Return a watch of the endpoint list from a version on; None: from a complete list on."""
+        """Return a watch of the endpoint list.
+
+        Args:
+            index: The version of the list that is in force; None to start with a complete list.
+        """
         return EndpointWatch(
             self.runtime._replace(limits=self.limits),
             self.config.discovery,
@@ -186,7 +194,7 @@
     # The endpoint list.
 
     def on_endpoint_list(self, endpoint_list: EndpointListUpdate) -> None:
-        """Apply a list from discovery."""
+        """Apply an endpoint list from discovery."""
         self.executor.on_endpoint_list(endpoint_list, self._yield_turn)
         self.take_over()
 
@@ -195,11 +203,14 @@
         self.executor.on_watch_failed()
 
     def is_applying_endpoint_list(self) -> bool:
-        """Return whether a list is being applied, during which no other may be given."""
+        """Return whether an endpoint list is being applied; no other may be passed on meanwhile."""
         return self.executor.applying_endpoint_list
 
     def restart_watch(self) -> None:
-        """Watch at the configured address, which has changed, from a complete list on."""
+        """Replace the watch after the address of discovery has changed.
+
+        The new watch starts with a complete list.
+        """
         self.endpoint_watch.end()
         self.endpoint_watch = self.make_watch(None)
         self.scheduler.spawn(self.endpoint_watch.run)
@@ -210,7 +221,7 @@
     # Start.
 
     def run(self) -> None:
-        """Serve until `end`, and until all that was taken is answered."""
+        """Serve until `end` is called and all accepted requests are answered."""
         self.start()
         gc.collect()
         gc.freeze()
@@ -219,7 +230,10 @@
         self.log.flush()
 
     def start_background_work(self) -> None:
-        """Start all that needs no clients: consensus state, watch, management API and timers."""
+        """Start everything that does not need clients.
+
+        That is the consensus state, the endpoint watch, the management API and the periodic timers.
+        """
         if self.participant:
             self.participant.load()
         self.scheduler.spawn(self.endpoint_watch.run)
@@ -229,7 +243,7 @@
         self.log_figures()
 
     def start(self) -> None:
-        """Listen, and watch the endpoint list; the scheduler does the rest."""
+        """Open the sockets and start the services, which run when the scheduler runs."""
         self.executor.start(self.config.known)
         self.start_background_work()
         if self.config.listen_fd is not None:
@@ -240,10 +254,10 @@
             self.begin_serving()
 
     def begin_serving(self) -> None:
-        """Serve clients, once it is known which settings are in force.
+        """Serve clients as soon as it is known which settings are in force.
 
-        The management address listens before peers are polled, so that two gateways that start
-        together reach each other.
+        The management listener is open before the participant polls its peers, so two gateways that
+        start together reach each other.
         """
         if self.participant:
             predecessor_state = (
@@ -260,13 +274,13 @@
         self.log.event("started", listen=f"{host}:{port}", hosts=len(self.executor.endpoints))
 
     def run_heartbeat(self) -> None:
-        """Never let a poll last long: one that overruns shows that the process stood still."""
+        """Wake the scheduler periodically, so that a poll that overruns reveals a stall."""
         self.scheduler.call_later(self.limits.heartbeat_interval, self.run_heartbeat)
         if self.participant:
             self.participant.check_stall()
 
     def log_figures(self) -> None:
-        """Log what was counted since the last line, if anything; a line a second at most."""
+        """Log the counts since the last `figures` line, if there are any."""
         self.scheduler.call_later(self.limits.figures_interval, self.log_figures)
         executor = self.executor
         counts = executor.counts
@@ -296,52 +310,62 @@
     # Hot restart.
 
     def take_over(self) -> None:
-        """Take over from the predecessor, if any: once, when it is known where endpoints are."""
+        """Request the state of the predecessor, once, if hot restart is configured.
+
+        The request follows the first endpoint list, so the gateway knows the endpoints when it
+        takes over, or `first_list_timeout` if no list arrives.
+        """
         if self.hot_restart_transport and not self.is_taking_over:
             self.is_taking_over = True
             self.hot_restart_transport.request_transfer(self.begin_serving)
 
-    # Signals, drain and end.
+    # Signals, draining and shutdown.
 
-    def handle_signals(self, calls: Mapping[int, Callable[[], object]]) -> None:
-        """Make these calls on signals, by their numbers."""
-        self.signals = SignalWatch(self.scheduler, calls)
+    def handle_signals(self, handlers: Mapping[int, Callable[[], object]]) -> None:
+        """Call these handlers on signals, by signal number."""
+        self.signals = SignalDispatcher(self.scheduler, handlers)
 
     def reload(self, load: Callable[[Config], Config]) -> None:
-        """Apply what may change in service of a configuration read anew; see its class."""
+        """Reload the configuration, see `ConfigurationChanges.reload`."""
         self.configuration.reload(load)
 
     def _on_lifecycle_changed(self) -> None:
-        """Note that operators have drained the gateway, or taken it into service again."""
-        self._log_open(self.lifecycle.state)
+        """Handle a drain or a resume that operators have requested."""
+        self._log_open_requests(self.lifecycle.state)
         self.client_listener.drain()
 
-    def _log_open(self, event: str) -> None:
+    def _log_open_requests(self, event: str) -> None:
         self.log.event(event, clients=self._client_count(), open=len(self.executor.requests))
 
     def end(self) -> None:
-        """Serve through the change-over, close clients that are owed nothing, then stop."""
+        """Shut down gracefully.
+
+        Clients are served as before for `change_over` seconds from the start of the shutdown, or of
+        an earlier drain, unless a successor has taken over. The gateway then closes each client
+        once its replies are written, and stops. Requests that are still open at the final deadline
+        expire.
+        """
         if self.is_ending:
             return
         self.is_ending = True
         self.lifecycle.begin_shutdown(self.scheduler.now())
-        self._log_open("ending")
+        self._log_open_requests("ending")
         deadlines = [method.deadline for method in self.config.settings.methods.values()]
         final_deadline = self.lifecycle.final_answer_time(max(deadlines, default=0.0))
         time_left = max(0.0, final_deadline - self.scheduler.now())
         self.scheduler.call_later(time_left, self.executor.expire_open_requests)
         self.executor.final_deadline = final_deadline
-        if self.client_listener.successor:  # clients go to the next process, not away
-            self._end_clients()
+        if self.client_listener.successor:  # clients go to the successor: no changeover time
+            self._close_clients()
             return
         change_over = self.lifecycle.since + self.limits.change_over - self.scheduler.now()
-        self.scheduler.call_later(max(0.0, change_over), self._end_clients)
+        self.scheduler.call_later(max(0.0, change_over), self._close_clients)
 
-    def _end_clients(self) -> None:
+    def _close_clients(self) -> None:
         self.client_listener.end(self._stop)
 
     def _stop(self) -> None:
-        """Stop the scheduler, as nothing is owed to anybody any more."""
+        """Stop the scheduler as soon as the successor has all its messages."""
         if self.hot_restart_transport and self.hot_restart_transport.has_unsent:
             self.scheduler.call_later(self.limits.client_poll_interval, self._stop)
             return
@@ -354,13 +378,13 @@
 
 
 def serve(environ: Mapping[str, str]) -> int:
-    """Serve until SIGTERM by the configuration that the PROXY_* variables name.
+    """Run a gateway until SIGTERM or SIGINT, configured by the PROXY_* variables.
 
-    SIGHUP has it read anew.
+    SIGHUP reloads the configuration.
 
     Returns:
-        The exit code of the process: 2, after one line on standard error, where the configuration
-        will not do.
+        The exit code of the process. It is 2 if the configuration is invalid, after one line on
+        standard error.
     """
     try:
         process = GatewayProcess(load(environ))
@@ -374,6 +398,6 @@
             signal.SIGHUP: partial(process.reload, partial(load, environ)),
         }
     )
-    gc.enable()  # the entry point disables it while modules are imported
+    gc.enable()  # the entry point disables it during imports
     process.run()
     return EXIT_OK
--- a/petrellane/gateway/signals.py
+++ b/petrellane/gateway/signals.py
@@ -1,4 +1,4 @@
-"""Signals as calls of the scheduler: a signal wakes the poll, and its call is made in a turn."""
+"""Delivers signals to the scheduler: a signal wakes the poll, and its handler runs in a turn."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
     from petrellane.net.scheduler import Scheduler
 
 READ_SIZE = 64
-"""Signals that are read at once; the kernel writes a byte for each."""
+"""The bytes that one call reads; the interpreter writes one for each signal."""
 
 
-class SignalWatch:
-    """Makes a call per signal, by the signal's number.
+class SignalDispatcher:
+    """Calls a handler for each signal, by the number of the signal.
 
-    Made once per process, by `GatewayProcess`, and kept until its end. Owns the two sockets that
-    carry signals to the poll. Signals that were blocked since the start of the process are
-    delivered once it is made.
+    `GatewayProcess` creates one per process and keeps it until the process ends. It owns the two
+    sockets that carry signals to the poll. It unblocks its signals; those that have been pending
+    since the start of the process are then delivered.
     """
 
-    def __init__(self, scheduler: Scheduler, calls: Mapping[int, Callable[[], object]]) -> None:
-        self.calls = calls
+    def __init__(self, scheduler: Scheduler, handlers: Mapping[int, Callable[[], object]]) -> None:
+        self.handlers = handlers
         self.reader, self.writer = socket.socketpair()
         self.reader.setblocking(False)
         self.writer.setblocking(False)
         signal.set_wakeup_fd(self.writer.fileno(), warn_on_full_buffer=False)
-        for number in calls:
+        for number in handlers:
             signal.signal(number, _ignore)
         scheduler.register(self.reader.fileno(), select.POLLIN, self._on_signals)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, calls)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, handlers)
 
     def _on_signals(self, _events: int) -> None:
         for number in self.reader.recv(READ_SIZE):
-            if number in self.calls:
-                self.calls[number]()
+            if number in self.handlers:
+                self.handlers[number]()
 
 
 def _ignore(_number: int, _frame: FrameType | None) -> None:
-    """Do nothing: the byte that the signal writes has its call made."""
+    """Do nothing: `_on_signals` calls the handler when it reads the byte of the signal."""
