--- a/tests/integration/gateway/__init__.py
+++ b/tests/integration/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of a whole gateway on loopback sockets."""
+"""Integration tests of a complete gateway on loopback sockets."""
--- a/tests/integration/gateway/configuration.py
+++ b/tests/integration/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that scenarios of a whole gateway start from, and how steps change it."""
+"""The base configuration of the gateway scenarios, and helpers to change it."""
 
 import copy
 import json
@@ -62,13 +62,17 @@
 
 
 def unescape(text: str) -> bytes:
-    r"""Return the bytes of a step's text: \r, \n, \s for a blank, {N} for N letters x."""
+    r"""Return the bytes of a step's text.
+
+    \r, \n and \s stand for a carriage return, a line feed and a space, and {N} for the letter x,
+    repeated N times.
+    """
     text = text.replace("\\r", "\r").replace("\\n", "\n").replace("\\s", " ")
     return re.sub(r"\{(\d+)\}", lambda match: "x" * int(match[1]), text).encode("latin-1")
 
 
 def with_changes(base: Config, words: list[str]) -> Config:
-    """Return a copy of a configuration to which words KEY.KEY=JSON are applied."""
+    """Return a copy of a configuration with changes of the form KEY.KEY=JSON applied."""
     changed = copy.deepcopy(base)
     for word in words:
         path, value = word.split("=", 1)
@@ -81,7 +85,7 @@
 
 
 def endpoint_row(name: str, address: str, status: str = "in_service") -> Config:
-    """Return an endpoint's row of an endpoint list, as configuration and discovery write it."""
+    """Return a row of an endpoint list, as in the configuration and in responses of discovery."""
     return {
         "name": name,
         "address": address,
@@ -95,10 +99,10 @@
 
 
 def as_options(words: tuple[str, ...]) -> dict[str, str]:
-    """Return the words NAME=VALUE of a step by name; a word without a value has an empty one."""
+    """Return the NAME=VALUE words of a step as a mapping; a word without `=` maps to ""."""
     return dict(word.partition("=")[::2] for word in words)
 
 
 def required_times(word: str) -> int:
-    """Return N of a step's word times=N."""
+    """Return N from the word times=N of a step."""
     return int(word.partition("=")[2])
--- a/tests/integration/gateway/endpoint_list_play.py
+++ b/tests/integration/gateway/endpoint_list_play.py
@@ -1,4 +1,4 @@
-"""A gateway that gets long endpoint lists, and the turns in which it handles their rows."""
+"""A gateway that receives long endpoint lists, and records of the turns that handle their rows."""
 
 import json
 from collections.abc import Callable
@@ -12,18 +12,20 @@
 from tests.integration.gateway.configuration import Config, endpoint_row
 from tests.integration.gateway.scenario import GatewayScenario
 
-SHARE = 8  # rows of an endpoint list that are handled in one turn
-MANY = 400  # rows of a long list, besides those of a and b
+ROWS_PER_TURN = 8  # the rows of an endpoint list that the gateway handles in one turn
+LONG_LIST_ROWS = 400  # the rows of a long list, not counting those of a and b
 CLIENT = "c"
 
 
 class EndpointListPlay:
-    """A gateway with endpoints a and b and a client; made for one test, then closed.
+    """A gateway with the endpoints a and b and one client.
+
+    Each test creates its own and closes its scenario at the end.
 
     Attributes:
         scenario: The gateway and its peers.
-        applied: What the decisions were given: turn and rows.
-        checked: The turn of each row that was checked.
+        applied: The turn and the rows of each call that passed rows to the controller.
+        checked: The turn in which each row was validated.
         initial: The endpoints at the start, by name.
     """
 
@@ -34,8 +36,8 @@
         self.monkeypatch = monkeypatch
 
     def start(self) -> None:
-        """Start the gateway and observe what it does with endpoint lists."""
-        self.scenario.do_limits(f"list_rows_per_turn={SHARE}")
+        """Start the gateway and record how it handles endpoint lists."""
+        self.scenario.do_limits(f"list_rows_per_turn={ROWS_PER_TURN}")
         self.scenario.do_world("a", "b")
         self.scenario.do_connect(CLIENT)
         self.gateway = self.scenario.gateway
@@ -58,26 +60,26 @@
         return self.parse_entry(row)
 
     def row(self, name: str, status: str = "terminating", **fields: float) -> Config:
-        """Return an endpoint's row, at its address where it listens."""
+        """Return the row of an endpoint, with the address that it listens on, if it does."""
         return endpoint_row(name, self.scenario.address_of(name), status) | fields
 
     def many(self) -> list[Config]:
-        """Return the rows of a long list of endpoints that are not ready."""
-        return [self.row(f"x{index}") for index in range(MANY)]
+        """Return the rows of a long list, all of endpoints that are not ready."""
+        return [self.row(f"x{index}") for index in range(LONG_LIST_ROWS)]
 
     def answer(self, is_full: bool, *rows: Config) -> str:
-        """Return discovery's next answer."""
+        """Return the next response of discovery."""
         self.scenario.endpoint_list_index += 1
         index = self.scenario.endpoint_list_index
         body = json.dumps({"index": index, "snapshot": is_full, "endpoints": rows})
         return f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}"
 
     def send_full(self, *rows: Config) -> None:
-        """Answer the watch with a complete list."""
+        """Answer the pending watch with a complete list."""
         self.scenario.do_discovery_sends(self.answer(True, *rows))
 
     def send_changes(self, *rows: Config) -> None:
-        """Answer the watch with changes."""
+        """Answer the pending watch with changes."""
         self.scenario.do_discovery_sends(self.answer(False, *rows))
 
     def until(self, condition: Callable[[], object]) -> None:
@@ -85,16 +87,19 @@
         self.scenario.until("a list", condition)
 
     def until_in_force(self) -> None:
-        """Run turns until the gateway has applied the last answer."""
+        """Run turns until the gateway has applied the last response."""
         index = self.scenario.endpoint_list_index
         self.until(lambda: self.gateway.endpoint_watch.index == index)
 
     def applied_rows(self) -> list[api.EndpointEvent]:
-        """Return all rows that the decisions were given, in their order."""
+        """Return all rows that were passed to the controller, in order."""
         return [row for _, rows in self.applied for row in rows]
 
     def applied_states(self) -> list[tuple[str, str]]:
-        """Return name (or address, where it was not known at the start) and state of each row."""
+        """Return the name and the state of each row that was passed to the controller.
+
+        An endpoint that did not exist at the start is identified by its address.
+        """
         names = {endpoint: name for name, endpoint in self.initial.items()}
         return [
             (names.get(row.endpoint, row.endpoint.address), row.state)
@@ -102,15 +107,15 @@
         ]
 
     def maximum_applied(self) -> int:
-        """Return the most rows that the decisions were given in one turn."""
+        """Return the maximum number of rows that were passed to the controller in one turn."""
         return maximum_in_a_turn([turn for turn, rows in self.applied for _ in rows])
 
     def maximum_checked(self) -> int:
-        """Return the most rows that were checked in one turn."""
+        """Return the maximum number of rows that were validated in one turn."""
         return maximum_in_a_turn(self.checked)
 
     def list_lines(self) -> list[str]:
-        """Return the log's lines of endpoint lists since the start."""
+        """Return the log lines about endpoint lists, without the one of the start."""
         return self.scenario.log_lines("hosts")[1:]
 
     def serve(self, rpc: str) -> None:
@@ -122,5 +127,5 @@
 
 
 def maximum_in_a_turn(turns: list[int]) -> int:
-    """Return how often the most frequent turn occurs."""
+    """Return how often the most frequent turn occurs; 0 if there are no turns."""
     return max(map(turns.count, set(turns)), default=0)
--- a/tests/integration/gateway/endpoint_steps.py
+++ b/tests/integration/gateway/endpoint_steps.py
@@ -1,4 +1,4 @@
-"""Steps of endpoints: the commands that they receive, their answers and their failures."""
+"""Steps of endpoints: the commands that they receive, their replies and their failures."""
 
 import contextlib
 import re
@@ -7,28 +7,28 @@
 from petrellane.net import resp
 from tests.integration.gateway.client_steps import ClientSteps
 from tests.integration.gateway.configuration import as_options, required_times, unescape
-from tests.integration.gateway.harness import PATIENCE_S
+from tests.integration.gateway.harness import STEP_TIMEOUT_S
 from tests.integration.gateway.sockets import Peer
 
-SERVICE_TIME_S = 0.001  # what an answer takes by the scenario's clock
+SERVICE_TIME_S = 0.001  # the time that a reply takes, on the clock of the scenario
 CHUNK = 1 << 16
-DRIPS_PER_TURN = 5
+BYTES_PER_TURN = 5
 
 
 class EndpointSteps(ClientSteps):
-    """Check what reaches endpoints, and answer it."""
+    """Checks what endpoints receive, and sends their replies."""
 
     def do_starts_reading(self) -> None:
-        """The endpoint `deaf` reads from now on."""
-        self.deaf_reads = True
+        """Let the endpoint `deaf` read from now on."""
+        self.deaf_is_reading = True
 
     def endpoint_peers(self) -> list[Peer]:
-        """Return the open connections of the gateway to endpoints."""
+        """Return the open connections from the gateway to endpoints."""
         others = ("counter", "discovery")
         return [peer for peer in self.peers if not peer.ended and not peer.role.startswith(others)]
 
     def receive(self, rpc: str) -> list[tuple[Peer, list[bytes]]]:
-        """Take in complete commands at all endpoints and return those of an RPC."""
+        """Parse the complete commands at all endpoints; return those of one RPC."""
         for peer in self.endpoint_peers():
             while parsed := peer.parse(resp.parse_command, self.gateway.limits):
                 (spans, _), data = parsed
@@ -37,11 +37,19 @@
         return self.received.get(rpc, [])
 
     def endpoint_of(self, rpc: str) -> Peer:
-        """Return the endpoint's connection on which the RPC came last."""
+        """Return the connection on which an endpoint last received the RPC."""
         return self.received[rpc][-1][0]
 
     def do_takes(self, rpc: str, *words: str) -> None:
-        """Check that an endpoint has the command as the client worded it, but for the time left."""
+        """Check that an endpoint receives the command as the client sent it.
+
+        The deadline field may differ.
+
+        Args:
+            rpc: The id of the RPC.
+            words: Options: `times` for the number of the attempt, `on` for the endpoint, `min_ms`
+                and `max_ms` for the bounds of the deadline in the command, in milliseconds.
+        """
         options = as_options(words)
         times = int(options.get("times", 1))
         self.until(f"{rpc} at an endpoint", lambda: len(self.receive(rpc)) >= times)
@@ -54,17 +62,17 @@
         assert options.get("on", peer.role) == peer.role, peer.role
 
     def do_untaken(self, rpc: str, times: str = "times=1") -> None:
-        """Check that endpoints have fewer than so many commands for the RPC."""
+        """Check that endpoints have received the RPC fewer times than this."""
         self.fence()
         assert len(self.receive(rpc)) < required_times(times), self.received[rpc]
 
     def do_answers(self, rpc: str, *text: str) -> None:
-        """The endpoint answers: $VALUE with figures and a load report, or a line as it is."""
+        """Let the endpoint reply: $VALUE with a cost and a load report, or a literal line."""
         self.now += SERVICE_TIME_S
         self.do_answers_again(rpc, *text)
 
     def do_answers_again(self, rpc: str, *text: str) -> None:
-        """The endpoint answers at once, also a second time."""
+        """Let the endpoint reply without moving the clock, also for a second time."""
         data = unescape(" ".join(text))
         if data.startswith(b"$"):
             value, *figures = data[1:].split(b" ")
@@ -76,47 +84,49 @@
         self.endpoint_of(rpc).send_all(data)
 
     def do_begins(self, rpc: str, length: str) -> None:
-        """The endpoint begins an answer with a value of so many bytes."""
+        """Let the endpoint send the head of a reply with a value of this length, in bytes."""
         self.now += SERVICE_TIME_S
         self.endpoint_of(rpc).sock.sendall(b"*3\r\n$%d\r\n" % int(length))
 
     def do_sends_part(self, rpc: str, number: str) -> None:
-        """The endpoint sends so many bytes of the value."""
+        """Let the endpoint send this many bytes of the value."""
         self.send_value(rpc, int(number))
 
     def send_value(self, rpc: str, number: int) -> None:
-        """Send bytes of a value while the gateway takes them off."""
+        """Send bytes of a value, and run turns in which the gateway reads them."""
         peer = self.endpoint_of(rpc)
-        limit = time.monotonic() + PATIENCE_S
+        deadline = time.monotonic() + STEP_TIMEOUT_S
         while number:
-            assert time.monotonic() < limit, f"{number} bytes not taken"
+            assert time.monotonic() < deadline, (
+                f"{number} bytes of the value were not read within {STEP_TIMEOUT_S} s"
+            )
             with contextlib.suppress(BlockingIOError):
                 number -= peer.sock.send(b"x" * min(number, CHUNK))
             self.turn(0)
 
     def do_sends_bytewise(self, rpc: str, number: str) -> None:
-        """The endpoint sends so many bytes of the value, one by one."""
+        """Let the endpoint send this many bytes of the value, one at a time."""
         for index in range(int(number)):
             self.endpoint_of(rpc).sock.send(b"x")
-            if index % DRIPS_PER_TURN == 0:
+            if index % BYTES_PER_TURN == 0:
                 self.turn(0)
 
     def do_ends(self, rpc: str, *parts: str) -> None:
-        """The value is over; these parts follow."""
+        """Let the endpoint end the value and send the remaining parts of the reply."""
         data = b"".join(unescape(part) + b"\r\n" for part in parts)
         self.endpoint_of(rpc).sock.send(b"\r\n" + data)
 
     def do_breaks(self, rpc: str) -> None:
-        """The endpoint breaks the connection."""
+        """Let the endpoint reset the connection."""
         self.endpoint_of(rpc).reset()
 
     def do_connection_ended(self, rpc: str) -> None:
-        """Check that the gateway ended the connection of the RPC's first attempt."""
+        """Check that the gateway closed the connection of the first attempt of the RPC."""
         peer = self.received[rpc][0][0]
         self.until(f"the end of the connection of {rpc}", lambda: peer.ended)
 
     def do_outcome(self, rpc: str, *expected: str) -> None:
-        """Check the outcomes of the RPC's attempts that the decisions were given."""
+        """Check the outcomes of the RPC's attempts that were reported to the controller."""
         self.until(
             f"the outcome of {rpc}",
             lambda: len(self.outcomes.get(rpc, [])) >= max(len(expected), 1),
@@ -130,5 +140,5 @@
 
 
 def without_deadline(part: bytes) -> bytes:
-    """Return a part of a command without the time that its client leaves."""
+    """Return a part of a command without its deadline field."""
     return re.sub(rb"(^|,)d=\d+", b"", part)
--- a/tests/integration/gateway/harness.py
+++ b/tests/integration/gateway/harness.py
@@ -1,7 +1,7 @@
-"""What all steps of a scenario share: the gateway, its peers' sockets, the clock and the turns.
+"""The state that all steps of a scenario share: the gateway, its peers, the clock and the turns.
 
-Everything runs in one thread. A turn lets the gateway handle what is ready, then takes in what
-came on the scenario's sockets. Time moves only where a step says so.
+Everything runs in one thread. A turn lets the gateway handle its ready sockets, then reads what has
+arrived on the sockets of the scenario. Only steps move the clock.
 """
 
 import contextlib
@@ -31,18 +31,18 @@
     occupy_backlog,
 )
 
-PATIENCE_S = 20.0  # real time after which what is expected counts as never coming
+STEP_TIMEOUT_S = 20.0  # real time after which an expected event counts as missing
 BACKLOG = 64
-FULL_LISTENER = "full"  # accepts no connection
-DEAF_LISTENER = "deaf"  # reads nothing before the step `starts-reading`, and has a small buffer
-BLOCKERS = 2  # connections that fill a backlog of zero
-FENCE = "fence"  # the client whose PING shows that the gateway has handled what came before
+FULL_LISTENER = "full"  # its backlog is full, so connections to it are never established
+DEAF_LISTENER = "deaf"  # has a small buffer and reads nothing before the step `starts-reading`
+BLOCKERS = 2  # the number of connections that fill a backlog of zero
+FENCE = "fence"  # the client whose PING shows that the gateway has handled all earlier input
 
 Found = TypeVar("Found")
 
 
 class Harness:
-    """A gateway and all that it talks to; made for one play of a scenario, then closed."""
+    """A gateway and all its peers, created for one run of a scenario and then closed."""
 
     gateway: GatewayProcess
     hot_restart: HotRestartTransport
@@ -61,34 +61,34 @@
         log = tempfile.TemporaryFile()  # noqa: SIM115  # `close` closes it
         self.log = resources.enter_context(log)
         self.resources = resources
-        self.descriptor_limit: tuple[int, int] | None = None  # the one to restore
+        self.descriptor_limit: tuple[int, int] | None = None  # the limit to restore
 
     def _init_peers(self) -> None:
         self.listeners: dict[str, socket.socket] = {}
-        self.bound: dict[str, socket.socket] = {}  # of dead peers: nobody else gets their ports
-        self.blockers: list[socket.socket] = []  # connections that fill the full listener
+        self.bound_sockets: dict[str, socket.socket] = {}  # hold the ports of peers that are down
+        self.blockers: list[socket.socket] = []  # fill the backlog of the full listener
         self.peers: list[Peer] = []
         self.clients: dict[str, Peer] = {}
         self.callers: list[Peer] = []  # of the management API
         self.paused_clients: set[str] = set()
-        self.deaf_reads = False
+        self.deaf_is_reading = False
         self.counter_mode = "on"
         self.counter_totals: dict[bytes, float] = {}
         self.pending_watch: Peer | None = None
         self.endpoint_list_index = 1
 
     def _init_records(self) -> None:
-        self.sent: dict[str, list[bytes]] = {}  # commands by the RPC's id
+        self.sent: dict[str, list[bytes]] = {}  # the parts of each command, by the id of its RPC
         self.received: dict[str, list[tuple[Peer, list[bytes]]]] = {}
         self.outcomes: dict[str, list[str]] = {}
         self.counter_outcomes: list[str] = []
         self.floods: list[FloodingSocket] = []
 
     def close(self) -> None:
-        """Restore the limit of descriptors and close all sockets."""
+        """Restore the descriptor limit and close all sockets."""
         self.restore_descriptors()
         peers = [*self.peers, *self.clients.values(), *self.callers]
-        sockets = [*self.blockers, *self.bound.values(), *self.listeners.values()]
+        sockets = [*self.blockers, *self.bound_sockets.values(), *self.listeners.values()]
         for sock in [*sockets, *(peer.sock for peer in peers)]:
             sock.close()
         if self.is_started:
@@ -98,13 +98,13 @@
         self.resources.close()
 
     def restore_descriptors(self) -> None:
-        """Let the process open as many descriptors as before."""
+        """Restore the descriptor limit of the process."""
         if self.descriptor_limit:
             resource.setrlimit(resource.RLIMIT_NOFILE, self.descriptor_limit)
             self.descriptor_limit = None
 
     def listen(self, name: str, backlog: int = BACKLOG) -> str:
-        """Listen as a peer of this name and return the address."""
+        """Open the listener of a peer and return its address."""
         sock = socket.create_server((LOOPBACK, 0), backlog=backlog)
         sock.setblocking(False)
         if name == DEAF_LISTENER:
@@ -116,19 +116,19 @@
 
     def until(self, description: str, condition: Callable[[], Found]) -> Found:
         """Run turns until a condition holds, and return its value."""
-        limit = time.monotonic() + PATIENCE_S
+        deadline = time.monotonic() + STEP_TIMEOUT_S
         while not (found := condition()):
-            assert time.monotonic() < limit, f"never came: {description}"
+            assert time.monotonic() < deadline, f"not within {STEP_TIMEOUT_S} s: {description}"
             self.turn()
         return found
 
     def turn(self, timeout_ms: int = 1) -> None:
-        """Let the gateway handle what is ready, then take in what came on all other sockets."""
+        """Let the gateway handle its ready sockets, then read the sockets of all peers."""
         self.turn_count += 1
         self.gateway.scheduler.run_once(timeout_ms)
         self._accept()
         for peer in self.peers:
-            if peer.role != DEAF_LISTENER or self.deaf_reads:
+            if peer.role != DEAF_LISTENER or self.deaf_is_reading:
                 peer.read()
             if peer.role.startswith("counter"):
                 self._serve_counter(peer)
@@ -164,7 +164,7 @@
             self._answer_counter(peer, name, float(amount))
 
     def _answer_counter(self, peer: Peer, name: bytes, amount: float) -> None:
-        if self.counter_mode.startswith("once "):  # added all the same
+        if self.counter_mode.startswith("once "):  # replies anything, but executes the addition
             self.counter_totals[name] = self.counter_totals.get(name, 0.0) + amount
             peer.sock.send(unescape(self.counter_mode[len("once ") :]) + b"\r\n")
             self.counter_mode = "on"
@@ -179,22 +179,22 @@
     def on_attempt_ended(
         self, attempt: PendingAttempt, outcome: Outcome, value: bytes, report: bytes
     ) -> None:
-        """Record an attempt's outcome on its way to the decisions."""
+        """Record the outcome of an attempt, then pass it on to the gateway."""
         rpc = attempt.request.head.split(b"\r\n")[-2].decode()
         self.outcomes.setdefault(rpc, []).append(outcome)
         self.gateway.executor.on_attempt_ended(attempt, outcome, value, report)
 
     def on_counter_reply(self, add: CounterAdd, outcome: Outcome, total: float) -> None:
-        """Record a counter request's outcome on its way to the decisions."""
+        """Record the outcome of an addition, then pass it on to the gateway."""
         self.counter_outcomes.append(outcome)
         self.gateway.executor.on_counter_reply(add, outcome, total)
 
     def connections_to(self, name: str) -> list[Peer]:
-        """Return the open connections of the gateway to a peer of the scenario."""
+        """Return the open connections from the gateway to a peer."""
         return [peer for peer in self.peers if peer.role == name and not peer.ended]
 
     def log_lines(self, event: str) -> list[str]:
-        """Return the lines of the log with this event."""
+        """Return the log lines of an event."""
         self.gateway.log.flush()
         self.log.seek(0)
         return [
@@ -204,9 +204,9 @@
         ]
 
     def server_client(self, name: str) -> ClientConnection:
-        """Return the gateway's side of a client's connection."""
+        """Return the gateway's end of the connection of a client."""
         address = self.clients[name].sock.getsockname()
-        self.turn()  # a connection whose peer has closed as well is forgotten
+        self.turn()  # the gateway drops connections that both ends have closed
         (client,) = [
             client
             for client in self.gateway.client_listener.clients
--- a/tests/integration/gateway/peer_steps.py
+++ b/tests/integration/gateway/peer_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the counter and of discovery, and of peers that die and come back."""
+"""Steps of the counter, of discovery, and of peers that go down and come back."""
 
 import json
 import random
@@ -12,84 +12,84 @@
 from tests.integration.gateway.race_steps import CLOCK_STEP_S, RaceSteps
 from tests.integration.gateway.sockets import Peer, loopback_address, occupy_backlog
 
-NOBODY = "127.0.0.1:1"
-TRICKLE_S = 0.1  # between two bytes
+UNUSED_ADDRESS = "127.0.0.1:1"
+TRICKLE_INTERVAL_S = 0.1  # the time between two bytes
 TRICKLES_PER_SECOND = 10
 BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-WATCH_TRIES = 50  # steps of the clock within which a watch has to come
+MAX_WATCH_STEPS = 50  # the clock steps within which a watch must arrive
 
 
 class PeerSteps(RaceSteps):
-    """Play the counter and discovery, and let peers fail."""
+    """Plays the counter and discovery, and lets peers fail."""
 
     def do_counter(self, *mode: str) -> None:
-        """The counter serves, says nothing, breaks connections, or answers with a line."""
+        """Let the counter serve, stay silent, reset connections, or reply with a literal line."""
         self.counter_mode = " ".join(mode)
 
     def do_counter_outcomes(self, *expected: str) -> None:
-        """Check the outcomes of counter requests since the last such step."""
+        """Check the outcomes of the additions since the previous step of this kind."""
         self.until(f"adds that end {expected}", lambda: len(self.counter_outcomes) >= len(expected))
         assert self.counter_outcomes == list(expected), self.counter_outcomes
         self.counter_outcomes.clear()
 
     def do_breaks_counter(self) -> None:
-        """Break the connections at the counter's old address."""
+        """Reset the connections at the old address of the counter."""
         for peer in self.peers:
             if peer.role == "counter-old":
                 peer.reset()
 
     def do_down(self, name: str) -> None:
-        """A peer dies: its connections are reset and new ones refused."""
+        """Take a peer down: reset its connections and refuse new ones."""
         listener = self.listeners.pop(name)
         address = listener.getsockname()
         listener.close()
-        if name in self.bound:
-            self.bound.pop(name).close()
-        self.bound[name] = open_listener(address, None)
+        if name in self.bound_sockets:
+            self.bound_sockets.pop(name).close()
+        self.bound_sockets[name] = open_listener(address, None)
         for peer in self.connections_to(name):
             peer.reset()
         self.fence()
 
     def do_up(self, name: str) -> None:
-        """A peer listens again, where it did."""
+        """Let a peer listen again at its address."""
         for sock in self.blockers:
             sock.close()
         self.blockers.clear()
         if FULL_LISTENER in self.listeners:
             self.listeners[name] = self.listeners.pop(FULL_LISTENER)
         else:
-            self.listeners[name] = self.bound.pop(name)
+            self.listeners[name] = self.bound_sockets.pop(name)
         self.listeners[name].listen(BACKLOG)
 
     def do_fills_backlog(self, name: str) -> None:
-        """A peer dies, and connections to it never come up any more."""
+        """Take a peer down so that connections to it are never established."""
         self.do_down(name)
-        listener = self.bound.pop(name)
+        listener = self.bound_sockets.pop(name)
         self.listeners[FULL_LISTENER] = listener
         listener.listen(0)
         self.blockers += occupy_backlog(listener.getsockname(), BLOCKERS)
 
     def do_resets(self, name: str) -> None:
-        """A peer resets its connections after what it said."""
+        """Let a peer reset its connections after the gateway has read what it sent."""
         self.turn()
         for peer in self.connections_to(name):
             peer.reset()
 
     def do_rehost(self, name: str) -> None:
-        """List an endpoint at a new address; connections at the old one stay."""
+        """List an endpoint at a new address, and leave the connections at the old one open."""
         self.listeners.pop(name).close()
         self.rename_old(name)
         self.listen(name)
         self.do_discovery_updates("in_service", name)
 
     def rename_old(self, name: str) -> None:
-        """Let the connections at a peer's old address go by NAME-old."""
+        """Name the connections at the old address of a peer NAME-old."""
         for peer in self.peers:
             if peer.role == name:
                 peer.role += "-old"
 
     def do_connections(self, name: str, low: str, high: str) -> None:
-        """Check how many connections stand at a peer once all is still."""
+        """Check the number of open connections at a peer once the gateway has settled."""
         self.fence()
         self.until(
             f"{low} to {high} connections at {name}",
@@ -97,27 +97,27 @@
         )
 
     def do_no_reset(self, name: str) -> None:
-        """Check that connections to this peer have ended, none by a reset."""
+        """Check that connections to a peer have ended, and none of them by a reset."""
         ended = [peer for peer in self.peers if peer.role == name and peer.ended]
         assert ended, name
         assert not any(peer.error for peer in ended), [peer.error for peer in ended]
 
     def watch_in_progress(self) -> Peer:
-        """Return the watch that is out; after a failure it comes with the clock."""
-        for _ in range(WATCH_TRIES):
+        """Return the pending watch; move the clock until there is one, as after a failure."""
+        for _ in range(MAX_WATCH_STEPS):
             if self.pending_watch and not self.pending_watch.ended:
                 break
             self.wait(CLOCK_STEP_S)
         return self.until("a watch", lambda: self.pending_watch)
 
     def take_watch(self) -> Peer:
-        """Return the watch that is out, which is answered now."""
+        """Return the pending watch, which the caller answers."""
         watch = self.watch_in_progress()
         self.pending_watch = None
         return watch
 
     def do_discovery_updates(self, state: str, *names: str) -> None:
-        """Discovery answers the watch with a change, or with a complete list (`complete`)."""
+        """Let discovery answer the watch with changes, or with a complete list (`complete`)."""
         self.watch_in_progress()
         self.endpoint_list_index += 1
         is_complete = state == "complete"
@@ -134,11 +134,11 @@
         )
 
     def address_of(self, name: str) -> str:
-        """Return a peer's address; one where nobody listens for a peer that is not up."""
-        return loopback_address(self.listeners[name]) if name in self.listeners else NOBODY
+        """Return the address of a peer; an unused address if the peer is not up."""
+        return loopback_address(self.listeners[name]) if name in self.listeners else UNUSED_ADDRESS
 
     def do_discovery_sends(self, *text: str) -> None:
-        """Discovery answers the watch with these bytes."""
+        """Let discovery answer the watch with literal bytes."""
         answer = " ".join(text)
         watch = self.take_watch()
         watch.sock.send(unescape(answer))
@@ -147,18 +147,18 @@
             watch.ended = True
 
     def do_discovery_trickles(self, seconds: str, *text: str) -> None:
-        """Discovery answers the watch with a byte each tenth of a second."""
+        """Let discovery answer the watch with one byte every tenth of a second."""
         watch = self.take_watch()
         data = unescape(" ".join(text))
         for index in range(int(float(seconds) * TRICKLES_PER_SECOND)):
             try:
                 watch.sock.send(data[index : index + 1])
-            except OSError:  # its caller has gone
+            except OSError:  # the gateway has closed the connection
                 break
-            self.wait(TRICKLE_S)
+            self.wait(TRICKLE_INTERVAL_S)
 
     def do_discovery_sends_half(self, name: str, status: str) -> None:
-        """Discovery answers with half of a change, and its connection is reset."""
+        """Let discovery send a half of a response and reset the connection."""
         self.do_discovery_sends(
             "HTTP/1.1 200 OK\\r\\nContent-Length:\\s400\\r\\n\\r\\n"
             f'{{"endpoints":[{{"name":"{name}","status":"{status}"'
@@ -168,54 +168,54 @@
             peer.reset()
 
     def do_discovery_resets(self) -> None:
-        """Discovery resets the watch without an answer."""
+        """Let discovery reset the connection of the watch without a response."""
         watch = self.until("a watch", lambda: self.pending_watch)
         self.pending_watch = None
         watch.reset()
 
     def do_watch_within(self, seconds: str) -> None:
-        """Check that a watch comes within so many seconds."""
+        """Check that a watch arrives within a number of seconds."""
         end = self.now + float(seconds)
         while not self.pending_watch or self.pending_watch.ended:
-            assert self.now < end, f"no call in {seconds} s"
+            assert self.now < end, f"no watch within {seconds} s"
             self.wait(CLOCK_STEP_S)
 
     def do_watch(self, *text: str) -> None:
-        """Check the text of the watch that is out."""
+        """Check that the request of the pending watch contains a text."""
         watch = self.watch_in_progress()
         assert " ".join(text).encode() in watch.watch_request, watch.watch_request
 
     def do_discovery_rejects(self, number: str, seconds: str, maximum: str) -> None:
-        """Reject the watches of many gateways, and check how often they come back.
+        """Reject the watches of many gateways, and check the rate of their retries.
 
         Args:
-            number: How many gateways watch.
-            seconds: For how long they are rejected.
-            maximum: How many watches may come in any second but the first.
+            number: The number of gateways that watch.
+            seconds: The time for which discovery rejects them, in seconds.
+            maximum: The maximum number of watches in any second but the first.
         """
         end = self.now + float(seconds)
         for seed in range(int(number)):
             self._spawn_watch(random.Random(seed))
-        call_times = []
+        watch_times = []
         while self.now < end:
             self.wait(CLOCK_STEP_S)
             for peer in self.connections_to("discovery"):
                 if peer.watch_request and peer is not self.pending_watch:
-                    call_times.append(self.now)
+                    watch_times.append(self.now)
                     peer.sock.send(BUSY)
                     peer.sock.close()
                     peer.ended = True
-        calls = Counter(int(call_time - call_times[0]) for call_time in call_times)
-        assert max(calls[second] for second in calls if second) <= int(maximum), calls
-        assert len(calls) > 3, calls  # they go on asking
+        counts = Counter(int(watch_time - watch_times[0]) for watch_time in watch_times)
+        assert max(counts[second] for second in counts if second) <= int(maximum), counts
+        assert len(counts) > 3, counts  # the gateways continue to retry
 
-    def _spawn_watch(self, chance: random.Random) -> None:
+    def _spawn_watch(self, rng: random.Random) -> None:
         consumer = SimpleNamespace(
             on_endpoint_list=lambda _endpoint_list: None,
             on_watch_failed=lambda: None,
             is_applying_endpoint_list=lambda: False,
         )
         watch = EndpointWatch(
-            self.gateway.runtime, self.gateway.config.discovery, 1, consumer, chance.random
+            self.gateway.runtime, self.gateway.config.discovery, 1, consumer, rng.random
         )
         self.gateway.scheduler.spawn(watch.run)
--- a/tests/integration/gateway/process_steps.py
+++ b/tests/integration/gateway/process_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start whole processes: the command line, and signals at a process of a gateway."""
+"""Steps that start processes: the command line, and a gateway process that receives signals."""
 
 import contextlib
 import json
@@ -11,24 +11,24 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from tests.integration.gateway.harness import PATIENCE_S, Harness
+from tests.integration.gateway.harness import STEP_TIMEOUT_S, Harness
 
-COMMAND_S = 60  # real time after which a command counts as hanging
+COMMAND_S = 60  # the real time after which a command counts as hung
 PROGRAM = [sys.executable, "-m", "petrellane"]
 
 
 class ProcessSteps(Harness):
-    """Run the program with the configuration of the last step `config`."""
+    """Runs the program with the configuration of the last `config` step."""
 
     def do_command(self, name: str, code: str, *words: str) -> None:
-        """Run a command with these PROXY_* variables; check its exit code and text."""
+        """Run a command with PROXY_* variables; check its exit code and its output."""
         variables = [word for word in words if word.startswith("PROXY_") and "=" in word]
         given = dict(word.split("=", 1) for word in variables)
         expected = " ".join(word for word in words if word.partition("=")[0] not in given)
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(self.config, file)
             file.flush()
-            ended = subprocess.run(
+            completed = subprocess.run(
                 [*PROGRAM, *name.split("+")],
                 capture_output=True,
                 text=True,
@@ -36,16 +36,16 @@
                 timeout=COMMAND_S,
                 check=False,
             )
-        output = ended.stdout + ended.stderr
-        assert ended.returncode == int(code), (ended.returncode, output)
-        assert expected in output, (ended.returncode, output)
+        output = completed.stdout + completed.stderr
+        assert completed.returncode == int(code), (completed.returncode, output)
+        assert expected in output, (completed.returncode, output)
 
     def do_hup(self) -> None:
-        """Send SIGHUP to a process, also with a wrong file, then SIGTERM."""
+        """Send SIGHUP to a process, with valid and with invalid files, then SIGTERM."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "config.json")
-            right = json.dumps(self.config)
-            path.write_text(right)
+            valid = json.dumps(self.config)
+            path.write_text(valid)
             with started_process(path) as process:
                 wait_for_event(process, "started")
                 process.send_signal(signal.SIGHUP)
@@ -53,42 +53,42 @@
                 path.write_text("not JSON")
                 process.send_signal(signal.SIGHUP)
                 wait_for_event(process, "reload_rejected")
-                path.write_text(right)
+                path.write_text(valid)
                 process.send_signal(signal.SIGHUP)
                 process.send_signal(signal.SIGTERM)
                 wait_for_event(process, "reloaded")
                 path.write_text("not JSON")
                 process.send_signal(signal.SIGHUP)
                 wait_for_event(process, "ended")
-                assert process.wait(PATIENCE_S) == 0
+                assert process.wait(STEP_TIMEOUT_S) == 0
 
     def do_signal_while_starting(self, signal_name: str) -> None:
-        """Send a signal to a process that still reads its configuration, then SIGTERM."""
+        """Send a signal while a process still reads its configuration, then send SIGTERM."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "config.json")
-            right = json.dumps(self.config).encode()
+            valid = json.dumps(self.config).encode()
             os.mkfifo(path)
             with started_process(path) as process:
-                with path.open("wb") as pipe:  # open once the process reads it
+                with path.open("wb") as pipe:  # blocks until the process opens the file
                     replacement = Path(folder, "config.json.new")
-                    replacement.write_bytes(right)
+                    replacement.write_bytes(valid)
                     replacement.rename(path)
                     process.send_signal(getattr(signal, signal_name))
-                    pipe.write(right)
-                limit = threading.Timer(PATIENCE_S, process.kill)
-                limit.start()
+                    pipe.write(valid)
+                kill_timer = threading.Timer(STEP_TIMEOUT_S, process.kill)
+                kill_timer.start()
                 if signal_name == "SIGHUP":
                     wait_for_event(process, "reloaded")
                 process.send_signal(signal.SIGTERM)
                 events = [json.loads(line)["event"] for line in process.stdout]
-                assert process.wait(PATIENCE_S) == 0, (process.returncode, events)
+                assert process.wait(STEP_TIMEOUT_S) == 0, (process.returncode, events)
                 assert events[-1] == "ended", events
-                limit.cancel()
+                kill_timer.cancel()
 
 
 @contextlib.contextmanager
 def started_process(path: Path) -> Iterator[subprocess.Popen[bytes]]:
-    """Run a gateway's process with this file of configuration; it is gone at the end."""
+    """Run a gateway process with a configuration file; kill it at the end."""
     process = subprocess.Popen(
         [*PROGRAM, "serve"],
         stdout=subprocess.PIPE,
@@ -103,6 +103,6 @@
 
 
 def wait_for_event(process: subprocess.Popen[bytes], event: str) -> None:
-    """Read a process's log up to the line with this event."""
+    """Read the log of a process up to the next line with an event."""
     while json.loads(process.stdout.readline())["event"] != event:
         pass
--- a/tests/integration/gateway/scenario.py
+++ b/tests/integration/gateway/scenario.py
@@ -1,7 +1,7 @@
-"""The steps of scenario files for a whole gateway, one method `do_VERB` each.
+"""The steps of gateway scenario files, one method `do_VERB` for each verb.
 
-The notation is in tests/README.md. Steps are grouped by concern into the modules `*_steps`; the
-state that they share is in `harness`.
+tests/README.md describes the notation. The modules `*_steps` group the steps by subject; `harness`
+holds the state that they share.
 """
 
 from tests.integration.gateway.load_steps import LoadSteps
@@ -10,4 +10,4 @@
 
 
 class GatewayScenario(LoadSteps, SetupSteps, ProcessSteps):
-    """One play of a scenario: a gateway on loopback sockets, and all that it talks to."""
+    """One run of a scenario: a gateway on loopback sockets, and all its peers."""
--- a/tests/integration/gateway/setup_steps.py
+++ b/tests/integration/gateway/setup_steps.py
@@ -23,31 +23,31 @@
 
 
 class SetupSteps(PeerSteps, CheckSteps):
-    """Start the gateway under test and let it read other configurations."""
+    """Starts the gateway under test, and reloads its configuration."""
 
     def do_config(self, *words: str) -> None:
-        """Take a configuration with these changes."""
+        """Use the base configuration with these changes."""
         self.config = with_changes(BASE_CONFIG, list(words))
 
     def do_config_rejected(self, *words: str) -> None:
-        """Check that the configuration is refused, in one line with this text."""
+        """Check that the configuration is rejected, with a one-line error that contains a text."""
         try:
             config.parse_config(self.config)
         except ConfigError as error:
             assert " ".join(words) in str(error), error
             assert "\n" not in str(error), error
             return
-        raise AssertionError("it was accepted")
+        raise AssertionError("the configuration was accepted, expected an error")
 
     def do_limits(self, *words: str) -> None:
-        """Set other limits, before `world`."""
+        """Override limits; the step comes before `world`."""
         options = dict(word.split("=") for word in words)
         self.limits = {
             name: float(value) if "." in value else int(value) for name, value in options.items()
         }
 
     def do_world(self, *words: str) -> None:
-        """Start a gateway with these endpoints and changes of its configuration."""
+        """Start a gateway with these endpoints and configuration changes."""
         endpoints = [word for word in words if "=" not in word] or DEFAULT_ENDPOINTS
         self.config = with_changes(BASE_CONFIG, [word for word in words if "=" in word])
         self.config["counter"] = self.listen("counter")
@@ -73,17 +73,17 @@
         self.address = self.gateway.client_listener.listener.getsockname()
 
     def do_settings(self, *words: str) -> None:
-        """Change the file of settings and send SIGHUP."""
+        """Change the settings in the configuration file and send SIGHUP."""
         self.config = with_changes(self.config, list(words))
         self.gateway.reload(lambda before: config.parse_config(self.config, None, before))
 
     def do_reload_invalid(self, word: str) -> None:
-        """Send SIGHUP with a configuration that is wrong."""
-        wrong = with_changes(self.config, [word])
-        self.gateway.reload(lambda before: config.parse_config(wrong, None, before))
+        """Send SIGHUP with an invalid configuration."""
+        invalid = with_changes(self.config, [word])
+        self.gateway.reload(lambda before: config.parse_config(invalid, None, before))
 
     def do_rejected_reloads(self, number: str, *texts: str) -> None:
-        """Check that so many configurations were refused, with these texts among the lines."""
+        """Check the number of rejected reloads, and that each text is in one of their log lines."""
         lines = self.log_lines("reload_rejected")
         assert len(lines) == int(number), lines
         for text in texts:
@@ -91,9 +91,9 @@
             assert any(expected in line for line in lines), (text, lines)
 
     def do_change_addresses(self, *names: str) -> None:
-        """Send SIGHUP with new addresses of these peers; the old ones accept nobody new."""
+        """Send SIGHUP with new addresses of these peers; their old listeners are closed."""
         for name in names:
-            if name in self.listeners:  # it may be down
+            if name in self.listeners:  # the peer may be down
                 self.listeners.pop(name).close()
             self.rename_old(name)
             if name == "discovery":
@@ -103,7 +103,7 @@
         self.gateway.reload(lambda before: config.parse_config(self.config, environment, before))
 
     def do_reload_file(self, event: str) -> None:
-        """Send SIGHUP, which reads a file, and check the event that is logged."""
+        """Send SIGHUP with the configuration in a file, and check the event that is logged."""
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(self.config, file)
             file.flush()
