--- a/petrellane/gateway/configuration_changes.py
+++ b/petrellane/gateway/configuration_changes.py
@@ -30,9 +30,9 @@
     def reload(self, load: Callable[[Config], Config]) -> None:
         """Reload the configuration and apply it.
 
-        The gateway applies the settings and the addresses of discovery and the counter. Everything
-        else keeps its value from the start of the process. An invalid configuration is logged and
-        changes nothing.
+        The gateway applies the settings and the addresses of discovery and the counter. Agreed
+        settings take precedence over those of the file. Everything else keeps its value from the
+        start of the process. An invalid configuration is logged and changes nothing.
 
         Args:
             load: Reads the new configuration, given the one in force. Raises ConfigError if the
--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -50,8 +50,8 @@
 class CounterConnection:
     """One connection to the counter, which replies in the order of the additions.
 
-    `CounterClient` creates and lists it until `end`. It owns its stream, which holds the socket,
-    and the additions that are pending on it.
+    `CounterClient` creates it and keeps it in its list until `end`. It owns its stream, which holds
+    the socket, and the additions that are pending on it.
     """
 
     def __init__(self, client: CounterClient) -> None:
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -310,7 +310,7 @@
             self.pool.pools.report(pending, outcome)
 
     def give_up(self, pending: PendingAttempt, outcome: Outcome) -> None:
-        """Abandon an attempt because the endpoint does not reply to it.
+        """Abandon an attempt that the endpoint has not replied to.
 
         If no connection to the endpoint has carried a reply since the attempt was sent, connections
         that have been idle since before may be dead too. They are closed so that the next attempt
@@ -321,7 +321,7 @@
         self.abandon(pending, outcome)
 
     def abandon(self, pending: PendingAttempt, outcome: Outcome) -> None:
-        """Abandon an attempt for a reason that does not cast doubt on the endpoint.
+        """Abandon an attempt, without the suspicion that idle connections are dead.
 
         The connection takes no further attempts, and ends when all its attempts are abandoned.
         """
--- a/petrellane/gateway/endpoint_pool.py
+++ b/petrellane/gateway/endpoint_pool.py
@@ -58,7 +58,7 @@
         self._set_reuse_timer()
 
     def _set_reuse_timer(self) -> None:
-        """Dispatch again after the reuse delay, as idle connections may be ready before a dial."""
+        """Schedule a dispatch, as an idle connection may become reusable before a dial succeeds."""
         if self.queue and self.idle and not self.reuse_timer:
             self.reuse_timer = self.pools.scheduler.call_later(
                 self.pools.limits.reuse_delay, self._on_reuse_timer
@@ -162,7 +162,7 @@
             self.dispatch()
 
     def on_dial_failed(self) -> None:
-        """Fail the oldest queued attempt, unless each one still has a dial in progress."""
+        """Fail the oldest queued attempt, unless the remaining dials suffice for the queue."""
         self.dials -= 1
         if len(self.queue) > self.dials:
             self.pools.report(self.queue.popleft(), UNREACHABLE)
--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -91,7 +91,10 @@
             pool.drain()
 
     def _pool_for(self, endpoint: Endpoint) -> EndpointPool | None:
-        """Return the pool of an endpoint, created if the endpoint is ready; None if it is not."""
+        """Return the pool of an endpoint; None if it has none and is not ready.
+
+        A ready endpoint that has no pool gets one.
+        """
         pool = self.pools.get(endpoint)
         if pool is None and endpoint.state == READY:
             name, _, port = endpoint.address.rpartition(":")
@@ -117,7 +120,7 @@
         """Handle the expiry of an attempt's deadline or of its `send_by` time.
 
         At the deadline, the attempt is given up as `LATE`. At an earlier `send_by`, an attempt that
-        is still queued ends `NEVER_SENT`, and one that is written has until its deadline.
+        is still queued ends `NEVER_SENT`, and one that has been written keeps its deadline.
         """
         if pending.attempt.send_by >= pending.deadline:
             self._give_up(pending, LATE)
--- a/petrellane/gateway/load_report.py
+++ b/petrellane/gateway/load_report.py
@@ -25,11 +25,11 @@
 
 
 def pop_reported_usage(metrics: dict[str, float]) -> int:
-    """Remove the usage metric from a load report and return it in encoded form.
+    """Remove the usage metric from a load report and return it.
 
     Returns:
-        1 + the usage, so that a usage of 0 differs from `NOT_REPORTED`. Every caller of the
-        controller reports usage in this form.
+        1 + the usage, or `NOT_REPORTED`, so that a reported usage of 0 is not taken for a missing
+        one. Every caller of the controller reports usage in this form.
     """
     usage = metrics.pop(USAGE_METRIC, None)
     return NOT_REPORTED if usage is None else 1 + int(usage)
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -322,7 +322,7 @@
     # Signals, draining and shutdown.
 
     def handle_signals(self, handlers: Mapping[int, Callable[[], object]]) -> None:
-        """Call these handlers on signals, by signal number."""
+        """Install signal handlers, by signal number."""
         self.signals = SignalDispatcher(self.scheduler, handlers)
 
     def reload(self, load: Callable[[Config], Config]) -> None:
@@ -365,7 +365,7 @@
         self.client_listener.end(self._stop)
 
     def _stop(self) -> None:
-        """Stop the scheduler as soon as the successor has all its messages."""
+        """Stop the remaining services and the scheduler once the successor has all its messages."""
         if self.hot_restart_transport and self.hot_restart_transport.has_unsent:
             self.scheduler.call_later(self.limits.client_poll_interval, self._stop)
             return
--- a/tests/integration/gateway/endpoint_steps.py
+++ b/tests/integration/gateway/endpoint_steps.py
@@ -72,7 +72,7 @@
         self.do_answers_again(rpc, *text)
 
     def do_answers_again(self, rpc: str, *text: str) -> None:
-        """Let the endpoint reply without moving the clock, also for a second time."""
+        """Let the endpoint reply without moving the clock; it may be a second reply to the RPC."""
         data = unescape(" ".join(text))
         if data.startswith(b"$"):
             value, *figures = data[1:].split(b" ")
--- a/tests/integration/gateway/harness.py
+++ b/tests/integration/gateway/harness.py
@@ -118,7 +118,9 @@
         """Run turns until a condition holds, and return its value."""
         deadline = time.monotonic() + STEP_TIMEOUT_S
         while not (found := condition()):
-            assert time.monotonic() < deadline, f"not within {STEP_TIMEOUT_S} s: {description}"
+            assert time.monotonic() < deadline, (
+                f"not observed within {STEP_TIMEOUT_S} s: {description}"
+            )
             self.turn()
         return found
 
--- a/tests/integration/gateway/test_endpoint_lists.py
+++ b/tests/integration/gateway/test_endpoint_lists.py
@@ -61,7 +61,10 @@
 
 
 def test_endpoints_that_a_list_leaves_out_go_last(play: EndpointListPlay) -> None:
-    """They are passed to the controller after the rows of the list, with the same turn limit."""
+    """Endpoints that a list leaves out are passed to the controller after the rows of the list.
+
+    The limit of rows per turn holds for them too.
+    """
     send_many_then_both(play)
     play.until_in_force()
     play.applied.clear()
