--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -66,7 +66,7 @@
         try:
             self._serve()
         except resp.Malformed:
-            if self.pending:  # the reply proves that it was added; the total is unknown
+            if self.pending:  # the counter executed the addition; the total is unknown
                 self.client.report(self.pending.popleft(), ERROR, 0.0)
             self.end()
         except (OSError, Closed):
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -321,7 +321,7 @@
         self.abandon(pending, outcome)
 
     def abandon(self, pending: PendingAttempt, outcome: Outcome) -> None:
-        """Abandon an attempt, without the suspicion that idle connections are dead.
+        """Abandon an attempt and leave idle connections to the endpoint open.
 
         The connection takes no further attempts, and ends when all its attempts are abandoned.
         """
--- a/petrellane/gateway/endpoint_pool.py
+++ b/petrellane/gateway/endpoint_pool.py
@@ -177,7 +177,10 @@
             self.pools.scheduler.call_soon(self.dispatch)
 
     def drain(self) -> None:
-        """Close idle connections; if the endpoint is not ready, report the queue as never sent."""
+        """Close idle connections, and clear the queue if the endpoint is not ready.
+
+        The queued attempts are then reported as never sent.
+        """
         self.close_idle(math.inf)
         while self.endpoint.state != READY and self.queue:
             self.pools.scheduler.call_soon(self.pools.report, self.queue.popleft(), NEVER_SENT)
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -38,7 +38,7 @@
         """Apply a list; the call may yield turns to other work."""
 
     def on_watch_failed(self) -> None:
-        """Handle the first failure after a successful request."""
+        """Handle the first of consecutive failures."""
 
     def is_applying_endpoint_list(self) -> bool:
         """Return whether a list is being applied; no other list may be passed on meanwhile."""
--- a/tests/integration/gateway/endpoint_list_play.py
+++ b/tests/integration/gateway/endpoint_list_play.py
@@ -60,7 +60,7 @@
         return self.parse_entry(row)
 
     def row(self, name: str, status: str = "terminating", **fields: float) -> Config:
-        """Return the row of an endpoint, with the address that it listens on, if it does."""
+        """Return the row of an endpoint; its address is unused if the endpoint does not listen."""
         return endpoint_row(name, self.scenario.address_of(name), status) | fields
 
     def many(self) -> list[Config]:
--- a/tests/integration/gateway/harness.py
+++ b/tests/integration/gateway/harness.py
@@ -166,7 +166,9 @@
             self._answer_counter(peer, name, float(amount))
 
     def _answer_counter(self, peer: Peer, name: bytes, amount: float) -> None:
-        if self.counter_mode.startswith("once "):  # replies anything, but executes the addition
+        if self.counter_mode.startswith(
+            "once "
+        ):  # adds the amount, but replies with a literal line
             self.counter_totals[name] = self.counter_totals.get(name, 0.0) + amount
             peer.sock.send(unescape(self.counter_mode[len("once ") :]) + b"\r\n")
             self.counter_mode = "on"
