--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -137,7 +137,7 @@
                 raise resp.Malformed("counter total: expected a finite number")
             return OK, total
         if kind != ERROR_LINE:
-            raise resp.Malformed(f"counter reply: expected type '$' or '-', found {chr(kind)!r}")
+            raise resp.Malformed(f"counter reply without a total or an error: type {chr(kind)!r}")
         return FULL, 0.0  # the counter rejected the addition: nothing was added
 
     def is_stalled(self, now: float) -> bool:
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -228,7 +228,7 @@
             return DecodedReply(FULL, b"", b"")
         if not text.startswith(b"ERR"):
             raise resp.Malformed(
-                f"endpoint reply: expected an array, BUSY or ERR, found type {chr(kind)!r}"
+                f"endpoint reply: expected a value, BUSY or ERR, found {text!r}, type {chr(kind)!r}"
             )
         return DecodedReply(ERROR, b"", b",".join(word for word in words if b"=" in word))
 
