--- a/tests/integration/gateway/load_steps.py
+++ b/tests/integration/gateway/load_steps.py
@@ -121,7 +121,7 @@
 
     def do_sends_remainder(self, rpc: str) -> None:
         """Let the endpoint send the rest of the long value and complete the answer."""
-        self.give(rpc, LONG_VALUE - self.sent_before_stall)
+        self.send_value(rpc, LONG_VALUE - self.sent_before_stall)
         self.do_ends(rpc, "$-1", "$-1")
 
     def do_waits_within(self, number: str) -> None:
