--- a/benchmarks/scale_traffic.py
+++ b/benchmarks/scale_traffic.py
@@ -140,7 +140,7 @@
             self.now,
             attempt,
             api.FULL if is_full else api.OK,
-            over=not is_full,
+            is_final=not is_full,
             took=self.now - attempt.sent_at,
         )
         self.costs.ended_attempts.append(call.milliseconds)
--- a/petrellane/benchlink/instance.py
+++ b/petrellane/benchlink/instance.py
@@ -158,7 +158,7 @@
             now,
             rpc.attempts[number],
             self._outcome(fields),
-            over=fields.get("over") == TRUE,
+            is_final=fields.get("over") == TRUE,
             took=seconds(fields.get("took")),
             usage=int(fields.get("usage", 0)),
             units=float(fields.get("finalUnits", 0)),
--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -207,7 +207,7 @@
         attempt: SendAttempt,
         outcome: Outcome,
         *,
-        over: bool,
+        is_final: bool,
         took: float = 0.0,
         usage: float = 0,  # noqa: ARG002 - reported by callers, and decides nothing
         units: float = 0.0,
@@ -219,7 +219,7 @@
             now: The time.
             attempt: What has ended.
             outcome: How.
-            over: Whether the RPC needs no answer any more.
+            is_final: Whether the RPC needs no answer any more.
             took: Seconds that it took.
             usage: What the endpoint says that it used; decides nothing.
             units: What the RPC cost in the end; 0 for what it was admitted with.
@@ -227,7 +227,7 @@
         """
         rpc = attempt.rpc
         attempt.outcome = outcome
-        rpc.is_finished = rpc.is_finished or over
+        rpc.is_finished = rpc.is_finished or is_final
         if attempt in self.load_balancer.in_flight:
             self.load_balancer.on_attempt_ended(attempt, outcome, took, now)
         lease = self.lease_manager.lease_of(rpc.customer, now)
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -316,7 +316,7 @@
             now,
             attempt,
             outcome,
-            over=is_over,
+            is_final=is_over,
             took=max(MINIMUM_DURATION_S, now - attempt.sent_at),
             usage=take_reported_use(figures),
             units=cost if cost <= self.settings.max_units else 0.0,
--- a/petrellane/simulation/baseline_controller.py
+++ b/petrellane/simulation/baseline_controller.py
@@ -105,7 +105,13 @@
         return [attempt]
 
     def on_attempt_ended(
-        self, now: float, attempt: SendAttempt, outcome: Outcome, *, over: bool, **_details: object
+        self,
+        now: float,
+        attempt: SendAttempt,
+        outcome: Outcome,
+        *,
+        is_final: bool,
+        **_details: object,
     ) -> list[Action]:
         """Retry where the attempt is proven not to have run, or end the RPC."""
         rpc = attempt.rpc
@@ -113,7 +119,7 @@
         attempt.outcome = outcome
         self.in_flight[endpoint] = max(0, self.in_flight.get(endpoint, 0) - 1)
         self.on_outcome(endpoint, outcome, now)
-        if over:
+        if is_final:
             return []
         may_retry = len(rpc.attempts) < rpc.method.max_attempts and rpc.deadline > now
         if outcome in NEVER_RAN and may_retry:
--- a/petrellane/simulation/controllers.py
+++ b/petrellane/simulation/controllers.py
@@ -30,7 +30,7 @@
         """An RPC has come."""
 
     def on_attempt_ended(
-        self, now: float, attempt: SendAttempt, outcome: Outcome, /, *, over: bool, took: float
+        self, now: float, attempt: SendAttempt, outcome: Outcome, /, *, is_final: bool, took: float
     ) -> list[Action]:
         """An attempt has ended."""
 
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -344,7 +344,7 @@
                 now,
                 pending.attempt,
                 outcome,
-                over=rpc not in self.open_rpcs,
+                is_final=rpc not in self.open_rpcs,
                 took=max(MIN_DURATION, now - pending.attempt.sent_at),
             )
         )
