--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -92,7 +92,9 @@
     def _end_attempt(
         self, attempt: actions.SendAttempt, duration_s: float, at: float
     ) -> list[actions.Action]:
-        return self.controller.on_attempt_ended(at, attempt, api.OK, is_final=True, took=duration_s)
+        return self.controller.on_attempt_ended(
+            at, attempt, api.OK, is_final=True, duration=duration_s
+        )
 
     def _reply(self, request: actions.CounterAdd, at: float) -> list[actions.Action]:
         total = max(0.0, request.amount)
--- a/benchmarks/scale_traffic.py
+++ b/benchmarks/scale_traffic.py
@@ -141,7 +141,7 @@
             attempt,
             api.FULL if is_full else api.OK,
             is_final=not is_full,
-            took=self.now - attempt.sent_at,
+            duration=self.now - attempt.sent_at,
         )
         self.costs.ended_attempts.append(call.milliseconds)
 
--- a/petrellane/benchlink/instance.py
+++ b/petrellane/benchlink/instance.py
@@ -159,7 +159,7 @@
             rpc.attempts[number],
             self._outcome(fields),
             is_final=fields.get("over") == TRUE,
-            took=seconds(fields.get("took")),
+            duration=seconds(fields.get("took")),
             usage=int(fields.get("usage", 0)),
             units=float(fields.get("finalUnits", 0)),
             report=self._load_report(fields),
--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -208,7 +208,7 @@
         outcome: Outcome,
         *,
         is_final: bool,
-        took: float = 0.0,
+        duration: float = 0.0,
         usage: float = 0,  # noqa: ARG002 - reported by callers, and decides nothing
         units: float = 0.0,
         report: object = None,  # noqa: ARG002 - as above
@@ -220,7 +220,7 @@
             attempt: What has ended.
             outcome: How.
             is_final: Whether the RPC needs no answer any more.
-            took: Seconds that it took.
+            duration: Seconds that it took.
             usage: What the endpoint says that it used; decides nothing.
             units: What the RPC cost in the end; 0 for what it was admitted with.
             report: The endpoint's load report; decides nothing.
@@ -229,7 +229,7 @@
         attempt.outcome = outcome
         rpc.is_finished = rpc.is_finished or is_final
         if attempt in self.load_balancer.in_flight:
-            self.load_balancer.on_attempt_ended(attempt, outcome, took, now)
+            self.load_balancer.on_attempt_ended(attempt, outcome, duration, now)
         lease = self.lease_manager.lease_of(rpc.customer, now)
         lease.in_flight = max(0, lease.in_flight - 1)
         if units:
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -317,7 +317,7 @@
             attempt,
             outcome,
             is_final=is_over,
-            took=max(MINIMUM_DURATION_S, now - attempt.sent_at),
+            duration=max(MINIMUM_DURATION_S, now - attempt.sent_at),
             usage=take_reported_use(figures),
             units=cost if cost <= self.settings.max_units else 0.0,
             report=figures,
--- a/petrellane/simulation/controllers.py
+++ b/petrellane/simulation/controllers.py
@@ -30,7 +30,14 @@
         """An RPC has come."""
 
     def on_attempt_ended(
-        self, now: float, attempt: SendAttempt, outcome: Outcome, /, *, is_final: bool, took: float
+        self,
+        now: float,
+        attempt: SendAttempt,
+        outcome: Outcome,
+        /,
+        *,
+        is_final: bool,
+        duration: float,
     ) -> list[Action]:
         """An attempt has ended."""
 
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -345,7 +345,7 @@
                 pending.attempt,
                 outcome,
                 is_final=rpc not in self.open_rpcs,
-                took=max(MIN_DURATION, now - pending.attempt.sent_at),
+                duration=max(MIN_DURATION, now - pending.attempt.sent_at),
             )
         )
 
--- a/tests/compatibility/build/leases.py
+++ b/tests/compatibility/build/leases.py
@@ -85,7 +85,7 @@
                 attempt = self.rpcs[words[0]].attempts[-1]
                 self._take(
                     self.controller.on_attempt_ended(
-                        now, attempt, types.OK, is_final=True, took=0.1, units=0.0
+                        now, attempt, types.OK, is_final=True, duration=0.1, units=0.0
                     )
                 )
 
--- a/tests/unit/decisions/random_play.py
+++ b/tests/unit/decisions/random_play.py
@@ -123,7 +123,7 @@
             over = outcome == api.OK
             self.execute(
                 self.controller.on_attempt_ended(
-                    self.now, action, outcome, is_final=over, took=due.took
+                    self.now, action, outcome, is_final=over, duration=due.took
                 )
             )
         self.now = after
--- a/tests/unit/decisions/scenario_traffic.py
+++ b/tests/unit/decisions/scenario_traffic.py
@@ -101,7 +101,7 @@
         over = outcome == api.OK
         self.execute(
             self.controller.on_attempt_ended(
-                self.now, attempt, outcome, is_final=over, took=took, units=units
+                self.now, attempt, outcome, is_final=over, duration=took, units=units
             )
         )
 
--- a/tests/unit/load_distribution/test_overload_of_few_samples.py
+++ b/tests/unit/load_distribution/test_overload_of_few_samples.py
@@ -51,7 +51,9 @@
             for action in controller.admit(now, rpc)
             if isinstance(action, actions.SendAttempt)
         )
-        controller.on_attempt_ended(now + duration, attempt, api.OK, is_final=True, took=duration)
+        controller.on_attempt_ended(
+            now + duration, attempt, api.OK, is_final=True, duration=duration
+        )
     return controller.load_balancer.overload(now + durations[-1])
 
 
--- a/tests/unit/operation/test_settings_reload.py
+++ b/tests/unit/operation/test_settings_reload.py
@@ -68,7 +68,7 @@
         rpc = api.Rpc(before.methods[name], customer, 1.0, 9.0, 1.0)
         attempt = actions.SendAttempt(rpc, endpoint, 0, 1.0, 8.0)
         controller.load_balancer.on_attempt_started(attempt)
-        controller.on_attempt_ended(1.1, attempt, api.OK, is_final=True, took=0.07)
+        controller.on_attempt_ended(1.1, attempt, api.OK, is_final=True, duration=0.07)
     controller.reconfigure(**now.controller_options)
     look = now.methods["look"]
     assert look is not before.methods["look"]
