--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -168,14 +168,14 @@
         would exceed the hard limit together.
         """
         lease = self.lease_manager.lease_of(rpc.customer, now)
-        if has_credit and lease.has_room(now, rpc.units):
+        if has_credit and lease.is_within_limits(now, rpc.units):
             actions = self._start_attempt(now, rpc, None)
             if actions:
                 lease.hard_limit -= rpc.units
                 self.retry_budget.record(is_retry=False)
                 return actions
         reason = RejectionReason.ENDPOINT if has_credit else RejectionReason.QUOTA
-        if not lease.has_room(now, rpc.units):
+        if not lease.is_within_limits(now, rpc.units):
             reason = RejectionReason.HARD_LIMIT
         if has_credit:
             lease.available += rpc.units
--- a/petrellane/decisions/lease_manager.py
+++ b/petrellane/decisions/lease_manager.py
@@ -113,7 +113,7 @@
         if is_new:
             lease.demand.append((now, rpc.units))
         actions = self.escrow.exchange(now, lease, rpc.units)
-        if not lease.has_room(now, rpc.units):
+        if not lease.is_within_limits(now, rpc.units):
             return self._wait_for_escrow(now, lease, rpc, actions)
         counter = self.counter
         if lease.available < rpc.units and (counter.is_silent or counter.is_degraded(now)):
--- a/petrellane/decisions/leases.py
+++ b/petrellane/decisions/leases.py
@@ -259,7 +259,7 @@
         pause = min(self.window_length, max(0.0, grown))
         self.exhausted_until = self.window_end - self.window_length + pause
 
-    def has_room(self, now: float, units: float) -> bool:
+    def is_within_limits(self, now: float, units: float) -> bool:
         """Whether the hard limit and the plan's maximum in flight leave room for an RPC."""
         maximum = self.customer.plan.max_in_flight
         if self.refill_hard_limit(now) < units:
