--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -237,7 +237,7 @@
         if rpc.is_finished:
             return []
         actions = self._retry(now, rpc)
-        return actions or [self._fail_request(rpc)]
+        return actions or [self._fail_rpc(rpc)]
 
     def _retry(self, now: float, rpc: Rpc) -> list[Action]:
         """Send an RPC again where that is safe, within the budget and of use; else no actions."""
@@ -263,7 +263,7 @@
         expected_end = now + self.load_balancer.typical_time(method)
         return expected_end < min(rpc.deadline, useful_until)
 
-    def _fail_request(self, rpc: Rpc) -> Reject | Abort:
+    def _fail_rpc(self, rpc: Rpc) -> Reject | Abort:
         """The final answer of an RPC that is not sent again: rejected where a repeat is safe."""
         is_safe = retries.is_safe_to_reject(rpc)
         self.finish(rpc)
