--- a/petrellane/decisions/hard_limits.py
+++ b/petrellane/decisions/hard_limits.py
@@ -1,9 +1,9 @@
 """The escrow of hard limits: gateways lend each other what they hold of a customer's hard limit.
 
 Each gateway holds a share of the hard limit, which fills on its own. A gateway whose share is full
-puts a piece of it into escrow, a count of the window that runs; one that is short takes from there
-what the count proves was in it. What is lost on the way is safe, as nobody holds it, and a count
-that is given twice gives at most the slack that the shares leave.
+puts a portion of it into escrow, a count of the window that runs; one that is short takes from
+there what the count proves was in it. What is lost on the way is safe, as nobody holds it, and a
+count that is given twice gives at most the slack that the shares leave.
 """
 
 from typing import NamedTuple
@@ -36,19 +36,19 @@
         self._counter = counter
 
     def exchange(self, now: float, lease: Lease, units: float) -> list[Action]:
-        """Lend a piece where the share is full, or borrow where it does not cover `units`."""
-        piece = lease.hard_limit_escrow * lease.fair_share
-        if not piece or lease.has_escrow_pending() or now < lease.next_escrow_at:
+        """Lend a portion where the share is full, or borrow where it does not cover `units`."""
+        portion = lease.hard_limit_escrow * lease.fair_share
+        if not portion or lease.has_escrow_pending() or now < lease.next_escrow_at:
             return []
         if self._counter.is_silent or self._counter.is_degraded(now):
             return []
         level = lease.refill_hard_limit(now)
         maximum = lease.hard_limit_maximum()
-        is_full = level > maximum - piece and level - piece >= units
-        has_space = lease.escrowed + piece <= lease.hard_limit_escrow
+        is_full = level > maximum - portion and level - portion >= units
+        has_space = lease.escrowed + portion <= lease.hard_limit_escrow
         if (lease.was_busy or lease.is_busy()) and is_full and has_space:
-            lease.hard_limit -= piece
-            return [_lend(lease, _escrow_count(lease), piece)]
+            lease.hard_limit -= portion
+            return [_lend(lease, _escrow_count(lease), portion)]
         if level < units and now >= lease.exhausted_until:
             # No more than fits, or it is lost.
             missing = min(lease.hard_limit_escrow, maximum - level)
@@ -96,9 +96,9 @@
 
 
 def _lend_more(lease: Lease, add: CounterAdd, level: float, total: float) -> list[Action]:
-    """After a piece was lent: lend half of what the escrow still has space for.
+    """After a portion was lent: lend half of what the escrow still has space for.
 
-    Units that waiting RPCs need stay, and less than a piece is not worth an add.
+    Units that waiting RPCs need stay, and less than a portion is not worth an add.
     """
     units = min(level - lease.waiting_units(), (lease.hard_limit_escrow - total) / 2)
     if units < lease.hard_limit_escrow * lease.fair_share or not units:
