--- a/petrellane/decisions/action_dispatcher.py
+++ b/petrellane/decisions/action_dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands each action of the controller to the method that executes it; decides nothing."""
+"""Dispatches each action of the controller to the method that executes it."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 
 class ActionDispatcher(ABC):
-    """The base of what executes actions, with a method for each type of them.
+    """Base class for executors of actions, with one abstract method for each action type.
 
-    A gateway executes them on sockets, the simulation in simulated time.
+    A gateway executes the actions on sockets, the simulation in simulated time.
     """
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         }
 
     def execute(self, actions: Iterable[Action]) -> None:
-        """Execute the controller's actions in their order."""
+        """Execute the controller's actions in the given order."""
         for action in actions:
             self._handlers[type(action)](action)
 
--- a/petrellane/decisions/actions.py
+++ b/petrellane/decisions/actions.py
@@ -1,7 +1,8 @@
-"""What the decisions ask their caller to do.
+"""The actions that the decision logic returns to its caller.
 
-Every call of the controller returns a list of actions, which the caller executes in their order.
-The caller reports what became of them as events; only `WriteLog` has no consequence.
+Every event method of the controller returns a list of actions, and the caller executes them in
+order. The caller reports the results, such as the outcome of an attempt, a reply of the counter or
+an expired timer, as new events.
 """
 
 from dataclasses import dataclass
@@ -16,17 +17,17 @@
 
 @dataclass(eq=False, repr=False, slots=True)
 class SendAttempt:
-    """Send an RPC to an endpoint; the value stands for the attempt until its end is reported.
+    """Send an RPC to an endpoint; the object identifies the attempt until its end is reported.
 
     Attributes:
-        rpc: What is sent.
-        endpoint: Where to.
-        number: Counts the RPC's attempts from 0.
-        sent_at: The time at which it was decided.
-        timeout: Seconds after which the attempt has ended `LATE`.
-        send_by: The time from which it may not be written any more.
-        outcome: How it ended; None while it is in flight.
-        is_cancelled: Whether it was asked to be cancelled.
+        rpc: The RPC to send.
+        endpoint: The endpoint that receives it.
+        number: The index of the attempt among the RPC's attempts, from 0.
+        sent_at: The time at which the controller decided to send it.
+        timeout: The seconds after which the attempt ends with the outcome `LATE`.
+        send_by: The deadline for writing the attempt to the endpoint.
+        outcome: The outcome of the attempt; None while it is in flight.
+        is_cancelled: Whether the controller has requested its cancellation.
     """
 
     rpc: Rpc
@@ -40,12 +41,12 @@
 
 
 class Reject(NamedTuple):
-    """End an RPC as rejected: it had no effect, and the client may send it again.
+    """Reject an RPC; the client may safely send it again.
 
     Attributes:
-        rpc: What ends.
-        retry_after: Seconds that the client is asked to wait.
-        reason: Why, for counts and logs alone; a `RejectionReason` where the controller says it.
+        rpc: The RPC to reject.
+        retry_after: The seconds that the client should wait before it retries (Retry-After).
+        reason: The reason, for metrics and logs only; the controller sets a `RejectionReason`.
     """
 
     rpc: Rpc
@@ -54,26 +55,26 @@
 
 
 class Abort(NamedTuple):
-    """End an RPC as aborted; nothing is promised of its effect."""
+    """Fail an RPC that may or may not have taken effect."""
 
     rpc: Rpc
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for an attempt; its outcome is still to be reported."""
+    """Stop waiting for an attempt; the caller still reports its outcome."""
 
     attempt: SendAttempt
 
 
 class PendingTopUp:
-    """The purpose of an add to the count of a window: more credit for a lease, or its total.
+    """The purpose of an addition to a window's count: to get more credit or to read the total.
 
     Attributes:
-        lease: What is topped up.
-        window: The window of the lease in which it was made.
-        unreported: The part of the amount that was spent already.
-        is_reread: Whether it only asks for the total again, as an answer could not be read.
-        is_settled: Whether the RPCs that waited for its answer were decided without it.
+        lease: The lease that is topped up.
+        window: The lease's window at the time of the request.
+        unreported: The units of the amount that a fair share has already granted.
+        is_reread: Whether it only reads the total again, because a reply had no readable total.
+        is_settled: Whether it was answered or has timed out, so that no RPC waits for it.
     """
 
     __slots__ = ("is_reread", "is_settled", "lease", "unreported", "window")
@@ -89,12 +90,12 @@
 
 
 class PendingEscrowMove(NamedTuple):
-    """The purpose of an add to the escrow's count: to lend units of a hard limit, or borrow some.
+    """The purpose of an addition to an escrow's count: to lend or borrow units of a hard limit.
 
     Attributes:
-        lease: Whose hard limit it is.
-        window: The window of the lease in which it was made.
-        is_follow_up: Whether it lends more, after a first piece.
+        lease: The lease whose hard limit lends or borrows.
+        window: The lease's window at the time of the request.
+        is_follow_up: Whether it lends more units after a first portion was lent.
     """
 
     lease: "Lease"
@@ -104,14 +105,14 @@
 
 @dataclass(eq=False, repr=False, slots=True)
 class CounterAdd:
-    """Add an amount to a named count of the shared counter and report the total.
+    """Add an amount to a named count of the shared counter and report the new total.
 
     Attributes:
-        name: The count.
-        amount: What to add: negative to give back, 0 to read.
-        ttl: Seconds after which the counter may forget the count.
-        purpose: What its answer is for, private to the decisions; None where nothing waits for it,
-            as where something is given back.
+        name: The name of the count.
+        amount: The units to add; negative to return units, 0 to read the total.
+        ttl: The seconds after which the counter may delete the count.
+        purpose: The operation that the reply completes; None if nothing waits for the reply, for
+            example when units are returned.
     """
 
     name: int
@@ -121,18 +122,18 @@
 
 
 class PeriodicCheck:
-    """The subject of the timer of one controller's periodic checks."""
+    """The subject of the timer for a controller's periodic checks."""
 
     __slots__ = ()
 
 
 TimerSubject: TypeAlias = PeriodicCheck | Rpc | CounterAdd
-"""What a timer is for: periodic checks, the deadline of an RPC that waits for credit, or the
-timeout of an add to the counter."""
+"""The subject of a timer: the periodic checks, the deadline of an RPC that waits for credit, or the
+timeout of an addition to the counter."""
 
 
 class SetTimer(NamedTuple):
-    """Report that `delay` seconds have passed, with the subject."""
+    """Report the subject back to the controller after `delay` seconds."""
 
     delay: float
     subject: TimerSubject
@@ -145,11 +146,11 @@
 
 
 class WriteLog(NamedTuple):
-    """Write one line for the operators.
+    """Write one log line for the operators.
 
     Attributes:
-        event: What happened, one of the four names above.
-        text: Details for people.
+        event: The name of the event, one of the four constants above.
+        text: Human-readable details.
     """
 
     event: str
@@ -157,7 +158,7 @@
 
 
 class WatchEndpoints(NamedTuple):
-    """Ask for the endpoint list and its changes."""
+    """Start a watch of the endpoint list and its changes, or renew it."""
 
 
 Action: TypeAlias = (
--- a/petrellane/decisions/types.py
+++ b/petrellane/decisions/types.py
@@ -1,12 +1,12 @@
-"""The values that the decisions are given: methods, plans, customers, endpoints and RPCs.
+"""The values that the decision logic works on: methods, plans, customers, endpoints and RPCs.
 
-The services that report events make these values and share them with the decisions; what the
-decisions ask for in return is in `petrellane.decisions.actions`. Times are seconds with fractions,
-on whatever clock the caller hands in. The values of the enumerations are stable: they go into
-logs, records and the adapters of the wire formats.
+The services that report events create these values and share them with the decision logic, whose
+results are in `petrellane.decisions.actions`. Times are in seconds, with fractions, on the caller's
+clock. The values of the enumerations are stable, because they appear in logs, records and the
+adapters of the wire formats.
 
-The dataclasses have identity in place of equality, and no generated `repr`: an RPC, its attempts
-and its customer refer to each other, and each generated method slows down the start of `serve`.
+The dataclasses compare by identity and have no generated `repr`: an RPC, its attempts and its
+customer refer to each other, and each generated method slows down the start of `serve`.
 """
 
 from collections.abc import Collection
@@ -19,28 +19,28 @@
 
 
 class Effect(StrEnum):
-    """What running a method twice does."""
+    """The effect of running a method more than once."""
 
     IDEMPOTENT = "idempotent"
-    DEDUPLICATED = "deduplicated"  # endpoints that share the idempotency key run it once
+    DEDUPLICATED = "deduplicated"  # endpoints that share an idempotency key run it only once
     NON_IDEMPOTENT = "non-idempotent"
 
 
 class KeyScope(StrEnum):
-    """Which endpoints share an idempotency key."""
+    """The endpoints that share an idempotency key."""
 
     ALL = "all"
-    ZONE = "zone"  # those in the zone of the first attempt
-    POD = "pod"  # those in the pod of the first attempt
+    ZONE = "zone"  # endpoints in the zone of the first attempt
+    POD = "pod"  # endpoints in the pod of the first attempt
 
     @classmethod
     def parse(cls, word: str) -> Self:
-        """The scope of a word of the settings: any other word, or none, means the pod."""
+        """Return the scope that a word of the settings names; other words mean the pod."""
         return cls(word) if word in (cls.ALL, cls.ZONE) else cls.POD
 
 
 class Outcome(StrEnum):
-    """How an attempt, or an add to the counter, ended."""
+    """The outcome of an attempt or of an addition to the counter."""
 
     OK = "ok"
     ERROR = "error"
@@ -53,7 +53,7 @@
 
 
 class EndpointState(StrEnum):
-    """Whether an endpoint takes attempts."""
+    """Whether an endpoint accepts attempts."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -61,16 +61,16 @@
 
 
 class RejectionReason(StrEnum):
-    """Why an RPC is rejected; for counts and logs alone."""
+    """The reason for the rejection of an RPC, for metrics and logs only."""
 
     OVERLOAD = "pressed"
     HARD_LIMIT = "ceiling"
     QUOTA = "credit"
-    ENDPOINT = "host"  # no endpoint may take it
-    GIVEN_UP = "given up"  # an attempt failed, and it is not sent again
+    ENDPOINT = "host"  # no endpoint is eligible
+    GIVEN_UP = "given up"  # an attempt failed, and the RPC is not retried
 
 
-# Members under names of the module: a class attribute of an enumeration costs more on the hot path.
+# Module-level aliases: attribute access on an enumeration is too slow for the hot path.
 IDEMPOTENT = Effect.IDEMPOTENT
 DEDUPLICATED = Effect.DEDUPLICATED
 NON_IDEMPOTENT = Effect.NON_IDEMPOTENT
@@ -88,25 +88,25 @@
 DRAINING = EndpointState.DRAINING
 GONE = EndpointState.GONE
 
-LONG_AGO = float("-inf")  # seconds: earlier than any time of the clock
+LONG_AGO = float("-inf")  # seconds; earlier than any time of the clock
 
 
 @dataclass(eq=False, repr=False, slots=True)
 class Method:
-    """What the settings say of one method; lives as long as the settings.
+    """One method as the settings define it; lives as long as the settings.
 
     Attributes:
-        name: Its name on the wire.
-        latency_objective: Seconds within which an answer is worth `priority_weight`.
-        deadline: Seconds after which the client gives up.
-        effect: What running it twice does.
-        key_scope: Which endpoints share an idempotency key; for `DEDUPLICATED` alone.
-        key_window: Seconds for which an endpoint remembers an idempotency key.
-        priority_weight: Worth of an answer in time.
-        late_priority_weight: Worth of an answer after the latency objective; 0 for none.
-        is_streaming: Read from the settings, and decides nothing.
-        max_attempts: The maximum of attempts for one RPC.
-        identity: Shared by the values that stand for the same method before and after new settings.
+        name: The name of the method on the wire.
+        latency_objective: The seconds within which a response has the value `priority_weight`.
+        deadline: The seconds after which the client gives up.
+        effect: The effect of running the method more than once.
+        key_scope: The endpoints that share an idempotency key; only used with `DEDUPLICATED`.
+        key_window: The seconds for which an endpoint remembers an idempotency key.
+        priority_weight: The value of a response within the latency objective.
+        late_priority_weight: The value of a later response; 0 if it has none.
+        is_streaming: Whether the method streams its responses; a setting that no decision uses.
+        max_attempts: The maximum number of attempts for one RPC.
+        identity: An object that represents this method across changes of the settings.
     """
 
     name: str
@@ -127,20 +127,19 @@
 
 @dataclass(eq=False, repr=False, slots=True)
 class Plan:
-    """What the settings say of one plan; lives as long as the settings.
+    """One plan as the settings define it; lives as long as the settings.
 
     Attributes:
-        name: Its name in the settings.
-        rate: Quota in units a second; 0 for no quota.
-        burst: Units that a full quota holds.
-        hard_limit_rate: Hard limit in units a second; 0 for no hard limit.
-        hard_limit_burst: Units that a full hard limit holds.
-        hard_limit_slack: Units of the hard limit that gateways may lend each other.
-        max_in_flight: Maximum of attempts in flight at once; 0 for no maximum.
-        price: What one unit is worth.
-        over_quota_weight: Worth of an RPC beyond the quota; read from the settings, and decides
-            nothing.
-        over_quota_cost: Cost of an RPC beyond the quota; decides nothing either.
+        name: The name of the plan in the settings.
+        rate: The quota, in units per second; 0 for no quota.
+        burst: The units of a full quota.
+        hard_limit_rate: The hard limit, in units per second; 0 for no hard limit.
+        hard_limit_burst: The units of a full hard limit.
+        hard_limit_slack: The units of the hard limit that gateways may lend each other.
+        max_in_flight: The maximum number of attempts in flight; 0 for no maximum.
+        price: The value of one unit.
+        over_quota_weight: The value of an RPC beyond the quota; a setting that no decision uses.
+        over_quota_cost: The cost of an RPC beyond the quota; a setting that no decision uses.
     """
 
     name: str
@@ -156,9 +155,9 @@
 
 
 class ControllerSettings(TypedDict):
-    """The settings that `AdmissionController` takes by keyword, at its start and anew.
+    """The settings that `AdmissionController` takes as keyword arguments, initially and on reload.
 
-    `AdmissionController.reconfigure` says what each means.
+    `AdmissionController.reconfigure` describes each setting.
     """
 
     zone: str
@@ -173,15 +172,15 @@
 
 @dataclass(eq=False, repr=False, slots=True, weakref_slot=True)
 class Customer:
-    """One customer, as long as its gateway knows it.
+    """One customer, for as long as the gateway keeps it in memory.
 
     Attributes:
-        name: Its id on the wire.
-        plan: The plan it is under; the owner replaces it when the settings change.
-        first_gateway: The number of the first gateway that it comes through.
-        gateway_count: How many gateways it comes through, from that one on.
-        known_since: Since when it is known under this plan, where it was under another one
-            before: its share of a hard limit fills from then on.
+        name: The customer's id on the wire.
+        plan: The customer's plan, which the owner replaces when the settings change.
+        first_gateway: The number of the first gateway that serves the customer.
+        gateway_count: The number of gateways that serve it, counted from the first one.
+        known_since: The time since which the customer is known under this plan, if it had another
+            plan before; its share of the hard limit fills from then on.
     """
 
     name: str
@@ -193,16 +192,16 @@
 
 @dataclass(eq=False, repr=False, slots=True)
 class Endpoint:
-    """One endpoint as the endpoint list last described it.
+    """One endpoint, as the endpoint list last described it.
 
     Attributes:
-        address: Where it listens; for logs and callers, never looked into here.
-        zone: The zone it runs in.
-        kind: Its kind of machine; reported by callers, and decides nothing.
+        address: The address that it listens on, which the decision logic never interprets.
+        zone: The zone that it runs in.
+        kind: The machine type, which callers report and no decision uses.
         pod: The number of its pod.
-        state: Whether it takes attempts.
-        weight: Its capacity, as a multiple of an ordinary endpoint's.
-        started_at: When its process started; 0 for long ago.
+        state: Whether it accepts attempts.
+        weight: The capacity, as a multiple of a standard endpoint's.
+        started_at: The start time of its process; 0 for long ago.
     """
 
     address: str
@@ -215,7 +214,7 @@
 
 
 class EndpointEvent(NamedTuple):
-    """One row of an endpoint list or of its changes, not yet taken over into its endpoint."""
+    """One row of an endpoint list or of its changes, not yet applied to its endpoint."""
 
     endpoint: Endpoint
     zone: str
@@ -231,16 +230,16 @@
     """One RPC of a client, until its last attempt has ended.
 
     Attributes:
-        method: What is called.
-        customer: Who calls.
-        units: Units that it costs of quota and hard limit.
+        method: The method that the client calls.
+        customer: The customer that sends the RPC.
+        units: The units that it costs, of quota and of hard limit.
         deadline: The time at which the client gives up.
-        arrived_at: The time at which it came.
-        is_client_retry: Whether the client says that it sent it before; reported by callers, and
-            decides nothing.
-        is_write: Whether it changes something; decides nothing either.
-        is_finished: Whether it has its final answer, or nobody to give it to.
-        attempts: Its attempts so far, oldest first.
+        arrived_at: The time at which the RPC arrived.
+        is_client_retry: Whether the client marked it as a retry, which callers report and no
+            decision uses.
+        is_write: Whether it changes data, which callers report and no decision uses.
+        is_finished: Whether it has its final answer or its client has disconnected.
+        attempts: The attempts so far, oldest first.
     """
 
     method: Method
