--- a/petrellane/decisions/counter_health.py
+++ b/petrellane/decisions/counter_health.py
@@ -1,7 +1,8 @@
-"""Whether the shared counter answers: silent, degraded or well; and when a silent one is probed.
+"""The health of the shared counter: reachable, degraded or unreachable.
 
-The counter is silent after a few failed top-ups in a row; then no RPC waits for it. It is degraded
-while a share of the last top-ups failed; then the fair share of a customer's quota goes first.
+After a few failed top-ups in a row the counter counts as unreachable; occasional top-ups then probe
+it, and no other RPC waits for it. While a share of the recent top-ups failed, the counter counts as
+degraded, and a lease grants the customer's fair share of the quota before it asks the counter.
 """
 
 import math
@@ -11,64 +12,66 @@
 from petrellane.decisions.actions import COUNTER_RECOVERED, COUNTER_UNREACHABLE, WriteLog
 from petrellane.decisions.endpoint_health import SAMPLE_LIFETIME
 
-SILENT_AFTER = 2  # failed top-ups in a row after which the counter counts as silent
-DEGRADED_SHARE = 0.05  # share of failed top-ups from which the counter counts as degraded
-PROBE_INTERVAL = 1.0  # mean seconds between top-ups while the counter is silent
-TIMEOUT_SHARE = 0.6  # our deadline for a top-up, as a share of the counter's own timeout
-RESULTS_KEPT = 32  # the last top-ups that are looked at
+UNREACHABLE_AFTER = 2  # failed top-ups in a row after which the counter counts as unreachable
+DEGRADED_SHARE = 0.05  # share of failed top-ups above which the counter counts as degraded
+PROBE_INTERVAL = 1.0  # mean seconds between probes of an unreachable counter
+TIMEOUT_SHARE = 0.6  # timeout of a top-up, as a share of the counter's own timeout
+MAX_RESULTS = 32  # recent top-ups that are considered
 
 
 class CounterHealth:
-    """What the last top-ups say of the counter; owned by the lease manager.
+    """The health of the counter, as recent top-ups show it; owned by the lease manager.
 
     Attributes:
-        is_silent: Whether no RPC waits for it.
-        next_probe_at: When a silent counter is asked next; never where there is no counter.
-        timeout: Seconds after which a top-up counts as failed.
+        is_unreachable: Whether the counter counts as unreachable; always true without a counter.
+        next_probe_at: The time of the next probe of an unreachable counter; infinite without a
+            counter.
+        timeout: The seconds after which a top-up counts as failed.
     """
 
     def __init__(self, random: Callable[[], float], *, has_counter: bool) -> None:
-        self.is_silent = not has_counter
+        self.is_unreachable = not has_counter
         self.next_probe_at = -math.inf if has_counter else math.inf
         self.timeout = 0.0
         self._random = random
-        self._results: deque[tuple[float, bool]] = deque(maxlen=RESULTS_KEPT)  # (time, in time)
+        # (time, whether the reply was in time) of each recent top-up.
+        self._results: deque[tuple[float, bool]] = deque(maxlen=MAX_RESULTS)
 
     def set_timeout(self, counter_timeout: float) -> None:
-        """Take over the counter's own timeout, in seconds."""
+        """Set the timeout of top-ups from the counter's own timeout, in seconds."""
         self.timeout = TIMEOUT_SHARE * counter_timeout
 
     def is_degraded(self, now: float) -> bool:
-        """Whether a share of the last top-ups failed: guards against a slow counter."""
+        """Return whether too many recent top-ups failed, which detects a slow counter."""
         recent = [in_time for at, in_time in self._results if now - at <= SAMPLE_LIFETIME]
         failed = recent.count(False)
-        return failed >= SILENT_AFTER and failed > DEGRADED_SHARE * len(recent)
+        return failed >= UNREACHABLE_AFTER and failed > DEGRADED_SHARE * len(recent)
 
     def schedule_probe(self, now: float) -> None:
-        """Set when a silent counter is asked next.
+        """Schedule the next probe of an unreachable counter.
 
-        Half to one and a half intervals from now, so that gateways do not ask in step.
+        The delay is random, from 0.5 to 1.5 intervals, so that gateways do not probe in step.
         """
         self.next_probe_at = now + PROBE_INTERVAL * (0.5 + self._random())
 
     def on_failure(self, now: float) -> list[WriteLog]:
-        """Note a top-up that had no answer in time; logs when the counter falls silent."""
+        """Record a top-up without a timely reply; log if the counter becomes unreachable."""
         self._results.append((now, False))
-        if self.is_silent:
+        if self.is_unreachable:
             return []
-        last = [in_time for _, in_time in self._results][-SILENT_AFTER:]
-        if last != [False] * SILENT_AFTER:
+        last = [in_time for _, in_time in self._results][-UNREACHABLE_AFTER:]
+        if last != [False] * UNREACHABLE_AFTER:
             return []
-        self.is_silent = True
+        self.is_unreachable = True
         self.schedule_probe(now)
-        text = f"counter silent: {SILENT_AFTER} asks in a row failed"
+        text = f"counter silent: {UNREACHABLE_AFTER} asks in a row failed"
         return [WriteLog(COUNTER_UNREACHABLE, text)]
 
     def on_success(self, now: float) -> list[WriteLog]:
-        """Note a top-up that was answered; logs when the counter is back."""
-        was_silent = self.is_silent
-        self.is_silent = False
+        """Record a top-up with a reply; log if the counter has recovered."""
+        was_unreachable = self.is_unreachable
+        self.is_unreachable = False
         self._results.append((now, True))
-        if not was_silent:
+        if not was_unreachable:
             return []
         return [WriteLog(COUNTER_RECOVERED, "counter answers again")]
--- a/petrellane/decisions/hard_limits.py
+++ b/petrellane/decisions/hard_limits.py
@@ -1,25 +1,26 @@
-"""The escrow of hard limits: gateways lend each other what they hold of a customer's hard limit.
+"""The escrow of hard limits: gateways lend each other units of a customer's hard limit.
 
-Each gateway holds a share of the hard limit, which fills on its own. A gateway whose share is full
-puts a portion of it into escrow, a count of the window that runs; one that is short takes from
-there what the count proves was in it. What is lost on the way is safe, as nobody holds it, and a
-count that is given twice gives at most the slack that the shares leave.
+Each gateway holds a share of the hard limit, which refills on its own. A gateway whose share is
+full puts a portion into escrow, a count at the counter for the current window. A gateway that lacks
+units takes those that the count's total proves to have been in escrow. Units that are lost on the
+way are safe, because no gateway holds them. A count that is granted twice grants at most the slack
+that the shares leave.
 """
 
 from typing import NamedTuple
 
 from petrellane.decisions.actions import Action, CounterAdd, PendingEscrowMove
 from petrellane.decisions.counter_health import CounterHealth
-from petrellane.decisions.leases import WORTHWHILE_SHARE, Lease
+from petrellane.decisions.leases import MIN_TOP_UP_SHARE, Lease
 from petrellane.decisions.numeric import stable_hash
 from petrellane.decisions.outcomes import PROVEN_NOT_RUN
 from petrellane.decisions.types import OK, Outcome
 
-ESCROW_TTL_WINDOWS = 2  # windows that an escrow's count is kept for
-ESCROW_TTL_MAXIMUM = 60.0  # seconds that it is kept for at most
-# Seconds: an escrow that gave nothing is asked again after WORTHWHILE_SHARE of this, or of the
-# window where that is shorter.
-RETRY_BASE = 1.0
+ESCROW_TTL_WINDOWS = 2  # windows for which the counter keeps an escrow's count
+ESCROW_TTL_MAXIMUM = 60.0  # maximum seconds for which the counter keeps it
+# In seconds. An escrow that granted nothing is asked again after MIN_TOP_UP_SHARE of this time, or
+# of the window if that is shorter.
+ESCROW_RETRY_BASE = 1.0
 
 
 class EscrowCount(NamedTuple):
@@ -35,12 +36,12 @@
     def __init__(self, counter: CounterHealth) -> None:
         self._counter = counter
 
-    def exchange(self, now: float, lease: Lease, units: float) -> list[Action]:
-        """Lend a portion where the share is full, or borrow where it does not cover `units`."""
+    def lend_or_borrow(self, now: float, lease: Lease, units: float) -> list[Action]:
+        """Lend a portion if the share is full, or borrow if it does not cover `units`."""
         portion = lease.hard_limit_escrow * lease.fair_share
         if not portion or lease.has_escrow_pending() or now < lease.next_escrow_at:
             return []
-        if self._counter.is_silent or self._counter.is_degraded(now):
+        if self._counter.is_unreachable or self._counter.is_degraded(now):
             return []
         level = lease.refill_hard_limit(now)
         maximum = lease.hard_limit_maximum()
@@ -50,7 +51,7 @@
             lease.hard_limit -= portion
             return [_lend(lease, _escrow_count(lease), portion)]
         if level < units and now >= lease.exhausted_until:
-            # No more than fits, or it is lost.
+            # Units beyond the maximum would be lost.
             missing = min(lease.hard_limit_escrow, maximum - level)
             return [_borrow(lease, _escrow_count(lease), missing)]
         return []
@@ -58,14 +59,14 @@
     def on_reply(
         self, now: float, add: CounterAdd, move: PendingEscrowMove, outcome: Outcome, total: float
     ) -> list[Action]:
-        """Take what the total proves was in escrow, and no more.
+        """Handle a reply: take only the units that the total proves to have been in escrow.
 
         Args:
             now: The time.
-            add: Units that were lent, or where negative were to be borrowed.
-            move: Its purpose.
-            outcome: How the add ended.
-            total: The count's total after it.
+            add: The addition, which is positive to lend and negative to borrow.
+            move: The purpose of the addition.
+            outcome: The outcome of the addition.
+            total: The count's total after the addition.
         """
         lease = move.lease
         lease.escrow_lending = 0.0
@@ -77,13 +78,13 @@
             borrowed = -add.amount
             taken = min(borrowed, max(0.0, total - add.amount))
             if taken < borrowed:
-                # What was not there goes back, so that the count is not left below zero.
+                # Return the units that were not in escrow, so that the count is not below zero.
                 actions.append(CounterAdd(add.name, borrowed - taken, lease.window_length))
         elif outcome in PROVEN_NOT_RUN and not is_borrowing:
-            taken = add.amount  # it never went there
+            taken = add.amount  # the units never reached the escrow
         lease.hard_limit += taken
         if not taken and (is_borrowing or outcome != OK):
-            pause = WORTHWHILE_SHARE * min(lease.window_length, RETRY_BASE)
+            pause = MIN_TOP_UP_SHARE * min(lease.window_length, ESCROW_RETRY_BASE)
             lease.next_escrow_at = now + pause
         if outcome == OK and move.window == lease.window:
             lease.escrowed = total
@@ -96,9 +97,9 @@
 
 
 def _lend_more(lease: Lease, add: CounterAdd, level: float, total: float) -> list[Action]:
-    """After a portion was lent: lend half of what the escrow still has space for.
+    """Return an addition that lends half of the escrow's free space after a first portion.
 
-    Units that waiting RPCs need stay, and less than a portion is not worth an add.
+    Units that waiting RPCs need stay in the share, and less than a portion is not worth a request.
     """
     units = min(level - lease.waiting_units(), (lease.hard_limit_escrow - total) / 2)
     if units < lease.hard_limit_escrow * lease.fair_share or not units:
@@ -108,7 +109,7 @@
 
 
 def _take_back_excess(lease: Lease, add: CounterAdd, total: float) -> list[Action]:
-    """After more was lent: take back what several gateways lent at once beyond the escrow."""
+    """Return an addition that takes back units that were lent beyond the escrow's maximum."""
     if total > lease.hard_limit_escrow:
         excess = min(add.amount, total - lease.hard_limit_escrow)
         return [_borrow(lease, EscrowCount(add.name, add.ttl), excess)]
@@ -116,8 +117,8 @@
 
 
 def _escrow_count(lease: Lease) -> EscrowCount:
-    """The count of the escrow of the lease's window."""
-    # The word is part of the count's name, which all versions of the gateway share.
+    """Return the count of the escrow in the lease's window."""
+    # The word `ceiling` is part of the count's name, which all versions of the gateway share.
     name = stable_hash(f"{lease.customer.name} {lease.window} ceiling")
     return EscrowCount(name, min(ESCROW_TTL_MAXIMUM, ESCROW_TTL_WINDOWS * lease.window_length))
 
@@ -125,14 +126,14 @@
 def _lend(
     lease: Lease, count: EscrowCount, units: float, *, is_follow_up: bool = False
 ) -> CounterAdd:
-    """Move units that the share no longer holds into escrow."""
+    """Return an addition that moves units, which the share no longer holds, into escrow."""
     lease.escrow_lending = units
     move = PendingEscrowMove(lease, lease.window, is_follow_up)
     return CounterAdd(count.name, units, count.ttl, move)
 
 
 def _borrow(lease: Lease, count: EscrowCount, units: float) -> CounterAdd:
-    """Ask for units from escrow; the share gets them with the answer."""
+    """Return an addition that takes units from escrow; the share gets them with the reply."""
     lease.escrow_borrowing = units
     move = PendingEscrowMove(lease, lease.window, is_follow_up=False)
     return CounterAdd(count.name, -units, count.ttl, move)
--- a/petrellane/decisions/leases.py
+++ b/petrellane/decisions/leases.py
@@ -1,9 +1,9 @@
-"""One customer's lease: quota credit and hard limit that this gateway holds, and may spend alone.
+"""One customer's lease: the quota credit and the hard limit that this gateway may spend on its own.
 
-Time runs in windows, each with an allowance that all gateways of the customer share through a
-count at the counter. A lease holds a part of the allowance of the window that runs. Beside it
-stands this gateway's share of the customer's hard limit, which no other gateway spends.
-Free of I/O and of any clock; `lease_manager` says when the counter is asked.
+Time is divided into windows. Each window has an allowance, which all gateways of the customer share
+through a count at the counter. A lease holds a part of the current window's allowance. It also
+holds this gateway's share of the customer's hard limit, which no other gateway spends. The module
+does no I/O and reads no clock; `lease_manager` decides when the gateway asks the counter.
 """
 
 import math
@@ -15,18 +15,17 @@
 from petrellane.decisions.numeric import mean, stable_hash
 from petrellane.decisions.types import Customer, Plan, Rpc
 
-WINDOW_FILLS = 1.0  # length of a window, as a multiple of the time in which a burst refills
-# Leases are this multiple of recent demand; from the decision package of the design's source.
-HEADROOM = 1.25
-LEASE_AHEAD = 0.25  # part of a window that a lease covers: unused credit elsewhere is lost
-WORTHWHILE_SHARE = 0.1  # share of the allowance that is worth a top-up when credit is short
-ESCROW_SHARE = 0.5  # of a hard limit's slack, what may lie in escrow for gateways in need
-DEMAND_KEPT = 256  # the last RPCs that demand is estimated from
-DEMAND_EXPORTED = 32  # of these, the last that another process is given
-DEMAND_WINDOWS = 2  # windows that demand is estimated over
-
-# Where each key of the stored form of a lease goes, in the order of the keys. The keys are part of
-# the format in which one process hands its leases to the next.
+WINDOW_FILLS = 1.0  # window length, as a multiple of the time in which a burst refills
+HEADROOM = 1.25  # lease size, as a multiple of the expected demand
+LEASE_AHEAD = 0.25  # share of a window that a lease covers: unused units are lost to other gateways
+MIN_TOP_UP_SHARE = 0.1  # smallest share of the allowance worth a top-up when credit is short
+ESCROW_SHARE = 0.5  # maximum share of a hard limit's slack that is in escrow
+MAX_DEMAND_ENTRIES = 256  # last RPCs from which demand is estimated
+EXPORTED_DEMAND_ENTRIES = 32  # the most recent of these, which a successor gets
+DEMAND_WINDOWS = 2  # windows over which demand is estimated
+
+# The attribute for each key of a lease's stored form, in the order of the keys. The keys belong to
+# the format in which a process hands its leases over to its successor.
 STORED_FIELDS = {
     "window": "window",
     "ends": "window_end",
@@ -48,62 +47,62 @@
     "busy": "was_busy",
     "out": "in_flight",
 }
-STORED_DEMAND = "demand"  # key of the last RPCs: (time, units) each
+STORED_DEMAND = "demand"  # key of the last RPCs, as (time, units)
 
 
-class WindowTerms(NamedTuple):
-    """How windows are cut, as a plan says."""
+class WindowParameters(NamedTuple):
+    """The windows that a plan defines."""
 
     length: float  # seconds
-    allowance: float  # units of a window
+    allowance: float  # units per window
     phase: float  # seconds by which the customer's windows are shifted
 
 
-NO_QUOTA = WindowTerms(math.inf, math.inf, 0.0)
+NO_QUOTA = WindowParameters(math.inf, math.inf, 0.0)
 
 
 class Lease:
-    """One customer's credit at this gateway, for the window that runs.
+    """One customer's credit at this gateway, for the current window.
 
-    Owned by the lease manager, as long as it holds anything that a new lease would not.
+    Owned by the lease manager, which drops it when a new lease would hold the same units.
 
     Attributes:
-        customer: Whose it is.
-        plan: The plan that it was last fitted to.
-        fair_share: Our part of what the customer's gateways share, from 0 to 1.
-        available: Units that may be spent.
-        granted: Units that this window has granted, by the counter or a fair share.
-        reported: Units that we added to this window's count.
-        unreported: Units that were spent and are still to be added.
-        ledger_total: The total of the window's count as we last knew it.
-        carryover: Units that the window before left; None where that is not known.
-        last_share: Our part of the last window's total.
-        exhausted_until: Until when a top-up brings nothing.
-        may_use_fair_share: Whether a fair share may stand in for the counter in this window.
-        next_single_at: From when a share of less than one RPC may become one RPC.
-        in_flight: Attempts in flight.
-        waiting: RPCs that wait for the answer to a top-up, oldest first.
-        pending_add: The top-up whose answer they wait for.
-        demand: (time, units) of the last RPCs.
-        demand_since: Since when demand is known.
-        hard_limit: Units of the hard limit that may be spent.
-        hard_limit_filled_at: Up to when it was refilled.
-        hard_limit_escrow: Units that may lie in escrow, over all gateways.
-        hard_limit_waiting: RPCs that wait for units from escrow, oldest first.
-        escrowed: Units in this window's escrow as we last knew it.
-        escrow_lending: Units that are on the way to the escrow.
-        escrow_borrowing: Units that were asked for from the escrow, with the answer still to come.
-        next_escrow_at: From when the escrow is asked again.
-        was_busy: Whether the last window's total was above our share of the hard limit's rate.
+        customer: The customer.
+        plan: The plan that was last applied.
+        fair_share: This gateway's part of what the customer's gateways share, from 0 to 1.
+        available: The units that may be spent.
+        granted: The units that the counter or a fair share has granted in this window.
+        reported: The units that this gateway has added to the window's count.
+        unreported: The units that a fair share granted and that are not yet added to the count.
+        ledger_total: The last known total of the window's count.
+        carryover: The units left over from the previous window; None if unknown.
+        last_share: This gateway's part of the previous window's total.
+        exhausted_until: The time before which a top-up would grant nothing.
+        may_use_fair_share: Whether a fair share may replace the counter's grants in this window.
+        next_single_at: The time from which a fair share below one RPC may be raised to one RPC.
+        in_flight: The number of attempts in flight.
+        waiting: The RPCs that wait for the reply to a top-up, oldest first.
+        pending_add: The top-up that they wait for.
+        demand: The last RPCs, as (time, units).
+        demand_since: The time from which demand is recorded.
+        hard_limit: The units of the hard limit that may be spent.
+        hard_limit_filled_at: The time up to which the hard limit was refilled.
+        hard_limit_escrow: The maximum units in escrow, over all gateways.
+        hard_limit_waiting: The RPCs that wait for units from escrow, oldest first.
+        escrowed: The last known units in this window's escrow.
+        escrow_lending: The units that a pending request puts into escrow.
+        escrow_borrowing: The units that a pending request takes from escrow.
+        next_escrow_at: The time from which the escrow may be asked again.
+        was_busy: Whether the previous window's total exceeded this gateway's hard limit refill.
     """
 
     def __init__(self, customer: Customer, now: float, hard_limit_from: float) -> None:
-        """Make a lease that holds nothing.
+        """Create a lease that holds no units.
 
         Args:
-            customer: Whose it is.
+            customer: The customer.
             now: The time.
-            hard_limit_from: The time from which its hard limit fills.
+            hard_limit_from: The time from which the hard limit fills.
         """
         self.customer = customer
         self.fair_share = 1 / max(1, customer.gateway_count)
@@ -120,7 +119,7 @@
         self.in_flight = 0
         self.waiting: list[Rpc] = []
         self.pending_add: CounterAdd | None = None
-        self.demand: deque[tuple[float, float]] = deque(maxlen=DEMAND_KEPT)
+        self.demand: deque[tuple[float, float]] = deque(maxlen=MAX_DEMAND_ENTRIES)
         self.demand_since = now
         # Starts empty, so that repeated restarts cannot multiply the hard limit.
         self.hard_limit = 0.0
@@ -134,32 +133,32 @@
         self.window: int | None = None
         self.window_end = now
         self.window_length, self.allowance, self.window_phase = NO_QUOTA
-        self.fit_to_plan(now)
+        self.apply_plan(now)
 
-    def fit_to_plan(self, now: float) -> None:
-        """Take over the customer's plan, at first and when new settings change it."""
+    def apply_plan(self, now: float) -> None:
+        """Apply the customer's plan, initially and when new settings change it."""
         plan = self.customer.plan
         self.plan: Plan = plan
         self.hard_limit_escrow = ESCROW_SHARE * plan.hard_limit_slack * (self.fair_share < 1)
-        self.next_terms = NO_QUOTA
+        self.next_window_parameters = NO_QUOTA
         if plan.rate:
             length = WINDOW_FILLS * plan.burst / plan.rate
             phase = stable_hash(self.customer.name) / 2**63 * length
-            self.next_terms = WindowTerms(length, plan.rate * length, phase)
+            self.next_window_parameters = WindowParameters(length, plan.rate * length, phase)
         else:
             self.window_end = now
         if now < self.window_end:
-            # The current window runs to its end under its old length; cutting a new one now
-            # would grant two allowances.
+            # The current window keeps its length until it ends, because another window that starts
+            # now would grant a second allowance.
             before = self.allowance
             self.exhausted_until = 0.0
             self.allowance = min(max(before, plan.burst), plan.rate * self.window_length)
             self.available *= min(1.0, self.allowance / before)
 
     def enter_window(self, now: float) -> None:
-        """Enter the window that `now` lies in; credit of an older one is void."""
+        """Enter the window that contains `now`; the credit of an older window expires."""
         if now >= self.window_end:
-            self.window_length, self.allowance, self.window_phase = self.next_terms
+            self.window_length, self.allowance, self.window_phase = self.next_window_parameters
         if now < self.window_end or self.window_length == math.inf:
             return
         self.window = math.floor((now + self.window_phase) / self.window_length)
@@ -178,27 +177,28 @@
         self.may_use_fair_share = True
 
     def previous_window(self) -> int | None:
-        """The number of the window before; None where windows have no end."""
+        """Return the number of the previous window; None if windows have no end."""
         return None if self.window is None else self.window - 1
 
     def is_busy(self) -> bool:
-        """Whether the window's total is above our share of the hard limit's rate."""
+        """Return whether the window's total exceeds this gateway's hard limit refill per window."""
         rate = self.customer.plan.hard_limit_rate
         return self.ledger_total > rate * self.fair_share * self.window_length
 
-    def use_fair_share(self, now: float, units: float, *, is_silent: bool) -> None:
-        """Grant what is missing of our share of the allowance, where the counter fails.
+    def grant_fair_share(self, now: float, units: float, *, is_unreachable: bool) -> None:
+        """Grant the missing part of this gateway's share of the allowance while the counter fails.
 
-        While the counter is silent that is at least our part of the last window's total, which
-        guards customers that reach few of their gateways. Less than the units of an RPC is credit
-        to nobody: it becomes one RPC, as seldom as the shares add up to it.
+        If the counter is unreachable, the share is at least this gateway's part of the previous
+        window's total, because a customer may reach only few of its gateways. No RPC could use a
+        share smaller than its units. Such a share is raised to one RPC, but only once in the time
+        in which the shares add up to that RPC.
 
         Args:
             now: The time.
-            units: Units that are needed now; 0 to grant no more than the share.
-            is_silent: Whether the counter is silent, and not degraded alone.
+            units: The units that are needed now; 0 to grant no more than the share.
+            is_unreachable: Whether the counter is unreachable, and not only degraded.
         """
-        share = max(self.fair_share, self.last_share) if is_silent else self.fair_share
+        share = max(self.fair_share, self.last_share) if is_unreachable else self.fair_share
         extra = 0.0
         if self.may_use_fair_share:
             extra = max(0.0, self.allowance * share - self.granted)
@@ -211,19 +211,19 @@
         self.unreported = self.unreported + extra
 
     def limit(self, now: float, carryover: float) -> float:
-        """The most that the window's total may reach by now.
+        """Return the maximum that the window's total may have reached by now.
 
-        Beyond the allowance a customer may go on as its burst allows: with what the window before
-        left, and with what was refilled since this one began.
+        A customer may exceed the allowance as far as its burst permits: by the units left over from
+        the previous window and by the units refilled since this window began.
         """
         since_start = now - self.window_end + self.window_length
         return max(self.allowance, carryover + self.customer.plan.rate * since_start)
 
-    def wanted(self, now: float) -> float:
-        """Units that the lease should hold: recent demand ahead, times the headroom.
+    def target_units(self, now: float) -> float:
+        """Return the units that the lease should hold: the expected demand with headroom.
 
-        It is rounded down to complete RPCs: less than one is credit to nobody, and many gateways
-        would each hold a part of one. At least the units of the RPCs that wait, at most the
+        The result is rounded down to complete RPCs, because otherwise many gateways would each hold
+        an unusable part of one. It is at least the units of the waiting RPCs, and at most the
         allowance.
         """
         span = DEMAND_WINDOWS * self.window_length
@@ -235,42 +235,42 @@
         return min(max(self.waiting_units(), complete), self.allowance)
 
     def waiting_units(self) -> float:
-        """The units of the RPCs that wait for credit."""
+        """Return the units of the RPCs that wait for credit."""
         return sum(rpc.units for rpc in self.waiting if not rpc.is_finished)
 
     def missing_units(self) -> float:
-        """The units of the RPCs that wait, less what is available."""
+        """Return the units of the RPCs that wait, minus the available units."""
         return self.waiting_units() - self.available
 
     def mark_exhausted(self, now: float) -> None:
-        """Ask for no top-up before the limit has grown by a worthwhile piece.
+        """Stop top-ups until the limit has grown by enough units for a worthwhile one.
 
-        Where it does not grow in this window, the next window ends the pause. Nothing is paused
-        where only the reserve was kept back.
+        If the limit does not grow so much in this window, the pause ends with the next window.
+        There is no pause if only the reserve was withheld.
         """
-        piece = max(self.missing_units(), self.allowance * WORTHWHILE_SHARE)
+        increment = max(self.missing_units(), self.allowance * MIN_TOP_UP_SHARE)
         carryover = self.carryover or 0.0
         needed = self.ledger_total + max(1.0, self.missing_units())
         if needed <= self.limit(now, carryover):
             return
         self.may_use_fair_share = False
         self.next_single_at = max(self.next_single_at, self.window_end)
-        grown = (self.ledger_total + piece - carryover) / self.customer.plan.rate
+        grown = (self.ledger_total + increment - carryover) / self.customer.plan.rate
         pause = min(self.window_length, max(0.0, grown))
         self.exhausted_until = self.window_end - self.window_length + pause
 
     def is_within_limits(self, now: float, units: float) -> bool:
-        """Whether the hard limit and the plan's maximum in flight leave room for an RPC."""
+        """Return whether the hard limit and the plan's maximum in flight permit an RPC."""
         maximum = self.customer.plan.max_in_flight
         if self.refill_hard_limit(now) < units:
             return False
         return not maximum or self.in_flight < max(1, maximum * self.fair_share // 1)
 
     def refill_hard_limit(self, now: float) -> float:
-        """Refill our share of the hard limit; the units that may be spent, infinite for no limit.
+        """Refill this gateway's share of the hard limit and return the units that may be spent.
 
-        Nothing that we believe of other gateways makes it larger: their shares and the escrow
-        together are never more than the limit.
+        The result is infinite without a hard limit. Assumptions about other gateways never enlarge
+        the share, so all shares and the escrow together never exceed the hard limit.
         """
         plan = self.customer.plan
         if not plan.hard_limit_rate:
@@ -281,15 +281,19 @@
         return self.hard_limit
 
     def hard_limit_maximum(self) -> float:
-        """The most of the hard limit that we hold: our share, less what may lie in escrow."""
+        """Return the maximum units of the hard limit that this gateway holds.
+
+        The shares leave out twice the maximum escrow, so a count that is granted twice stays within
+        the hard limit.
+        """
         return (self.customer.plan.hard_limit_burst - 2 * self.hard_limit_escrow) * self.fair_share
 
     def has_escrow_pending(self) -> bool:
-        """Whether an add to the escrow, or a take from it, waits for its answer."""
+        """Return whether a request to the escrow, to lend or to borrow, awaits its reply."""
         return bool(self.escrow_lending or self.escrow_borrowing)
 
     def is_idle(self, now: float) -> bool:
-        """Whether a new lease would hold no less and no more, so that this one may be dropped."""
+        """Return whether a new lease would hold the same units, so that this one may be dropped."""
         is_over = now >= self.window_end + min(self.window_length, SAMPLE_LIFETIME)
         if not is_over or self.refill_hard_limit(now) < self.hard_limit_maximum():
             return False
@@ -297,9 +301,9 @@
         return not (has_rpcs or self.pending_add or self.has_escrow_pending())
 
     def export_state(self, now: float) -> dict[str, Any]:
-        """The stored form, for the process that follows; what it holds is given up here.
+        """Return the stored form for the successor process, and give up what the lease holds.
 
-        The hard limit of RPCs that wait stays, and grows no more.
+        The lease retains the hard limit that waiting RPCs need, without further refills.
         """
         waiting = self.waiting_units() + sum(rpc.units for rpc in self.hard_limit_waiting)
         kept = float(min(self.refill_hard_limit(now), waiting))
@@ -309,13 +313,13 @@
         self.available = 0.0
         self.hard_limit = kept
         self.hard_limit_filled_at = math.inf
-        return stored | {STORED_DEMAND: list(self.demand)[-DEMAND_EXPORTED:]}
+        return stored | {STORED_DEMAND: list(self.demand)[-EXPORTED_DEMAND_ENTRIES:]}
 
     def import_state(self, stored: dict[str, Any]) -> None:
-        """Go on with what another process gave up.
+        """Take over the state that another process has exported.
 
         Raises:
-            KeyError: A key is missing.
+            KeyError: A key is missing in the stored form.
         """
         values = {field: stored[key] for key, field in STORED_FIELDS.items()}
         vars(self).update(values)
