--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -1,14 +1,13 @@
 """The admission controller: events in, actions out.
 
-Make one `AdmissionController` per gateway from its settings, then report what happens: the process
-has started, the endpoint list has changed or its watch has failed, an RPC has come, an attempt has
-ended, the counter has answered, a timer has run out, a client has gone. Each call takes the time
-first and answers with the actions that the caller executes, in their order. Nothing here reads a
-clock or does I/O, and all random numbers come from one seeded generator, so a run can be repeated
-to the digit.
-
-The parts decide one concern each: `lease_manager` and `hard_limits` quota, `load_shedding`
-overload, `load_balancing` and `warm_up` the endpoint, `retries` what may be sent again.
+A gateway creates one `AdmissionController` from its settings and reports each event to it: the
+start of the process, an endpoint list, a failed watch, a new RPC, the end of an attempt, a reply of
+the counter, an expired timer, a client's disconnect. Each event method takes the current time first
+and returns the actions that the caller executes in order. The controller reads no clock and does no
+I/O, and all random numbers come from one seeded generator, so a run can be reproduced exactly.
+
+Each concern has its own module: `lease_manager` and `hard_limits` decide on quota, `load_shedding`
+on overload, `load_balancing` and `warm_up` on the endpoint, `retries` on what may be sent again.
 """
 
 import random
@@ -34,7 +33,7 @@
 )
 from petrellane.decisions.endpoint_list import Scope
 from petrellane.decisions.lease_manager import Credit, LeaseManager
-from petrellane.decisions.load_balancing import SAME_ZONE_ODDS, LoadBalancer
+from petrellane.decisions.load_balancing import SAME_ZONE_FACTOR, LoadBalancer
 from petrellane.decisions.load_shedding import LoadShedder
 from petrellane.decisions.types import (
     OK,
@@ -45,23 +44,24 @@
     Rpc,
 )
 
-CHECK_INTERVAL = 0.1  # seconds between periodic checks, while anything is in flight
+CHECK_INTERVAL = 0.1  # seconds between checks, while attempts are in flight or overload lasts
 
 
 class AdmissionController:
-    """Decides where an RPC goes, whether it is sent again, and how long a client waits.
+    """Decides where an RPC goes, whether it is retried, and how long a rejected client waits.
 
-    Owned by what executes its actions, for the life of the process.
+    Owned by the service that executes its actions, for the life of the process.
 
     Attributes:
-        random: The seeded generator's next number from 0 to 1; callers may draw from it too.
-        must_watch: Whether the endpoint list is to be watched.
-        lease_manager: Quotas and hard limits.
-        load_balancer: The endpoints and what is known of them.
-        load_shedder: Which RPCs are rejected under overload.
-        retry_budget: Whether one more retry may be sent.
+        random: The function that returns the seeded generator's next number from 0 to 1, which
+            callers may also use.
+        must_watch: Whether the controller requests a watch of the endpoint list.
+        lease_manager: The leases, with quotas and hard limits.
+        load_balancer: The endpoints and their health.
+        load_shedder: The choice of RPCs that are rejected under overload.
+        retry_budget: The limit on retries as a share of all attempts.
         may_cancel: Whether overdue attempts may be cancelled.
-        max_retry_after: The most seconds that a rejected client is asked to wait.
+        max_retry_after: The maximum seconds that a rejected client is asked to wait.
     """
 
     def __init__(
@@ -72,13 +72,13 @@
         must_watch: bool,
         **settings: Unpack[ControllerSettings],
     ) -> None:
-        """Make a controller that knows no endpoints.
+        """Create a controller that knows no endpoints.
 
         Args:
-            seed: Of the random numbers.
-            uses_counter: Whether there is a shared counter.
-            must_watch: Whether the endpoint list is to be watched.
-            settings: As `reconfigure` takes them.
+            seed: The seed of the random number generator.
+            uses_counter: Whether the gateway has a shared counter.
+            must_watch: Whether the controller requests a watch of the endpoint list.
+            settings: The keyword arguments of `reconfigure`.
         """
         rng = random.Random(seed)
         self.random = rng.random
@@ -103,55 +103,57 @@
         cross_zone_price: float,
         method_identities: Collection[object] = (),
     ) -> None:
-        """Take over settings, at the start and anew; RPCs refer to their own methods and plans.
+        """Apply the settings, initially and on reload.
+
+        Methods and plans are not among them, because each RPC refers to its own.
 
         Args:
-            zone: The gateway's own zone.
-            counter_timeout: Seconds after which a request to the counter has failed.
+            zone: The zone of this gateway.
+            counter_timeout: The seconds after which a request to the counter has failed.
             may_cancel: Whether overdue attempts may be cancelled.
-            max_retry_after: The most seconds that a rejected client is asked to wait.
-            slow_start: Seconds from its start for which an endpoint is warming up; 0 for none.
-            slow_start_minimum: The part of its capacity that an endpoint starts with.
+            max_retry_after: The maximum seconds that a rejected client is asked to wait.
+            slow_start: The seconds that an endpoint warms up after its start; 0 for no slow start.
+            slow_start_minimum: The fraction of its capacity with which an endpoint starts.
             cross_zone_price: The price of an attempt in another zone; 0 for none.
-            method_identities: The methods of which what is known is kept.
+            method_identities: The identities of the methods whose response times are retained.
         """
         self.may_cancel = may_cancel
         self.max_retry_after = max_retry_after
-        same_zone_odds = SAME_ZONE_ODDS if cross_zone_price else 1.0
+        same_zone_factor = SAME_ZONE_FACTOR if cross_zone_price else 1.0
         self.load_balancer.reconfigure(
-            zone, same_zone_odds, slow_start, slow_start_minimum, method_identities
+            zone, same_zone_factor, slow_start, slow_start_minimum, method_identities
         )
         self.lease_manager.counter.set_timeout(counter_timeout)
 
     @property
     def overload(self) -> float:
-        """How overloaded the endpoints are, as of the last periodic check; 0 at ease."""
+        """The endpoints' overload at the last periodic check; 0 for none."""
         return self.load_shedder.overload
 
     def start(self, now: float) -> list[Action]:
-        """The process has started; its first actions."""
+        """Handle the start of the process."""
         self.lease_manager.started_at = now
         return [WatchEndpoints()] if self.must_watch else []
 
     def on_endpoint_events(
         self, now: float, is_full: bool, events: Iterable[EndpointEvent]
     ) -> list[Action]:
-        """The endpoint list or changes to it have come.
+        """Handle an endpoint list or changes to it.
 
         Args:
             now: The time.
-            is_full: Whether endpoints that no event names are gone.
-            events: The rows.
+            is_full: Whether the list is complete, so that endpoints without an event are gone.
+            events: The rows of the list.
         """
         self.load_balancer.on_endpoint_events(now, is_full, events)
         return []
 
     def on_watch_failed(self, _now: float) -> list[Action]:
-        """The watch of the endpoint list has failed: renew it, and keep what is known."""
+        """Handle a failed watch: renew it and keep the known endpoints."""
         return [WatchEndpoints()] if self.must_watch else []
 
     def admit(self, now: float, rpc: Rpc) -> list[Action]:
-        """An RPC has come: send it, have it wait for credit, or reject it."""
+        """Handle a new RPC: send it, let it wait for credit, or reject it."""
         typical_time = self.load_balancer.typical_time(rpc.method)
         if self.load_shedder.should_shed(rpc, typical_time):
             self.finish(rpc)
@@ -162,10 +164,10 @@
         return actions + self._dispatch(now, rpc, credit is Credit.SPENT)
 
     def _dispatch(self, now: float, rpc: Rpc, has_credit: bool) -> list[Action]:
-        """Send an RPC whose credit is decided, or reject it at once.
+        """Send an RPC after its credit was decided, or reject it.
 
-        Room is checked again: several RPCs that found room before they waited for one top-up
-        would exceed the hard limit together.
+        The limits are checked again, because several RPCs that were within the hard limit before
+        they waited for the same top-up could exceed it together.
         """
         lease = self.lease_manager.lease_of(rpc.customer, now)
         if has_credit and lease.is_within_limits(now, rpc.units):
@@ -186,7 +188,7 @@
     def _start_attempt(
         self, now: float, rpc: Rpc, scope: Scope, send_by: float = inf
     ) -> list[Action]:
-        """Send an RPC to a drawn endpoint; no actions where none may take it."""
+        """Send an RPC to a picked endpoint; without an eligible one, return no actions."""
         if rpc.deadline <= now:
             return []
         endpoint = self.load_balancer.pick_endpoint(now, rpc, scope)
@@ -209,21 +211,21 @@
         *,
         is_final: bool,
         duration: float = 0.0,
-        usage: float = 0,  # noqa: ARG002 - reported by callers, and decides nothing
+        usage: float = 0,  # noqa: ARG002 - reported by callers, and used by no decision
         units: float = 0.0,
         report: object = None,  # noqa: ARG002 - as above
     ) -> list[Action]:
-        """An attempt has ended: send its RPC again, or give its final answer.
+        """Handle the end of an attempt: retry its RPC, or give the final answer.
 
         Args:
             now: The time.
-            attempt: What has ended.
-            outcome: How.
-            is_final: Whether the RPC needs no answer any more.
-            duration: Seconds that it took.
-            usage: What the endpoint says that it used; decides nothing.
-            units: What the RPC cost in the end; 0 for what it was admitted with.
-            report: The endpoint's load report; decides nothing.
+            attempt: The attempt that ended.
+            outcome: The outcome of the attempt.
+            is_final: Whether the RPC needs no further attempt, whatever the outcome.
+            duration: The duration of the attempt, in seconds.
+            usage: The usage that the endpoint reports, which no decision uses.
+            units: The actual cost of the RPC, in units; 0 for the cost at admission.
+            report: The endpoint's load report, which no decision uses.
         """
         rpc = attempt.rpc
         attempt.outcome = outcome
@@ -240,7 +242,7 @@
         return actions or [self._fail_rpc(rpc)]
 
     def _retry(self, now: float, rpc: Rpc) -> list[Action]:
-        """Send an RPC again where that is safe, within the budget and of use; else no actions."""
+        """Retry an RPC if that is safe, useful and within the budget; else return no actions."""
         targets = retries.retry_targets(now, rpc)
         if not targets or not self.retry_budget.allows():
             return []
@@ -255,7 +257,7 @@
         return actions
 
     def _would_answer_in_time(self, now: float, rpc: Rpc) -> bool:
-        """Whether an attempt from now on usually ends while an answer is of use."""
+        """Return whether an attempt started now is likely to end while its response has value."""
         method = rpc.method
         useful_until = rpc.arrived_at + method.latency_objective
         if method.late_priority_weight:
@@ -264,30 +266,31 @@
         return expected_end < min(rpc.deadline, useful_until)
 
     def _fail_rpc(self, rpc: Rpc) -> Reject | Abort:
-        """The final answer of an RPC that is not sent again: rejected where a repeat is safe."""
+        """Finish an RPC without a retry: reject it if the client may repeat it, else abort it."""
         is_safe = retries.is_safe_to_reject(rpc)
         self.finish(rpc)
         return Reject(rpc, 0.0, RejectionReason.GIVEN_UP) if is_safe else Abort(rpc)
 
     def finish(self, rpc: Rpc) -> None:
-        """An RPC has its final answer, or nobody to give it to."""
+        """Mark an RPC that has its final answer, or whose client has disconnected."""
         rpc.is_finished = True
 
     def on_client_disconnected(self, _now: float, rpc: Rpc) -> list[Action]:
-        """The client of an RPC has gone: nothing more is owed."""
+        """Handle the disconnect of an RPC's client, after which the RPC needs no answer."""
         self.finish(rpc)
         return []
 
     def on_response_started(
         self, now: float, attempt: SendAttempt, is_relayed: bool = False
     ) -> list[Action]:
-        """The response to an attempt has begun: its endpoint answers.
+        """Handle the start of a response, which shows that the endpoint responds.
 
         Args:
             now: The time.
-            attempt: What is answered.
-            is_relayed: Whether it is relayed as it comes, and so as good as ended: how soon a
-                client reads says nothing of the endpoint.
+            attempt: The attempt that the response belongs to.
+            is_relayed: Whether the gateway relays the response as it arrives. The attempt then
+                counts as ended, because its further duration depends on the client, not on the
+                endpoint.
         """
         if is_relayed:
             self.load_balancer.on_attempt_ended(attempt, OK, now - attempt.sent_at, now)
@@ -297,11 +300,11 @@
     def on_counter_reply(
         self, now: float, add: CounterAdd, outcome: Outcome, total: float
     ) -> list[Action]:
-        """The counter has answered an add, or failed to."""
+        """Handle the counter's reply to an addition, or the failure of the request."""
         return self.lease_manager.on_counter_reply(now, add, outcome, total)
 
     def on_timer(self, now: float, subject: TimerSubject) -> list[Action]:
-        """The time that a `SetTimer` asked for has come; no actions where it is out of date."""
+        """Handle an expired timer; return no actions if it is stale."""
         if subject is self._periodic_check:
             return self._run_periodic_checks(now)
         if isinstance(subject, Rpc) and not (subject.is_finished or subject.attempts):
@@ -311,7 +314,7 @@
         return []
 
     def _run_periodic_checks(self, now: float) -> list[Action]:
-        """Cancel overdue attempts, estimate the overload, and log where it starts or ends."""
+        """Cancel overdue attempts, estimate the overload, and log its start or end."""
         actions: list[Action] = [*self._cancel_overdue(now)]
         shedder = self.load_shedder
         before = shedder.overload
@@ -324,7 +327,7 @@
         return actions
 
     def _cancel_overdue(self, now: float) -> list[CancelAttempt]:
-        """Cancel attempts at silent endpoints whose RPCs may be sent again."""
+        """Cancel attempts at unresponsive endpoints if their RPCs may be sent again."""
         if not self.may_cancel or not self.retry_budget.allows():
             return []
         cancelled = []
@@ -339,7 +342,10 @@
 
 
 def _overload_log(before: float, now: float) -> WriteLog:
-    """The line of the log where overload starts or ends; its text is kept, as people search it."""
+    """Return the log line for the start or the end of overload.
+
+    The text must not change, because operators search for it.
+    """
     figures = f"{before:.2f} to {now:.2f}"
     if before:
         return WriteLog(OVERLOAD_ENDED, f"hosts at ease: {figures}")
--- a/petrellane/decisions/endpoint_index.py
+++ b/petrellane/decisions/endpoint_index.py
@@ -1,10 +1,10 @@
 """Indexes over endpoints whose cost does not grow with the number of endpoints.
 
-Nothing is decided here, and there is no clock and no I/O. `IndexedGroups` holds members under keys:
-one is added or removed in a constant number of steps, and the members of a key are a list that a
-random draw can index. `StartTimes` holds members in the order of their starts, with prefix sums:
-a sum over members that each count in step with their age takes a binary search, and so does the
-member on which a point of that sum falls.
+They contain no decision logic, clock or I/O. `IndexedGroups` groups members by key: adding or
+removing a member takes constant time, and the members of a key form a list from which a random draw
+can pick by index. `StartTimes` keeps members in the order of their start times, with prefix sums: a
+binary search finds a sum over members that are weighted by age, and the member at a point of that
+sum.
 """
 
 from bisect import bisect_left, bisect_right
@@ -19,24 +19,24 @@
 
 
 class IndexedGroups(Generic[Member]):
-    """Members under keys; a key without members takes no memory."""
+    """Members grouped by key; a key without members uses no memory."""
 
     def __init__(self) -> None:
         self.members: dict[Hashable, list[Member]] = {}
         self.positions: dict[Hashable, dict[Member, int]] = {}  # key -> member -> index in its list
 
     def add(self, member: Member, keys: Iterable[Hashable]) -> None:
-        """Put a member under keys that it is not under yet."""
+        """Add a member to keys that do not contain it yet."""
         for key in keys:
             rows = self.members.setdefault(key, [])
             self.positions.setdefault(key, {})[member] = len(rows)
             rows.append(member)
 
     def remove(self, member: Member, keys: Iterable[Hashable]) -> None:
-        """Remove a member from under keys; the last member of the key fills the gap.
+        """Remove a member from keys; the last member of each key moves into its position.
 
         Raises:
-            KeyError: The member is not under one of them.
+            KeyError: One of the keys does not contain the member.
         """
         for key in keys:
             rows = self.members[key]
@@ -51,16 +51,16 @@
                 del self.positions[key]
 
     def contains(self, member: Member, key: Hashable) -> bool:
-        """Whether a member is under a key."""
+        """Return whether a key contains a member."""
         return member in self.positions.get(key, ())
 
     def members_of(self, key: Hashable) -> Sequence[Member]:
-        """All members under a key, in no order that means anything; not to be changed."""
+        """Return the members of a key in arbitrary order; callers must not change them."""
         return self.members.get(key, ())
 
 
 class StartRow(NamedTuple, Generic[Member]):
-    """One member of `StartTimes`."""
+    """One member of `StartTimes`, with its start time and size."""
 
     start: float
     size: float
@@ -68,33 +68,33 @@
 
 
 class StartTimes(Generic[Member]):
-    """Members with a start (seconds of any clock) and a size, in the order of starts.
+    """Members with a start time, in seconds of any clock, and a size, ordered by start time.
 
-    Members with equal starts stay in the order in which they were added.
+    Members with equal start times keep the order in which they were added.
     """
 
     def __init__(self) -> None:
         self.rows: list[StartRow[Member]] = []
-        # Prefix sums over the rows: of sizes, and of sizes times starts since `_origin`.
+        # Prefix sums over the rows: of sizes, and of size times seconds since `_origin`.
         self._sizes = [0.0]
         self._moments = [0.0]
         self._origin = 0.0
-        self._summed = 0  # so many rows are in the prefix sums
+        self._summed = 0  # number of rows that the prefix sums cover
 
     def __len__(self) -> int:
         return len(self.rows)
 
     def add(self, start: float, size: float, member: Member) -> None:
-        """Put a member in its place."""
+        """Insert a member at its position in the order."""
         index = bisect_right(self.rows, start, key=START)
         self.rows.insert(index, StartRow(start, size, member))
         self._summed = min(self._summed, index)
 
     def remove(self, start: float, member: Member) -> int | None:
-        """Remove a member that was added with this start.
+        """Remove a member that was added with this start time.
 
         Returns:
-            The index that it had; None where it is not there.
+            The index that the member had; None if it is not present.
         """
         index = bisect_left(self.rows, start, key=START)
         while index < len(self.rows) and self.rows[index].start == start:
@@ -106,10 +106,10 @@
         return None
 
     def drop_until(self, time: float) -> int:
-        """Drop the members that started by then, once they are more than half of all.
+        """Drop the members that started by the given time, if they are more than half of all.
 
         Returns:
-            How many were dropped: over time a constant number of steps for each.
+            The number of dropped members; the amortized cost is constant for each member.
         """
         old = self.index_after(time)
         if 2 * old <= len(self.rows):
@@ -119,16 +119,19 @@
         return old
 
     def index_after(self, time: float) -> int:
-        """The index of the first that started later than this; the number of rows for none."""
+        """Return the index of the first member that started later, or the row count if none did."""
         return bisect_right(self.rows, time, key=START)
 
     def total_size(self, first: int, last: int) -> float:
-        """The sizes of the rows from `first` up to, without, `last`."""
+        """Return the sum of the sizes of the rows from `first` up to, but excluding, `last`."""
         self._update_sums()
         return self._sizes[last] - self._sizes[first]
 
     def total_age(self, first: int, last: int, now: float) -> float:
-        """Their sizes, each times the seconds since its start; 0 for a start to come."""
+        """Return the sum of size times age over the rows from `first` up to, but excluding, `last`.
+
+        The age is in seconds since the member's start, and 0 for a start in the future.
+        """
         self._update_sums()
         last = max(first, min(last, self.index_after(now)))
         return (now - self._origin) * (self._sizes[last] - self._sizes[first]) - (
@@ -136,12 +139,12 @@
         )
 
     def _update_sums(self) -> None:
-        """Extend the prefix sums over the rows behind the first one that changed."""
+        """Extend the prefix sums to the rows from the first changed one on."""
         summed = self._summed
         if summed >= len(self.rows):
             return
         if not summed:
-            # Near the starts: a sum of times since long ago would lose digits.
+            # Close to the start times, because sums of absolute times would lose precision.
             self._origin = self.rows[0].start
         origin = self._origin
         rows = self.rows[summed:]
--- a/petrellane/decisions/load_balancing.py
+++ b/petrellane/decisions/load_balancing.py
@@ -1,8 +1,9 @@
-"""Load balancing: which endpoints are used, what capacity each has, and the draw of one.
+"""Load balancing: the endpoint subset, the capacity of endpoints, and the weighted random choice.
 
-A gateway uses a subset of the endpoints, as many as its own attempts can keep it informed of. An
-endpoint is drawn with odds in step with its capacity, as its samples and its attempts in flight
-show it; outliers get nothing while others are left. Random numbers and the time are handed in.
+A gateway uses a subset of the endpoints, as large as its own attempts can keep supplied with recent
+samples. It picks an endpoint with a probability proportional to the endpoint's capacity, which it
+estimates from samples and from attempts in flight. Outliers get no attempts while other endpoints
+are available. The caller passes the time and the random number generator.
 """
 
 import math
@@ -40,32 +41,32 @@
     Rpc,
 )
 
-SUBSET_MINIMUM = 12  # endpoints that a gateway uses at least
-SAMPLES_PER_ENDPOINT = 4  # samples for each endpoint of the subset within SAMPLE_LIFETIME
-SUBSET_ROTATION = 5.0  # seconds after which one of a subset is exchanged
-OVERDUE_MULTIPLE = 8.0  # an attempt is overdue at this multiple of its method's typical time
-OVERDUE_SHARE = 0.75  # or at this share of its method's latency objective, if that comes sooner
-# The typical time assumed of a method without answers: its latency objective divided by this.
+SUBSET_MINIMUM = 12  # minimum number of endpoints that a gateway uses
+SAMPLES_PER_ENDPOINT = 4  # target for each endpoint of the subset within SAMPLE_LIFETIME
+SUBSET_ROTATION = 5.0  # seconds after which one endpoint of a subset is replaced
+OVERDUE_MULTIPLE = 8.0  # an attempt is overdue after this multiple of its method's typical time
+OVERDUE_SHARE = 0.75  # or after this share of its method's latency objective, if that is shorter
+# The typical time assumed for a method without responses: its latency objective divided by this.
 UNKNOWN_METHOD_DIVISOR = 8
-SAME_ZONE_ODDS = 3.0  # odds of an endpoint in our zone, where crossing zones has a price
-ANSWER_TIMES_KEPT = 64  # the last times of ok answers of a method
-# Successes assumed beside an endpoint's samples, so that one failure among few weighs little.
+SAME_ZONE_FACTOR = 3.0  # preference for this gateway's zone, if cross-zone attempts have a price
+MAX_ANSWER_TIMES = 64  # durations of ok attempts retained for each method
+# Successes added to an endpoint's samples, so that one failure among few samples weighs little.
 PRIOR_SUCCESSES = 2
-LATENCY_SAMPLES_KEPT = 1024  # the last attempts of all endpoints: a bound on memory
+MAX_LATENCY_SAMPLES = 1024  # samples retained over all endpoints, to bound memory
 
 Candidate: TypeAlias = tuple[Endpoint, EndpointHealth]
 
 
 class LoadBalancer:
-    """The endpoints and what is known of them; owned by the controller.
+    """The endpoints and their health, and the choice among them; owned by the controller.
 
     Attributes:
-        endpoints: The endpoint list with each endpoint's health.
-        subset: The endpoints in use, with their health, in no order that means anything.
-        in_flight: All attempts in flight, oldest first, each with how many were before it.
-        recent: The last attempts that ended, oldest first.
-        answer_times: Seconds of the last ok answers, by method identity.
-        typical_times: Their means.
+        endpoints: The endpoint list, with the health of each endpoint.
+        subset: The endpoints in use, with their health, in arbitrary order.
+        in_flight: All attempts in flight, oldest first, each with the number in flight before it.
+        latency_samples: The samples of the last attempts that ended, oldest first.
+        answer_times: The durations of the last ok attempts, in seconds, by method identity.
+        typical_times: The means of these durations, by method identity.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -75,27 +76,27 @@
         self.sample = rng.sample
         self.endpoints: EndpointList[EndpointHealth] = EndpointList(EndpointHealth)
         self.zone = ""
-        self.same_zone_odds = 1.0
+        self.same_zone_factor = 1.0
         self.subset: list[Candidate] = []
         self.rotated_at = 0.0
         self.in_flight: dict[SendAttempt, int] = {}
-        self.recent_capacity = SlidingMaximum(SAMPLE_LIFETIME)  # up to each change of the list
-        self.recent: deque[LatencySample] = deque(maxlen=LATENCY_SAMPLES_KEPT)
+        self.recent_capacity = SlidingMaximum(SAMPLE_LIFETIME)  # before each change of the list
+        self.latency_samples: deque[LatencySample] = deque(maxlen=MAX_LATENCY_SAMPLES)
         self.answer_times: dict[object, deque[float]] = {}
         self.typical_times: dict[object, float] = {}
 
     def reconfigure(
         self,
         zone: str,
-        same_zone_odds: float,
+        same_zone_factor: float,
         slow_start: float,
         slow_start_minimum: float,
         method_identities: Collection[object],
     ) -> None:
-        """Take over new settings; what is known of methods that have gone is dropped."""
+        """Apply new settings, and drop the measurements of methods that they remove."""
         self.endpoints.set_slow_start(slow_start, slow_start_minimum)
         self.zone = zone
-        self.same_zone_odds = same_zone_odds
+        self.same_zone_factor = same_zone_factor
         for health in self.endpoints.values():
             health.cached_until = -math.inf
         self.answer_times = {
@@ -110,12 +111,12 @@
     def on_endpoint_events(
         self, now: float, is_full: bool, events: Iterable[EndpointEvent]
     ) -> None:
-        """Take over a list or changes to it."""
+        """Apply an endpoint list or changes to it."""
         self.recent_capacity.add(now, self.endpoints.capacity(now))
         for endpoint, health, change in self.endpoints.apply_events(now, is_full, events):
             health.cached_until = -math.inf
             if change is EndpointChange.RESTARTED:
-                health.samples = []  # what was known is of another process
+                health.samples = []  # they belong to the previous process
             elif change is EndpointChange.NEW:
                 self._offer_to_subset(endpoint, health)
         self.subset = [
@@ -125,41 +126,46 @@
         ]
 
     def _offer_to_subset(self, endpoint: Endpoint, health: EndpointHealth) -> None:
-        """Use a new endpoint as likely as any other, in place of one of the subset."""
+        """Give a new endpoint the same chance to be in the subset as any other endpoint.
+
+        If it is drawn, it replaces an endpoint of the subset.
+        """
         if self.random() * len(self.endpoints) < len(self.subset):
             self.subset[int(self.random() * len(self.subset))] = (endpoint, health)
 
-    def current_subset(self, now: float) -> list[Candidate]:
-        """The subset, brought to its size, with one endpoint exchanged at times."""
+    def refresh_subset(self, now: float) -> list[Candidate]:
+        """Adjust the subset's size, replace one endpoint if that is due, and return the subset."""
         ready = len(self.endpoints.ready())
         subset = self.subset
         rate = 0.0
-        if self.recent:
-            rate = len(self.recent) / max(1.0, now - self.recent[0][0])
-        informed = round(rate * SAMPLE_LIFETIME / SAMPLES_PER_ENDPOINT)
-        size = min(ready, max(SUBSET_MINIMUM, informed))
+        if self.latency_samples:
+            rate = len(self.latency_samples) / max(1.0, now - self.latency_samples[0][0])
+        informed_size = round(rate * SAMPLE_LIFETIME / SAMPLES_PER_ENDPOINT)
+        size = min(ready, max(SUBSET_MINIMUM, informed_size))
         is_rotation_due = size < ready and now - self.rotated_at >= SUBSET_ROTATION
         if len(subset) > size or (is_rotation_due and subset):
             subset.remove(self.choice(subset))
             self.rotated_at = now
-        number = 1
+        count = 1
         while (missing := size - len(subset)) > 0:
-            # Of a few drawn, most are not in use yet; of all drawn, there are enough.
-            number *= 2
-            drawn = self.endpoints.sample(self.sample, number)
+            # Most endpoints of a small sample are not in use yet. The sample doubles until it has
+            # enough of them, at the latest when it has all endpoints.
+            count *= 2
+            drawn = self.endpoints.sample(self.sample, count)
             subset += [candidate for candidate in drawn if candidate not in subset][:missing]
         return subset
 
     def typical_time(self, method: Method) -> float:
-        """Seconds that an ok answer of this method usually takes."""
+        """Return the typical duration of an ok attempt of this method, in seconds."""
         assumed = method.latency_objective / UNKNOWN_METHOD_DIVISOR
         return self.typical_times.get(method.identity, assumed)
 
     def is_overdue(self, attempt: SendAttempt, now: float) -> bool:
-        """Whether an attempt is in flight for so long that its endpoint must be silent.
+        """Return whether an attempt has been in flight so long that its endpoint is unresponsive.
 
-        An answer to the same method since shows that it is not. A shorter limit hurts: an RPC of
-        much work takes as long at any endpoint, and its first run would be wasted.
+        A response to the same method since the attempt was sent shows that the endpoint responds. A
+        shorter limit would do harm: an RPC with much work takes as long at any endpoint, and a
+        retry would waste the work of the first attempt.
         """
         method = attempt.rpc.method
         health = self.endpoints.get(attempt.endpoint)
@@ -170,31 +176,31 @@
         return now - attempt.sent_at > limit and answered_at <= attempt.sent_at
 
     def is_outlier(self, health: EndpointHealth, method: Method, now: float) -> bool:
-        """Whether an endpoint is silent, unreachable, or fails much of what it gets of a method."""
+        """Return whether an endpoint is unresponsive, unreachable, or failing for a method."""
         identity = method.identity
         same = [attempt for attempt in health.in_flight if attempt.rpc.method.identity is identity]
         if any(self.is_overdue(attempt, now) for attempt in same):
             return True
-        return is_failing(health.recent(identity, now))
+        return is_failing(health.recent_samples(identity, now))
 
     def effective_capacity(self, now: float) -> float:
-        """The capacity out of which warming endpoints have their part, in warm endpoints."""
+        """Return the total capacity of which each warming endpoint gets its share."""
         span = OVERLOAD_SPANS[0][1]
-        latencies = [latency for at, latency, _ in self.recent if now - at <= span]
+        latencies = [latency for at, latency, _ in self.latency_samples if now - at <= span]
         capacity = self.endpoints.capacity(now)
         recent_maximum = self.recent_capacity.maximum(now)
         return warm_up.effective_capacity(capacity, recent_maximum, latencies, len(self.in_flight))
 
     def pick_endpoint(self, now: float, rpc: Rpc, scope: Scope) -> Endpoint | None:
-        """Draw an endpoint for an RPC, with odds in step with capacity.
+        """Pick an endpoint for an RPC at random, with a probability proportional to its capacity.
 
         Returns:
-            An endpoint of the scope, not tried before where there is another; None where none may
-            take it, as more work would only be late.
+            An endpoint of the scope, if possible one that the RPC has not tried; None if no
+            endpoint is eligible, because further work would only be late.
         """
         method = rpc.method
         tried = {attempt.endpoint for attempt in rpc.attempts}
-        warming = self._pick_warming(now, method, tried, scope)
+        warming = self._pick_warming_endpoint(now, method, tried, scope)
         if warming is not None:
             return warming
         candidates = self._candidates(now, tried, scope)
@@ -205,13 +211,13 @@
         self._discount_in_flight(candidates, capacities, usable)
         return self.choices(candidates, capacities)[0][0]
 
-    def _pick_warming(
+    def _pick_warming_endpoint(
         self, now: float, method: Method, tried: Collection[Endpoint], scope: Scope
     ) -> Endpoint | None:
-        """Draw a warming endpoint with the part of all RPCs that its warm-up allows.
+        """Pick a warming endpoint with the probability that its warm-up allows.
 
-        Where the one drawn may not take the RPC, its part is for warm ones: another warming one
-        would get two parts.
+        If the drawn endpoint is not eligible, its share goes to warm endpoints: another warming
+        endpoint would get two shares.
         """
         warming = self.endpoints.warming_capacity(now)
         if not warming:
@@ -227,19 +233,25 @@
         return endpoint
 
     def _candidates(self, now: float, tried: Collection[Endpoint], scope: Scope) -> list[Candidate]:
-        """The warm endpoints of the subset in a scope, or others where the subset has none."""
+        """Return the warm endpoints of the subset in a scope, or other ones if the subset has none.
+
+        Endpoints that the RPC has tried are left out if there are others.
+        """
         warm_before = self.endpoints.advance_warm_up(now)
-        number = max(SUBSET_MINIMUM, len(self.subset))
-        ready = _eligible(self.current_subset(now), warm_before, scope)
+        count = max(SUBSET_MINIMUM, len(self.subset))
+        ready = _eligible(self.refresh_subset(now), warm_before, scope)
         untried = [candidate for candidate in ready if candidate[0] not in tried] or ready
         if untried:
             return untried
-        others = self.endpoints.sample_warm(self.sample, number, scope)
+        others = self.endpoints.sample_warm(self.sample, count, scope)
         ready = _eligible(others, warm_before, scope)
         return [candidate for candidate in ready if candidate[0] not in tried] or ready
 
     def _capacities(self, now: float, method: Method, candidates: list[Candidate]) -> list[float]:
-        """The capacity of each candidate for a method; where all are outliers, as if none were."""
+        """Return the capacity of each candidate for a method.
+
+        If all candidates are outliers, their capacities are computed as if none was.
+        """
         identity = method.identity
         capacities = [
             health.cached_capacities.get(identity, health.cached_capacity)
@@ -259,38 +271,39 @@
     def _discount_in_flight(
         self, candidates: list[Candidate], capacities: list[float], usable: int
     ) -> None:
-        """Lower the capacity of candidates by what of ours is in flight there, beside the usual."""
+        """Reduce capacities by the candidates' attempts in flight, relative to their mean."""
         loads = {
             index: len(health.in_flight) / endpoint.weight
             for index, (endpoint, health) in enumerate(candidates)
             if health.in_flight and capacities[index]
         }
-        usual = 1 + sum(loads.values()) / max(1, usable)
+        usual_load = 1 + sum(loads.values()) / max(1, usable)
         for index, load in loads.items():
-            capacities[index] /= (1 + load / usual) ** 2
+            capacities[index] /= (1 + load / usual_load) ** 2
 
     def _capacity(self, endpoint: Endpoint, samples: list[EndpointSample], latency: float) -> float:
-        """What an endpoint is thought to carry, in no unit but its own; 0.0 under overload."""
+        """Return the estimated capacity of an endpoint, on a relative scale; 0.0 under overload."""
         succeeded = sum(sample[2] == OK for sample in samples) + PRIOR_SUCCESSES
         share = succeeded / (len(samples) + PRIOR_SUCCESSES)
-        odds = self.same_zone_odds if endpoint.zone == self.zone else 1.0
+        zone_factor = self.same_zone_factor if endpoint.zone == self.zone else 1.0
         if latency >= OVERLOAD_FULL:
             return 0.0
-        return odds * endpoint.weight * (share / latency) ** 2
+        return zone_factor * endpoint.weight * (share / latency) ** 2
 
     def _current_capacity(
         self, endpoint: Endpoint, health: EndpointHealth, method: Method, now: float
     ) -> float:
-        """The capacity for a method; 0.0 for an outlier.
+        """Return the capacity for a method; 0.0 for an outlier.
 
-        While nothing of ours is in flight there, it is cached for as long as the samples speak.
+        While no attempt is in flight at the endpoint, the capacity is cached until a sample
+        expires.
         """
-        recent = health.recent(None, now)
+        recent = health.recent_samples(None, now)
         latency = relative_latency(recent[-LATENCY_SAMPLES:], health.in_flight, now)
         if health.in_flight:
             if self.is_outlier(health, method, now):
                 return 0.0
-            return self._capacity(endpoint, health.recent(method.identity, now), latency)
+            return self._capacity(endpoint, health.recent_samples(method.identity, now), latency)
         by_method: dict[object, list[EndpointSample]] = {}
         for sample in recent:
             by_method.setdefault(sample.method_identity, []).append(sample)
@@ -307,27 +320,27 @@
     def _outlier_capacity(
         self, endpoint: Endpoint, health: EndpointHealth, method: Method, now: float
     ) -> float:
-        """The capacity for a method although the endpoint is an outlier."""
-        recent = health.recent(None, now)
+        """Return the capacity for a method even though the endpoint is an outlier."""
+        recent = health.recent_samples(None, now)
         latency = relative_latency(recent[-LATENCY_SAMPLES:], health.in_flight, now)
-        return self._capacity(endpoint, health.recent(method.identity, now), latency)
+        return self._capacity(endpoint, health.recent_samples(method.identity, now), latency)
 
     def on_attempt_started(self, attempt: SendAttempt) -> None:
-        """Note an attempt that goes to its endpoint."""
+        """Record an attempt that is sent to its endpoint."""
         health = self.endpoints[attempt.endpoint]
         health.in_flight[attempt] = len(health.in_flight)
         self.in_flight[attempt] = len(self.in_flight)
         health.cached_until = -math.inf
 
     def on_attempt_ended(
-        self, attempt: SendAttempt, outcome: Outcome, took: float, now: float
+        self, attempt: SendAttempt, outcome: Outcome, duration: float, now: float
     ) -> None:
-        """Note what the end of an attempt says of its endpoint.
+        """Record what the end of an attempt shows about its endpoint.
 
         Args:
-            attempt: What has ended; noted once, also where it is reported again.
-            outcome: How it ended.
-            took: Seconds that it took.
+            attempt: The attempt that ended; callers report each end only once.
+            outcome: The outcome of the attempt.
+            duration: The duration of the attempt, in seconds.
             now: The time.
         """
         method = attempt.rpc.method
@@ -337,35 +350,35 @@
         total_in_flight = self.in_flight.pop(attempt, 0)
         health.cached_until = -math.inf
         was_cut_short = outcome in (CANCELLED, LATE)
-        latency = took / (method.latency_objective or 1.0)
+        latency = duration / (method.latency_objective or 1.0)
         if was_cut_short or outcome == FULL:
-            latency = 1.0  # no less than all of the objective
+            latency = 1.0  # at least the complete latency objective
         if outcome == OK:
-            times = self.answer_times.setdefault(identity, deque(maxlen=ANSWER_TIMES_KEPT))
-            times.append(took)
+            times = self.answer_times.setdefault(identity, deque(maxlen=MAX_ANSWER_TIMES))
+            times.append(duration)
             self.typical_times[identity] = mean(times)
         if outcome in (OK, FULL) or (was_cut_short and not _answered_since(health, attempt)):
-            # Else the endpoint answers others: it is faulty, not slow.
-            self.recent.append(LatencySample(now, latency, total_in_flight))
+            # Otherwise the endpoint answers other attempts: it has a fault, but is not slow.
+            self.latency_samples.append(LatencySample(now, latency, total_in_flight))
         if outcome in (OK, ERROR, FULL):
             health.answered_at[identity] = now
         if outcome not in (NEVER_SENT, CANCELLED) or attempt.is_cancelled:
             health.add_sample(EndpointSample(now, identity, outcome, latency, endpoint_in_flight))
 
     def on_response_started(self, attempt: SendAttempt, now: float) -> None:
-        """Note that an endpoint answers a method."""
+        """Record that an endpoint responds to a method."""
         health = self.endpoints.get(attempt.endpoint)
         if health is not None:
             health.answered_at[attempt.rpc.method.identity] = now
 
     def overload(self, now: float) -> float:
-        """How overloaded the endpoints are, from 0 to `MAXIMUM_OVERLOAD`."""
+        """Return the overload of the endpoints, from 0 to `MAXIMUM_OVERLOAD`."""
         waiting = [attempt for attempt in self.in_flight if not self.is_overdue(attempt, now)]
-        return estimate_overload(self.recent, waiting, now)
+        return estimate_overload(self.latency_samples, waiting, now)
 
 
 def _eligible(candidates: list[Candidate], warm_before: float, scope: Scope) -> list[Candidate]:
-    """The candidates that are warm and in a scope."""
+    """Return the candidates that are warm and in a scope."""
     return [
         candidate
         for candidate in candidates
@@ -375,10 +388,10 @@
 
 
 def _is_in_scope(endpoint: Endpoint, scope: Scope) -> bool:
-    """Whether an attempt that may go to a scope may go to an endpoint."""
+    """Return whether a scope includes an endpoint."""
     return scope is None or scope.includes(endpoint)
 
 
 def _answered_since(health: EndpointHealth, attempt: SendAttempt) -> bool:
-    """Whether an endpoint has answered anything since an attempt was sent."""
+    """Return whether an endpoint has answered any attempt since this one was sent."""
     return any(at > attempt.sent_at for at in health.answered_at.values())
--- a/petrellane/decisions/retries.py
+++ b/petrellane/decisions/retries.py
@@ -1,7 +1,7 @@
-"""Retries: when an RPC may be sent again, where to, and how it ends when it may not.
+"""Retries: when an RPC may be sent again, where it may go, and how it ends otherwise.
 
-A retry must never run a method twice that its settings forbid to run twice, and all retries
-together stay within a budget, so that they add no load to endpoints in trouble.
+A retry must never run a method twice if the settings forbid that. All retries together stay within
+a budget, so that they do not add load to failing endpoints.
 """
 
 from collections import deque
@@ -13,17 +13,17 @@
 from petrellane.decisions.outcomes import PROVEN_NOT_RUN
 from petrellane.decisions.types import DEDUPLICATED, IDEMPOTENT, KeyScope, Rpc
 
-RETRY_BUDGET = 0.2  # retries, as a share of the last attempts
-BUDGET_ATTEMPTS = 100  # the last attempts that the budget counts
-KEY_WINDOW_MARGIN = 0.1  # seconds before a key is forgotten from which a retry is too late
+RETRY_BUDGET = 0.2  # maximum share of retries among the last attempts
+BUDGET_ATTEMPTS = 100  # number of last attempts that the budget counts
+KEY_WINDOW_MARGIN = 0.1  # seconds before a key expires after which a retry is too late
 
 
 class RetryTargets(NamedTuple):
-    """Where a retry may go.
+    """The endpoints that a retry may go to, and its deadline.
 
     Attributes:
-        scope: The endpoints that it may go to.
-        send_by: The time from which it may not be sent any more.
+        scope: The endpoints that the retry may go to.
+        send_by: The deadline for sending it.
     """
 
     scope: Scope
@@ -31,27 +31,27 @@
 
 
 class RetryBudget:
-    """Keeps retries to a share of the last attempts; owned by the controller."""
+    """Limits retries to a share of the last attempts; owned by the controller."""
 
     def __init__(self) -> None:
         self._retries: deque[int] = deque(maxlen=BUDGET_ATTEMPTS)  # 1 for a retry, else 0
 
     def record(self, *, is_retry: bool) -> None:
-        """Count an attempt that was sent."""
+        """Record an attempt that was sent."""
         self._retries.append(int(is_retry))
 
     def allows(self) -> bool:
-        """Whether one more retry stays within the budget."""
+        """Return whether one more retry stays within the budget."""
         return sum(self._retries) < RETRY_BUDGET * len(self._retries)
 
 
 def attempts_that_may_have_run(rpc: Rpc) -> list[SendAttempt]:
-    """The attempts, oldest first, whose outcome does not prove that they never ran."""
+    """Return the attempts, oldest first, whose outcome does not prove that they never ran."""
     return [attempt for attempt in rpc.attempts if attempt.outcome not in PROVEN_NOT_RUN]
 
 
 def retry_targets(now: float, rpc: Rpc) -> RetryTargets | None:
-    """Where an RPC may be sent again; None where running it again is not safe."""
+    """Return where an RPC may be sent again, or None if it is not safe to run it again."""
     may_have_run = attempts_that_may_have_run(rpc)
     method = rpc.method
     if not may_have_run or method.effect == IDEMPOTENT:
@@ -68,7 +68,7 @@
 
 
 def is_safe_to_reject(rpc: Rpc) -> bool:
-    """Whether the client may send an RPC that has failed again, wherever that goes."""
+    """Return whether the client may safely send a failed RPC again, to any endpoint."""
     effect = rpc.method.effect
     scope = rpc.method.key_scope
     repeats_anywhere = effect == DEDUPLICATED and scope is KeyScope.ALL
--- a/petrellane/decisions/warm_up.py
+++ b/petrellane/decisions/warm_up.py
@@ -1,31 +1,34 @@
-"""Slow start: how much of the load an endpoint that is warming up may get.
+"""Slow start: the share of the load that a warming endpoint may get.
 
-A warming endpoint is drawn with the part that its capacity has of all capacity. Two guards make
-that part smaller than the list alone would: against a flood of attempts, which latency shows too
-late, and against the work of endpoints that have just gone.
+The probability that a warming endpoint is picked is its share of the total capacity. Two safeguards
+make this share smaller than the endpoint list alone would: one against a burst of attempts, which
+latency shows too late, and one against the load of endpoints that have just gone.
 """
 
 from collections.abc import Sequence
 
-# What warming endpoints may take over of those just gone, as a multiple of what each had.
+# Maximum growth of a warming endpoint's share when other endpoints have just gone, as a factor.
 DEPARTED_CAPACITY_FACTOR = 1.5
 
 
 def effective_capacity(
     capacity: float, recent_maximum: float, latencies: Sequence[float], in_flight: int
 ) -> float:
-    """The capacity out of which a warming endpoint has its part, in warm endpoints.
+    """Return the total capacity of which each warming endpoint gets its share.
+
+    The unit is the capacity of a warm standard endpoint.
 
     Args:
-        capacity: Of all ready endpoints by now.
+        capacity: The current capacity of all ready endpoints.
         recent_maximum: The highest capacity of the last seconds.
-        latencies: Relative latencies of the last attempts.
-        in_flight: Attempts in flight.
+        latencies: The relative latencies of the last attempts.
+        in_flight: The number of attempts in flight.
 
     Returns:
-        At least `capacity`; more once endpoints carry less than half of what is sent.
+        At least `capacity`; more if capacity has just dropped, or if less than half of the attempts
+        are answered within their latency objective.
     """
-    # At least 1 while half of what is sent, or more, is answered within its latency objective.
+    # At least 1 while half or more of the attempts are answered within their latency objective.
     in_time = sum(latency < 1 for latency in latencies)
     carried = 2 * (1 + in_time) / (1 + len(latencies) + in_flight)
     return max(capacity, recent_maximum / DEPARTED_CAPACITY_FACTOR) / min(1.0, carried)
