--- a/tests/unit/controller_settings.py
+++ b/tests/unit/controller_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an admission controller that tests have in common."""
+"""Settings of an admission controller that several tests use."""
 
 from typing import Any
 
--- a/tests/unit/decisions/__init__.py
+++ b/tests/unit/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions, which do no I/O."""
+"""Tests of the decision logic, which does no I/O."""
--- a/tests/unit/decisions/operations.py
+++ b/tests/unit/decisions/operations.py
@@ -1,4 +1,4 @@
-"""Cost as the number of operations that the interpreter carries out, whatever the machine does."""
+"""Measures cost as the number of interpreter operations, which does not depend on the machine."""
 
 import sys
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 
 def operations(call: Callable[[], object]) -> int:
-    """Return the number of operations (opcodes) that the interpreter carries out in a call."""
+    """Return the number of operations (opcodes) that the interpreter executes in a call."""
     count = 0
 
     def trace(frame: FrameType, event: str, _argument: object) -> Any:  # noqa: ANN401
--- a/tests/unit/decisions/scenario.py
+++ b/tests/unit/decisions/scenario.py
@@ -1,7 +1,7 @@
-"""The steps of the decisions' scenario files, one method `do_VERB` each.
+"""The steps of the decision logic's scenario files, with one method `do_VERB` for each.
 
-The notation is in tests/README.md. Steps that set up are in `scenario_setup`, those that send
-requests and answer them in `scenario_traffic`; this module has the checks.
+`tests/README.md` describes the notation. `scenario_setup` has the steps that set up a scenario, and
+`scenario_traffic` has those that send and answer requests. This module has the checks.
 """
 
 from petrellane.decisions import actions
@@ -19,13 +19,13 @@
 
 
 class DecisionScenario(TrafficSteps):
-    """One play of a scenario against `AdmissionController`, with checks of its actions."""
+    """One run of a scenario against `AdmissionController`, with checks of its actions."""
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing, because no resource is open."""
 
     def do_expect(self, what: str, *words: str) -> None:
-        """Check the last action about an RPC since the last such check, or a line of the log."""
+        """Check the last action for an RPC since the previous check, or a line of the log."""
         if what == "log":
             text = " ".join(words)
             assert any(text in line for line in self.log), self.log
@@ -44,7 +44,7 @@
         self.actions = [entry for entry in self.actions if entry[0] is not rpc]
 
     def do_tally(self, kind: str, low: str, high: str) -> None:
-        """Check a number of actions since `clear`."""
+        """Check the number of actions since `clear`."""
         number = self._tally(kind)
         assert float(low) <= number <= float(high), f"{number} of {kind}"
 
@@ -66,16 +66,16 @@
         return sum(type(action).__name__ == kind for _, action in self.actions)
 
     def do_leases(self, low: str, high: str) -> None:
-        """Check for how many customers the controller has a lease in memory."""
+        """Check the number of customers with a lease in the controller's memory."""
         number = len(self.controller.lease_manager.leases)
         assert int(low) <= number <= int(high), number
 
     def do_forgets_gone(self) -> None:
-        """Check that no endpoint that has gone is in the subset."""
+        """Check that the subset has no endpoint that is gone."""
         subset = self.controller.load_balancer.subset
         gone = [endpoint.address for endpoint, _ in subset if endpoint.state == api.GONE]
         assert not gone, gone
 
     def do_clear(self) -> None:
-        """Forget the actions so far."""
+        """Discard the recorded actions."""
         self.actions = []
--- a/tests/unit/decisions/scenario_setup.py
+++ b/tests/unit/decisions/scenario_setup.py
@@ -1,4 +1,4 @@
-"""Steps that set up the decisions: settings, methods, plans, customers, gateways and endpoints."""
+"""Steps that set up a scenario: settings, methods, plans, customers, gateways and endpoints."""
 
 import re
 from collections.abc import Iterable, Mapping
@@ -9,7 +9,7 @@
 from petrellane.decisions.controller import AdmissionController
 from tests.unit.controller_settings import CONTROLLER_SETTINGS
 
-# Words of scenario files that are not the names of fields.
+# Words of scenario files that differ from the names of their fields.
 PLAN_FIELDS = {
     "ceiling": "hard_limit_rate",
     "top": "hard_limit_burst",
@@ -37,18 +37,18 @@
 
 
 def as_value(text: str) -> float | str:
-    """Return a number where the text is one."""
+    """Return the text as a number if it is one."""
     return float(text) if re.fullmatch(r"-?\d+(\.\d+)?", text) else text
 
 
 def as_options(words: Iterable[str]) -> dict[str, Any]:
-    """Return the words NAME=VALUE of a step by name."""
+    """Return the values of the words NAME=VALUE by name."""
     pairs = (word.split("=", 1) for word in words)
     return {name: as_value(text) for name, text in pairs}
 
 
 def as_fields(words: Iterable[str], fields: Mapping[str, str]) -> dict[str, Any]:
-    """Return the words NAME=VALUE by the field that each name stands for."""
+    """Return the values of the words NAME=VALUE by the field that each name stands for."""
     return {fields.get(name, name): value for name, value in as_options(words).items()}
 
 
@@ -62,7 +62,7 @@
 
 
 class SetupSteps:
-    """Make what a scenario plays with; the state of one play."""
+    """Creates the objects of a scenario, and has the state of one run."""
 
     controller: AdmissionController
 
@@ -78,12 +78,12 @@
         self.controllers: dict[str, AdmissionController] = {}
         self.counter_requests: list[tuple[actions.CounterAdd, AdmissionController]] = []
         self.timers: list[PendingTimer] = []
-        self.actions: list[tuple[api.Rpc | None, actions.Action]] = []  # with the RPC it is about
+        self.actions: list[tuple[api.Rpc | None, actions.Action]] = []  # with their RPCs
         self.log: list[str] = []
         self.counter_totals: dict[object, float] = {}
 
     def execute(self, returned: Iterable[actions.Action]) -> None:
-        """Take the actions that the controller returned."""
+        """Record the actions that the controller returned."""
         for action in returned:
             if isinstance(action, actions.SetTimer):
                 due = self.now + action.delay
@@ -99,7 +99,7 @@
             self.actions.append((rpc, action))
 
     def do_set(self, *words: str) -> None:
-        """Change settings of the gateways that start from now on."""
+        """Change the settings of gateways that start later."""
         self.settings.update(as_fields(words, SETTING_FIELDS))
 
     def do_method(self, name: str, effect: str, *words: str) -> None:
@@ -124,7 +124,7 @@
         self.customers[name].plan = self.plans[plan]
 
     def do_restart(self) -> None:
-        """Start the gateway anew, with empty memory."""
+        """Restart the gateway with empty memory."""
         self.timers = []
         self.counter_requests = []
         self.controllers = {}
@@ -137,7 +137,7 @@
             self._report_all_endpoints()
 
     def do_gateway(self, number: str) -> None:
-        """Go on at the gateway of this number, which starts when it is first named."""
+        """Switch to the gateway with this number, and start it if it is new."""
         self.controllers.setdefault(FIRST_GATEWAY, self.controller)
         if number not in self.controllers:
             self._start_controller()
--- a/tests/unit/decisions/scenario_traffic.py
+++ b/tests/unit/decisions/scenario_traffic.py
@@ -1,4 +1,4 @@
-"""Steps that send requests to the decisions, answer attempts and the counter, and let time pass."""
+"""Steps that send RPCs, answer attempts and counter requests, and advance the time."""
 
 import contextlib
 from collections.abc import Iterator
@@ -8,15 +8,15 @@
 from petrellane.decisions.controller import AdmissionController
 from tests.unit.decisions.scenario_setup import SetupSteps, as_options
 
-COUNTER_TURNS = 19  # counter requests that `counter` answers, where it does not say how many
-TOOK_S = 0.1  # what an attempt takes, where a step does not say
+COUNTER_TURNS = 19  # default number of requests that `counter` answers
+DEFAULT_DURATION_S = 0.1  # of an attempt
 
 
 class TrafficSteps(SetupSteps):
-    """Play clients, endpoints, the counter and the clock."""
+    """Simulates clients, endpoints, the counter and the clock."""
 
     def do_rpc(self, name: str, method: str, customer: str, *words: str) -> None:
-        """Send an RPC; its client gives up in `left` seconds."""
+        """Send an RPC whose client gives up after `left` seconds."""
         options = as_options(words)
         rpc = api.Rpc(
             self.methods[method],
@@ -29,7 +29,7 @@
         self.execute(self.controller.admit(self.now, rpc))
 
     def do_flood(self, count: str, method: str, customer: str, *words: str) -> None:
-        """Send many RPCs, one in `every` seconds, and answer them as the words say."""
+        """Send many RPCs, one every `every` seconds, and answer them as the words say."""
         options = as_options(words)
         rpc_words = [word for word in words if word.startswith(("units", "left"))]
         for index in range(int(count)):
@@ -43,7 +43,7 @@
             self.wait(options.get("every", 0.0))
 
     def do_scan(self, count: str, method: str, plan: str) -> None:
-        """Send one RPC for each of many customers, all of them served."""
+        """Send one RPC for each of many customers, and serve all of them."""
         for index in range(int(count)):
             customer = f"once{index}"
             self.do_customer(customer, plan)
@@ -52,22 +52,22 @@
             self.end_attempt(self.rpcs["once"], api.OK)
 
     def do_wait(self, seconds: str) -> None:
-        """Let time pass; timers fire."""
+        """Advance the time; timers expire."""
         self.wait(float(seconds))
 
     def wait(self, seconds: float) -> None:
-        """Let time pass; timers fire in the order of their times."""
+        """Advance the time; timers expire in the order of their times."""
         until = self.now + seconds
         while due := [timer for timer in self.timers if timer.due <= until]:
             timer = min(due, key=lambda entry: (entry.due, entry.number))
             self.timers.remove(timer)
             self.now = max(self.now, timer.due)
-            with self._acting(timer.controller):
+            with self._using_controller(timer.controller):
                 self.execute(self.controller.on_timer(self.now, timer.subject))
         self.now = until
 
     def do_counter(self, outcome: str, *words: str) -> None:
-        """Answer the counter requests in flight; with `lost`, the counter loses all counts."""
+        """Answer the pending counter requests; with `lost`, the counter loses all counts."""
         if outcome == "lost":
             self.counter_totals.clear()
             return
@@ -82,45 +82,45 @@
                 before = self.counter_totals.get(add.name, options.get("others", 0.0))
                 total = before + add.amount
                 self.counter_totals[add.name] = total
-            with self._acting(controller):
+            with self._using_controller(controller):
                 self.execute(self.controller.on_counter_reply(self.now, add, outcome, total))
 
     @contextlib.contextmanager
-    def _acting(self, controller: AdmissionController) -> Iterator[None]:
+    def _using_controller(self, controller: AdmissionController) -> Iterator[None]:
         before = self.controller
         self.controller = controller
         yield
         self.controller = before
 
     def end_attempt(
-        self, rpc: api.Rpc, outcome: str, took: float = TOOK_S, units: float = 0.0
+        self, rpc: api.Rpc, outcome: str, took: float = DEFAULT_DURATION_S, units: float = 0.0
     ) -> None:
-        """End the attempt of an RPC that is in flight."""
+        """End the attempt in flight of an RPC."""
         attempt = rpc.attempts[-1]
-        assert not attempt.outcome, "it has no attempt in flight"
-        over = outcome == api.OK
+        assert not attempt.outcome, "the RPC has no attempt in flight"
+        is_final = outcome == api.OK
         self.execute(
             self.controller.on_attempt_ended(
-                self.now, attempt, outcome, is_final=over, duration=took, units=units
+                self.now, attempt, outcome, is_final=is_final, duration=took, units=units
             )
         )
 
     def do_answer(self, name: str, outcome: str, *words: str) -> None:
-        """End the attempt of the RPC that is in flight with this outcome."""
+        """End the RPC's attempt in flight with this outcome."""
         self.end_attempt(self.rpcs[name], outcome, **as_options(words))
 
     def do_answer_all(self) -> None:
-        """End all attempts in flight, with success."""
+        """End all attempts in flight with the outcome OK."""
         for rpc in self.rpcs.values():
             if rpc.attempts and not rpc.attempts[-1].outcome:
                 self.end_attempt(rpc, api.OK)
 
     def do_disconnect(self, name: str) -> None:
-        """The RPC's client disconnects."""
+        """Disconnect the RPC's client."""
         self.execute(self.controller.on_client_disconnected(self.now, self.rpcs[name]))
 
     def do_unknown_events(self) -> None:
-        """Send a timer and a counter reply that the gateway knows nothing of."""
-        self.execute(self.controller.on_timer(self.now, "nobody"))
+        """Report a timer and a counter reply that the gateway does not know."""
+        self.execute(self.controller.on_timer(self.now, "unknown"))
         add = actions.CounterAdd(7, 1.0, 1.0)
         self.execute(self.controller.on_counter_reply(self.now, add, "odd", 0.0))
--- a/tests/unit/decisions/test_endpoint_list.py
+++ b/tests/unit/decisions/test_endpoint_list.py
@@ -65,7 +65,7 @@
 
 @pytest.fixture
 def rows() -> list[api.EndpointEvent]:
-    """Return endpoints without a start time, one second old at 100, and of the far future."""
+    """Return three endpoints: without a start time, started at 99, and starting at 500."""
     return [
         api.EndpointEvent(api.Endpoint(f"h{number}"), "", "", 0, api.READY, 1.0, start)
         for number, start in enumerate((0.0, 99.0, 500.0))
@@ -73,7 +73,7 @@
 
 
 def test_start_times_that_are_missing_or_in_the_future(rows: list[api.EndpointEvent]) -> None:
-    """An endpoint without a start time is warm; one of the future is cold until then."""
+    """An endpoint without a start time is warm; one that starts in the future has no capacity."""
     endpoints: EndpointList[object] = EndpointList(object)
     endpoints.set_slow_start(10.0, 0.0)
     endpoints.apply_events(100.0, True, rows)
--- a/tests/unit/decisions/test_numeric.py
+++ b/tests/unit/decisions/test_numeric.py
@@ -1,4 +1,4 @@
-"""Numeric helpers of the decisions."""
+"""Tests of the numeric helpers of the decision logic."""
 
 import hashlib
 import runpy
@@ -33,13 +33,13 @@
 
 @pytest.mark.parametrize("text", HASHED_TEXTS)
 def test_stable_hash_is_the_one_that_gateways_share(text: str) -> None:
-    """All gateways, of older builds too, have to draw the same from a text."""
+    """All gateways, including older builds, must compute the same hash of a text."""
     digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
     assert numeric.stable_hash(text) == int.from_bytes(digest, "big") >> 1
 
 
 def test_stable_hash_without_the_internal_module(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An interpreter without `_blake2` takes `hashlib`, with the same result."""
+    """An interpreter without `_blake2` uses `hashlib`, with the same result."""
     monkeypatch.setitem(sys.modules, "_blake2", None)
     module = runpy.run_path(numeric.__file__)
     assert module["blake2b"] is hashlib.blake2b
--- a/tests/unit/decisions/test_scenarios.py
+++ b/tests/unit/decisions/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Each scenario file of the decisions is played with five seeds."""
+"""Runs each scenario file of the decision logic with five seeds."""
 
 import pathlib
 
@@ -14,10 +14,10 @@
     "slow-start": "cold.txt",
     "slow-start-last-endpoint": "cold-few.txt",
 }
-"""Former names of files whose checks do not hold for every seed: their seeds follow from these."""
+"""Former names of files whose checks do not hold for every seed; their seeds derive from these."""
 
 
 @pytest.mark.parametrize("path", scenario_files(FOLDER), ids=lambda path: path.stem)
 def test_scenario(path: pathlib.Path) -> None:
-    """What the file expects holds with each seed."""
+    """The expectations of the file hold with each seed."""
     play_with_seeds(path, DecisionScenario, SEEDS, SEED_NAMES.get(path.stem, ""))
