--- a/petrellane/decisions/endpoint_health.py
+++ b/petrellane/decisions/endpoint_health.py
@@ -104,10 +104,9 @@
 ) -> float:
     """Return the expected relative latency of one more attempt.
 
-    It is the mean over the samples and over the ages of those attempts in flight that are older
-    than the samples' mean, scaled by the growth of the number in flight. A number in flight below
-    the samples' mean counts only by its square root, because other gateways also send to the
-    endpoints.
+    It is the mean over the samples and over the ages of the attempts in flight that exceed the
+    samples' mean, multiplied by the ratio of the current to the usual number in flight. A ratio
+    below 1 counts only by its square root, because other gateways also send to the endpoints.
     """
     latencies = [sample.relative_latency for sample in samples] + PRIOR_LATENCIES
     mean_latency = mean(latencies)
