--- a/benchmarks/scale_traffic.py
+++ b/benchmarks/scale_traffic.py
@@ -140,8 +140,8 @@
             self.now,
             attempt,
             api.FULL if is_full else api.OK,
-            over=not is_full,
-            took=self.now - attempt.sent_at,
+            is_final=not is_full,
+            duration=self.now - attempt.sent_at,
         )
         self.costs.ended_attempts.append(call.milliseconds)
 
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -344,8 +344,8 @@
                 now,
                 pending.attempt,
                 outcome,
-                over=rpc not in self.open_rpcs,
-                took=max(MIN_DURATION, now - pending.attempt.sent_at),
+                is_final=rpc not in self.open_rpcs,
+                duration=max(MIN_DURATION, now - pending.attempt.sent_at),
             )
         )
 
