--- a/petrellane/config/__init__.py
+++ b/petrellane/config/__init__.py
@@ -1,9 +1,10 @@
-"""Configuration: the one place where it is read, checked and given defaults.
+"""Parsing, validation and defaults of all configuration.
 
-`section` reads typed values and names the key in its errors; `settings`, `endpoints` and
-`consensus` know the parts; `process` puts them together for one gateway; `reload` decides what may
-change in service. The names below are what other packages use; those of `consensus` are imported
-from there, as a gateway that does not agree on settings starts without it.
+`section` reads typed values and reports errors by key. `settings`, `endpoints` and `consensus`
+parse the parts of the configuration, and `process` assembles them for one gateway. `reload` defines
+which settings may change while a gateway runs. Other packages use the names exported here. They
+import the names of `consensus` from that module, so that a gateway without agreement on settings
+starts without loading it.
 """
 
 from petrellane.config.endpoints import (
--- a/petrellane/config/consensus.py
+++ b/petrellane/config/consensus.py
@@ -1,6 +1,7 @@
-"""What processes need to agree on settings: the shared key and where each of them listens.
+"""The configuration of the agreement on settings: the shared key and the roster of gateways.
 
-Reads the section `agreement` of a gateway's file, and the TOML file of a control process.
+The module parses the section `agreement` of a gateway's file, and the TOML file of a control
+process.
 """
 
 import os
@@ -9,7 +10,10 @@
 from petrellane.config.section import Address, ConfigError, Section, abbreviate, parse_address
 
 Roster = dict[str, list[Address]]
-"""The management addresses of each gateway by its name; several where processes hot restart."""
+"""The management addresses of each gateway, by its name.
+
+A gateway has several where its predecessor and successor processes use different addresses.
+"""
 
 MIN_KEY_BYTES = 16
 MAX_KEY_BYTES = 4096
@@ -19,12 +23,12 @@
 
 @dataclass(frozen=True)
 class ConsensusConfig:
-    """What a gateway needs to take part in agreement on settings.
+    """The configuration of a gateway that participates in the agreement on settings.
 
     Attributes:
-        key: The key that all processes share.
-        state: A folder that outlives the gateway.
-        members: The gateways.
+        key: The secret key that all processes share.
+        state: The path of a directory that persists when the gateway restarts.
+        members: The roster of gateways.
     """
 
     key: bytes
@@ -37,11 +41,11 @@
     """The configuration of a control process.
 
     Attributes:
-        name: Its name.
-        listen: Where operators reach it.
+        name: The name of the control process.
+        listen: The address on which it accepts operators' requests.
         journal: The path of its journal.
-        key: The key that all processes share.
-        members: The gateways.
+        key: The secret key that all processes share.
+        members: The roster of gateways.
     """
 
     name: str
@@ -54,21 +58,21 @@
 def parse_consensus(
     section: Section, name: str, management: Address | None
 ) -> ConsensusConfig | None:
-    """The section `agreement` of a gateway's file; None where there is none.
+    """Parse the section `agreement` of a gateway's file; return None where there is none.
 
     Args:
-        section: The whole file.
+        section: The root section of the file.
         name: The gateway's name.
-        management: Where its management listens.
+        management: The address of the gateway's management API; None where it is disabled.
 
     Raises:
-        ConfigError: Something is missing or wrong.
+        ConfigError: A value is missing or invalid.
     """
     if section.value.get("agreement") is None:
         return None
     agreement = section.section("agreement")
     if not management:
-        raise ConfigError.missing("management", "HOST:PORT, as agreement needs it")
+        raise ConfigError.missing("management", "HOST:PORT, which `agreement` requires")
     members = parse_roster(agreement.section("members"))
     if name not in members:
         raise ConfigError("agreement.members", f"{name} among them", abbreviate(sorted(members)))
@@ -80,10 +84,10 @@
 
 
 def parse_roster(section: Section) -> Roster:
-    """Gateways by name, each with one address or several; no address twice.
+    """Return the gateways by name, each with one or more addresses.
 
     Raises:
-        ConfigError: Something is missing or wrong.
+        ConfigError: An address is invalid or occurs twice, or there is no gateway.
     """
     members: Roster = {}
     owners: dict[Address, str] = {}
@@ -108,10 +112,14 @@
 
 
 def read_key_file(path: str, key: str) -> bytes:
-    """The shared key that a file holds, without white space around it.
+    """Return the shared key that a file holds, without leading and trailing whitespace.
+
+    Args:
+        path: The path of the file.
+        key: The configuration key that names the file, for the error.
 
     Raises:
-        ConfigError: The file, which `key` names, can't be read or holds too little.
+        ConfigError: The file cannot be read, or holds fewer than `MIN_KEY_BYTES` bytes.
     """
     try:
         with open(path, "rb") as file:
@@ -124,12 +132,12 @@
 
 
 def load_control_config(path: str) -> ControlConfig:
-    """The configuration of a control process from a TOML file.
+    """Return the configuration of a control process from a TOML file.
 
-    Paths in the file start at its folder.
+    Paths in the file are relative to the directory of the file.
 
     Raises:
-        ConfigError: Something is missing or wrong.
+        ConfigError: The file cannot be read, or a value is missing, invalid or unknown.
     """
     section = _read_toml(path)
     folder = os.path.dirname(os.path.abspath(path))
@@ -148,7 +156,7 @@
 
 
 def _read_toml(path: str) -> Section:
-    import tomllib  # it takes 4 ms, which the start of a gateway does without
+    import tomllib  # importing it takes 4 ms, which the start of a gateway avoids
 
     try:
         with open(path, "rb") as file:
--- a/petrellane/config/endpoints.py
+++ b/petrellane/config/endpoints.py
@@ -1,7 +1,7 @@
-"""The endpoint list in discovery's form, checked.
+"""Parsing and validation of endpoint lists.
 
-Discovery's answers and the configuration file carry the same form. What becomes of the endpoints
-is left to the gateway and the decisions.
+Discovery's responses and the configuration file use the same format. The gateway and the package
+`decisions` process the parsed endpoints.
 """
 
 from collections.abc import Iterator
@@ -16,15 +16,26 @@
     "terminating": DRAINING,
     "terminated": GONE,
 }
-"""The state of an endpoint, by discovery's words; any other word counts as draining."""
+"""The state of an endpoint by its `status` value; any other value counts as draining."""
 
 _MILLISECONDS = 1e3
 
 
 class EndpointEntry(NamedTuple):
-    """One endpoint as an endpoint list describes it; `started_at` is Unix seconds, 0 is long ago.
+    """One entry of an endpoint list.
 
-    From `zone` on, the fields are those of the decisions' `EndpointEvent`, in its order.
+    The fields from `zone` on are those of `decisions.types.EndpointEvent`, in the same order.
+
+    Attributes:
+        name: The name of the endpoint.
+        address: The address to which the gateway connects.
+        zone: The zone of the endpoint; empty where the list names none.
+        kind: The type of the endpoint; empty where the list names none.
+        pod: The number of the endpoint's pod.
+        state: The state of the endpoint.
+        weight: The load-balancing weight.
+        started_at: The Unix time, in seconds, at which the endpoint started; 0 where the list has
+            no start time, which counts as long ago.
     """
 
     name: str
@@ -39,12 +50,12 @@
 
 @dataclass(eq=False, slots=True)
 class EndpointListUpdate:
-    """An endpoint list, or changes to one.
+    """A complete endpoint list, or the changes to one.
 
     Attributes:
-        index: Discovery's version of the list.
-        full: Whether the list is complete; else the entries are those that changed.
-        entries: The endpoints.
+        index: The version of the list, which discovery assigns.
+        full: Whether the list is complete; otherwise it contains only the changed entries.
+        entries: The entries of the list.
     """
 
     index: int
@@ -53,10 +64,10 @@
 
 
 def parse_endpoint_list(section: Section) -> EndpointListUpdate:
-    """Check an endpoint list at once, as the configuration holds the last one.
+    """Parse a whole endpoint list in one call.
 
     Raises:
-        ConfigError: Something is missing or wrong.
+        ConfigError: A value is missing or invalid.
     """
     return EndpointListUpdate(
         section.integer("index"),
@@ -66,15 +77,15 @@
 
 
 def iter_endpoint_entries(section: Section) -> Iterator[EndpointEntry]:
-    """The entries of an endpoint list, each checked when it is taken."""
+    """Return an iterator over a list's entries that parses each entry when it yields it."""
     return map(parse_endpoint_entry, section.sections("endpoints"))
 
 
 def parse_endpoint_entry(row: Section) -> EndpointEntry:
-    """Check one entry of an endpoint list.
+    """Parse one entry of an endpoint list.
 
     Raises:
-        ConfigError: Something is missing or wrong.
+        ConfigError: A value is missing or invalid.
     """
     return EndpointEntry(
         row.text("name"),
--- a/petrellane/config/process.py
+++ b/petrellane/config/process.py
@@ -1,8 +1,8 @@
-"""The configuration of one gateway process, from its environment and its file.
+"""The configuration of one gateway process, read from its environment and its file.
 
-The PROXY_* variables say where to listen and where the file is: JSON with the limits, the
-counter's address, the last endpoint list and the settings. What is missing or wrong raises a
-`ConfigError`; unknown keys are ignored.
+The PROXY_* variables set the listening addresses and the path of the file. The file is JSON with
+the limits, the counter's address, the last known endpoint list and the settings. A missing or
+invalid value raises a `ConfigError`; unknown keys are ignored.
 """
 
 import json
@@ -27,8 +27,8 @@
     from petrellane.config.consensus import ConsensusConfig
 
 VARIABLE_PREFIX = "PROXY_"
-KEYS_OF_VARIABLES = ("name", "listen", "discovery", "management")
-"""Keys of the file that a variable of the environment may set."""
+VARIABLE_KEYS = ("name", "listen", "discovery", "management")
+"""The keys of the file that an environment variable may set."""
 
 _DEFAULT_MEMORY_MB = 192
 _DEFAULT_SOCKETS = 1024
@@ -38,23 +38,23 @@
 
 
 class Config(NamedTuple):
-    """All that a gateway process is configured with; replaced as a whole at a reload.
+    """The configuration of a gateway process; a reload replaces the whole object.
 
     Attributes:
         name: The gateway's name.
-        listen: Where clients connect.
-        listen_fd: The descriptor of a listening socket that a predecessor left; None without.
-        management: Where the management API listens; None without.
-        discovery: Where the endpoint list comes from.
-        counter: Where the counter is; None where the settings use none.
-        seed: Of all random draws.
-        memory_mb: The memory that the process may take.
-        sockets: The descriptors that the process may hold.
-        known: The last endpoint list that was known.
-        settings: Methods, plans, and what the site allows.
-        consensus: What agreement on settings needs; None where there is no such agreement.
-        figures_by_endpoint: Whether the log's figures tell attempts by endpoint.
-        raw: What was read, without the endpoint list.
+        listen: The address on which the gateway accepts clients.
+        listen_fd: The inherited descriptor of a listening socket; None where there is none.
+        management: The address of the management API; None where it is disabled.
+        discovery: The address of the discovery service.
+        counter: The address of the shared counter; None where the settings do not use it.
+        seed: The seed of the gateway's random draws.
+        memory_mb: The memory limit of the process, in MiB.
+        sockets: The maximum number of descriptors that the process may hold.
+        known: The last known endpoint list.
+        settings: The methods, the plans and the options of the site.
+        consensus: The configuration of the agreement on settings; None where it is disabled.
+        figures_by_endpoint: Whether the metrics in the log count attempts by endpoint.
+        raw: The JSON object that was read, without the endpoint list.
     """
 
     name: str
@@ -73,25 +73,25 @@
     raw: JsonObject
 
     def with_settings(self, settings: JsonObject) -> "Config":
-        """This configuration with other settings, checked as at a reload.
+        """Return this configuration with other settings, checked as in a reload.
 
         Raises:
-            ConfigError: The settings are wrong, or can't follow those in force.
+            ConfigError: The settings are invalid, or change a value that is fixed at start.
         """
         parsed = parse_settings(Section(settings, "settings"))
         return self._replace(settings=reload_settings(self.settings, parsed))
 
 
 def load(environment: Mapping[str, str], current: Config | None = None) -> Config:
-    """The configuration that the PROXY_* variables name.
+    """Return the configuration that the PROXY_* variables and the file define.
 
     Args:
         environment: The environment of the process.
-        current: The configuration in force, at a reload. Its file goes before the variables: they
-            are those of the start, and only the file can have changed.
+        current: The configuration in force, in a reload; None at the start. In a reload the file
+            takes precedence over the variables, because only the file can have changed.
 
     Raises:
-        ConfigError: Something is missing or wrong.
+        ConfigError: A value is missing or invalid, or cannot change in a reload.
     """
     path = environment.get("PROXY_CONFIG")
     if not path:
@@ -100,12 +100,12 @@
 
 
 def load_settings_file(path: str) -> JsonObject:
-    """The settings of a file that an operator names.
+    """Return the settings object of a file that an operator passes.
 
-    The file holds a settings object, or a gateway's whole configuration.
+    The file holds either a settings object or the whole configuration of a gateway.
 
     Raises:
-        ConfigError: The file can't be read, or holds no object.
+        ConfigError: The file cannot be read, or does not hold an object.
     """
     section = Section(_read_json(path, "settings"), path)
     if "settings" in section.value:
@@ -116,20 +116,21 @@
 def parse_config(
     content: object, environment: Mapping[str, str] | None = None, current: Config | None = None
 ) -> Config:
-    """The configuration from the content of its file.
+    """Return the configuration for the parsed content of its file.
 
     Args:
-        content: What the file holds.
-        environment: At a start, its PROXY_* variables go before the keys they stand for.
-        current: The configuration in force, at a reload.
+        content: The parsed JSON of the file.
+        environment: The environment of the process. At the start, its PROXY_* variables take
+            precedence over the corresponding keys.
+        current: The configuration in force, in a reload; None at the start.
 
     Raises:
-        ConfigError: Something is missing or wrong, or can't follow the configuration in force.
+        ConfigError: A value is missing or invalid, or cannot change in a reload.
     """
     environment = environment or {}
     section = _apply_variables(Section(content), environment, current)
     raw = _raw_content(section, current)
-    # The order of the reads is that in which errors are reported.
+    # If several keys are invalid, the error names the one that is read first here.
     seed_text = section.text("seed")
     limits = section.section("limits", {})
     settings = _parse_next_settings(section.section("settings"), current)
@@ -159,7 +160,7 @@
 ) -> "ConsensusConfig | None":
     if section.value.get("agreement") is None:
         return None
-    # Imported where it is asked for: a gateway alone starts without it.
+    # Imported on demand, so that a gateway without agreement on settings starts without it.
     from petrellane.config.consensus import parse_consensus
 
     return parse_consensus(section, name, management)
@@ -168,9 +169,12 @@
 def _apply_variables(
     section: Section, environment: Mapping[str, str], current: Config | None
 ) -> Section:
-    """The section with variables in the place of keys; at a reload, of keys that it lacks."""
+    """Return the section with the values of the variables.
+
+    At the start a variable overrides its key. In a reload it only replaces a missing key.
+    """
     content = dict(section.value)
-    for key in KEYS_OF_VARIABLES:
+    for key in VARIABLE_KEYS:
         variable = VARIABLE_PREFIX + key.upper()
         text = environment.get(variable)
         if not text or (current and content.get(key) is not None):
@@ -182,7 +186,11 @@
 
 
 def _raw_content(section: Section, current: Config | None) -> JsonObject:
-    """What was read, without the endpoint list; at a reload it may lack no key."""
+    """Return the object without the endpoint list.
+
+    Raises:
+        ConfigError: In a reload, a key of the configuration in force is missing.
+    """
     raw = {key: value for key, value in section.value.items() if key != "known"}
     if current:
         check_no_key_removed(current.raw, raw)
@@ -208,7 +216,11 @@
 
 
 def _parse_listen_fd(text: str | None) -> int | None:
-    """The descriptor of a listening TCP socket; None where the variable is not set."""
+    """Return the descriptor of a listening TCP socket; None where the variable is not set.
+
+    Raises:
+        ConfigError: The variable does not name such a descriptor.
+    """
     if not text:
         return None
     key = "PROXY_LISTEN_FD"
@@ -225,15 +237,19 @@
             or sock.type != socket.SOCK_STREAM
             or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
         ):
-            raise ConfigError(key, expected, f"{text}, which is none")
+            raise ConfigError(key, expected, f"{text}, a descriptor of another type")
     return int(text)
 
 
 def _read_json(path: str, key: str) -> object:
-    """What a JSON file holds.
+    """Return the parsed content of a JSON file.
+
+    Args:
+        path: The path of the file.
+        key: The key or variable that names the file, for the error.
 
     Raises:
-        ConfigError: The file, which `key` names, can't be read or is no JSON.
+        ConfigError: The file cannot be read, or does not hold JSON.
     """
     try:
         with open(path, "rb") as file:
--- a/petrellane/config/reload.py
+++ b/petrellane/config/reload.py
@@ -1,6 +1,6 @@
-"""What may change while a gateway serves, and what stays of the settings when they change.
+"""Rules for a reload: which values may change, and which objects the new settings reuse.
 
-Rules free of I/O: they compare what is in force with what shall follow it.
+The rules perform no I/O. They compare the configuration in force with the new one.
 """
 
 from dataclasses import fields, replace
@@ -20,13 +20,18 @@
 
 
 def check_no_key_removed(current: JsonObject, new: JsonObject, path: str = "") -> None:
-    """Refuse an object that lacks a key of the one in force.
+    """Reject an object that lacks a key of the object in force.
 
-    A file that was cut short and closed again would read as one that leaves things at their
-    defaults. Elements of a list may come and go.
+    Without this check, a file that was truncated and is still valid JSON would silently reset the
+    missing keys to their defaults. List elements may be added and removed.
+
+    Args:
+        current: The object in force.
+        new: The object that replaces it.
+        path: The path of the object in the configuration; empty for the root.
 
     Raises:
-        ConfigError: A key is missing; the first such key.
+        ConfigError: A key is missing; the error names the first one.
     """
     for key, value in current.items():
         key_path = f"{path}.{key}".lstrip(".")
@@ -37,13 +42,13 @@
 
 
 def reload_settings(current: Settings, new: Settings) -> Settings:
-    """The new settings, with the objects of the current ones where nothing changed.
+    """Return the new settings, which reuse the objects of unchanged methods and plans.
 
-    A method that changed keeps its identity, under which the decisions know what they learned
-    about it.
+    A changed method keeps its identity, because the load balancing stores its observations of a
+    method under that identity.
 
     Raises:
-        ConfigError: Something differs that is fixed from the start to the end of a process.
+        ConfigError: A value differs that is fixed for the lifetime of a process.
     """
     _check_unchanged("familyInfo.mayCount", current.uses_counter, new.uses_counter)
     _check_unchanged("discovery", current.must_watch, new.must_watch)
@@ -60,11 +65,13 @@
 
 def _check_unchanged(key: str, current: bool, new: bool) -> None:
     if current != new:
-        raise ConfigError(f"settings.{key}", "what it was at the start", "another")
+        raise ConfigError(
+            f"settings.{key}", "the value that the process started with", "another value"
+        )
 
 
 def _reuse(current: RowT | None, new: RowT) -> RowT:
-    """The current object where it equals the new one, which has the same name."""
+    """Return the current object if it equals the new one, else the new one."""
     if current is None:
         return new
     compared_fields = _COMPARED_FIELDS[type(new)]
@@ -72,7 +79,7 @@
 
 
 def _reuse_method(current: Method | None, new: Method) -> Method:
-    """The same for a method, which keeps its identity where it changed."""
+    """Return the current method if it equals the new one, else the new one with its identity."""
     method = _reuse(current, new)
     if current is None or method is current:
         return method
--- a/petrellane/config/section.py
+++ b/petrellane/config/section.py
@@ -1,8 +1,8 @@
 """A typed reader of JSON and TOML objects, with errors that name the key.
 
-`Section` reads one object key by key. A value that is missing or wrong raises a `ConfigError`,
-whose one line says which key, what was expected and what was found; keys that nobody reads are
-ignored. What the values mean is left to the modules that read them.
+`Section` reads one object key by key. A missing or invalid value raises a `ConfigError`, whose
+one-line message names the key, the expected value and the value found. Keys that no module reads
+are ignored. The modules that read the values interpret them.
 """
 
 import json
@@ -15,32 +15,32 @@
 ValueT = TypeVar("ValueT")
 
 REQUIRED: Any = object()
-"""Given as a default, it makes a key mandatory."""
+"""The sentinel default that makes a key mandatory."""
 
 _MICROSECONDS = 1e6
 _MAX_PORT = 65535
-_MAX_EXCERPT = 40
+_MAX_EXCERPT = 40  # characters of a value that an error message quotes
 
 
 class ConfigError(Exception):
-    """A key that is missing or wrong; the text is one line that names it.
+    """A missing or invalid key; the message is one line that names the key.
 
     Attributes:
-        key: The path of the key, or the variable.
-        expected: What would be right.
-        found: What is there instead, where that says something.
+        key: The path of the key, or the name of the environment variable.
+        expected: A description of the valid values.
+        found: A description of the invalid value; None where the message has none.
     """
 
     def __init__(
         self, key: str, expected: str, found: str | None = None, reason: str | None = None
     ) -> None:
-        """Describe what is wrong.
+        """Build the message from the key, the expected value and the value found.
 
         Args:
-            key: The path of the key, or the variable.
-            expected: What would be right.
-            found: What is there instead.
-            reason: Why it is wrong, as the operating system or a parser puts it.
+            key: The path of the key, or the name of the environment variable.
+            expected: A description of the valid values.
+            found: A description of the invalid value.
+            reason: The error text of the operating system or of a parser.
         """
         text = f"{key}: expected {expected}"
         if found is not None:
@@ -54,21 +54,21 @@
 
     @classmethod
     def missing(cls, key: str, expected: str) -> Self:
-        """The error of a key that is not there."""
+        """Return the error for a key that is missing."""
         error = cls(key, expected)
         error.args = (f"{key}: missing, expected {expected}",)
         return error
 
 
 class Section:
-    """One JSON object with its path, read key by key; lives as long as the reading takes.
+    """One JSON object and its path, read key by key; the parser that reads it owns it.
 
-    The text of an error is put together only where there is an error: the settings of a large
-    site have many thousand values.
+    Paths and messages are built only when an error occurs, because the settings of a large site
+    have many thousands of values.
 
     Attributes:
         value: The object itself.
-        path: Its path in the configuration; empty for the whole of it.
+        path: The path of the object in the configuration; empty for the root.
     """
 
     __slots__ = ("path", "value")
@@ -77,7 +77,7 @@
         """Wrap an object.
 
         Raises:
-            ConfigError: The value is no object.
+            ConfigError: The value is not an object.
         """
         if not isinstance(value, dict):
             raise ConfigError(path or "configuration", "an object", abbreviate(value))
@@ -85,7 +85,7 @@
         self.path = path
 
     def path_of(self, key: str) -> str:
-        """The full path of a key."""
+        """Return the full path of a key."""
         return f"{self.path}.{key}" if self.path else key
 
     def get(
@@ -95,16 +95,16 @@
         expected: str,
         default: ValueT = REQUIRED,
     ) -> ValueT:
-        """A value of one of some types.
+        """Return the value of a key, checked for its type.
 
         Args:
-            key: The key in this object; null counts as missing.
-            kinds: The types that are right; bool is no int here.
-            expected: The words for these in an error.
-            default: What a missing key stands for.
+            key: The key in this object; a null value counts as missing.
+            kinds: The accepted types; a bool is accepted only where bool is listed.
+            expected: The description of the accepted types in an error.
+            default: The value to return where the key is missing.
 
         Raises:
-            ConfigError: The key is missing without a default, or of another type.
+            ConfigError: The key is missing and has no default, or its value has another type.
         """
         value = self.value.get(key)
         if value is None:
@@ -116,11 +116,11 @@
         return value
 
     def text(self, key: str, default: str = REQUIRED) -> str:
-        """A string."""
+        """Return a string."""
         return self.get(key, (str,), "text", default)
 
     def flag(self, key: str, default: bool = False) -> bool:
-        """A boolean; a number counts as true unless it is 0."""
+        """Return a boolean; an integer counts as true unless it is 0."""
         return bool(self.get(key, (bool, int), "true or false", default))
 
     def number(
@@ -130,16 +130,17 @@
         minimum: float = 0.0,
         is_exclusive: bool = False,
     ) -> float:
-        """A finite number.
+        """Return a finite number.
 
         Args:
             key: The key in this object.
-            default: What a missing key stands for; it need not be in the range.
-            minimum: The least number that is right.
-            is_exclusive: The number has to be above the minimum.
+            default: The value to return where the key is missing; it may be out of range.
+            minimum: The lower bound.
+            is_exclusive: Whether the minimum itself is out of range.
 
         Raises:
-            ConfigError: The key is missing without a default, no number, or out of range.
+            ConfigError: The key is missing and has no default, or its value is not a number or is
+                out of range.
         """
         value = self.value.get(key, default)
         kind = type(value)
@@ -161,29 +162,29 @@
         raise ConfigError(self.path_of(key), expected, str(value)[:_MAX_EXCERPT])
 
     def integer(self, key: str, default: int = REQUIRED, minimum: int = 0) -> int:
-        """A whole number; see `number`."""
+        """Return a whole number; the arguments and errors are those of `number`."""
         value = self.number(key, default, minimum)
         if value is not default and value != int(value):
             raise ConfigError(self.path_of(key), "a whole number", str(value))
         return int(value)
 
     def seconds(self, key: str, default: float = 0) -> float:
-        """Seconds, from a key (and a default) in microseconds."""
+        """Return a time in seconds; the value and the default are in microseconds."""
         return self.number(key, default) / _MICROSECONDS
 
     def section(self, key: str, default: JsonObject = REQUIRED) -> "Section":
-        """An object inside this one."""
+        """Return a nested object."""
         value = self.get(key, (dict,), "an object", default)
         return Section(value, self.path_of(key))
 
     def sections(self, key: str, default: list[JsonObject] = REQUIRED) -> Iterator["Section"]:
-        """The objects of a list, each checked when it is taken."""
+        """Return an iterator over a list of objects that checks each object when it yields it."""
         path = self.path_of(key)
         rows = self.get(key, (list,), "a list of objects", default)
         return (Section(row, f"{path}[{index}]") for index, row in enumerate(rows))
 
     def address(self, key: str) -> Address:
-        """A host and port, from HOST:PORT."""
+        """Return the host and port of a HOST:PORT string."""
         text = self.text(key)
         host, _, port = text.rpartition(":")
         if host and _is_port(port):
@@ -192,7 +193,7 @@
 
 
 def abbreviate(value: object) -> str:
-    """A value as JSON, cut to the length that an error has room for."""
+    """Return a value as JSON, truncated to the length that error messages allow."""
     text = json.dumps(value, default=str)
     if len(text) <= _MAX_EXCERPT:
         return text
@@ -200,10 +201,14 @@
 
 
 def parse_address(text: str, key: str) -> Address:
-    """A host and port, from HOST:PORT.
+    """Return the host and port of a HOST:PORT string.
+
+    Args:
+        text: The string.
+        key: The key or variable that holds the string, for the error.
 
     Raises:
-        ConfigError: The text, which `key` holds, is no address.
+        ConfigError: The string is not an address.
     """
     host, _, port = text.rpartition(":")
     if not host or not _is_port(port):
--- a/petrellane/config/settings.py
+++ b/petrellane/config/settings.py
@@ -1,8 +1,8 @@
-"""The settings object: methods, plans, and what the site allows.
+"""Parsing of the settings object: methods, plans and the options of the site.
 
-The configuration file and the simulator's wire carry the same object. It is checked and given
-defaults here, and put into the form that its users need: times are microseconds there and seconds
-here. What of it may change in service is left to `reload`.
+The configuration file and the simulator's protocol carry the same object. This module validates it,
+fills in defaults and converts times from microseconds to seconds. `reload` defines which settings
+may change while a gateway runs.
 """
 
 from collections.abc import Iterable
@@ -24,7 +24,7 @@
     "token": DEDUPLICATED,
     "side_effect": NON_IDEMPOTENT,
 }
-"""What a method does, by the words of the settings."""
+"""The effect of a method, by its value in the settings."""
 
 _DEFAULT_DIAL_TIMEOUT_US = 1_000_000
 _DEFAULT_CONN_IDLE_US = 30_000_000
@@ -34,21 +34,21 @@
 
 
 class Settings(NamedTuple):
-    """Settings that are checked; replaced as a whole when they change.
+    """Validated settings; a change replaces the whole object.
 
     Attributes:
-        methods: By name.
-        plans: By name.
-        uses_counter: Whether credit is leased from a shared counter.
-        must_watch: Whether discovery waits to be asked for the endpoint list.
-        controller_options: What the decisions need.
-        report_fields: The names of the figures in an endpoint's load report, in their order.
-        counter_timeout: Seconds after which an add to the counter is late.
-        dial_timeout: Seconds in which a connection has to come up.
-        conn_idle: Seconds after which endpoints close an idle connection.
-        streams: Attempts at a time on one connection to an endpoint.
-        max_units: The most units of work that an RPC may name.
-        gateway_count: How many gateways the site has.
+        methods: The methods by name.
+        plans: The plans by name.
+        uses_counter: Whether gateways lease quota from a shared counter.
+        must_watch: Whether discovery sends the endpoint list only on request.
+        controller_options: The keyword arguments of the admission controller.
+        report_fields: The names of the metrics in an endpoint's load report, in order.
+        counter_timeout: The time limit of a request to the counter, in seconds.
+        dial_timeout: The time limit for establishing a connection, in seconds.
+        conn_idle: The idle time after which an endpoint closes a connection, in seconds.
+        streams: The maximum number of concurrent attempts on one connection to an endpoint.
+        max_units: The maximum number of units of work that an RPC may declare.
+        gateway_count: The number of gateways of the site.
     """
 
     methods: dict[str, Method]
@@ -66,10 +66,10 @@
 
 
 def parse_settings(section: Section) -> Settings:
-    """Check a settings object.
+    """Parse a settings object.
 
     Raises:
-        ConfigError: Something is missing or wrong; the first such key.
+        ConfigError: A value is missing or invalid; the error names the first such key.
     """
     family = section.section("familyInfo", {})
     limits = section.section("limits", {})
@@ -108,7 +108,7 @@
 
 
 def _parse_max_retry_after(limits: Section) -> float:
-    """The longest Retry-After in seconds; 0 where the site does not allow any."""
+    """Return the maximum Retry-After in seconds; 0 where the site does not allow Retry-After."""
     if not limits.flag("retryAfter"):
         return 0.0
     return limits.seconds("maxRetryAfter")
--- a/tests/unit/config/__init__.py
+++ b/tests/unit/config/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of configuration."""
+"""Unit tests of the configuration."""
--- a/tests/unit/config/test_config.py
+++ b/tests/unit/config/test_config.py
@@ -1,4 +1,4 @@
-"""Reading of configuration: typed values, and errors that name the key and what was expected."""
+"""Unit tests of configuration parsing: typed values, and errors that name key and expectation."""
 
 import pathlib
 
--- a/tests/unit/config/test_settings_cost.py
+++ b/tests/unit/config/test_settings_cost.py
@@ -1,4 +1,8 @@
-"""Reading settings costs lookups of names in step with their rows; errors in long settings."""
+"""Unit tests of large settings: the cost of parsing and reloading, reuse of objects, and errors.
+
+The tests count hashes and comparisons of names, which have to grow linearly with the number of
+methods and plans. A lookup that scans all names for each row would make the cost quadratic.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,11 +13,11 @@
 
 FEW = 40
 MANY = 400
-MAXIMUM_RATIO = 12  # of the cost of MANY to that of FEW; in proportion it is ten
+MAX_COST_RATIO = 12  # of the cost of MANY rows to that of FEW; a linear cost gives 10
 
 
 class CountedName(str):
-    """A name that counts how often names are hashed or compared."""
+    """A string that counts the hashes and comparisons of all its instances."""
 
     __slots__ = ()
     operations = 0
@@ -28,7 +32,7 @@
 
 
 def settings_section(number: int, **first_row: float) -> config.Section:
-    """Return settings with so many methods and plans, and other values in the first method."""
+    """Return settings with `number` methods and plans; `first_row` updates the first method."""
     methods: list[dict[str, Any]] = [
         {
             "name": CountedName(f"m{index}"),
@@ -52,47 +56,47 @@
 
 
 def cost(call: Callable[[], object]) -> int:
-    """Return how many operations on names a call needs."""
+    """Return the number of hashes and comparisons of names during a call."""
     CountedName.operations = 0
     call()
     return CountedName.operations
 
 
 def parse_cost(number: int) -> int:
-    """Return what it costs to read settings with so many rows."""
+    """Return the cost of parsing settings with `number` methods and plans."""
     section = settings_section(number)
     return cost(lambda: config.parse_settings(section))
 
 
 def test_parsing_costs_in_step_with_rows() -> None:
-    """Ten times the rows cost about ten times as much."""
+    """Parsing ten times as many rows costs about ten times as much."""
     few = parse_cost(FEW)
     assert few > 0
-    assert parse_cost(MANY) <= MAXIMUM_RATIO * few
+    assert parse_cost(MANY) <= MAX_COST_RATIO * few
 
 
-def before_and_now(number: int) -> tuple[config.Settings, config.Settings]:
-    """Return settings, and others that differ in the first method alone."""
+def current_and_new_settings(number: int) -> tuple[config.Settings, config.Settings]:
+    """Return two settings that differ only in the first method."""
     before = config.parse_settings(settings_section(number))
     now = config.parse_settings(settings_section(number, worth=2.0))
     return before, now
 
 
 def reload_cost(number: int) -> int:
-    """Return what it costs to take over settings that differ in the first method."""
-    before, now = before_and_now(number)
+    """Return the cost of reloading settings that differ only in the first method."""
+    before, now = current_and_new_settings(number)
     return cost(lambda: config.reload_settings(before, now))
 
 
 def test_reload_costs_in_step_with_rows() -> None:
-    """Ten times the rows cost about ten times as much, also where a method changes."""
-    assert reload_cost(MANY) <= MAXIMUM_RATIO * reload_cost(FEW)
+    """Reloading ten times as many rows, one of them changed, costs about ten times as much."""
+    assert reload_cost(MANY) <= MAX_COST_RATIO * reload_cost(FEW)
 
 
 @pytest.mark.parametrize("number", [FEW, MANY])
 def test_reload_keeps_what_is_unchanged(number: int) -> None:
-    """A changed method keeps its identity, and all else keeps its object."""
-    before, now = before_and_now(number)
+    """A reload replaces only a changed method, which keeps its identity."""
+    before, now = current_and_new_settings(number)
     after = config.reload_settings(before, now)
     other = [name for name, row in after.methods.items() if row is not before.methods[name]]
     assert other == ["m0"]
@@ -125,7 +129,7 @@
     ids=["repeated", "zero", "null", "huge", "nan", "boolean", "negative", "unknown"],
 )
 def test_error_in_the_last_row_names_it(wrong: dict[str, object], text: str) -> None:
-    """The error of a wrong value says where it is."""
+    """The error for an invalid value in the last row names the row and the key."""
     section = settings_section(MANY)
     section.value["classes"][-1] |= wrong
     with pytest.raises(config.ConfigError) as raised:
