--- a/petrellane/net/__init__.py
+++ b/petrellane/net/__init__.py
@@ -1,4 +1,4 @@
-"""Primitives of the networked parts: scheduler, streams, protocol codecs, limits and the log.
+"""Network primitives: scheduler, streams, protocol codecs, limits and the log.
 
-The package knows nothing of admission, configuration or operation; everything above may import it.
+The package does not depend on admission, configuration or operation; all packages may import it.
 """
--- a/petrellane/net/http.py
+++ b/petrellane/net/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 client codec, as far as discovery and the management API speak it.
+"""HTTP/1.1 client codec for the subset that discovery and the management API use.
 
-One request at a time on a connection. A response's body has a length, comes in chunks, or lasts to
-the end of the connection. Waiting for bytes is bounded by a clock time for the whole response.
+A connection carries one request at a time. The body of a response is delimited by its length, by
+chunked encoding or by the end of the connection. One deadline bounds the whole response.
 """
 
 from collections.abc import Mapping
@@ -9,13 +9,13 @@
 
 from petrellane.net.limits import Limits
 from petrellane.net.resp import Malformed
-from petrellane.net.stream import Ended, Stream
+from petrellane.net.stream import EndOfStream, Stream
 
 Fields = dict[bytes, bytes]  # header fields by name in lower case
 
 CRLF: Final = b"\r\n"
 END_OF_HEAD: Final = b"\r\n\r\n"
-STATUS_LINE_PARTS: Final = 2  # version and status; a reason is optional
+STATUS_LINE_PARTS: Final = 2  # version and status code; the reason phrase is optional
 HEXADECIMAL: Final = 16
 
 
@@ -28,12 +28,12 @@
 
 
 def encode_get(path: str, host: str) -> bytes:
-    """Encode a request for JSON; the connection may be used for more."""
+    """Encode a GET request for JSON that keeps the connection open."""
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
 
 
 def encode_post(path: str, host: str, fields: Mapping[str, str], body: bytes) -> bytes:
-    """Encode a request with a JSON body, after which the connection ends."""
+    """Encode a POST request with a JSON body that closes the connection after the response."""
     extra_fields = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
     request_head = (
         f"POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n"
@@ -46,38 +46,40 @@
     """Parse the head of the response at the start of a buffer.
 
     Returns:
-        The head, or None while it is incomplete.
+        The head, or None while the buffer holds only a part of it.
 
     Raises:
-        Malformed: It is no HTTP/1 response, or too long.
+        Malformed: The head is not that of an HTTP/1 response, or is too long.
     """
     end = buffer.find(END_OF_HEAD)
     if end < 0:
         if len(buffer) > limits.max_line_size * limits.max_parts:
-            raise Malformed("head too long")
+            raise Malformed(
+                f"response head of more than {limits.max_line_size * limits.max_parts} bytes"
+            )
         return None
     status_line, *lines = bytes(buffer[:end]).split(CRLF)
-    status = _status(status_line)
-    return ResponseHead(status, _fields(lines), end + len(END_OF_HEAD))
+    status = _parse_status(status_line)
+    return ResponseHead(status, _parse_fields(lines), end + len(END_OF_HEAD))
 
 
-def _status(line: bytes) -> int:
+def _parse_status(line: bytes) -> int:
     parts = line.split(b" ", 2)
     if (
         len(parts) < STATUS_LINE_PARTS
         or not parts[0].startswith(b"HTTP/1.")
         or not parts[1].isdigit()
     ):
-        raise Malformed("bad status line")
+        raise Malformed(f"expected an HTTP/1 status line, found {line!r:.60}")
     return int(parts[1])
 
 
-def _fields(lines: list[bytes]) -> Fields:
+def _parse_fields(lines: list[bytes]) -> Fields:
     fields = {}
     for line in lines:
         name, colon, value = line.partition(b":")
         if not colon:
-            raise Malformed("bad field")
+            raise Malformed(f"expected a header field, found {line!r:.60}")
         fields[name.strip().lower()] = value.strip()
     return fields
 
@@ -85,19 +87,20 @@
 def read_more(stream: Stream, deadline: float) -> None:
     """Wait for more bytes of a response.
 
-    Other greenlets have their turn before this returns, so that a long response holds nobody up.
+    The function yields to other greenlets before it returns, so that a long response does not
+    delay them.
 
     Args:
-        stream: Where the response comes from.
-        deadline: Unix time by which the whole response has to be complete.
+        stream: The stream that receives the response.
+        deadline: The Unix time, in seconds, by which the whole response has to arrive.
 
     Raises:
-        TimeoutError: It is past that time.
-        Closed: The connection has ended or broken.
+        TimeoutError: The deadline has passed.
+        Closed: The connection is closed or broken.
     """
     scheduler = stream.scheduler
     if scheduler.now() >= deadline:
-        raise TimeoutError("no whole answer in time")
+        raise TimeoutError("the deadline passed before the response was complete")
     stream.fill(deadline - scheduler.now())
     scheduler.wait(0)
 
@@ -106,55 +109,64 @@
     """Read the body of a response whose head has been consumed.
 
     Args:
-        stream: Where the response comes from.
-        fields: The header fields of its head.
-        limits: `max_list_size` bounds the body, `max_line_size` the line before a chunk.
-        deadline: Unix time by which the body has to be complete.
+        stream: The stream that receives the response.
+        fields: The header fields of the response.
+        limits: The limits; `max_list_size` bounds the body, `max_line_size` a chunk header.
+        deadline: The Unix time, in seconds, by which the body has to be complete.
 
     Raises:
-        Malformed: The body is not encoded as its head says, or too long.
-        TimeoutError: It is not complete in time.
-        Closed: The connection ended within the body. A reset always does, also where the body has
-            no length and lasts to the end of the connection.
+        Malformed: The body does not match the encoding in its head, or is too long.
+        TimeoutError: The deadline passed before the body was complete.
+        Closed: The connection ended within the body. A reset raises this error even where the body
+            is delimited by the end of the connection.
     """
     if b"transfer-encoding" in fields:
         if fields[b"transfer-encoding"].lower() != b"chunked":
-            raise Malformed("no such transfer coding")
+            raise Malformed(
+                f"expected the transfer coding chunked, found {fields[b'transfer-encoding']!r:.60}"
+            )
         return _read_chunked(stream, limits, deadline)
     if b"content-length" not in fields:
         return _read_to_end(stream, limits, deadline)
     length = fields[b"content-length"]
     if not length.isdigit() or int(length) > limits.max_list_size:
-        raise Malformed("bad length")
+        raise Malformed(
+            f"expected a Content-Length up to {limits.max_list_size}, found {length!r:.60}"
+        )
     return _read_exactly(stream, int(length), deadline)
 
 
 def is_keep_alive(fields: Fields) -> bool:
-    """Return whether the connection can be used again after a response with these fields."""
+    """Return whether the connection can be reused after a response with these header fields."""
     if fields.get(b"connection", b"").lower() == b"close":
         return False
     return b"content-length" in fields or b"transfer-encoding" in fields
 
 
 def _read_to_end(stream: Stream, limits: Limits, deadline: float) -> bytes:
-    """Read up to the orderly end of the connection."""
+    """Read until the peer closes the connection without a reset."""
     try:
         _fill_past(stream, limits.max_list_size, deadline)
-    except Ended:
+    except EndOfStream:
         data = bytes(stream.buffer)
         stream.buffer.clear()
         return data
 
 
 def _fill_past(stream: Stream, size: int, deadline: float) -> NoReturn:
-    """Buffer what comes; raises Ended at the end of the connection, Malformed past `size` bytes."""
+    """Buffer incoming bytes until the connection ends or the buffer exceeds a size.
+
+    Raises:
+        EndOfStream: The peer closed the connection without a reset.
+        Malformed: The buffer holds more than `size` bytes.
+    """
     while len(stream.buffer) <= size:
         read_more(stream, deadline)
-    raise Malformed("list too long")
+    raise Malformed(f"response body of more than {size} bytes")
 
 
 def _read_exactly(stream: Stream, length: int, deadline: float) -> bytes:
-    """Read so many bytes."""
+    """Read exactly `length` bytes."""
     while len(stream.buffer) < length:
         read_more(stream, deadline)
     data = bytes(stream.buffer[:length])
@@ -163,11 +175,11 @@
 
 
 def _read_chunked(stream: Stream, limits: Limits, deadline: float) -> bytes:
-    """Read chunks up to the last one, which is empty."""
+    """Read chunks up to and including the last chunk, which is empty."""
     data = bytearray()
     while True:
         length = _read_chunk_length(stream, limits, deadline, len(data))
-        # The CRLF behind the empty last chunk stands for an empty trailer as well.
+        # The CRLF after the empty last chunk also ends the trailer section, which is empty.
         chunk = _read_exactly(stream, length + len(CRLF), deadline)
         if not length:
             return bytes(data)
@@ -175,16 +187,16 @@
 
 
 def _read_chunk_length(stream: Stream, limits: Limits, deadline: float, size_so_far: int) -> int:
-    """Read the line before a chunk: its length, and extensions that are ignored."""
+    """Read the header line of a chunk and return the chunk's length; ignore its extensions."""
     while (end := stream.buffer.find(CRLF)) < 0:
         if len(stream.buffer) > limits.max_line_size:
-            raise Malformed("bad chunk")
+            raise Malformed(f"chunk header of more than {limits.max_line_size} bytes")
         read_more(stream, deadline)
     try:
         length = int(bytes(stream.buffer[:end]).split(b";")[0], HEXADECIMAL)
     except ValueError:
-        raise Malformed("bad chunk") from None
+        raise Malformed("expected a chunk length in hexadecimal digits") from None
     if length < 0 or size_so_far + length > limits.max_list_size:
-        raise Malformed("list too long")
+        raise Malformed(f"response body of more than {limits.max_list_size} bytes")
     del stream.buffer[: end + len(CRLF)]
     return length
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -1,161 +1,162 @@
-"""Every size, count and time-out of the network code, in one immutable value.
+"""All sizes, counts and timeouts of the network code, in one immutable object.
 
-The values are filled in once at start, from the configuration and the defaults below, and handed
-down to whatever opens a socket. This module decides nothing: it holds figures.
+The gateway creates the object at the start from the configuration and the defaults below, and
+passes it to all components that open sockets.
 """
 
 from dataclasses import dataclass, replace
 from typing import Protocol, Self
 
 MEBIBYTE = 2**20
-UNSENT_SHARE_OF_MEMORY = 64  # one peer may leave unread a 64th of the process's memory
-WAITING_SHARE_OF_MEMORY = 8  # long values that wait may take an eighth of it
+UNSENT_MEMORY_DIVISOR = 64  # the unsent data of one peer may use 1/64 of the process's memory
+BUFFER_MEMORY_DIVISOR = 8  # buffered long values may use 1/8 of the process's memory
 
 
 class TransportSettings(Protocol):
-    """The part of the operators' settings that bounds connections; times are seconds."""
+    """The settings from which connection limits are derived; times are in seconds."""
 
     @property
     def dial_timeout(self) -> float:
-        """How long a connection to a host may take to come up."""
+        """The time limit for establishing a connection to an endpoint."""
 
     @property
     def conn_idle(self) -> float:
-        """After how long without traffic a host closes a connection."""
+        """The idle time after which an endpoint closes a connection."""
 
     @property
     def streams(self) -> int:
-        """How many attempts one connection carries at the same time."""
+        """The maximum number of concurrent attempts on one connection."""
 
     @property
     def counter_timeout(self) -> float:
-        """After how long a request to the counter counts as unanswered."""
+        """The time limit of a request to the counter."""
 
 
 class ProcessConfig(Protocol):
-    """The part of the process's configuration that limits are derived from."""
+    """The process configuration from which limits are derived."""
 
     @property
     def settings(self) -> TransportSettings:
-        """The operators' settings."""
+        """The settings in force."""
 
     @property
     def sockets(self) -> int:
-        """Descriptors that the process may hold."""
+        """The maximum number of descriptors that the process may hold."""
 
     @property
     def memory_mb(self) -> float:
-        """Memory that the process may use, in MiB."""
+        """The memory limit of the process, in MiB."""
 
 
 @dataclass(frozen=True, eq=False, repr=False)
 class Limits:
-    """Bounds of the network code. Sizes are bytes and times are seconds.
+    """The limits of the network code; sizes are in bytes and times in seconds.
 
-    One instance is made at start; a reload of the settings replaces it by `with_settings_of`. It
-    has no generated equality and `repr`: with so many fields these would slow down the start of
-    `serve`.
+    The gateway process creates one instance at the start. A reload of the settings replaces it
+    with the result of `with_settings_of`. The class has no generated `__eq__` and `__repr__`,
+    because generating them for so many fields slows down the start of `serve`.
     """
 
-    # Set by the configuration.
-    sockets: int  # descriptors that the process may hold
-    dial_timeout: float  # a connection to a host that is not up by then is given up
-    endpoint_idle_timeout: float  # idle connections to hosts are closed before the host does so
-    attempts_per_connection: int  # attempts on one connection to a host at the same time
-    counter_timeout: float  # a request to the counter unanswered for so long is late
+    # Values from the configuration.
+    sockets: int  # maximum number of open descriptors
+    dial_timeout: float  # for establishing a connection to an endpoint
+    endpoint_idle_timeout: float  # half the endpoint's, so that the gateway closes first
+    attempts_per_connection: int  # concurrent attempts on one connection to an endpoint
+    counter_timeout: float  # for the reply to a request to the counter
 
-    # Values and frames of RESP.
-    max_value_size: int = 64 * 1024  # a value in a command or a reply
-    # The longest value; one above `max_value_size` is relayed as it arrives.
+    # RESP values and frames.
+    max_value_size: int = 64 * 1024  # a value that is parsed as a whole
+    # The longest accepted value; a value above `max_value_size` is streamed while it arrives.
     max_long_value_size: int = 4 * 1024 * 1024
-    buffer_budget: int = 16 * 1024 * 1024  # bytes of long values that may be buffered in all
+    buffer_budget: int = 16 * 1024 * 1024  # total buffered bytes of long values
     relay_window: int = 256 * 1024  # buffered bytes of one long value
-    min_relay_window: int = 16 * 1024  # the same, however many long values share `buffer_budget`
-    max_line_size: int = 1024  # a line of a head
-    max_parts: int = 16  # parts of a command or a reply
-    max_frame_size: int = 68 * 1024  # a command or a reply in all
-    stall_timeout: float = 10.0  # a long value or a client's replies without progress are given up
-
-    # One stream.
-    max_unsent: int = 2 * 1024 * 1024  # written bytes that a peer may leave unread
-    receive_size: int = 64 * 1024  # bytes asked of a socket in one call
-    # Reads in a row of a stream that has more, before others have their turn.
+    min_relay_window: int = 16 * 1024  # lower bound when many long values share `buffer_budget`
+    max_line_size: int = 1024  # a RESP line, HTTP header line or chunk header
+    max_parts: int = 16  # elements of a command or a reply
+    max_frame_size: int = 68 * 1024  # a whole command or reply without a long value
+    stall_timeout: float = 10.0  # a transfer without progress for this long is aborted
+
+    # Streams.
+    max_unsent: int = 2 * 1024 * 1024  # queued bytes that the peer has not received yet
+    receive_size: int = 64 * 1024  # maximum bytes read from a socket in one call
+    # Consecutive reads from a stream before its reader yields to other greenlets.
     reads_per_turn: int = 4
-    max_discarding_reads: int = 4  # reads that discard unread bytes of a stream that is closed
-    buffers_per_send: int = 64  # buffers that one call hands to a socket
+    max_discarding_reads: int = 4  # reads that discard unread bytes before a close
+    buffers_per_send: int = 64  # maximum buffers in one `sendmsg` call
 
     # Clients.
-    backlog: int = 1024  # connections that wait to be accepted
-    accepts_per_turn: int = 16  # connections accepted in a row before others have their turn
-    commands_per_turn: int = 16  # commands of one client in a row before others have their turn
-    client_idle_timeout: float = 10.0  # an idle client that is owed nothing is disconnected
-    new_client_idle_timeout: float = 2.0  # the same for a client that has sent one command or none
-    new_client_grace: float = 0.25  # a new client is not evicted for its silence before this
-    # A client that comes back with RPCs may be evicted when idle so long.
+    backlog: int = 1024  # queue length of the listening socket
+    accepts_per_turn: int = 16  # connections accepted before the listener yields
+    commands_per_turn: int = 16  # commands of one client before its greenlet yields
+    client_idle_timeout: float = 10.0  # an idle client without pending replies is disconnected
+    new_client_idle_timeout: float = 2.0  # for a client that has sent at most one command
+    new_client_grace: float = 0.25  # a new client that has sent nothing is not evicted earlier
+    # A client that has sent an RPC may be evicted after this idle time.
     eviction_idle_time: float = 1.0
-    command_timeout: float = 2.5  # a command that has begun is complete, or a long one progresses
-    command_timeout_on_shortage: float = 1.0  # the same where descriptors are short
-    linger_timeout: float = 0.5  # for what a client still sends after a malformed frame
-    client_poll_interval: float = 0.05  # between checks for clients that are owed nothing
+    command_timeout: float = 2.5  # from the first byte of a command to its last one
+    command_timeout_on_shortage: float = 1.0  # the same when descriptors run out
+    linger_timeout: float = 0.5  # for reading and discarding input after a malformed frame
+    client_poll_interval: float = 0.05  # between checks for clients without pending replies
 
     # Descriptors.
-    reserved_descriptors: int = 40  # never a client's or a host's; the sum is in docs/design.md
-    min_endpoint_descriptors: int = 128  # for hosts, never for clients; at most three fifths of all
-    accept_retry_delay: float = 0.01  # between attempts to accept when none is left
+    reserved_descriptors: int = 40  # for neither clients nor endpoints; see docs/design.md
+    min_endpoint_descriptors: int = 128  # reserved for endpoints; at most 3/5 of the rest
+    accept_retry_delay: float = 0.01  # before accepting again after descriptors ran out
 
-    # Connections to hosts and to the counter.
-    connections_per_endpoint: int = 48  # connections to one host
-    # A connection is not reused for so long after a reply, where another is free.
+    # Connections to endpoints and to the counter.
+    connections_per_endpoint: int = 48  # maximum connections to one endpoint
+    # A connection is not reused for this long after a reply if another connection is available.
     reuse_delay: float = 0.01
-    counter_connections: int = 8  # connections to the counter
-    counter_idle_timeout: float = 4.0  # the counter closes idle ones after ten seconds or less
-    check_interval: float = 1.0  # between checks for idle connections
-
-    # Discovery. A change has to be known 6 s after discovery had it and could be reached, and 4 s
-    # after discovery has moved to another address. A response that is not held takes up to 1 s, so
-    # the call for it begins 5 s, or 3 s, after the call before at the latest.
-    watch_interval: float = 5.0  # from the begin of a call to that of the next
+    counter_connections: int = 8  # maximum connections to the counter
+    counter_idle_timeout: float = 4.0  # the counter closes idle connections after at most 10 s
+    check_interval: float = 1.0  # between checks for idle or stalled connections
+
+    # Discovery. The gateway has to learn of a change within 6 s of the time at which discovery has
+    # the change and is reachable, and within 4 s after discovery moves to another address. A
+    # response without a hold takes up to 1 s, so a request starts at most 5 s or 3 s after the
+    # start of the previous request.
+    watch_interval: float = 5.0  # maximum time between the starts of two requests
     first_watch_interval: float = 3.0  # the same, before the first list from an address
-    max_watch_hold: float = 3.8  # how long discovery may hold a watch
-    watch_grace: float = 1.0  # how much later than that its response may arrive
-    watch_timeout: float = 2.0  # of a call that is not held, with its dialing
-    unchanged_watch_delay: float = 0.02  # before the next watch, where nothing changed
-    initial_backoff: float = 0.1  # the wait after a first failed call, before jitter
-    max_list_size: int = 8 * 1024 * 1024  # bytes of an endpoint list
-    list_rows_per_turn: int = 128  # rows checked or applied in a row before others have their turn
-    max_load_figure: float = 1e9  # a greater value in a load report counts as none
+    max_watch_hold: float = 3.8  # maximum time for which discovery may hold a watch request
+    watch_grace: float = 1.0  # additional time for the response after the hold
+    watch_timeout: float = 2.0  # for a request without a hold, including the dial
+    unchanged_watch_delay: float = 0.02  # before the next watch request if nothing changed
+    initial_backoff: float = 0.1  # after the first failed request, before jitter
+    max_list_size: int = 8 * 1024 * 1024  # size of an endpoint list
+    list_rows_per_turn: int = 128  # rows parsed or applied before the greenlet yields
+    max_load_figure: float = 1e9  # a greater value in a load report is ignored
 
     # Draining, shutdown and hot restart.
-    change_over: float = 0.5  # clients are served as before for so long after SIGTERM or a drain
-    last_command: float = 1.8  # connections take commands for so long after a drain began
-    drain_idle: float = 0.25  # while draining, a connection that has only pinged is idle after this
-    shutdown_timeout: float = 15.0  # for clients that never disconnect
-    # The platform kills a process 0.7 s and the longest deadline, at most 3 s, after SIGTERM. The
-    # last answers are given 0.2 s before that, which is the time to send them.
-    kill_after: float = 0.5  # seconds beyond the longest deadline until the last answers are given
-    max_deadline: float = 3.0  # a longer deadline counts as this
-    transfer_timeout: float = 3.0  # the predecessor has handed over its state by then
-    # A connection that the successor has not received by then stays here.
+    change_over: float = 0.5  # normal service continues after SIGTERM or a drain request
+    last_command: float = 1.8  # open connections accept commands after a drain started
+    drain_idle: float = 0.25  # while draining, for connections that have sent no RPC
+    shutdown_timeout: float = 15.0  # for clients that do not disconnect
+    # The platform kills a process 0.7 s plus the longest deadline (at most 3 s) after SIGTERM. The
+    # gateway sends its final replies 0.2 s earlier, so that they reach the clients.
+    kill_after: float = 0.5  # time beyond the longest deadline until the final replies
+    max_deadline: float = 3.0  # upper bound of the deadline in that calculation
+    transfer_timeout: float = 3.0  # for the predecessor's transfer of its state
+    # The predecessor keeps a connection that the successor has not accepted within this time.
     handoff_timeout: float = 0.5
-    # Bytes of a command that go with a connection to the successor.
+    # Buffered bytes of a partial command that may move to the successor with a connection.
     max_handoff_data: int = 32 * 1024
-    max_packet_size: int = 256 * 1024  # one message between predecessor and successor
-    first_list_timeout: float = 1.0  # the successor takes over without an endpoint list after this
+    max_packet_size: int = 256 * 1024  # a message between predecessor and successor
+    first_list_timeout: float = 1.0  # the successor then takes over without an endpoint list
 
     # The management API.
-    max_callers: int = 8  # requests in progress
-    call_timeout: float = 5.0  # the time of one request
-    max_head_size: int = 8 * 1024  # its head
-    max_body_size: int = 1024 * 1024  # its body
+    max_callers: int = 8  # maximum concurrent requests
+    call_timeout: float = 5.0  # for one request
+    max_head_size: int = 8 * 1024  # head of a request
+    max_body_size: int = 1024 * 1024  # body of a request
 
     # The log.
-    heartbeat_interval: float = 0.1  # a timer's period, by which a stall within a poll is noticed
-    figures_interval: float = 1.0  # between log lines with counts
-    max_log_lines: int = 1000  # lines that wait for a slow reader; what exceeds them is dropped
+    heartbeat_interval: float = 0.1  # period of the timer that reveals a stall within a poll
+    figures_interval: float = 1.0  # between log lines with metrics
+    max_log_lines: int = 1000  # queued lines; further lines are dropped
 
     @classmethod
     def from_config(cls, config: ProcessConfig) -> Self:
-        """Return the limits that a configuration sets."""
+        """Return the limits for a configuration."""
         settings = config.settings
         return cls(
             sockets=config.sockets,
@@ -167,15 +168,15 @@
             attempts_per_connection=settings.streams,
             counter_timeout=settings.counter_timeout,
             max_unsent=int(
-                min(cls.max_unsent, config.memory_mb * MEBIBYTE / UNSENT_SHARE_OF_MEMORY)
+                min(cls.max_unsent, config.memory_mb * MEBIBYTE / UNSENT_MEMORY_DIVISOR)
             ),
             buffer_budget=int(
-                min(cls.buffer_budget, config.memory_mb * MEBIBYTE / WAITING_SHARE_OF_MEMORY)
+                min(cls.buffer_budget, config.memory_mb * MEBIBYTE / BUFFER_MEMORY_DIVISOR)
             ),
         )
 
     def with_settings_of(self, config: ProcessConfig) -> Self:
-        """Return these limits with those values that may change while the gateway runs."""
+        """Return these limits with the values that a reload of the settings may change."""
         settings = config.settings
         return replace(
             self,
@@ -186,18 +187,18 @@
         )
 
     def endpoint_capacity(self, clients: int) -> int:
-        """Return how many descriptors are left for connections to hosts beside so many clients."""
+        """Return how many descriptors are available for endpoints, given the number of clients."""
         return max(0, self.sockets - self.reserved_descriptors - clients)
 
     @property
     def single_command_capacity(self) -> int:
-        """How many clients that sent one command may keep their connection for a while."""
+        """The maximum number of connected clients that have sent exactly one command."""
         return self.sockets // 6
 
     @property
     def client_capacity(self) -> int:
-        """How many clients may be connected.
+        """The maximum number of connected clients.
 
-        One more is accepted where an idle client can be evicted for it.
+        At the maximum, the gateway evicts an idle client, if there is one, to accept a new client.
         """
         return self.sockets - self.reserved_descriptors - self.min_endpoint_descriptors
--- a/petrellane/net/log.py
+++ b/petrellane/net/log.py
@@ -1,7 +1,7 @@
-"""Structured log: one JSON object a line, on a descriptor whose reader may be slow.
+"""Structured log with one JSON object per line, written to a descriptor without blocking.
 
-Writing never blocks. Lines that the descriptor does not take are queued up to a bound, and what
-exceeds it is dropped and counted in a later `log_dropped` event.
+The logger queues lines that the descriptor does not accept, up to a limit. It drops further lines
+and reports their number in a later `log_dropped` event.
 """
 
 import os
@@ -11,22 +11,22 @@
 
 import orjson
 
-TRACE_ENTRIES = 4  # last entries of a formatted exception that an event carries
+MAX_TRACE_ENTRIES = 4  # entries of a formatted traceback that a `fault` event contains
 
 
 class Logger:
-    """The log of one process, made at start and used until its end."""
+    """The log of one process, which creates it at the start and uses it until the exit."""
 
     def __init__(
         self, descriptor: int, name: str, clock: Callable[[], float], max_lines: int
     ) -> None:
-        """Make a log.
+        """Create a log and set its descriptor to non-blocking mode.
 
         Args:
-            descriptor: Where lines are written; it is made non-blocking.
-            name: The gateway's name, in every line.
-            clock: Returns Unix time in seconds.
-            max_lines: How many lines may wait to be written.
+            descriptor: The open descriptor that receives the lines.
+            name: The gateway's name, which every line contains.
+            clock: A function that returns the Unix time in seconds.
+            max_lines: The maximum number of queued lines.
         """
         self.descriptor = descriptor
         self.name = name
@@ -36,8 +36,8 @@
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
-    def event(self, event: str, **figures: object) -> None:
-        """Log an event with its figures; what is not JSON is written as its `str`."""
+    def event(self, event: str, **fields: object) -> None:
+        """Log an event with its fields; `str` converts values that JSON cannot represent."""
         if len(self.pending_lines) >= self.max_lines:
             self.dropped += 1
             return
@@ -45,12 +45,12 @@
             dropped = self.dropped
             self.dropped = 0
             self.event("log_dropped", lines=dropped)
-        line = {"at": round(self.clock(), 6), "gateway": self.name, "event": event, **figures}
+        line = {"at": round(self.clock(), 6), "gateway": self.name, "event": event, **fields}
         self.pending_lines.append(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
         self.flush()
 
     def fault(self, error: BaseException) -> None:
-        """Log an exception that nothing else caught."""
+        """Log an unhandled exception with the end of its traceback."""
         self.event(
             "fault",
             error=f"{type(error).__name__}: {error}",
@@ -58,13 +58,13 @@
         )
 
     def flush(self) -> None:
-        """Write what the descriptor takes now; the rest goes with a later event or flush."""
+        """Write queued lines until the descriptor would block; a later call writes the rest."""
         while self.pending_lines:
             try:
                 written = os.write(self.descriptor, self.pending_lines[0])
             except BlockingIOError:
                 return
-            except OSError:  # nobody reads the log any more
+            except OSError:  # the reader has closed the log
                 self.pending_lines.clear()
                 return
             line = self.pending_lines.popleft()
@@ -73,5 +73,5 @@
 
 
 def _format_trace(error: BaseException) -> str:
-    """Return the last entries of an exception's traceback."""
-    return "".join(traceback.format_exception(error)[-TRACE_ENTRIES:])
+    """Return the last entries of an exception's formatted traceback."""
+    return "".join(traceback.format_exception(error)[-MAX_TRACE_ENTRIES:])
--- a/petrellane/net/scheduler.py
+++ b/petrellane/net/scheduler.py
@@ -1,12 +1,12 @@
-"""Cooperative scheduler: greenlets over `select.poll`, with timers.
+"""Cooperative scheduler: an event loop over `select.poll` with greenlets and timers.
 
-One thread runs everything. Each turn polls the registered descriptors, calls what was registered
-for those that are ready, then fires the timers that are due, then makes the calls that were
+One thread runs everything. Each turn of the loop polls the registered descriptors, calls the
+handlers of those that are ready, fires the timers that are due and then makes the calls that were
 deferred to the end of the turn. An exception in one call is reported and does not stop the others.
 
-The scheduler also notices when the process stood still (it was stopped or swapped out, or a turn
-took long): what is read after that may have arrived long before, and who decides by arrival times
-has to know.
+The scheduler also detects stalls of the process, which occur when it is stopped or swapped out or
+when a turn takes long. Data that is read after a stall may have arrived much earlier, which code
+that depends on arrival times has to take into account.
 """
 
 import heapq
@@ -18,16 +18,16 @@
 
 import greenlet
 
-EventHandler = Callable[[int], object]  # called with a mask of poll events
+EventHandler = Callable[[int], object]  # its argument is a mask of poll events
 Clock = Callable[[], float]
 
-STALL_THRESHOLD = 0.05  # seconds without a poll that count as standing still
+STALL_THRESHOLD = 0.05  # seconds without a poll that count as a stall
 MILLISECONDS = 1000
-ROUND_UP = 0.999  # a poll's milliseconds are rounded up, so that it never ends before a timer
+POLL_ROUNDING = 0.999  # rounds a poll's milliseconds up, so that it does not end before a timer
 
 
 class Timer:
-    """One pending call of a scheduler, which may be cancelled until it is due."""
+    """A pending call of a scheduler, which its creator may cancel until it is made."""
 
     __slots__ = ("call",)
 
@@ -35,36 +35,38 @@
         self.call: Callable[[], object] | None = call
 
     def cancel(self) -> None:
-        """Drop the call; no effect once it was made."""
+        """Cancel the call; no effect after the call was made."""
         self.call = None
 
 
 class Scheduler:
-    """The greenlets, descriptors and timers of one thread.
+    """An event loop that runs the greenlets, descriptors and timers of one thread.
 
-    It is made by the thread that runs it and lives as long as the process. Descriptors are watched
-    from `register` to `unregister`. A greenlet that waits is resumed by a call or by a timer.
+    The thread that runs the scheduler creates it, and it lives as long as the process. The
+    scheduler watches a descriptor from `register` to `unregister`. A handler, a deferred call or a
+    timer resumes a waiting greenlet.
 
     Attributes:
-        exception_handler: Called with each exception that nothing else caught.
-        monotonic: The clock of timers, in seconds.
-        hub: The greenlet that runs the turns; a greenlet waits by switching to it.
+        exception_handler: The function that receives each unhandled exception.
+        monotonic: The clock of the timers, in seconds.
+        hub: The greenlet that runs the loop; other greenlets wait by switching to it.
         poll: The poll object that watches the descriptors.
         event_handlers: The handler of each registered descriptor.
-        ready: Calls deferred to the end of this turn.
-        running: Whether `run` goes on after this turn.
-        unix_offset: Unix time minus the monotonic clock, taken once.
-        longest_turn: Seconds of the longest turn so far, without its poll; the reader may reset it.
+        ready: The calls that are deferred to the end of the current turn.
+        running: Whether `run` continues after the current turn.
+        unix_offset: The Unix time minus the monotonic clock, in seconds, measured once.
+        longest_turn: The duration of the longest turn without its poll, in seconds; readers may
+            reset it.
     """
 
     def __init__(
         self, monotonic: Clock = time.monotonic, stall_threshold: float = STALL_THRESHOLD
     ) -> None:
-        """Make a scheduler for this thread.
+        """Create a scheduler for the current thread.
 
         Args:
-            monotonic: Returns seconds that never go back.
-            stall_threshold: Seconds between two polls that count as standing still.
+            monotonic: A monotonic clock, in seconds.
+            stall_threshold: The time between two polls that counts as a stall, in seconds.
         """
         self.exception_handler: Callable[[Exception], object] = print
         self.monotonic = monotonic
@@ -75,33 +77,34 @@
         self.running = False
         self.unix_offset = time.time() - monotonic()
         self.longest_turn = 0.0
-        self._urgent: set[int] = set()  # descriptors whose events go first in a turn
+        self._urgent: set[int] = set()  # descriptors whose events are handled first in a turn
         self._timers: list[tuple[float, int, Timer]] = []  # a heap of (due time, order, timer)
         self._timer_order = itertools.count()
         self._stall_threshold = stall_threshold
         self._polled_at = monotonic()
-        # When what is read in this turn may have arrived first; infinite: just now.
+        # The earliest arrival time of data read in this turn; infinite without a stall.
         self._earliest_arrival = self._polled_at
 
     def now(self) -> float:
-        """Return Unix time in seconds, anchored once and advanced by the monotonic clock."""
+        """Return the Unix time in seconds, read once and advanced by the monotonic clock."""
         return self.unix_offset + self.monotonic()
 
     def earliest_arrival(self) -> float:
-        """Return the Unix time from which on what is read in this turn may have arrived.
+        """Return the earliest Unix time at which data read in this turn may have arrived.
 
-        That is now, or where the process stood still, the time of the poll before.
+        Without a stall this is the current time. After a stall between two polls it is the time
+        of the earlier poll, and after a stall within a poll the time at which that poll started.
         """
         return self.unix_offset + min(self._earliest_arrival, self.monotonic())
 
     def has_stalled(self) -> bool:
-        """Return whether what is read in this turn may have arrived some time ago."""
+        """Return whether the process stalled, so that this turn's data may have arrived earlier."""
         return self._earliest_arrival < math.inf
 
     def may_have_missed_events(self) -> bool:
-        """Return whether a peer may have left a while ago although no poll has reported it.
+        """Return whether a peer may have disconnected without a report by a poll.
 
-        So it is where the process stood still, and where this turn takes long.
+        This is the case after a stall and when the current turn exceeds the stall threshold.
         """
         return self.has_stalled() or self.monotonic() - self._polled_at > self._stall_threshold
 
@@ -113,8 +116,8 @@
         Args:
             descriptor: An open descriptor that is not registered.
             events: A mask of poll events.
-            handler: Called with the events that are ready, in each turn in which there are any.
-            urgent: Whether its events go before those of others in a turn.
+            handler: The function that receives the mask of ready events, in each turn with any.
+            urgent: Whether its events are handled before those of other descriptors in a turn.
         """
         self.event_handlers[descriptor] = handler
         if urgent:
@@ -122,42 +125,42 @@
         self.poll.register(descriptor, events)
 
     def modify(self, descriptor: int, events: int) -> None:
-        """Watch a registered descriptor for other events."""
+        """Replace the events for which a registered descriptor is watched."""
         self.poll.modify(descriptor, events)
 
     def unregister(self, descriptor: int) -> None:
         """Stop watching a descriptor.
 
         Raises:
-            KeyError: It is not registered.
+            KeyError: The descriptor is not registered.
         """
         del self.event_handlers[descriptor]
         self._urgent.discard(descriptor)
         self.poll.unregister(descriptor)
 
     def call_soon(self, call: Callable[..., object], *arguments: object) -> None:
-        """Make a call at the end of this turn."""
+        """Defer a call to the end of the current turn."""
         self.ready.append((call, arguments))
 
     def call_later(self, seconds: float, call: Callable[[], object]) -> Timer:
-        """Make a call after some seconds; zero or less means in the next turn."""
+        """Schedule a call after a delay in seconds; zero or less means the next turn."""
         timer = Timer(call)
         due = self.monotonic() + seconds
         heapq.heappush(self._timers, (due, next(self._timer_order), timer))
         return timer
 
     def spawn(self, call: Callable[..., object], *arguments: object) -> None:
-        """Run a call in a greenlet of its own, from the end of this turn."""
+        """Run a call in a new greenlet, which starts at the end of the current turn."""
         self.call_soon(greenlet.greenlet(call, self.hub).switch, *arguments)
 
     def wait(self, seconds: float | None = None) -> bool:
-        """Suspend this greenlet until somebody switches to it.
+        """Suspend the current greenlet until another greenlet or a timer switches to it.
 
         Args:
-            seconds: How long at most; None means without end, zero until the next turn.
+            seconds: The maximum time to wait; None means no limit, zero means until the next turn.
 
         Returns:
-            False when the time ran out, or whoever resumed it switched with False.
+            False if the time ran out or the greenlet was resumed with False, else True.
         """
         current = greenlet.getcurrent()
         timer = None
@@ -175,20 +178,20 @@
             self.run_once(self.poll_timeout_ms())
 
     def stop(self) -> None:
-        """Let `run` return after this turn."""
+        """Make `run` return after the current turn."""
         self.running = False
 
     def run_once(self, timeout_ms: int | None) -> None:
-        """Poll, then do all that is due.
+        """Run one turn: poll, then run handlers, due timers and deferred calls.
 
         Args:
-            timeout_ms: Milliseconds to wait for events; None means without end.
+            timeout_ms: The maximum time to wait for events, in milliseconds; None means no limit.
         """
         began = self.monotonic()
         events = self.poll.poll(timeout_ms)
         now = self.monotonic()
-        self._note_stall(began, now, timeout_ms)
-        self._deliver(events)
+        self._detect_stall(began, now, timeout_ms)
+        self._dispatch_events(events)
         self._fire_timers()
         while self.ready:
             ready = self.ready
@@ -198,7 +201,7 @@
         self.longest_turn = max(self.longest_turn, self.monotonic() - now)
 
     def poll_timeout_ms(self) -> int | None:
-        """Return the milliseconds until the next timer is due; None where there is none."""
+        """Return the milliseconds to the next timer, 0 with deferred calls, None without timers."""
         while self._timers and self._timers[0][2].call is None:
             heapq.heappop(self._timers)
         if self.ready:
@@ -206,10 +209,10 @@
         if not self._timers:
             return None
         seconds = self._timers[0][0] - self.monotonic()
-        return max(0, int(seconds * MILLISECONDS + ROUND_UP))
+        return max(0, int(seconds * MILLISECONDS + POLL_ROUNDING))
 
-    def _note_stall(self, began: float, now: float, timeout_ms: int | None) -> None:
-        """Note whether the process stood still between two polls, or within this one."""
+    def _detect_stall(self, began: float, now: float, timeout_ms: int | None) -> None:
+        """Record whether the process stalled between the last two polls or within this poll."""
         if began - self._polled_at > self._stall_threshold:
             self._earliest_arrival = self._polled_at
         elif timeout_ms is not None and now - began > timeout_ms / 1e3 + self._stall_threshold:
@@ -218,10 +221,11 @@
             self._earliest_arrival = math.inf
         self._polled_at = now
 
-    def _deliver(self, events: list[tuple[int, int]]) -> None:
-        """Call the handlers of descriptors that are ready.
+    def _dispatch_events(self, events: list[tuple[int, int]]) -> None:
+        """Call the handlers of the ready descriptors.
 
-        Peers that have left go first, as nothing more is owed to them, then urgent descriptors.
+        Disconnects are handled first, so that no more work is done for those peers, then the events
+        of urgent descriptors.
         """
         if self._urgent or any(mask & select.POLLRDHUP for _, mask in events):
             events.sort(
@@ -229,11 +233,11 @@
             )
         for descriptor, mask in events:
             handler = self.event_handlers.get(descriptor)
-            if handler:  # one before it in this turn may have unregistered it
+            if handler:  # an earlier handler of this turn may have unregistered it
                 self._call(handler, (mask,))
 
     def _fire_timers(self) -> None:
-        """Make the calls that are due; a timer that one of them sets fires in the next turn."""
+        """Make the calls of due timers; timers that these calls set fire in a later turn."""
         until = self.monotonic()
         due = []
         while self._timers and self._timers[0][0] <= until:
@@ -243,7 +247,7 @@
                 self._call(timer.call, ())
 
     def _call(self, call: Callable[..., object], arguments: tuple[object, ...]) -> None:
-        """Make a call; what it raises concerns one peer and must not reach the others."""
+        """Make a call and report its exception, which must not affect the other calls."""
         try:
             call(*arguments)
         except Exception as error:
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -1,7 +1,8 @@
 """Non-blocking TCP and Unix sockets with a read buffer and a write queue.
 
-A `Stream` is read by one greenlet, which waits in `fill`, and written by anybody without waiting.
-`open_listener` makes listening sockets, `accept_waiting` empties them. Framing is the codecs' job.
+One greenlet reads a `Stream` and waits in `fill`; any greenlet may write to it without waiting.
+`open_listener` creates listening sockets, and `accept_waiting` accepts their pending connections.
+The codecs implement framing.
 """
 
 import contextlib
@@ -22,16 +23,17 @@
 
 READ = select.POLLIN
 WRITE = select.POLLOUT
-PEER_CLOSED = select.POLLRDHUP  # the peer sends no more; reported also while there is more to read
+PEER_CLOSED = select.POLLRDHUP  # the peer ended its sending; also reported while data is unread
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 def open_listener(address: Address, backlog: int | None) -> socket.socket:
-    """Make a non-blocking socket that listens at an address.
+    """Create a non-blocking socket that listens on an address.
 
     Args:
-        address: Where to listen.
-        backlog: Connections that may wait; None means that the address is bound, and refuses.
+        address: The address to bind.
+        backlog: The length of the accept queue; None binds the address without listening, so that
+            connections to it are refused.
 
     Raises:
         OSError: The address cannot be bound.
@@ -52,15 +54,16 @@
 def accept_waiting(
     listener: socket.socket, max_count: int, on_out_of_descriptors: Callable[[OSError], object]
 ) -> Iterator[socket.socket]:
-    """Accept the connections that wait at a listening socket.
+    """Accept the pending connections of a listening socket.
 
     Args:
         listener: A non-blocking listening socket.
-        max_count: How many to accept at most.
-        on_out_of_descriptors: Called where a connection waits and no descriptor is left for it.
+        max_count: The maximum number of connections to accept.
+        on_out_of_descriptors: The function to call when no descriptor is available for a pending
+            connection.
 
     Yields:
-        Each connection.
+        The socket of each accepted connection.
     """
     for _ in range(max_count):
         try:
@@ -73,33 +76,34 @@
             return
 
 
-class Closed(Exception):  # noqa: N818 - the end of a connection is no error of the program
-    """The peer has ended the connection, or it broke."""
+class Closed(Exception):  # noqa: N818 - the end of a connection is not a program error
+    """The connection is over: the peer closed it, it broke, or this process closed it."""
 
 
-class Ended(Closed):
-    """The peer has ended its sending in order, and all of it is read; a reset is no such end."""
+class EndOfStream(Closed):
+    """The peer ended its sending without a reset, and all received bytes have been read."""
 
 
 class Stream:
-    """One connection, from `dial` or an accepted socket until `close` or `release`.
+    """A connection, from `dial` or an accepted socket until `close` or `release`.
 
     Attributes:
         scheduler: The scheduler that watches the socket.
-        limits: Sizes and counts of the reads and writes.
+        limits: The limits for reads and writes.
         sock: The socket, which the stream owns.
-        buffer: Bytes read and not yet consumed; the reader deletes what it consumes.
-        unsent: Buffers that the socket has not taken yet.
-        bytes_queued: Bytes handed over for writing so far.
-        bytes_sent: Bytes written so far.
-        reader: The greenlet that waits for bytes, if one does.
-        broken: Why the stream is over; None while it is not.
-        is_broken_by_write: Whether it broke while writing, so that bytes that came before may still
-            be read.
-        on_flushed: Called after bytes have been written, if set.
-        on_connection_lost: Called when the stream breaks while nobody reads, if set.
+        buffer: The bytes that were read but not consumed; the reader deletes consumed bytes.
+        unsent: The queued buffers that the socket has not accepted yet.
+        bytes_queued: The total number of bytes queued for writing.
+        bytes_sent: The total number of bytes written to the socket.
+        reader: The greenlet that waits for bytes; None where there is none.
+        broken: The error that ended the stream; None while the stream is usable.
+        is_broken_by_write: Whether a write broke the stream, in which case bytes that arrived
+            earlier can still be read.
+        on_flushed: The function to call after each flush; None where there is none.
+        on_connection_lost: The function to call when the stream breaks without a waiting reader;
+            None where there is none.
         is_reading_paused: Whether reading is suspended.
-        eof_requested: Whether our sending ends once all is written.
+        eof_requested: Whether the stream ends its sending when all queued bytes are written.
     """
 
     def __init__(
@@ -110,15 +114,15 @@
         urgent: bool = False,
         break_on_half_close: bool = False,
     ) -> None:
-        """Take over a socket and watch it.
+        """Take ownership of a socket and watch it.
 
         Args:
             scheduler: The scheduler that watches the socket.
-            limits: Sizes and counts of the reads and writes.
-            sock: An open socket; it is made non-blocking.
-            urgent: Whether its events go before those of others in a turn.
-            break_on_half_close: Whether the stream breaks at once where its peer ends its sending,
-                also while there is more to read and while nobody reads.
+            limits: The limits for reads and writes.
+            sock: An open socket; the stream sets it to non-blocking mode.
+            urgent: Whether its events are handled before those of other descriptors in a turn.
+            break_on_half_close: Whether the stream breaks as soon as the peer ends its sending,
+                even with unread data or without a waiting reader.
         """
         self.scheduler = scheduler
         self.limits = limits
@@ -136,7 +140,7 @@
         self.eof_requested = False
         self._always_watched = PEER_CLOSED if break_on_half_close else 0
         self._dialing = False
-        self._reads_in_row = 0  # since the socket last had nothing
+        self._reads_in_row = 0  # since the socket last had no data
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -149,12 +153,13 @@
 
         Args:
             scheduler: The scheduler that watches the socket.
-            limits: Sizes and counts of the reads and writes.
-            address: Where to connect.
-            timeout: Seconds until the attempt is given up.
+            limits: The limits for reads and writes.
+            address: The address of the peer.
+            timeout: The time limit for the connection attempt, in seconds.
 
         Raises:
-            OSError: The connection is not up in time (TimeoutError), or is refused.
+            OSError: The connection failed, for example because the peer refused it; TimeoutError
+                if the attempt timed out.
         """
         stream = cls(scheduler, limits, socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         try:
@@ -178,11 +183,11 @@
         self.reader = None
         self._dialing = False
         if not in_time:
-            raise TimeoutError("no connection in time")
+            raise TimeoutError(f"the connection was not established within {timeout:g} s")
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
-            raise OSError(error, "no connection")
-        self.sock.getpeername()  # raises where it is not up after all
+            raise OSError(error, "the connection attempt failed")
+        self.sock.getpeername()  # raises an error if the socket is not connected
         self._watch(READ)
 
     def _watch(self, events: int) -> None:
@@ -196,7 +201,7 @@
         return reading | writing | self._always_watched
 
     def set_reading_paused(self, paused: bool) -> None:
-        """Suspend reading, or resume it; meanwhile the kernel slows the peer down."""
+        """Suspend or resume reading; during a suspension, flow control slows the peer down."""
         self.is_reading_paused = paused
         self._watch(self._wanted_events())
 
@@ -216,13 +221,16 @@
     def fill(self, timeout: float | None = None) -> None:
         """Wait for more bytes and append them to `buffer`.
 
+        After several consecutive reads the reader yields to other greenlets, so that a fast peer
+        cannot starve them.
+
         Args:
-            timeout: Seconds to wait at most; None means without end. Others have their turn in
-                between, however fast the peer sends.
+            timeout: The maximum time to wait, in seconds; None means no limit.
 
         Raises:
-            Closed: There will be no more (`Ended` where the peer ended its sending in order).
-            TimeoutError: Nothing came in time.
+            Closed: No more bytes will arrive; `EndOfStream` if the peer ended its sending without
+                a reset.
+            TimeoutError: No bytes arrived in time.
         """
         while True:
             if self.broken and not self.is_broken_by_write:
@@ -232,8 +240,8 @@
                 self._wait_readable(timeout)
                 continue
             if not data:
-                # Where a write has found a reset, a read finds an end, which it is not.
-                raise self.broken or Ended("ended by the peer")
+                # After a write failed with a reset, a read reports the end of the stream instead.
+                raise self.broken or EndOfStream("closed by the peer")
             self.buffer += data
             self._reads_in_row += 1
             if self._reads_in_row >= self.limits.reads_per_turn:
@@ -242,7 +250,7 @@
             return
 
     def _receive(self) -> bytes | None:
-        """Return what the socket has, empty at the peer's end; None where it has nothing now."""
+        """Return available bytes: empty at the end of the stream, None if no data is available."""
         if self.is_reading_paused:
             return None
         try:
@@ -260,25 +268,26 @@
         in_time = self.scheduler.wait(timeout)
         self.reader = None
         if not in_time:
-            raise TimeoutError("nothing came in time")
+            raise TimeoutError("no bytes arrived before the timeout")
 
     def write(self, *pieces: bytes | bytearray | memoryview) -> None:
-        """Write buffers behind what is queued; what the socket does not take is written later.
+        """Queue buffers and write as much as the socket accepts; the rest is written later.
 
-        A peer that leaves too much unread, or is gone, breaks the stream, which its reader learns.
+        The stream breaks if the peer has disconnected or if more than `limits.max_unsent` bytes are
+        queued. The reader of the stream receives the error.
         """
         if self.unsent and self.bytes_queued - self.bytes_sent > self.limits.max_unsent:
-            self.fail("the peer reads nothing")
+            self.fail(f"more than {self.limits.max_unsent} unsent bytes")
             return
         for piece in pieces:
-            if len(piece):  # an empty one would never be gone: the socket takes nothing of it
+            if len(piece):  # `_send_some` never removes an empty buffer from the queue
                 self.unsent.append(memoryview(piece))
                 self.bytes_queued += len(piece)
         if not self._dialing and not self._watched_events & WRITE:
             self.flush()
 
     def flush(self) -> None:
-        """Write what the socket takes now."""
+        """Write queued bytes until the socket would block."""
         try:
             while self.unsent:
                 self._send_some()
@@ -294,7 +303,7 @@
             self.on_flushed()
 
     def _send_some(self) -> None:
-        """Hand queued buffers to the socket once and drop what it took from the queue."""
+        """Call `sendmsg` once and remove the bytes that it accepted from the queue."""
         taken = self.sock.sendmsg(list(itertools.islice(self.unsent, self.limits.buffers_per_send)))
         self.bytes_sent += taken
         while taken:
@@ -305,26 +314,26 @@
             taken -= len(self.unsent.popleft())
 
     def fail_closed_by_peer(self) -> None:
-        """Break the stream and stop watching it.
+        """Break the stream, which the peer has closed, and stop watching its socket.
 
-        Both directions are over, and each poll would report so again for as long as nobody reads.
+        A watched socket would be reported again by each poll until a reader takes the error.
         """
         self.scheduler.unregister(self.sock.fileno())
-        self.fail("ended by the peer")
+        self.fail("closed by the peer")
 
     def limit_kernel_buffer(self, option: int) -> None:
-        """Limit a buffer of the kernel to the window of a long value.
+        """Limit a kernel buffer of the socket to `limits.relay_window`.
 
-        The kernel's memory counts as the process's, and grows to megabytes.
+        Kernel buffers count towards the memory of the process and can grow to megabytes.
 
         Args:
-            option: SO_RCVBUF or SO_SNDBUF.
+            option: The socket option, SO_RCVBUF or SO_SNDBUF.
         """
-        with contextlib.suppress(OSError):  # the connection is over, which its reader learns
+        with contextlib.suppress(OSError):  # the connection is over; the reader receives the error
             self.sock.setsockopt(socket.SOL_SOCKET, option, self.limits.relay_window)
 
     def detach(self) -> None:
-        """Stop watching and writing the socket, which is handed to somebody else."""
+        """Stop watching the socket before it is passed to another owner."""
         if self.sock.fileno() in self.scheduler.event_handlers:
             self.scheduler.unregister(self.sock.fileno())
 
@@ -334,7 +343,7 @@
         self.scheduler.register(self.sock.fileno(), self._watched_events, self._on_events)
 
     def fail(self, reason: str) -> None:
-        """Break the stream; its reader learns of it at the end of this turn."""
+        """Break the stream; its reader receives the error at the end of the current turn."""
         self.unsent.clear()
         if not self.broken:
             self.broken = Closed(reason)
@@ -347,13 +356,13 @@
             self.on_connection_lost()
 
     def is_closed_by_peer(self) -> bool:
-        """Return whether the peer has ended its sending, also where no poll has reported it yet."""
+        """Return whether the peer has ended its sending, even if no poll has reported it yet."""
         poll = select.poll()
         poll.register(self.sock.fileno(), PEER_CLOSED)
         return bool(poll.poll(0))
 
     def is_read_idle(self) -> bool:
-        """Return whether the peer has neither sent nor ended anything that is not read yet."""
+        """Return whether the socket has neither unread bytes nor an unread end of the stream."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -363,38 +372,38 @@
         return False
 
     def write_eof(self) -> None:
-        """End our sending once all is written; what the peer still sends can be read."""
+        """End the sending direction when all queued bytes are written; reading remains possible."""
         self.eof_requested = True
         if not self.unsent:
             self.shutdown_write()
 
     def shutdown_write(self) -> None:
-        """End our sending at once."""
-        with contextlib.suppress(OSError):  # the connection is over, or was never up
+        """End the sending direction immediately."""
+        with contextlib.suppress(OSError):  # the connection is over or was never established
             self.sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """End the connection at once; its reader, if another greenlet, ends with Closed.
+        """Close the connection immediately; a waiting reader receives `Closed`.
 
-        Our end goes out first, and what has come is discarded: closing a socket with unread bytes
-        is a reset, which takes with it what the kernel still holds of our last ones.
+        The stream first ends its sending and discards unread bytes. If a socket is closed with
+        unread bytes, the kernel resets the connection and drops the bytes it has not sent yet.
         """
         if self.sock.fileno() < 0:
             return
         self.shutdown_write()
-        with contextlib.suppress(OSError):  # nothing more has come
+        with contextlib.suppress(OSError):  # no more bytes are available, or the connection is over
             for _ in range(self.limits.max_discarding_reads):
                 if not self.sock.recv(self.limits.receive_size):
                     break
         self.release()
 
     def release(self) -> None:
-        """Close our descriptor without a word to the peer.
+        """Close the descriptor without ending the sending direction first.
 
-        For a socket that is over, or that another process has now.
+        The caller uses this for a connection that is over or that another process now owns.
         """
         if self.sock.fileno() < 0:
             return
         self.detach()
         self.sock.close()
-        self.fail("closed here")
+        self.fail("closed by this process")
--- a/tests/unit/test_log.py
+++ b/tests/unit/test_log.py
@@ -1,4 +1,4 @@
-"""What the log writes of an exception that nothing caught."""
+"""Unit tests of the log event for an unhandled exception."""
 
 import builtins
 import errno
@@ -14,14 +14,14 @@
 
 
 class LoggedLines:
-    """A log on a pipe, and what was written to it."""
+    """A logger that writes to a pipe, and the reader of the pipe."""
 
     def __init__(self) -> None:
         self.reader, self.writer = os.pipe()
         self.logger = Logger(self.writer, "gateway", lambda: 0.0, 9)
 
     def event(self) -> dict[str, object]:
-        """Return the one event that was written."""
+        """Return the only event in the pipe."""
         event: dict[str, object] = json.loads(os.read(self.reader, 1 << 16))
         return event
 
@@ -57,7 +57,7 @@
         raise OSError(errno.EMFILE, "Too many open files")
 
     error = raised_error()
-    linecache.clearcache()  # the lines of the sources would have to be read
+    linecache.clearcache()  # formatting the traceback then has to read the source files
     monkeypatch.setattr(builtins, "open", open_without_descriptors)
     monkeypatch.setattr(tokenize, "open", open_without_descriptors)
     lines.logger.fault(error)
