--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -79,7 +79,7 @@
         self.lifecycle = Lifecycle(
             self.limits.change_over,
             self.limits.last_command,
-            self.limits.kill_after,
+            self.limits.final_reply_delay,
             self.limits.max_deadline,
         )
         buffer_budget = BufferBudget(self.limits)
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -133,7 +133,7 @@
     shutdown_timeout: float = 15.0  # for clients that do not disconnect
     # The platform kills a process 0.7 s plus the longest deadline (at most 3 s) after SIGTERM. The
     # gateway sends its final replies 0.2 s earlier, so that they reach the clients.
-    kill_after: float = 0.5  # time beyond the longest deadline until the final replies
+    final_reply_delay: float = 0.5  # time beyond the longest deadline until the final replies
     max_deadline: float = 3.0  # upper bound of the deadline in that calculation
     transfer_timeout: float = 3.0  # for the predecessor's transfer of its state
     # The predecessor keeps a connection that the successor has not accepted within this time.
