--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -77,7 +77,7 @@
         self.configuration = ConfigurationChanges(self)
         self.executor = ActionExecutor(config, self.runtime)
         self.lifecycle = Lifecycle(
-            self.limits.change_over,
+            self.limits.drain_delay,
             self.limits.last_command,
             self.limits.final_reply_delay,
             self.limits.max_deadline,
@@ -334,8 +334,8 @@
         if self.client_listener.successor:  # clients go to the next process, not away
             self._end_clients()
             return
-        change_over = self.lifecycle.since + self.limits.change_over - self.scheduler.now()
-        self.scheduler.call_later(max(0.0, change_over), self._end_clients)
+        drain_delay = self.lifecycle.since + self.limits.drain_delay - self.scheduler.now()
+        self.scheduler.call_later(max(0.0, drain_delay), self._end_clients)
 
     def _end_clients(self) -> None:
         self.client_listener.end(self._stop)
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -127,7 +127,7 @@
     max_load_figure: float = 1e9  # a greater value in a load report is ignored
 
     # Draining, shutdown and hot restart.
-    change_over: float = 0.5  # normal service continues after SIGTERM or a drain request
+    drain_delay: float = 0.5  # normal service continues after SIGTERM or a drain request
     last_command: float = 1.8  # open connections accept commands after a drain started
     drain_idle: float = 0.25  # while draining, for connections that have sent no RPC
     shutdown_timeout: float = 15.0  # for clients that do not disconnect
