--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -78,7 +78,7 @@
         self.executor = ActionExecutor(config, self.runtime)
         self.lifecycle = Lifecycle(
             self.limits.drain_delay,
-            self.limits.last_command,
+            self.limits.drain_command_timeout,
             self.limits.final_reply_delay,
             self.limits.max_deadline,
         )
