--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -145,7 +145,7 @@
 
     # The management API.
     max_concurrent_requests: int = 8  # maximum concurrent requests
-    call_timeout: float = 5.0  # for one request
+    request_timeout: float = 5.0  # for one request
     max_head_size: int = 8 * 1024  # head of a request
     max_body_size: int = 1024 * 1024  # body of a request
 
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -119,13 +119,13 @@
 
     def _serve(self, stream: Stream) -> None:
         """Answer one request, then end; what follows its head is read and ignored."""
-        deadline = self._scheduler.now() + self.limits.call_timeout
+        deadline = self._scheduler.now() + self.limits.request_timeout
         try:
             stream.write(self._answer(stream, deadline))
             self.callers.pop(stream, None)
             self.answered[stream] = None
             stream.write_eof()
-            linger = self.limits.call_timeout if stream.unsent else self.limits.linger_timeout
+            linger = self.limits.request_timeout if stream.unsent else self.limits.linger_timeout
             deadline = self._scheduler.now() + linger
             while (remaining := deadline - self._scheduler.now()) > 0:
                 stream.buffer.clear()
