--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -144,7 +144,7 @@
     first_list_timeout: float = 1.0  # the successor then takes over without an endpoint list
 
     # The management API.
-    max_concurrent_requests: int = 8  # maximum concurrent requests
+    max_requests: int = 8  # maximum concurrent requests
     request_timeout: float = 5.0  # for one request
     max_head_size: int = 8 * 1024  # head of a request
     max_body_size: int = 1024 * 1024  # body of a request
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -246,7 +246,7 @@
             return
         for sock in accept_waiting(self._listener, 1, self._on_descriptor_shortage):
             if (
-                len(self.links) >= self._limits.max_concurrent_requests
+                len(self.links) >= self._limits.max_requests
             ):  # the oldest that is no successor makes way
                 next(link for link in self.links if link is not self._successor).close()
             link = MessageLink(
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -112,7 +112,7 @@
     def _make_room(self) -> None:
         """Close the oldest connection, one that got its answer before one that did not."""
         for streams in (self.answered, self.callers):
-            if streams and len(self.callers) + len(self.answered) >= self.limits.max_concurrent_requests:
+            if streams and len(self.callers) + len(self.answered) >= self.limits.max_requests:
                 oldest = next(iter(streams))
                 del streams[oldest]
                 oldest.close()
