--- a/petrellane/config/consensus.py
+++ b/petrellane/config/consensus.py
@@ -145,7 +145,7 @@
     if not 0 < len(name) <= MAX_NAME_LENGTH:
         raise ConfigError("name", f"1 to {MAX_NAME_LENGTH} characters", abbreviate(name))
     if unknown_keys := sorted(section.value.keys() - _CONTROL_KEYS):
-        raise ConfigError(unknown_keys[0], "no such key")
+        raise ConfigError(unknown_keys[0], f"a key among {', '.join(sorted(_CONTROL_KEYS))}")
     return ControlConfig(
         name=name,
         listen=section.address("listen"),
--- a/petrellane/config/reload.py
+++ b/petrellane/config/reload.py
@@ -36,7 +36,7 @@
     for key, value in current.items():
         key_path = f"{path}.{key}".lstrip(".")
         if value is not None and new.get(key) is None:
-            raise ConfigError.missing(key_path, "it as in the file in force")
+            raise ConfigError.missing(key_path, "a value, as in the configuration in force")
         if isinstance(value, dict) and isinstance(new[key], dict):
             check_no_key_removed(value, new[key], key_path)
 
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -129,7 +129,7 @@
     # Draining, shutdown and hot restart.
     drain_delay: float = 0.5  # normal service continues after SIGTERM or a drain request
     drain_command_timeout: float = 1.8  # open connections accept commands after a drain started
-    drain_idle: float = 0.25  # while draining, for connections that have sent no RPC
+    drain_idle: float = 0.25  # idle timeout in a drain, for connections that have sent no RPC
     shutdown_timeout: float = 15.0  # for clients that do not disconnect
     # The platform kills a process 0.7 s plus the longest deadline (at most 3 s) after SIGTERM. The
     # gateway sends its final replies 0.2 s earlier, so that they reach the clients.
--- a/tests/unit/config/test_config.py
+++ b/tests/unit/config/test_config.py
@@ -1,4 +1,4 @@
-"""Unit tests of configuration parsing: typed values, and errors that name key and expectation."""
+"""Unit tests of configuration parsing: typed values, and errors with key and expected value."""
 
 import pathlib
 
@@ -100,7 +100,8 @@
     current = {"limits": {"sockets": 64}, "classes": [{"name": "a"}], "unset": None}
     check_no_key_removed(current, {"limits": {"sockets": 80, "more": 1}, "classes": []})
     with pytest.raises(
-        ConfigError, match=r"^limits\.sockets: missing, expected it as in the file in force$"
+        ConfigError,
+        match=r"^limits\.sockets: missing, expected a value, as in the configuration in force$",
     ):
         check_no_key_removed(current, {"limits": {}, "classes": []})
 
@@ -116,5 +117,8 @@
     assert (config.name, config.listen, config.key) == ("c", ("h", 1), b"k" * 16)
     assert (config.journal, config.members) == (str(tmp_path / "journal"), {"a": [("h", 2)]})
     file.write_text("extra = 1\n" + text + '[gateways]\na = "h:2"\n')
-    with pytest.raises(ConfigError, match=r"^extra: expected no such key$"):
+    with pytest.raises(
+        ConfigError,
+        match=r"^extra: expected a key among gateways, journal, key_file, listen, name$",
+    ):
         load_control_config(str(file))
