--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -308,7 +308,7 @@
         if outcome == OK:
             self._finish(attempt.rpc, replies.value_head(len(value)), value, replies.VALUE_END)
         is_over = attempt.rpc not in self.requests
-        figures = parse_load_report(report, self.limits.max_load_figure)
+        figures = parse_load_report(report, self.limits.max_load_metric)
         cost = figures.pop(COST_FIGURE, 0.0)
         self._notify_controller(
             attempt.rpc,
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -124,7 +124,7 @@
     initial_backoff: float = 0.1  # after the first failed request, before jitter
     max_list_size: int = 8 * 1024 * 1024  # size of an endpoint list
     list_rows_per_turn: int = 128  # rows parsed or applied before the greenlet yields
-    max_load_figure: float = 1e9  # a greater value in a load report is ignored
+    max_load_metric: float = 1e9  # a greater value in a load report is ignored
 
     # Draining, shutdown and hot restart.
     drain_delay: float = 0.5  # normal service continues after SIGTERM or a drain request
