--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -267,7 +267,7 @@
 
     def log_figures(self) -> None:
         """Log what was counted since the last line, if anything; a line a second at most."""
-        self.scheduler.call_later(self.limits.figures_interval, self.log_figures)
+        self.scheduler.call_later(self.limits.metrics_interval, self.log_figures)
         executor = self.executor
         counts = executor.counts
         executor.counts = Counter()
--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -151,7 +151,7 @@
 
     # The log.
     heartbeat_interval: float = 0.1  # period of the timer that reveals a stall within a poll
-    figures_interval: float = 1.0  # between log lines with metrics
+    metrics_interval: float = 1.0  # between log lines with metrics
     max_log_lines: int = 1000  # queued lines; further lines are dropped
 
     @classmethod
