--- a/petrellane/config/process.py
+++ b/petrellane/config/process.py
@@ -53,7 +53,7 @@
         known: The last known endpoint list.
         settings: The methods, the plans and the options of the site.
         consensus: The configuration of the agreement on settings; None where it is disabled.
-        figures_by_endpoint: Whether the metrics in the log count attempts by endpoint.
+        metrics_by_endpoint: Whether the metrics in the log count attempts by endpoint.
         raw: The JSON object that was read, without the endpoint list.
     """
 
@@ -69,7 +69,7 @@
     known: EndpointListUpdate
     settings: Settings
     consensus: "ConsensusConfig | None"
-    figures_by_endpoint: bool
+    metrics_by_endpoint: bool
     raw: JsonObject
 
     def with_settings(self, settings: JsonObject) -> "Config":
@@ -144,7 +144,7 @@
         listen_fd=_parse_listen_fd(environment.get("PROXY_LISTEN_FD")),
         management=management,
         consensus=_parse_consensus(section, name, management),
-        figures_by_endpoint=section.section("figures", {}).flag("hosts"),
+        metrics_by_endpoint=section.section("figures", {}).flag("hosts"),
         counter=section.address("counter") if settings.uses_counter else None,
         seed=seed,
         memory_mb=limits.number("memory_mb", _DEFAULT_MEMORY_MB),
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -107,7 +107,7 @@
         # Figures since the last line of the log; attempts by endpoint where the settings ask.
         self.counts: Counter[str] = Counter()
         self.attempts_by_address: Counter[str] | None = (
-            Counter() if config.figures_by_endpoint else None
+            Counter() if config.metrics_by_endpoint else None
         )
         self.final_deadline = math.inf  # when all open requests have ended, once we are ending
         self.endpoint_pools: EndpointPools
