--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -77,7 +77,7 @@
     stall_timeout: float = 10.0  # a transfer without progress for this long is aborted
 
     # Streams.
-    max_unsent: int = 2 * 1024 * 1024  # queued bytes that the peer has not received yet
+    max_unsent: int = 2 * 1024 * 1024  # queued bytes that the socket has not accepted yet
     receive_size: int = 64 * 1024  # maximum bytes read from a socket in one call
     # Consecutive reads from a stream before its reader yields to other greenlets.
     reads_per_turn: int = 4
