--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -106,7 +106,7 @@
         # Counts since the last log line with figures; those by endpoint only if configured.
         self.counts: Counter[str] = Counter()
         self.attempts_by_address: Counter[str] | None = (
-            Counter() if config.figures_by_endpoint else None
+            Counter() if config.metrics_by_endpoint else None
         )
         # The Unix time at which a process that shuts down expires all open requests.
         self.final_deadline = math.inf
@@ -320,7 +320,7 @@
         if outcome == OK:
             self._finish(attempt.rpc, replies.value_head(len(value)), value, replies.VALUE_END)
         is_over = attempt.rpc not in self.requests
-        figures = parse_load_report(report, self.limits.max_load_figure)
+        figures = parse_load_report(report, self.limits.max_load_metric)
         cost = figures.pop(COST_METRIC, 0.0)
         self._notify_controller(
             attempt.rpc,
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -81,9 +81,9 @@
         self.configuration = ConfigurationChanges(self)
         self.executor = ActionExecutor(config, self.runtime)
         self.lifecycle = Lifecycle(
-            self.limits.change_over,
-            self.limits.last_command,
-            self.limits.kill_after,
+            self.limits.drain_delay,
+            self.limits.drain_command_timeout,
+            self.limits.final_reply_delay,
             self.limits.max_deadline,
         )
         buffer_budget = BufferBudget(self.limits)
@@ -281,7 +281,7 @@
 
     def log_figures(self) -> None:
         """Log the counts since the last `figures` line, if there are any."""
-        self.scheduler.call_later(self.limits.figures_interval, self.log_figures)
+        self.scheduler.call_later(self.limits.metrics_interval, self.log_figures)
         executor = self.executor
         counts = executor.counts
         executor.counts = Counter()
@@ -340,7 +340,7 @@
     def end(self) -> None:
         """Shut down gracefully.
 
-        Clients are served as before for `change_over` seconds from the start of the shutdown, or of
+        Clients are served as before for `drain_delay` seconds from the start of the shutdown, or of
         an earlier drain, unless a successor has taken over. The gateway then closes each client
         once its replies are written, and stops. Requests that are still open at the final deadline
         expire.
@@ -358,8 +358,8 @@
         if self.client_listener.successor:  # clients go to the successor: no changeover time
             self._close_clients()
             return
-        change_over = self.lifecycle.draining_since + self.limits.change_over - self.scheduler.now()
-        self.scheduler.call_later(max(0.0, change_over), self._close_clients)
+        drain_delay = self.lifecycle.draining_since + self.limits.drain_delay - self.scheduler.now()
+        self.scheduler.call_later(max(0.0, drain_delay), self._close_clients)
 
     def _close_clients(self) -> None:
         self.client_listener.end(self._stop)
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -264,7 +264,7 @@
         if not self._listener:
             return
         for sock in accept_waiting(self._listener, 1, self._on_descriptor_shortage):
-            if len(self.links) >= self._limits.max_callers:
+            if len(self.links) >= self._limits.max_requests:
                 # Closes the oldest link that does not belong to the successor.
                 next(link for link in self.links if link is not self._successor).close()
             link = MessageLink(
--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -117,20 +117,20 @@
     def _evict_oldest(self) -> None:
         """Close the oldest connection if the limit is reached, preferably one with a response."""
         for streams in (self.answered, self.unanswered):
-            if streams and len(self.unanswered) + len(self.answered) >= self.limits.max_callers:
+            if streams and len(self.unanswered) + len(self.answered) >= self.limits.max_requests:
                 oldest = next(iter(streams))
                 del streams[oldest]
                 oldest.close()
 
     def _serve(self, stream: Stream) -> None:
         """Answer one request and close the connection; further input is read and discarded."""
-        deadline = self._scheduler.now() + self.limits.call_timeout
+        deadline = self._scheduler.now() + self.limits.request_timeout
         try:
             stream.write(self._answer(stream, deadline))
             self.unanswered.pop(stream, None)
             self.answered[stream] = None
             stream.write_eof()
-            linger = self.limits.call_timeout if stream.unsent else self.limits.linger_timeout
+            linger = self.limits.request_timeout if stream.unsent else self.limits.linger_timeout
             deadline = self._scheduler.now() + linger
             while (remaining := deadline - self._scheduler.now()) > 0:
                 stream.buffer.clear()
