--- a/benchmarks/slow_start_spans.py
+++ b/benchmarks/slow_start_spans.py
@@ -1,8 +1,8 @@
 """Follows the load on endpoints that warm up, span by span, for `slow_start.py`.
 
 `SpanTracker` takes the records of a run in order of time and adds up what each endpoint got in any
-span of `Terms.overload_for` seconds. It holds that against the operators' bound for warming-up
-endpoints, and notes what warm endpoints got meanwhile. Free of I/O.
+span of `RuleParameters.overload_for` seconds. It holds that against the operators' bound for
+warming-up endpoints, and notes what warm endpoints got meanwhile. Free of I/O.
 """
 
 from collections import Counter, defaultdict, deque
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from petrellane import invariants
-from petrellane.invariants import AttemptArrived, Record, Terms
+from petrellane.invariants import AttemptArrived, Record, RuleParameters
 from petrellane.invariants.records import KILLED
 
 # A gateway knows of a start when it was notified of a start at most this much earlier.
@@ -81,7 +81,7 @@
 class SpanTracker:
     """Adds up the load on the endpoints of one run; lives as long as the run."""
 
-    def __init__(self, terms: Terms, hosts: Iterable[Any], capacity: float) -> None:
+    def __init__(self, terms: RuleParameters, hosts: Iterable[Any], capacity: float) -> None:
         """Follow these hosts.
 
         Args:
--- a/petrellane/invariants/__init__.py
+++ b/petrellane/invariants/__init__.py
@@ -42,7 +42,7 @@
     NON_IDEMPOTENT,
     HardLimit,
     MethodRule,
-    Terms,
+    RuleParameters,
 )
 from petrellane.invariants.verdict import (
     COLD_START,
@@ -89,8 +89,8 @@
     "RpcAnswered",
     "RpcExecuted",
     "RpcReceived",
+    "RuleParameters",
     "StateRetained",
-    "Terms",
     "Verdict",
     "Violation",
 ]
--- a/petrellane/invariants/checker.py
+++ b/petrellane/invariants/checker.py
@@ -32,7 +32,7 @@
     RpcReceived,
     StateRetained,
 )
-from petrellane.invariants.terms import Terms
+from petrellane.invariants.terms import RuleParameters
 from petrellane.invariants.verdict import RETAINED, Verdict, ViolationLog
 
 
@@ -48,7 +48,7 @@
         hard_limits: The rule on hard limits, with the customers' token buckets.
     """
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: RuleParameters) -> None:
         """Make a checker of a run that begins now."""
         self.terms = terms
         self.log = ViolationLog(terms.max_violations)
--- a/petrellane/invariants/cold_starts.py
+++ b/petrellane/invariants/cold_starts.py
@@ -1,9 +1,9 @@
 """Rule `cold`: no host is overloaded while it warms up.
 
-A cold host collapses when it gets more RPCs of mean work in a span of `overload_for` than
-`Terms.cold_budget` gives. The rule breaks at the first collapse of which two thirds or more came
-from gateways that had been notified of the start. All work that reaches the host counts, rejected
-or not.
+The rule is broken if a host receives more RPCs of mean work within a span of `overload_for` than
+`RuleParameters.cold_budget` permits, and at least two thirds of that work come from gateways that
+had been notified of the start. All work that reaches the host counts, whether the host rejects it
+or not. One start counts as broken at most once.
 """
 
 from collections import deque
@@ -12,7 +12,7 @@
 
 from petrellane.invariants.endpoint_views import EndpointViews
 from petrellane.invariants.records import AttemptArrived, EndpointStarted, Id
-from petrellane.invariants.terms import Terms
+from petrellane.invariants.terms import RuleParameters
 from petrellane.invariants.verdict import COLD_START, ViolationLog
 
 CLOCK_TOLERANCE = 1e-3  # seconds by which a notified start may differ from the true one
@@ -39,7 +39,7 @@
 class ColdStarts:
     """Judges the load of cold hosts of one run."""
 
-    def __init__(self, terms: Terms, views: EndpointViews, log: ViolationLog) -> None:
+    def __init__(self, terms: RuleParameters, views: EndpointViews, log: ViolationLog) -> None:
         """Judge by these terms, and by what gateways were notified of, into a log."""
         self._terms = terms
         self._views = views
--- a/petrellane/invariants/draining.py
+++ b/petrellane/invariants/draining.py
@@ -5,14 +5,14 @@
 
 from petrellane.invariants.endpoint_views import EndpointViews
 from petrellane.invariants.records import READY, AttemptSent
-from petrellane.invariants.terms import Terms
+from petrellane.invariants.terms import RuleParameters
 from petrellane.invariants.verdict import DRAINING, ViolationLog
 
 
 class Draining:
     """Judges where attempts of one run go."""
 
-    def __init__(self, terms: Terms, views: EndpointViews, log: ViolationLog) -> None:
+    def __init__(self, terms: RuleParameters, views: EndpointViews, log: ViolationLog) -> None:
         """Judge by these terms, and by what gateways were notified of, into a log."""
         self._terms = terms
         self._views = views
--- a/petrellane/invariants/effects.py
+++ b/petrellane/invariants/effects.py
@@ -14,7 +14,7 @@
     NON_IDEMPOTENT,
     SAME_ZONE,
     MethodRule,
-    Terms,
+    RuleParameters,
 )
 from petrellane.invariants.verdict import DUPLICATED, ViolationLog
 
@@ -24,7 +24,7 @@
 class Effects:
     """Judges attempts, rejections and executions of one run."""
 
-    def __init__(self, terms: Terms, log: ViolationLog) -> None:
+    def __init__(self, terms: RuleParameters, log: ViolationLog) -> None:
         """Judge by these terms into a log."""
         self._terms = terms
         self._log = log
--- a/petrellane/invariants/generations.py
+++ b/petrellane/invariants/generations.py
@@ -5,14 +5,14 @@
 """
 
 from petrellane.invariants.records import GenerationDecided, RpcAdmitted
-from petrellane.invariants.terms import Terms
+from petrellane.invariants.terms import RuleParameters
 from petrellane.invariants.verdict import GENERATION, ViolationLog
 
 
 class Generations:
     """Judges the generations of the settings in one run."""
 
-    def __init__(self, terms: Terms, log: ViolationLog) -> None:
+    def __init__(self, terms: RuleParameters, log: ViolationLog) -> None:
         """Judge by these terms into a log."""
         self._terms = terms
         self._log = log
--- a/petrellane/invariants/hard_limits.py
+++ b/petrellane/invariants/hard_limits.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from petrellane.invariants.records import Id, RpcReceived
-from petrellane.invariants.terms import Terms
+from petrellane.invariants.terms import RuleParameters
 from petrellane.invariants.verdict import HARD_LIMIT, ViolationLog
 
 ROUNDING = 1e-6  # units by which sums of floats may differ
@@ -23,7 +23,7 @@
 class HardLimits:
     """Judges the units of one run; `buckets` has the one of each customer that was seen."""
 
-    def __init__(self, terms: Terms, log: ViolationLog) -> None:
+    def __init__(self, terms: RuleParameters, log: ViolationLog) -> None:
         """Judge by these terms into a log."""
         self.buckets: dict[Id, Bucket] = {}
         self._terms = terms
--- a/petrellane/invariants/terms.py
+++ b/petrellane/invariants/terms.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class RuleParameters:
     """The figures of the rules of one run; times are seconds.
 
     Attributes:
--- a/petrellane/simulation/fleet.py
+++ b/petrellane/simulation/fleet.py
@@ -13,8 +13,8 @@
     InvariantChecker,
     MethodRule,
     Record,
+    RuleParameters,
     StateRetained,
-    Terms,
     Verdict,
 )
 from petrellane.simulation import scenario as scenarios
@@ -178,7 +178,7 @@
         self.clients = [CustomerClients(self, customer) for customer in self.scenario.customers]
         FaultInjector(self).schedule(self.scenario.faults)
 
-    def terms(self) -> Terms:
+    def terms(self) -> RuleParameters:
         """The figures of the rules in this scenario.
 
         Two processes under one name may pass a hard limit by what the second one's share fills in
@@ -188,7 +188,7 @@
         second_process_s = sum(
             fault.length for fault in self.scenario.faults if fault.type == SECOND_PROCESS
         )
-        return Terms(
+        return RuleParameters(
             methods={
                 method.name: MethodRule(method.effect, method.key_scope, method.key_window)
                 for method in self.scenario.methods
--- a/petrellane/testbed/fleet_spec.py
+++ b/petrellane/testbed/fleet_spec.py
@@ -177,7 +177,7 @@
         ]
 
 
-def build_terms(spec: FleetSpec, settings: Settings) -> invariants.Terms:
+def build_terms(spec: FleetSpec, settings: Settings) -> invariants.RuleParameters:
     """Return the figures of the invariants for a fleet with these settings."""
     effects = {word: effect for effect, word in EFFECTS.items()}
     methods = {method.name: invariants.MethodRule(method.effect) for method in spec.methods}
@@ -194,7 +194,7 @@
         for row in settings["contracts"]
         if row.get("ceilingRate")
     }
-    return invariants.Terms(
+    return invariants.RuleParameters(
         methods,
         hard_limits,
         {},
--- a/petrellane/testbed/records.py
+++ b/petrellane/testbed/records.py
@@ -103,7 +103,7 @@
 
     def __init__(
         self,
-        terms: invariants.Terms,
+        terms: invariants.RuleParameters,
         clock: Callable[[], float],
         schedule: Callable[[float, Callable[[], None]], object] | None = None,
         max_history: int = DEFAULT_HISTORY,
--- a/tests/integration/testbed/test_fleet_records.py
+++ b/tests/integration/testbed/test_fleet_records.py
@@ -58,7 +58,7 @@
     clock: ManualClock, turns: int, violations: dict[str, int]
 ) -> None:
     methods = {"post": invariants.MethodRule("deduplicated", "all", 9.0)}
-    terms = invariants.Terms(methods, {}, {"a": (1, "z"), "b": (1, "z")})
+    terms = invariants.RuleParameters(methods, {}, {"a": (1, "z"), "b": (1, "z")})
     records = Records(terms, clock.read)
     receive(records, "post")
     first = arrive(records, "a")
@@ -84,7 +84,7 @@
     clock: ManualClock, has_stalled: bool, violations: dict[str, int]
 ) -> None:
     methods = {"look": invariants.MethodRule("idempotent")}
-    records = Records(invariants.Terms(methods, {}, {}), clock.read)
+    records = Records(invariants.RuleParameters(methods, {}, {}), clock.read)
     records.turns = 10
     receive(records, "look")
     if has_stalled:
@@ -111,7 +111,7 @@
     violations: dict[str, int],
 ) -> None:
     methods = {"look": invariants.MethodRule("idempotent")}
-    terms = invariants.Terms(methods, {}, {}, answer_slack=0.0)
+    terms = invariants.RuleParameters(methods, {}, {}, answer_slack=0.0)
     records = Records(terms, clock.read, clock.schedule)
     receive(records, "look")
     clock.now = left_at
--- a/tests/unit/simulation/test_invariants.py
+++ b/tests/unit/simulation/test_invariants.py
@@ -21,11 +21,11 @@
     Record,
     RpcAnswered,
     RpcReceived,
-    Terms,
+    RuleParameters,
     Verdict,
 )
 
-TERMS = Terms(
+TERMS = RuleParameters(
     methods={
         "look": MethodRule("idempotent"),
         "post": MethodRule("non-idempotent"),
@@ -36,7 +36,7 @@
 )
 
 
-def judge(*records: Record, terms: Terms = TERMS) -> Verdict:
+def judge(*records: Record, terms: RuleParameters = TERMS) -> Verdict:
     """Return the verdict on a run that has these records."""
     checker = InvariantChecker(terms)
     for record in records:
