--- a/petrellane/invariants/__init__.py
+++ b/petrellane/invariants/__init__.py
@@ -8,7 +8,7 @@
 Times are seconds of one true clock, units and work are floats, ids are any hashable values.
 
 - `records`: the typed records.
-- `terms`: the figures of the rules.
+- `parameters`: the figures of the rules.
 - `verdict`: names of the rules, violations, and what comes of a run.
 - `open_rpcs`, `endpoint_views`: what the rules need to remember of RPCs and of endpoint lists.
 - `final_answers`, `effects`, `draining`, `cold_starts`, `hard_limits`, `generations`: the rules.
@@ -16,6 +16,14 @@
 """
 
 from petrellane.invariants.checker import InvariantChecker
+from petrellane.invariants.parameters import (
+    DEDUPLICATED,
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    HardLimit,
+    MethodRule,
+    RuleParameters,
+)
 from petrellane.invariants.records import (
     ABORTED,
     OK,
@@ -36,14 +44,6 @@
     RpcReceived,
     StateRetained,
 )
-from petrellane.invariants.terms import (
-    DEDUPLICATED,
-    IDEMPOTENT,
-    NON_IDEMPOTENT,
-    HardLimit,
-    MethodRule,
-    RuleParameters,
-)
 from petrellane.invariants.verdict import (
     COLD_START,
     DRAINING,
--- a/petrellane/invariants/checker.py
+++ b/petrellane/invariants/checker.py
@@ -11,6 +11,7 @@
 from petrellane.invariants.generations import Generations
 from petrellane.invariants.hard_limits import HardLimits
 from petrellane.invariants.open_rpcs import ObservedAttempt, OpenRpc, OpenRpcs
+from petrellane.invariants.parameters import RuleParameters
 from petrellane.invariants.records import (
     KILLED,
     PAUSED,
@@ -32,7 +33,6 @@
     RpcReceived,
     StateRetained,
 )
-from petrellane.invariants.terms import RuleParameters
 from petrellane.invariants.verdict import RETAINED, Verdict, ViolationLog
 
 
--- a/petrellane/invariants/cold_starts.py
+++ b/petrellane/invariants/cold_starts.py
@@ -11,8 +11,8 @@
 from typing import NamedTuple
 
 from petrellane.invariants.endpoint_views import EndpointViews
+from petrellane.invariants.parameters import RuleParameters
 from petrellane.invariants.records import AttemptArrived, EndpointStarted, Id
-from petrellane.invariants.terms import RuleParameters
 from petrellane.invariants.verdict import COLD_START, ViolationLog
 
 CLOCK_TOLERANCE = 1e-3  # seconds by which a notified start may differ from the true one
--- a/petrellane/invariants/draining.py
+++ b/petrellane/invariants/draining.py
@@ -4,8 +4,8 @@
 """
 
 from petrellane.invariants.endpoint_views import EndpointViews
+from petrellane.invariants.parameters import RuleParameters
 from petrellane.invariants.records import READY, AttemptSent
-from petrellane.invariants.terms import RuleParameters
 from petrellane.invariants.verdict import DRAINING, ViolationLog
 
 
--- a/petrellane/invariants/effects.py
+++ b/petrellane/invariants/effects.py
@@ -6,8 +6,7 @@
 """
 
 from petrellane.invariants.open_rpcs import ObservedAttempt, OpenRpc
-from petrellane.invariants.records import AttemptSent, Id, RpcAnswered, RpcExecuted
-from petrellane.invariants.terms import (
+from petrellane.invariants.parameters import (
     ALL_HOSTS,
     DEDUPLICATED,
     IDEMPOTENT,
@@ -16,6 +15,7 @@
     MethodRule,
     RuleParameters,
 )
+from petrellane.invariants.records import AttemptSent, Id, RpcAnswered, RpcExecuted
 from petrellane.invariants.verdict import DUPLICATED, ViolationLog
 
 SHORTEST_WINDOW = 1e-9  # seconds, in place of a window of zero
--- a/petrellane/invariants/generations.py
+++ b/petrellane/invariants/generations.py
@@ -4,8 +4,8 @@
 after another was admitted under a later generation.
 """
 
+from petrellane.invariants.parameters import RuleParameters
 from petrellane.invariants.records import GenerationDecided, RpcAdmitted
-from petrellane.invariants.terms import RuleParameters
 from petrellane.invariants.verdict import GENERATION, ViolationLog
 
 
--- a/petrellane/invariants/hard_limits.py
+++ b/petrellane/invariants/hard_limits.py
@@ -6,8 +6,8 @@
 
 from typing import NamedTuple
 
+from petrellane.invariants.parameters import RuleParameters
 from petrellane.invariants.records import Id, RpcReceived
-from petrellane.invariants.terms import RuleParameters
 from petrellane.invariants.verdict import HARD_LIMIT, ViolationLog
 
 ROUNDING = 1e-6  # units by which sums of floats may differ
