--- a/petrellane/invariants/checker.py
+++ b/petrellane/invariants/checker.py
@@ -42,24 +42,24 @@
     A record with an earlier time than the one before is judged as if it came now.
 
     Attributes:
-        terms: The figures of the rules.
+        parameters: The parameters of the rules.
         log: The violations so far.
         open_rpcs: The RPCs that are not settled.
         hard_limits: The rule on hard limits, with the customers' token buckets.
     """
 
-    def __init__(self, terms: RuleParameters) -> None:
+    def __init__(self, parameters: RuleParameters) -> None:
         """Make a checker of a run that begins now."""
-        self.terms = terms
-        self.log = ViolationLog(terms.max_violations)
+        self.parameters = parameters
+        self.log = ViolationLog(parameters.max_violations)
         self.open_rpcs = OpenRpcs()
-        self.hard_limits = HardLimits(terms, self.log)
+        self.hard_limits = HardLimits(parameters, self.log)
         self._views = EndpointViews()
         self._final_answers = FinalAnswers(self.log)
-        self._effects = Effects(terms, self.log)
-        self._draining = Draining(terms, self._views, self.log)
-        self._cold_starts = ColdStarts(terms, self._views, self.log)
-        self._generations = Generations(terms, self.log)
+        self._effects = Effects(parameters, self.log)
+        self._draining = Draining(parameters, self._views, self.log)
+        self._cold_starts = ColdStarts(parameters, self._views, self.log)
+        self._generations = Generations(parameters, self.log)
         self._paused: set[Id] = set()
         self._handlers: dict[type, Callable[[Any], None]] = {
             RpcReceived: self._on_received,
@@ -92,7 +92,7 @@
         if record.rpc in self.open_rpcs.by_id:
             self._final_answers.received_again(record)
             return
-        self.open_rpcs.add(OpenRpc(record, record.deadline + self.terms.answer_slack))
+        self.open_rpcs.add(OpenRpc(record, record.deadline + self.parameters.answer_slack))
         self._effects.track(record.rpc, record.method)
 
     def _on_sent(self, record: AttemptSent) -> None:
@@ -141,7 +141,7 @@
             self._paused.discard(record.gateway)
             for rpc in self.open_rpcs.of_gateway(record.gateway):
                 rpc.is_owed = rpc.is_owed and rpc.received.deadline > record.at
-                rpc.due = max(rpc.due, record.at + self.terms.answer_slack)
+                rpc.due = max(rpc.due, record.at + self.parameters.answer_slack)
         elif record.event == KILLED:
             self._paused.discard(record.gateway)
             self.open_rpcs.forget_gateway(record.gateway)
--- a/petrellane/invariants/cold_starts.py
+++ b/petrellane/invariants/cold_starts.py
@@ -39,9 +39,9 @@
 class ColdStarts:
     """Judges the load of cold hosts of one run."""
 
-    def __init__(self, terms: RuleParameters, views: EndpointViews, log: ViolationLog) -> None:
+    def __init__(self, parameters: RuleParameters, views: EndpointViews, log: ViolationLog) -> None:
         """Judge by these terms, and by what gateways were notified of, into a log."""
-        self._terms = terms
+        self._parameters = parameters
         self._views = views
         self._log = log
         self._cold: dict[Id, ColdHost] = {}
@@ -55,7 +55,7 @@
         host = self._cold.get(record.host)
         if host is None or host.has_collapsed:
             return
-        if record.at - host.started_at >= self._terms.cold:
+        if record.at - host.started_at >= self._parameters.cold:
             del self._cold[record.host]
             return
         self._add_load(host, record)
@@ -68,20 +68,20 @@
         view = self._views.view(record.gateway, record.host, 0.0)
         is_informed = view.up_since >= host.started_at - CLOCK_TOLERANCE
         host.loads.append(Load(record.at, record.work, is_informed))
-        while host.loads and host.loads[0].at <= record.at - self._terms.overload_for:
+        while host.loads and host.loads[0].at <= record.at - self._parameters.overload_for:
             host.loads.popleft()
 
     def _check_budget(self, host: ColdHost, work: float, record: AttemptArrived) -> None:
-        terms = self._terms
-        mean = terms.mean_work or work / len(host.loads)
+        parameters = self._parameters
+        mean = parameters.mean_work or work / len(host.loads)
         age = record.at - host.started_at
         count = work / mean
-        budget = terms.cold_budget(age, host.capacity, mean)
+        budget = parameters.cold_budget(age, host.capacity, mean)
         self._log.approached(COLD_START, count / budget)
         if count > budget:
             host.has_collapsed = True
             text = (
                 f"{record.host}, up for {age:.2f} s, had {count:.1f} RPCs of mean "
-                f"work in {terms.overload_for:g} s, {budget:.1f} at most"
+                f"work in {parameters.overload_for:g} s, {budget:.1f} at most"
             )
             self._log.violated(COLD_START, record.at, text, record.rpc)
--- a/petrellane/invariants/draining.py
+++ b/petrellane/invariants/draining.py
@@ -12,9 +12,9 @@
 class Draining:
     """Judges where attempts of one run go."""
 
-    def __init__(self, terms: RuleParameters, views: EndpointViews, log: ViolationLog) -> None:
+    def __init__(self, parameters: RuleParameters, views: EndpointViews, log: ViolationLog) -> None:
         """Judge by these terms, and by what gateways were notified of, into a log."""
-        self._terms = terms
+        self._parameters = parameters
         self._views = views
         self._log = log
 
@@ -24,8 +24,8 @@
         if view.state == READY:
             return
         late = record.at - view.since
-        self._log.approached(DRAINING, late / self._terms.drain_grace)
-        if late > self._terms.drain_grace:
+        self._log.approached(DRAINING, late / self._parameters.drain_grace)
+        if late > self._parameters.drain_grace:
             text = (
                 f"{record.gateway} sent RPC {record.rpc} to {record.host} {late:.3f} s after it "
                 f"was told that it is {view.state}"
--- a/petrellane/invariants/effects.py
+++ b/petrellane/invariants/effects.py
@@ -24,16 +24,16 @@
 class Effects:
     """Judges attempts, rejections and executions of one run."""
 
-    def __init__(self, terms: RuleParameters, log: ViolationLog) -> None:
+    def __init__(self, parameters: RuleParameters, log: ViolationLog) -> None:
         """Judge by these terms into a log."""
-        self._terms = terms
+        self._parameters = parameters
         self._log = log
         # The effect of each RPC that must not run twice, and where it ran; kept to the end.
         self._executions: dict[Id, tuple[str, Id | None]] = {}
 
     def track(self, rpc: Id, method: str) -> None:
         """Remember an RPC that must not run twice."""
-        effect = self._terms.methods[method].effect
+        effect = self._parameters.methods[method].effect
         if effect != IDEMPOTENT:
             self._executions.setdefault(rpc, (effect, None))
 
@@ -49,7 +49,7 @@
 
     def check_rejection(self, rpc: OpenRpc, record: RpcAnswered) -> None:
         """Judge a rejection, after which the client may send the RPC again."""
-        rule = self._terms.methods[rpc.received.method]
+        rule = self._parameters.methods[rpc.received.method]
         executed = rpc.possibly_executed()
         is_safe = rule.effect == IDEMPOTENT or (
             rule.effect == DEDUPLICATED and rule.scope == ALL_HOSTS
@@ -70,7 +70,7 @@
         executed = rpc.possibly_executed()
         if not executed:
             return
-        rule = self._terms.methods[rpc.received.method]
+        rule = self._parameters.methods[rpc.received.method]
         if rule.effect == NON_IDEMPOTENT:
             text = (
                 f"RPC {record.rpc} (non-idempotent) went to {record.host} though a call-out at "
@@ -96,8 +96,8 @@
         self._log.violated(DUPLICATED, record.at, text, record.rpc)
 
     def _is_in_group(self, scope: str, first: Id, other: Id) -> bool:
-        pod, zone = self._terms.groups[first]
-        other_pod, other_zone = self._terms.groups[other]
+        pod, zone = self._parameters.groups[first]
+        other_pod, other_zone = self._parameters.groups[other]
         if scope == ALL_HOSTS:
             return True
         return zone == other_zone and (scope == SAME_ZONE or pod == other_pod)
--- a/petrellane/invariants/generations.py
+++ b/petrellane/invariants/generations.py
@@ -12,9 +12,9 @@
 class Generations:
     """Judges the generations of the settings in one run."""
 
-    def __init__(self, terms: RuleParameters, log: ViolationLog) -> None:
+    def __init__(self, parameters: RuleParameters, log: ViolationLog) -> None:
         """Judge by these terms into a log."""
-        self._terms = terms
+        self._parameters = parameters
         self._log = log
         self._first_admitted: dict[int, RpcAdmitted] = {}
         self._is_committed: dict[int, bool] = {}
@@ -28,7 +28,7 @@
             self._latest_since = record.at
         elif (
             record.number < self._latest
-            and record.since > self._latest_since + self._terms.generation_grace
+            and record.since > self._latest_since + self._parameters.generation_grace
         ):
             text = (
                 f"{record.gateway} admitted RPC {record.rpc}, which came "
--- a/petrellane/invariants/hard_limits.py
+++ b/petrellane/invariants/hard_limits.py
@@ -23,15 +23,15 @@
 class HardLimits:
     """Judges the units of one run; `buckets` has the one of each customer that was seen."""
 
-    def __init__(self, terms: RuleParameters, log: ViolationLog) -> None:
+    def __init__(self, parameters: RuleParameters, log: ViolationLog) -> None:
         """Judge by these terms into a log."""
         self.buckets: dict[Id, Bucket] = {}
-        self._terms = terms
+        self._parameters = parameters
         self._log = log
 
     def draw(self, received: RpcReceived, at: float) -> None:
         """Take an RPC's units from its customer's bucket, at its first attempt."""
-        limit = self._terms.hard_limits.get(received.plan)
+        limit = self._parameters.hard_limits.get(received.plan)
         if limit is None:
             return
         before, since = self.buckets.get(received.customer, (limit.burst, at))
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -338,7 +338,7 @@
         for host in self.hosts:
             host.on_restart = partial(self._follow_host, host.name)
             self.discovery.put(host.name, host.host_port)
-            self.records.checker.terms.groups[host.name] = 1, "z"
+            self.records.checker.parameters.groups[host.name] = 1, "z"
 
     def _follow_host(self, name: str) -> None:
         """Let the relays to a host refuse connections until it listens again."""
--- a/tests/integration/testbed/test_fleet_hard_limits.py
+++ b/tests/integration/testbed/test_fleet_hard_limits.py
@@ -28,7 +28,7 @@
     """Have the invariant checker hold the run to the new limit from now on."""
     checker = fleet.records.checker
     slack = SLACK + HARD_LIMIT_SLACK_S * NEW_LIMIT
-    checker.terms.hard_limits["sold"] = invariants.HardLimit(NEW_LIMIT, NEW_LIMIT, slack)
+    checker.parameters.hard_limits["sold"] = invariants.HardLimit(NEW_LIMIT, NEW_LIMIT, slack)
     bucket = checker.hard_limits.buckets[CUSTOMER.key]
     lowered = bucket._replace(level=min(bucket.level, NEW_LIMIT))
     checker.hard_limits.buckets[CUSTOMER.key] = lowered
