--- a/petrellane/__init__.py
+++ b/petrellane/__init__.py
@@ -1,3 +1,3 @@
-"""petrellane: an admission gateway that leases customers' credit from a shared count."""
+"""petrellane: an admission gateway that leases customers' quotas from a shared counter."""
 
 __version__ = "0.2.0"
--- a/petrellane/__main__.py
+++ b/petrellane/__main__.py
@@ -1,7 +1,7 @@
 """The entry point of `python -m petrellane`.
 
-Runs the command line, except that plain `serve` starts without it: its import takes longer than the
-start of a gateway.
+Runs the command line. `serve` without options starts the gateway directly, because importing the
+command line takes longer than starting a gateway.
 """
 
 import gc
@@ -11,13 +11,13 @@
 
 
 def main() -> None:
-    """Run the command that the arguments name."""
+    """Run the command that the command-line arguments select."""
     if sys.argv[1:2] == ["serve"]:
-        # Signals that arrive before the gateway handles them wait: by default they would kill it.
+        # Blocks these signals until the gateway handles them: their default action would kill it.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
     if sys.argv[1:] == ["serve"]:
-        # What a start imports lives as long as the process: to collect garbage meanwhile only costs
-        # time. `serve` enables collections before it runs.
+        # The imported modules live as long as the process, so collecting garbage during the imports
+        # only costs time. `serve` enables garbage collection before it runs the gateway.
         gc.disable()
         from petrellane.gateway.process import serve
 
--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -1,8 +1,8 @@
 """The command line.
 
-A sub-command imports what it needs when it runs, so that `serve` starts light. The docstring of a
-command is its help text. Errors that a user can mend end in one line on standard error and exit
-code 2.
+Each sub-command imports its modules when it runs, so that `serve` does not load those of other
+commands. The docstring of a command is its help text, unless the decorator passes `help`. An error
+that the user can correct is printed as one line on standard error, with exit code 2.
 """
 
 import os
@@ -20,7 +20,7 @@
     from petrellane.config_consensus.commands import SettingsCommands
 
 app = typer.Typer(
-    help="An admission gateway that leases customers' credit from a shared count.",
+    help="An admission gateway that leases customers' quotas from a shared counter.",
     no_args_is_help=True,
     add_completion=False,
     rich_markup_mode=None,
@@ -29,25 +29,25 @@
 
 
 EXIT_USAGE = 2
-"""Exit code where the command, its files or its environment are wrong."""
+"""The exit code for an invalid command line, input file or environment."""
 
 FORMER_COMMANDS = {
     "hunt": "property-search",
     "spread": "load-distribution",
     "lab": "testbed",
 }
-"""Names that commands had, which still work, and their names now."""
+"""The former names of commands, which still work, and their current names."""
 
 
 @app.callback()
-def _announce_new_name(context: typer.Context) -> None:
+def _warn_about_former_name(context: typer.Context) -> None:
     name = context.invoked_subcommand or ""
     if name in FORMER_COMMANDS:
-        print(f"petrellane: {name} is {FORMER_COMMANDS[name]} now", file=sys.stderr)
+        print(f"petrellane: {name} was renamed to {FORMER_COMMANDS[name]}", file=sys.stderr)
 
 
 def _load_config() -> "Config":
-    """The configuration that the environment names; ends the command where it is wrong."""
+    """Return the configuration that the environment names, or end the command if it is invalid."""
     from petrellane.config import ConfigError, load
 
     try:
@@ -57,17 +57,17 @@
 
 
 def _exit_with_error(error: Exception | str) -> NoReturn:
-    """End the command with one line on standard error."""
+    """Print an error as one line on standard error, and end the command with EXIT_USAGE."""
     print(f"petrellane: {error}", file=sys.stderr)
     raise typer.Exit(EXIT_USAGE) from None
 
 
 @app.command(
-    help="Serve until SIGTERM; PROXY_CONFIG names the configuration file, which SIGHUP has read "
-    "anew."
+    help="Run the gateway until SIGTERM. PROXY_CONFIG names the configuration file; SIGHUP reloads "
+    "it."
 )
 def serve() -> None:
-    """Serve until SIGTERM."""
+    """Run the gateway until SIGTERM."""
     from petrellane.gateway import process
 
     raise typer.Exit(process.serve(os.environ))
@@ -81,7 +81,7 @@
 
 @app.command()
 def check_config() -> None:
-    """Read the configuration as serve would, and say what it holds or what is wrong with it."""
+    """Read the configuration as `serve` does, and print a summary or the first error."""
     config = _load_config()
     host, port = config.listen
     print(
@@ -93,29 +93,31 @@
 @app.command("hunt", hidden=True)
 @app.command("property-search")
 def search_properties(
-    seeds: Annotated[int, typer.Option(min=1, help="Scenarios to simulate.")] = 2000,
+    seeds: Annotated[int, typer.Option(min=1, help="Number of scenarios to simulate.")] = 2000,
     first: Annotated[
-        int, typer.Option(min=0, help="The first seed; the same one gives the same search.")
+        int, typer.Option(min=0, help="First seed; the same value repeats the same search.")
     ] = 1,
-    jobs: Annotated[int, typer.Option(min=0, help="Processes; 0 is one a core.")] = 0,
+    jobs: Annotated[
+        int, typer.Option(min=0, help="Number of processes; 0 means one per core.")
+    ] = 0,
     enough: Annotated[
-        int, typer.Option(min=1, help="End once so many scenarios have broken a rule.")
+        int, typer.Option(min=1, help="Stop after this many scenarios have broken a rule.")
     ] = 1,
     out: Annotated[str, typer.Option(help="Folder for the scenarios that break a rule.")] = "found",
 ) -> None:
-    """Search the simulation for a run that breaks a rule; exit code 1 when there is one."""
+    """Search generated scenarios for one that breaks a rule; exit code 1 if one is found."""
     from petrellane.simulation import command
 
     raise typer.Exit(command.search(seeds, first, jobs, enough, out))
 
 
 @app.command(
-    help="Simulate one scenario and print its time line; exit code 1 when the outcome is not as "
-    "expected."
+    help="Simulate one scenario and print its timeline; exit code 1 if the outcome differs from "
+    "the expected one."
 )
 def replay(
     file: Annotated[
-        str, typer.Argument(help="A scenario file, or the number of a seed with --seed.")
+        str, typer.Argument(help="A scenario file or, with --seed, the number of a seed.")
     ],
     seed: Annotated[
         bool, typer.Option("--seed", help="Simulate the scenario generated from this seed.")
@@ -136,26 +138,26 @@
 
 
 LOAD_DISTRIBUTION_HELP = (
-    "How even load is over endpoints: peaks, troughs, idle endpoints, herds and swings; "
-    "docs/history/load-distribution.md defines them."
+    "Print how evenly load is distributed over endpoints: peaks, troughs, idle endpoints, herds "
+    "and swings. docs/history/load-distribution.md defines these figures."
 )
 
 
 @app.command("spread", hidden=True, help=LOAD_DISTRIBUTION_HELP)
 @app.command("load-distribution", help=LOAD_DISTRIBUTION_HELP)
-def load_distribution(  # noqa: PLR0913 - a parameter for each option
-    path: Annotated[str, typer.Argument(help="A file of records, or a folder of gateways' logs.")],
-    since: Annotated[float, typer.Option(min=0.0, help="Seconds to leave out at the start.")] = 0.0,
+def load_distribution(  # noqa: PLR0913 - one parameter per option
+    path: Annotated[str, typer.Argument(help="A file of records, or a folder of gateway logs.")],
+    since: Annotated[float, typer.Option(min=0.0, help="Seconds to skip at the start.")] = 0.0,
     until: Annotated[
-        float, typer.Option(min=0.0, help="Second at which to stop; 0 is the end.")
+        float, typer.Option(min=0.0, help="Second at which to stop; 0 means the end.")
     ] = 0.0,
     json: Annotated[
-        bool, typer.Option("--json", help="One JSON object in place of a table.")
+        bool, typer.Option("--json", help="Print one JSON object instead of a table.")
     ] = False,
     svg: Annotated[
         str, typer.Option(help="Write a heat map of endpoints over time to this file.")
     ] = "",
-    seed: Annotated[int, typer.Option(help="Seed of the draws that show what chance gives.")] = 0,
+    seed: Annotated[int, typer.Option(help="Seed of the random assignments for comparison.")] = 0,
 ) -> None:
     """Print how evenly load is distributed over endpoints."""
     from petrellane.load_distribution import commands
@@ -168,31 +170,40 @@
 
 
 settings_app = typer.Typer(
-    help="Settings that take hold at every gateway or at none, through a control process.",
+    help="Propose and inspect settings through a control process; a change takes effect at every "
+    "gateway or at none.",
     no_args_is_help=True,
     add_completion=False,
     rich_markup_mode=None,
 )
 app.add_typer(settings_app, name="settings")
-CONTROL = Annotated[
+ControlOption = Annotated[
     str,
-    typer.Option("--control", help="The control process's TOML file.", envvar="PETRELLANE_CONTROL"),
+    typer.Option(
+        "--control", help="TOML file of the control process.", envvar="PETRELLANE_CONTROL"
+    ),
 ]
-JSON = Annotated[bool, typer.Option("--json", help="One JSON object in place of words.")]
-WAIT = Annotated[float, typer.Option("--wait", min=0.0, help="Seconds to follow a change for.")]
-WITHOUT = Annotated[
+JsonOption = Annotated[bool, typer.Option("--json", help="Print one JSON object instead of text.")]
+WaitOption = Annotated[
+    float, typer.Option("--wait", min=0.0, help="Seconds to wait for a change to finish.")
+]
+WithoutOption = Annotated[
     list[str],
-    typer.Option("--without", help="A gateway whose process has surely ended, by your word."),
+    typer.Option(
+        "--without",
+        help="A gateway to exclude from the vote because its process has definitely ended; may be "
+        "repeated.",
+    ),
 ]
 
 
 @app.command()
 def control(
     file: Annotated[
-        str, typer.Argument(help="A TOML file; docs/changing-settings.md names its keys.")
+        str, typer.Argument(help="A TOML file; docs/changing-settings.md lists its keys.")
     ],
 ) -> None:
-    """Run the control process that staff propose settings to, until SIGTERM."""
+    """Run the control process, to which staff propose settings, until SIGTERM or SIGINT."""
     from petrellane.config import ConfigError
     from petrellane.config.consensus import load_control_config
     from petrellane.config_consensus.control_service import ControlService
@@ -204,7 +215,7 @@
         _exit_with_error(error)
     except OSError as error:
         _exit_with_error(
-            f"{file}: expected an address to listen at and a journal to write: {error}"
+            f"{file}: expected a free address to listen on and a writable journal: {error}"
         )
     service.stop_on_signals({signal.SIGTERM, signal.SIGINT})
     service.run()
@@ -213,12 +224,15 @@
 def _exit_with_result(
     control_file: str, as_json: bool, call: Callable[["SettingsCommands"], int]
 ) -> NoReturn:
-    """Call a control process, and end with the exit code that `call` returns.
+    """Run one command against a control process, and exit with the code that it returns.
+
+    A CommandFailedError of the command sets the exit code; a ConfigError is printed and ends in
+    EXIT_USAGE.
 
     Args:
-        control_file: The control process's TOML file.
-        as_json: Print JSON in place of words.
-        call: Runs one command; its ConfigError and CommandFailedError end the command line.
+        control_file: The path of the control process's TOML file.
+        as_json: Whether to print JSON instead of text.
+        call: The function that runs the command and returns its exit code.
     """
     from petrellane.config import ConfigError
     from petrellane.config.consensus import load_control_config
@@ -239,52 +253,55 @@
 
 @settings_app.command(
     "propose",
-    help="Propose settings. Exit code 0 in force, 2 what you gave is wrong, 3 refused, 4 aborted, "
+    help="Propose settings. Exit codes: 0 in force, 2 invalid input, 3 rejected, 4 aborted, "
     "5 in doubt.",
 )
-def settings_propose(  # noqa: PLR0913 - a parameter for each option
+def settings_propose(  # noqa: PLR0913 - one parameter per option
     file: Annotated[
-        str, typer.Argument(help="JSON: settings, or a gateway's whole configuration.")
+        str,
+        typer.Argument(
+            help="A JSON file with settings, or with the whole configuration of a gateway."
+        ),
     ],
-    control: CONTROL,
-    without: WITHOUT = [],  # noqa: B006 - typer never changes it
-    wait: WAIT = 10.0,
+    control: ControlOption,
+    without: WithoutOption = [],  # noqa: B006 - typer never changes it
+    wait: WaitOption = 10.0,
     less: Annotated[
-        bool, typer.Option(help="Keys of the settings in force may be lacking.")
+        bool, typer.Option(help="Allow keys of the settings in force to be missing.")
     ] = False,
-    json: JSON = False,
+    json: JsonOption = False,
 ) -> None:
-    """Propose settings and follow the change."""
+    """Propose settings and wait for the change."""
     _exit_with_result(control, json, lambda commands: commands.propose(file, without, wait, less))
 
 
 @settings_app.command("back")
 def settings_back(
     number: int,
-    control: CONTROL,
-    without: WITHOUT = [],  # noqa: B006 - typer never changes it
-    wait: WAIT = 10.0,
-    json: JSON = False,
+    control: ControlOption,
+    without: WithoutOption = [],  # noqa: B006 - typer never changes it
+    wait: WaitOption = 10.0,
+    json: JsonOption = False,
 ) -> None:
-    """Propose the settings of an earlier generation again, as a new change."""
+    """Propose the settings of an earlier generation as a new change."""
     _exit_with_result(control, json, lambda commands: commands.propose_again(number, without, wait))
 
 
 @settings_app.command("status")
-def settings_status(control: CONTROL, json: JSON = False) -> None:
-    """What is in force where, and what is under way."""
+def settings_status(control: ControlOption, json: JsonOption = False) -> None:
+    """Print the settings in force, the change in progress and the state of each gateway."""
     _exit_with_result(control, json, lambda commands: commands.show_status())
 
 
 @settings_app.command("history")
-def settings_history(control: CONTROL, json: JSON = False) -> None:
-    """All changes, with what became of each."""
+def settings_history(control: ControlOption, json: JsonOption = False) -> None:
+    """Print all changes and their outcomes."""
     _exit_with_result(control, json, lambda commands: commands.show_history())
 
 
 @settings_app.command("show")
-def settings_show(number: int, control: CONTROL, json: JSON = False) -> None:
-    """The settings of a generation."""
+def settings_show(number: int, control: ControlOption, json: JsonOption = False) -> None:
+    """Print the settings of a generation."""
     _exit_with_result(control, json, lambda commands: commands.show_generation(number))
 
 
@@ -292,15 +309,15 @@
 def settings_diff(
     one: Annotated[str, typer.Argument(help="A generation's number, or a file.")],
     other: Annotated[str, typer.Argument(help="A generation's number, or a file.")],
-    control: CONTROL,
-    json: JSON = False,
+    control: ControlOption,
+    json: JsonOption = False,
 ) -> None:
-    """What changes for whom between two generations, or to a file's settings, in words."""
+    """Print the differences between two generations, or between a generation and a file."""
     _exit_with_result(control, json, lambda commands: commands.show_differences(one, other))
 
 
 testbed_app = typer.Typer(
-    help="A testbed of many processes on loopback, with faults between them.",
+    help="Run a testbed of many processes on loopback, with injected faults.",
     no_args_is_help=True,
     add_completion=False,
     rich_markup_mode=None,
@@ -311,16 +328,16 @@
 
 @testbed_app.command(
     "run",
-    help="Play a run file and print what happened; exit code 1 when a rule broke or a process "
-    "crashed.",
+    help="Run the steps of a run file and print the results; exit code 1 if the broken rules "
+    "differ from the expected ones, a process crashes or the run is void.",
 )
 def testbed_run(
-    file: Annotated[str, typer.Argument(help="A run file; docs/testbed.md has the notation.")],
+    file: Annotated[str, typer.Argument(help="A run file; docs/testbed.md describes its format.")],
     records: Annotated[
         str, typer.Option(help="Write the records to this file, for `load-distribution`.")
     ] = "",
 ) -> None:
-    """Play a run file and print what happened."""
+    """Run the steps of a run file and print the results."""
     from petrellane.testbed import command
     from petrellane.testbed.run_file import RunFileError
 
@@ -332,7 +349,7 @@
 
 @testbed_app.command("demo")
 def testbed_demo() -> None:
-    """Three gateways, six hosts, 20 s of load, one host killed half way; ends by itself."""
+    """Run three gateways and six hosts under load for 20 s, and kill one host halfway."""
     from petrellane.testbed import command
 
     raise typer.Exit(command.demo())
@@ -340,11 +357,13 @@
 
 @testbed_app.command(
     "scale",
-    help="Run many hollow gateways beside some real ones, and print what each role uses; exit "
-    "code 1 when the run proves nothing.",
+    help="Run many hollow gateways beside some real ones, and print the resources that each role "
+    "uses; exit code 1 if the run fails or its results are void.",
 )
 def testbed_scale(
-    file: Annotated[str, typer.Argument(help="A scale file; docs/testbed.md has the notation.")],
+    file: Annotated[
+        str, typer.Argument(help="A scale file; docs/testbed.md describes its format.")
+    ],
 ) -> None:
     """Run many hollow gateways beside some real ones."""
     from petrellane.testbed.scale import runner
--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -1,7 +1,7 @@
-"""The commands `petrellane settings ...`: calls to a control process, and their output.
+"""The commands `petrellane settings ...`, which call a control process and print its answer.
 
-The output is text for a person or one JSON object for a program, on standard output; the progress
-of a change goes to standard error where that is a terminal. A command returns its exit code.
+A command prints text or one JSON object on standard output. If standard error is a terminal, a
+command that prints text also shows the progress of a change there. It returns its exit code.
 """
 
 import getpass
@@ -34,27 +34,27 @@
 from petrellane.net.scheduler import Scheduler
 
 CALL_TIMEOUT_S = 3.0
-FOLLOW_INTERVAL_S = 0.1  # between two questions for a change that is followed
+FOLLOW_INTERVAL_S = 0.1  # pause before each query for the progress of a change
 PROGRESS_COLUMNS = 78
 MAX_DESCRIPTORS = 64
 USER_ERRORS = (StaffRejection.SETTINGS, StaffRejection.UNKNOWN, StaffRejection.MALFORMED)
 
 
 class ExitCode(IntEnum):
-    """What a command tells the program that runs it."""
+    """The exit codes of a command."""
 
-    DONE = 0  # of a change: in force at every gateway that serves
-    INVALID_INPUT = 2  # what the user gave is wrong
-    REJECTED = 3  # the output says by whom
+    DONE = 0  # for a change: in force at every gateway that is not down
+    INVALID_INPUT = 2
+    REJECTED = 3  # by the control process or by a gateway, which the output names
     ABORTED = 4
-    IN_DOUBT = 5  # nobody here can tell what came of it
+    IN_DOUBT = 5  # the outcome is unknown or pending, or the control process did not answer
 
 
 class CommandFailedError(ConsensusError):
-    """A command can't go on; its output has said why.
+    """A command failed and has printed the reason.
 
     Attributes:
-        exit_code: the command's exit code.
+        exit_code: The exit code of the command.
     """
 
     def __init__(self, exit_code: ExitCode) -> None:
@@ -63,9 +63,9 @@
 
 
 class ControlClient:
-    """The control process as a command sees it, which owns it while it runs.
+    """A client of the control process, owned by the command that uses it.
 
-    Each call has a scheduler of its own and one connection.
+    Each call creates its own scheduler and RPC client.
     """
 
     def __init__(self, config: ControlConfig, timeout_s: float = CALL_TIMEOUT_S) -> None:
@@ -74,7 +74,11 @@
         self._limits = call_limits(MAX_DESCRIPTORS, timeout_s)
 
     def call(self, kind: StaffCall, **arguments: object) -> JsonObject:
-        """Return the answer to one call, which may be a rejection. Raises RpcError."""
+        """Send one call and return the answer, which may be a rejection.
+
+        Raises:
+            RpcError: The control process did not answer.
+        """
         scheduler = Scheduler()
         client = RpcClient(scheduler, self._limits, self.config.key)
         message = {"do": kind, "to": CONTROL_RECIPIENT, **arguments}
@@ -98,36 +102,40 @@
 
 
 class SettingsCommands:
-    """The commands, a method each; the command line makes one object a run.
+    """Implements each command as a method; the command line creates one object per run.
 
-    A method raises CommandFailedError where the control process gives no answer to work with, and
-    ConfigError where a file of settings can't be read.
+    A method raises CommandFailedError if the control process does not answer or rejects the call,
+    and ConfigError if a settings file cannot be read.
     """
 
     def __init__(self, client: ControlClient, as_json: bool) -> None:
         self._client = client
         self._as_json = as_json
 
-    def propose(self, path: str, without: list[str], wait_s: float, less: bool) -> ExitCode:
-        """Propose the settings of a file, and follow the change.
+    def propose(
+        self, path: str, without: list[str], wait_s: float, allow_missing_keys: bool
+    ) -> ExitCode:
+        """Propose the settings in a file and wait for the change.
 
         Args:
-            path: A file with settings, or with a gateway's whole configuration.
-            without: Gateways whose process has surely ended, which are left out.
-            wait_s: Seconds to follow the change for; 0 is not at all.
-            less: Whether keys of the settings in force may be lacking.
+            path: A file with settings, or with the whole configuration of a gateway.
+            without: The gateways to exclude from the vote, because their processes have ended.
+            wait_s: The maximum time to wait for the change, in seconds; 0 to return immediately.
+            allow_missing_keys: Whether the file may lack keys of the settings in force.
         """
         settings = load_settings_file(path)
-        return self._change(
-            wait_s, StaffCall.PROPOSE, settings=settings, without=without, less=less
+        return self._propose_and_follow(
+            wait_s, StaffCall.PROPOSE, settings=settings, without=without, less=allow_missing_keys
         )
 
     def propose_again(self, number: int, without: list[str], wait_s: float) -> ExitCode:
-        """Propose the settings of an earlier generation, and follow the change."""
-        return self._change(wait_s, StaffCall.BACK, number=number, without=without, less=True)
+        """Propose the settings of an earlier generation and wait for the change."""
+        return self._propose_and_follow(
+            wait_s, StaffCall.BACK, number=number, without=without, less=True
+        )
 
     def show_status(self) -> ExitCode:
-        """Print what is in force where, and what is under way."""
+        """Print the settings in force, the change in progress and the state of each gateway."""
         answer = self._call(StaffCall.STATUS)
         self._print(answer, _describe_status(answer))
         return ExitCode.DONE
@@ -149,11 +157,11 @@
         return ExitCode.DONE
 
     def show_differences(self, before: str, after: str) -> ExitCode:
-        """Print what changes for whom between two settings.
+        """Print the differences between two versions of the settings.
 
         Args:
             before: The number of a generation, or a file with settings.
-            after: The same.
+            after: Likewise, for the second version.
         """
         contents = [self._read_settings(source) for source in (before, after)]
         lines = settings_diff.describe_changes(*contents)
@@ -166,8 +174,8 @@
         content: JsonObject = self._call(StaffCall.SHOW, number=int(source))["content"]
         return content
 
-    def _change(self, wait_s: float, kind: StaffCall, **arguments: object) -> ExitCode:
-        """Propose a change, follow it, and print what came of it."""
+    def _propose_and_follow(self, wait_s: float, kind: StaffCall, **arguments: object) -> ExitCode:
+        """Propose a change, wait for it, and print its outcome."""
         answer = self._call(kind, by=getpass.getuser(), **arguments)
         answer = self._follow(answer, wait_s)
         progress = ChangeProgress.from_answer(answer)
@@ -175,7 +183,7 @@
         return _exit_code_of(progress)
 
     def _follow(self, answer: JsonObject, wait_s: float) -> JsonObject:
-        """Ask for a change until it is finished or the time is over; return the last answer."""
+        """Poll a change until it is finished or the wait times out; return the last answer."""
         deadline = time.monotonic() + wait_s
         progress = ChangeProgress.from_answer(answer)
         number = progress.number
@@ -194,7 +202,7 @@
         return answer
 
     def _show_progress(self, progress: ChangeProgress, shown: str) -> str:
-        """Replace the line on a terminal, where it differs; return the line that is shown."""
+        """Show new progress on the terminal, and return the text that is shown there."""
         line = progress.describe()
         if line == shown or self._as_json or not sys.stderr.isatty():
             return shown
@@ -202,7 +210,7 @@
         return line
 
     def _call(self, kind: StaffCall, **arguments: object) -> JsonObject:
-        """Return the answer to a call; print why there is none, or that it was rejected."""
+        """Return the answer to a call; print the reason and raise if it fails or is rejected."""
         try:
             answer = self._client.call(kind, **arguments)
         except NotListeningError:
@@ -225,7 +233,7 @@
 
 
 def _describe_status(answer: JsonObject) -> str:
-    """Return the answer to `status` in words, a line for each gateway."""
+    """Return the answer to `status` as text, with one line per gateway."""
     in_force = answer["in_force"]
     reason = f" ({answer['why']})" if answer["why"] else ""
     generation = "not known yet"
@@ -247,7 +255,7 @@
 
 def _exit_code_of(progress: ChangeProgress) -> ExitCode:
     if progress.outcome == ChangeOutcome.COMMITTED:
-        return ExitCode.IN_DOUBT if progress.owed else ExitCode.DONE
+        return ExitCode.IN_DOUBT if progress.pending else ExitCode.DONE
     if progress.outcome == ChangeOutcome.ABORTED:
         return ExitCode.REJECTED if is_rejection(progress.reason) else ExitCode.ABORTED
     return ExitCode.IN_DOUBT
--- a/petrellane/config_consensus/staff_calls.py
+++ b/petrellane/config_consensus/staff_calls.py
@@ -1,7 +1,8 @@
-"""Handles staff's calls to a control process: proposals, and questions on what is in force.
+"""The handler of staff's calls to a control process: proposals and queries.
 
-Settings are validated here before they are proposed; whether they can be proposed now is decided by
-the coordinator. The caller has been authenticated with the shared key; each call is accepted once.
+The handler validates settings before it proposes them; the coordinator decides whether it accepts
+the proposal now. The caller has already been authenticated with the shared key. The control process
+accepts each call only once.
 """
 
 from collections.abc import Callable, Mapping
@@ -22,24 +23,30 @@
 from petrellane.config_consensus.messages import JsonObject
 from petrellane.config_consensus.staff_messages import StaffCall, StaffRejection, reject_call
 
-MAX_CALL_AGE_S = 60.0  # by the caller's clock; a nonce is kept for twice as long
+MAX_CALL_AGE_S = 60.0  # maximum difference between a call's time stamp and the local clock
 MAX_AUTHOR_CHARACTERS = 64
 
-Clock = Callable[[], float]  # gives Unix time in seconds
+Clock = Callable[[], float]  # returns the Unix time, in seconds
 
 
 class ReplayGuard:
-    """Accepts each call of staff once, and only while it is new; `StaffCalls` owns it.
+    """Accepts each call of staff once, and only if its time stamp is recent; owned by `StaffCalls`.
 
-    A call that somebody recorded must do nothing when it is sent again.
+    It prevents an attacker from recording a call and sending it again. It stores each nonce for
+    twice MAX_CALL_AGE_S, because the caller's clock may be ahead by as much as MAX_CALL_AGE_S.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._nonces: dict[str, float] = {}  # nonce -> Unix time until which it is kept
+        self._nonces: dict[str, float] = {}  # nonce -> Unix time at which it expires
 
     def check(self, message: JsonObject) -> None:
-        """Raise AuthenticationError for a call that is old, or that has come before."""
+        """Accept a call and store its nonce.
+
+        Raises:
+            AuthenticationError: The call is a replay, or its time stamp is invalid or too far from
+                the local time.
+        """
         now = self._clock()
         sent_at = message.get("at")
         nonce = str(message.get("nonce"))
@@ -57,7 +64,7 @@
 
 
 class StaffCalls:
-    """Answers the calls of staff; a control service owns it from its start to its end."""
+    """Answers the calls of staff; owned by the control service."""
 
     def __init__(
         self,
@@ -67,14 +74,14 @@
         on_proposed: Callable[[], None],
         call_counts: Mapping[str, int],
     ) -> None:
-        """Make a handler of calls.
+        """Create a handler of calls.
 
         Args:
-            name: The control process's name.
-            coordinator: What proposals go to.
-            clock: Gives Unix time in seconds.
-            on_proposed: Called after a proposal was accepted.
-            call_counts: How many messages of each kind went to participants, for the status.
+            name: The name of the control process.
+            coordinator: The coordinator, which receives the proposals.
+            clock: The clock, which returns the Unix time in seconds.
+            on_proposed: The function to call after a proposal has been accepted.
+            call_counts: The number of messages sent to participants, by kind, for the status.
         """
         self._name = name
         self._coordinator = coordinator
@@ -92,7 +99,11 @@
         }
 
     def handle(self, message: JsonObject) -> CallResult:
-        """Answer an authentic message. Raises AuthenticationError for a replay."""
+        """Answer an authenticated message.
+
+        Raises:
+            AuthenticationError: The message is a replay, or its time stamp is not recent.
+        """
         self._replay_guard.check(message)
         kind: Any = message.get("do")
         try:
@@ -117,13 +128,13 @@
         return self._propose(generation.content, message)
 
     def _propose(self, proposed: JsonObject, message: JsonObject) -> CallResult:
-        """Propose settings, once they are valid alone and together with those in force."""
+        """Validate settings and propose them."""
         content = canonical_settings.shared_settings(proposed)
         without = message.get("without", [])
         if not isinstance(without, list) or not all(isinstance(name, str) for name in without):
             return reject_call(StaffRejection.MALFORMED, "without: expected a list of names")
         try:
-            self._validate(content, may_lack_keys=bool(message.get("less")))
+            self._validate(content, allow_missing_keys=bool(message.get("less")))
         except (ConfigError, ValueError, TypeError, AttributeError, KeyError) as error:
             return reject_call(StaffRejection.SETTINGS, str(error))
         author = str(message.get("by", ""))[:MAX_AUTHOR_CHARACTERS]
@@ -136,20 +147,31 @@
         self._on_proposed()
         return CallResult(HTTPStatus.OK, self._describe_progress(change))
 
-    def _validate(self, content: JsonObject, may_lack_keys: bool) -> None:
-        """Raise ConfigError, or what the reader raises, for settings that no gateway would take."""
+    def _validate(self, content: JsonObject, allow_missing_keys: bool) -> None:
+        """Check settings alone, and in combination with those in force.
+
+        The combination consists of the settings under which gateways admit during the change.
+
+        Args:
+            content: The proposed settings.
+            allow_missing_keys: Whether keys of the settings in force may be missing.
+
+        Raises:
+            ConfigError: A gateway would reject the settings. Malformed values may also raise
+                ValueError, TypeError, AttributeError or KeyError.
+        """
         parse_settings(Section(content, "settings"))
         in_force = self._coordinator.in_force
         if not in_force:
             return
-        if in_force.number and not may_lack_keys:
+        if in_force.number and not allow_missing_keys:
             check_no_key_removed(in_force.content, content, "settings")
         parse_settings(Section(safe_settings.meet(in_force.content, content), "settings"))
 
-    # Questions.
+    # Queries.
 
     def _answer_status(self, _message: JsonObject) -> CallResult:
-        """Answer what is in force, what is under way, and where each participant stands."""
+        """Return the settings in force, the change in progress and each participant's state."""
         coordinator = self._coordinator
         in_force = coordinator.in_force
         change = coordinator.change
@@ -194,7 +216,7 @@
         return reject_call(StaffRejection.UNKNOWN, f"no change {number}")
 
     def _find_generation(self, number: Any) -> Generation | None:  # noqa: ANN401 - a JSON value
-        """Return the generation of a number that was in force, else the last proposed under it."""
+        """Return the committed generation with a number, else the latest proposed one, if any."""
         in_force = self._coordinator.in_force
         if in_force and in_force.number == number:
             return in_force
@@ -205,7 +227,7 @@
         return candidates[-1].generation if candidates else None
 
     def _describe_progress(self, change: Change) -> JsonObject:
-        """Return a change as it stands: its outcome, and where its settings are in force."""
+        """Return the outcome of a change and the participants that have its settings in force."""
         coordinator = self._coordinator
         ballot = change.generation.ballot
         states = coordinator.participant_states
@@ -213,7 +235,7 @@
         reached = [
             name for name in participants if name in states and states[name].in_force >= ballot
         ]
-        owed = [
+        pending = [
             name
             for name in change.participants
             if name not in reached and name not in change.confirmed_absent
@@ -221,7 +243,7 @@
         return change.to_dict() | {
             "reached": len(reached),
             "of": len(participants),
-            "owed": sorted(owed),
+            "owed": sorted(pending),
             "control": coordinator.state,
         }
 
--- a/petrellane/config_consensus/staff_messages.py
+++ b/petrellane/config_consensus/staff_messages.py
@@ -1,6 +1,7 @@
-"""Messages between staff's commands and a control process: kinds, rejections, a change's progress.
+"""Messages between staff's commands and a control process: calls, rejections and progress.
 
-Both ends are of one build; the messages are JSON objects on the wire.
+The messages are JSON objects. Both processes run the same build, so they need no compatibility with
+other versions.
 """
 
 from dataclasses import dataclass
@@ -12,11 +13,11 @@
 from petrellane.config_consensus.message_authentication import CallResult
 from petrellane.config_consensus.messages import JsonObject
 
-CONTROL_RECIPIENT = "control"  # whom calls of staff are for, whatever the control process's name
+CONTROL_RECIPIENT = "control"  # recipient of every call of staff, instead of a process name
 
 
 class StaffCall(StrEnum):
-    """What staff can ask of a control process: the value of a message's key `do`."""
+    """The kinds of calls that staff can make: the values of a message's key `do`."""
 
     STATUS = "status"
     HISTORY = "history"
@@ -27,7 +28,7 @@
 
 
 class StaffRejection(StrEnum):
-    """Why a call of staff is rejected: the value of an answer's key `refused`."""
+    """The cause for which a call of staff is rejected: values of an answer's key `refused`."""
 
     MALFORMED = "form"
     UNKNOWN = "unknown"
@@ -46,23 +47,24 @@
 
 
 def reject_call(rejection: StaffRejection, reason: str) -> CallResult:
-    """Return the answer that rejects a call, with the reason in one line."""
+    """Return the answer that rejects a call, with the reason in one line of text."""
     return CallResult(REJECTION_STATUS[rejection], {"refused": rejection, "why": reason})
 
 
 @dataclass(frozen=True)
 class ChangeProgress:
-    """How far a change has come, as a control process answers it.
+    """The progress of a change, as reported by the control process.
 
     Attributes:
-        number: the generation's number.
-        outcome: the value of a `ChangeOutcome`.
-        reason: why it was aborted or is unknown, else empty or what it was begun for.
-        prepared: names of the participants that have prepared it.
-        absent: names of those that are down, and get it when they start.
-        owed: names of those that have to put it in force and have not.
-        reached_count: how many participants have it in force, or a later one.
-        participant_count: of how many.
+        number: The number of the generation.
+        outcome: The value of a `ChangeOutcome`.
+        reason: The reason for the outcome or, if there is none, the purpose of the change; may be
+            empty.
+        prepared: The names of the participants that have prepared the generation.
+        absent: The names of the participants that are down; they receive it when they start.
+        pending: The names of the participants that have yet to put the generation in force.
+        reached_count: The number of participants that have it, or a later one, in force.
+        participant_count: The number of all participants.
     """
 
     number: int
@@ -70,41 +72,41 @@
     reason: str
     prepared: list[str]
     absent: list[str]
-    owed: list[str]
+    pending: list[str]
     reached_count: int
     participant_count: int
 
     @classmethod
     def from_answer(cls, answer: JsonObject) -> Self:
-        """Return the progress that an answer tells."""
+        """Parse the progress from an answer of the control process."""
         return cls(
             number=answer["number"],
             outcome=answer["outcome"],
             reason=answer["why"],
             prepared=answer["prepared"],
             absent=answer["absent"],
-            owed=answer["owed"],
+            pending=answer["owed"],
             reached_count=answer["reached"],
             participant_count=answer["of"],
         )
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing is left to follow: it failed, or is in force wherever it is due."""
+        """Whether the change was aborted or superseded, or is in force at all that are not down."""
         if self.outcome in (ChangeOutcome.ABORTED, ChangeOutcome.SUPERSEDED):
             return True
-        return self.outcome == ChangeOutcome.COMMITTED and not self.owed
+        return self.outcome == ChangeOutcome.COMMITTED and not self.pending
 
     def describe(self) -> str:
-        """Return the progress in one line."""
+        """Return the progress as one line of text."""
         prefix = f"generation {self.number}: "
         if self.outcome == ChangeOutcome.PREPARING:
             return f"{prefix}prepared at {len(self.prepared)}"
         if self.outcome != ChangeOutcome.COMMITTED:
             return f"{prefix}{self.outcome}: {self.reason}"
         text = f"{prefix}in force at {self.reached_count} of {self.participant_count}"
-        if self.owed:
-            text += f", not yet at {', '.join(self.owed)}"
+        if self.pending:
+            text += f", not yet at {', '.join(self.pending)}"
         if self.absent:
             text += f"; down, to have it when they start: {', '.join(self.absent)}"
         return text
