--- a/petrellane/benchlink/__init__.py
+++ b/petrellane/benchlink/__init__.py
@@ -1,8 +1,8 @@
-"""The simulator's wire in front of the decisions.
+"""An adapter that connects an external simulator to the admission controller by a text protocol.
 
-- `codec`: lines of the wire to typed batches and back.
-- `instance`: one simulated gateway; translates events and actions, ids and units.
+- `codec`: converts lines of text to batches of events, and replies to text.
+- `instance`: one simulated gateway; translates events, actions, ids and units.
 - `adapter`: answers batches for all instances of one process.
 
-The names on the wire are the simulator's; they end here.
+The names in the protocol are the simulator's. Only this package uses them.
 """
--- a/petrellane/benchlink/__main__.py
+++ b/petrellane/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Run the adapter on standard input and output."""
+"""Entry point that runs the adapter on standard input and output."""
 
 import sys
 
--- a/petrellane/benchlink/adapter.py
+++ b/petrellane/benchlink/adapter.py
@@ -1,7 +1,8 @@
-"""Answers batches: hands each event to its instance and writes one reply a batch.
+"""The adapter: passes each event of a batch to its instance and writes one reply per batch.
 
-Instances share nothing, so that results do not depend on how they are split across processes. The
-simulator stops the day at an exception, which goes out as GIVE_IN in place of half a reply.
+Instances share no state, so the results do not depend on their distribution over processes. After
+an exception, the reply to the current batch consists only of a GIVE_IN line, and the simulator ends
+its run.
 """
 
 import traceback
@@ -12,18 +13,18 @@
 
 OPEN_INSTANCE: Final = "OPEN_INSTANCE"
 DETACH: Final = "DETACH"
-LONGEST_REASON: Final = 200  # characters
+MAX_REASON_LENGTH: Final = 200  # characters of an exception that a GIVE_IN line repeats
 
 
 class Adapter:
-    """The instances of one process, from the first batch to the last.
+    """Holds the instances of one process and answers their batches; owned by `serve`.
 
     Attributes:
-        current_event: The event that was last begun; None before the first.
+        current_event: The event whose handling started most recently; None before the first.
     """
 
     def __init__(self) -> None:
-        """Make an adapter without instances."""
+        """Create an adapter without instances."""
         self.current_event: WireEvent | None = None
         self._instances: dict[int, SimulatedInstance] = {}
 
@@ -36,7 +37,7 @@
         return lines
 
     def _answer_event(self, now: float, event: WireEvent) -> list[str]:
-        """Return the lines that answer one event; none for an instance that is not open."""
+        """Return the lines that answer one event; an empty list if its instance is not open."""
         fields = event.fields
         number = int(fields["gateway"])
         if event.verb == OPEN_INSTANCE:
@@ -54,12 +55,12 @@
     """Answer batches until the input ends.
 
     Args:
-        stdin: Where batches come from.
-        stdout: Where replies go, flushed after each.
-        stderr: Where the trace of an exception goes.
+        stdin: The stream of batches.
+        stdout: The stream for replies, flushed after each.
+        stderr: The stream for the traceback of an exception.
 
     Returns:
-        The exit code: 0, or 1 after an exception, which ends in GIVE_IN with one plain line.
+        The exit code: 0, or 1 after an exception, which a GIVE_IN line reports.
     """
     adapter = Adapter()
     try:
@@ -68,14 +69,14 @@
             stdout.flush()
     except Exception as error:
         traceback.print_exc(file=stderr)
-        stdout.write(encode_reply([_give_in(adapter.current_event, error)]))
+        stdout.write(encode_reply([_format_exception(adapter.current_event, error)]))
         stdout.flush()
         return 1
     return 0
 
 
-def _give_in(event: WireEvent | None, error: Exception) -> str:
-    """Return the line that reports an exception in an event."""
+def _format_exception(event: WireEvent | None, error: Exception) -> str:
+    """Return the GIVE_IN line that reports an exception during an event."""
     number = event.fields.get("gateway", "0") if event else "0"
-    reason = " ".join(f"{type(error).__name__}: {error}".split())[:LONGEST_REASON]
+    reason = " ".join(f"{type(error).__name__}: {error}".split())[:MAX_REASON_LENGTH]
     return f"GIVE_IN gateway={number} reasonText={reason}"
--- a/petrellane/benchlink/codec.py
+++ b/petrellane/benchlink/codec.py
@@ -1,7 +1,7 @@
-"""Codec of the simulator's wire: lines of text to batches of events, and replies to text.
+"""The codec of the simulator's protocol: decodes lines to batches of events, and encodes replies.
 
-A line is a verb and space-separated `name=value` fields; a text field runs to the end of its line.
-Values stay text here: what they mean is the instance's business.
+A line consists of a verb and space-separated `name=value` fields. A text field extends to the end
+of its line. The codec keeps values as text; `instance` interprets them.
 """
 
 from collections.abc import Iterable, Iterator
@@ -11,19 +11,19 @@
 
 BATCH: Final = "BATCH"
 END_OF_BATCH: Final = "EOF_BATCH"
-ROW: Final = "ENTRY"
+LIST_ENTRY: Final = "ENTRY"
 END_OF_REPLY: Final = "EOR\n"
-TEXT_FIELDS: Final = (" settings=", " reasonText=")  # each runs to the end of its line
-MICROSECONDS: Final = 1e6  # in a second
-QUOTED: Final = 80  # characters of a bad line that an error shows
+TEXT_FIELDS: Final = (" settings=", " reasonText=")  # each extends to the end of its line
+MICROSECONDS_PER_SECOND: Final = 1e6
+MAX_QUOTED_LENGTH: Final = 80  # characters of a malformed line that an error text repeats
 
 
-class Malformed(Exception):  # noqa: N818 - its name is on the wire, in the reason of a GIVE_IN
-    """A line that is not of the wire."""
+class Malformed(Exception):  # noqa: N818 - a GIVE_IN line sends this name to the simulator
+    """A line violates the protocol."""
 
 
 class WireEvent(NamedTuple):
-    """One event of a batch; `rows` are the fields of the ENTRY lines behind it."""
+    """One event of a batch; `rows` contains the fields of the ENTRY lines that follow it."""
 
     verb: str
     fields: Fields
@@ -31,7 +31,7 @@
 
 
 class Batch(NamedTuple):
-    """The events of one clock time, in seconds."""
+    """The events of one simulated time `now`, in seconds."""
 
     now: float
     events: list[WireEvent]
@@ -44,42 +44,42 @@
         Malformed: A field has no value.
     """
     text: Fields = {}
-    for mark in TEXT_FIELDS:
-        before, found, value = line.partition(mark)
+    for marker in TEXT_FIELDS:
+        before, found, value = line.partition(marker)
         if found:
             line = before
-            text = {mark[1:-1]: value}
+            text = {marker[1:-1]: value}
             break
     verb, *pairs = line.split(" ")
     try:
         fields = dict(pair.split("=", 1) for pair in pairs)
     except ValueError as error:
-        raise Malformed(f"malformed line: {line[:QUOTED]!r}") from error
+        raise Malformed(f"malformed line: {line[:MAX_QUOTED_LENGTH]!r}") from error
     fields.update(text)
     return verb, fields
 
 
 def read_batches(lines: Iterable[str]) -> Iterator[Batch]:
-    """Read batches until the input ends; one that is cut short there is dropped.
+    """Read batches until the input ends; discard a batch that is incomplete at that point.
 
     Raises:
-        Malformed: A line is not of the wire, or not where it belongs.
+        Malformed: A line is malformed, or out of place.
     """
-    stripped = (line.rstrip("\n") for line in lines)
-    for line in stripped:
+    stripped_lines = (line.rstrip("\n") for line in lines)
+    for line in stripped_lines:
         if not line:
             continue
         verb, fields = parse_line(line)
         if verb != BATCH:
-            raise Malformed(f"expected BATCH, read {line[:QUOTED]!r}")
-        events = _read_events(stripped)
+            raise Malformed(f"expected BATCH, read {line[:MAX_QUOTED_LENGTH]!r}")
+        events = _read_events(stripped_lines)
         if events is None:
             return
-        yield Batch(int(fields["t"]) / MICROSECONDS, events)
+        yield Batch(int(fields["t"]) / MICROSECONDS_PER_SECOND, events)
 
 
 def _read_events(lines: Iterator[str]) -> list[WireEvent] | None:
-    """Read the events of a batch up to its end; None where the input ends before."""
+    """Read the events of a batch; return None if the input ends before the batch does."""
     events: list[WireEvent] = []
     for line in lines:
         if line == END_OF_BATCH:
@@ -87,7 +87,7 @@
         if not line:
             continue
         verb, fields = parse_line(line)
-        if verb != ROW:
+        if verb != LIST_ENTRY:
             events.append(WireEvent(verb, fields, []))
         elif events:
             events[-1].rows.append(fields)
@@ -97,15 +97,15 @@
 
 
 def encode_reply(actions: list[str]) -> str:
-    """Return the text of a reply with these lines."""
+    """Return the text of a reply that consists of these lines."""
     return "\n".join([*actions, END_OF_REPLY])
 
 
 def seconds(text: str | None) -> float:
-    """Return a time of the wire, microseconds as text, in seconds; 0 for a missing one."""
-    return int(text or 0) / MICROSECONDS
+    """Convert microseconds, as text, to seconds; a missing value is 0."""
+    return int(text or 0) / MICROSECONDS_PER_SECOND
 
 
 def microseconds(value: float) -> int:
-    """Return seconds as whole microseconds of the wire."""
-    return round(value * MICROSECONDS)
+    """Convert seconds to microseconds, rounded to an integer."""
+    return round(value * MICROSECONDS_PER_SECOND)
--- a/petrellane/benchlink/instance.py
+++ b/petrellane/benchlink/instance.py
@@ -1,7 +1,7 @@
-"""One simulated gateway: the wire's ids and units on one side, the decisions' objects on the other.
+"""One simulated gateway: translates between the simulator's protocol and the admission controller.
 
-Handlers turn an event into a call of the admission controller; encoders turn the actions that it
-returns into lines. Nothing is decided here, and the batch's clock is the only time there is.
+Handlers convert an event to a call of the controller; encoders convert the actions that it returns
+to lines. This module makes no admission decisions. The time of a batch is the only clock.
 """
 
 import json
@@ -29,31 +29,31 @@
     "NOCONN": api.UNREACHABLE,
     "NOP": api.NEVER_SENT,
 }
-STATES: Final = {"0": api.GONE, "1": api.READY, "2": api.DRAINING}
-COMPLETE_LISTS: Final = frozenset(("1", "2"))  # kinds of endpoint lists: full, cached
-FAILED_LIST: Final = "3"  # the kind that reports a failed call to discovery
+ENDPOINT_STATES: Final = {"0": api.GONE, "1": api.READY, "2": api.DRAINING}
+COMPLETE_LISTS: Final = frozenset(("1", "2"))  # kinds of complete endpoint lists: full, cached
+FAILED_LIST: Final = "3"  # the kind of list that reports a failed call to discovery
 TRUE: Final = "1"
-NUMBER: Final = re.compile(r"-?\d+(\.\d+)?(e[-+]?\d+)?", re.IGNORECASE)
-SHORTEST_TIME: Final = 1  # microseconds; 0 would mean none
+NUMBER_PATTERN: Final = re.compile(r"-?\d+(\.\d+)?(e[-+]?\d+)?", re.IGNORECASE)
+MIN_DURATION_US: Final = 1  # a timeout or delay of 0 would mean none
 
 
 class SimulatedInstance:
-    """One instance of the simulator, from its OPEN_INSTANCE until DETACH or the end of the input.
+    """One simulated gateway, which lives from OPEN_INSTANCE to DETACH or the end of the input.
 
-    It keeps the ids by which the wire names requests, timers and counter calls. A request is
-    forgotten once it is finished and all its attempts have ended.
+    The adapter owns it. It maps the protocol's ids of requests, timers and counter calls to
+    objects. It removes a request once the request is finished and all its attempts have ended.
     """
 
     def __init__(self, number: int, seed: int, settings_json: str) -> None:
-        """Open an instance.
+        """Create an instance.
 
         Args:
-            number: The simulator's number of it.
-            seed: The seed of its random source.
+            number: The number by which the simulator identifies the instance.
+            seed: The seed of the instance's random number generator.
             settings_json: The operators' settings, a JSON object.
 
         Raises:
-            ConfigError: A setting is missing or wrong.
+            ConfigError: A setting is missing or invalid.
         """
         settings = config.parse_settings(config.Section(json.loads(settings_json), "settings"))
         self.number = number
@@ -70,17 +70,17 @@
         self._customers: WeakValueDictionary[str, api.Customer] = WeakValueDictionary()
         self._rpcs: dict[str, api.Rpc] = {}  # by handle
         self._handles: dict[api.Rpc, str] = {}
-        self._maybe_settled: list[api.Rpc] = []  # to be looked at once the event is answered
+        self._maybe_settled: list[api.Rpc] = []  # checked after each event
         self._counter_adds: defaultdict[int, deque[act.CounterAdd]] = defaultdict(deque)
         self._timer_subjects: dict[int, act.TimerSubject] = {}  # by nonce
         self._last_nonce = 0
 
     def start(self, now: float) -> list[str]:
-        """Return the lines of the instance's first actions."""
+        """Start the controller, and return the lines of its first actions."""
         return self._encode(self.controller.start(now))
 
     def handle(self, now: float, event: WireEvent) -> list[str]:
-        """Return the lines that answer one event; none for a verb that means nothing here."""
+        """Return the lines that answer one event; an empty list for an unknown verb."""
         handler = HANDLERS.get(event.verb)
         lines = self._encode(handler(self, now, event)) if handler else []
         self._forget_settled_rpcs()
@@ -95,7 +95,7 @@
                     self._rpcs.pop(handle, None)
 
     def on_endpoint_events(self, now: float, event: WireEvent) -> Actions:
-        """Handle PEERS_KNOWN: an endpoint list, changes to it, or a failed call to discovery."""
+        """Handle PEERS_KNOWN: an endpoint list, changes to the list, or a failed discovery call."""
         kind = event.fields.get("kind")
         if kind == FAILED_LIST:
             return self.controller.on_watch_failed(now)
@@ -111,13 +111,13 @@
             row.get("az", ""),
             row.get("type", ""),
             int(row.get("pod", 0)),
-            STATES.get(row.get("state", "0"), api.GONE),
+            ENDPOINT_STATES.get(row.get("state", "0"), api.GONE),
             float(row.get("share", 0)),
             seconds(row.get("upSince")),
         )
 
     def on_request(self, now: float, event: WireEvent) -> Actions:
-        """Handle DEMAND: a client's request."""
+        """Handle DEMAND: a client's request arrives."""
         fields = event.fields
         customer = self._customer(fields)
         rpc = api.Rpc(
@@ -135,7 +135,7 @@
         return self.controller.admit(now, rpc)
 
     def _customer(self, fields: Fields) -> api.Customer:
-        """Return the customer of a request, with the gateways that it comes through now."""
+        """Return the customer of a request, and update the gateways that receive its requests."""
         name = fields.get("customer", "")
         customer = self._customers.get(name)
         if customer is None:
@@ -147,7 +147,7 @@
         return customer
 
     def on_attempt_ended(self, now: float, event: WireEvent) -> Actions:
-        """Handle ANSWER: the outcome of an attempt."""
+        """Handle ANSWER: an attempt ended."""
         fields = event.fields
         rpc = self._rpcs.get(fields["handle"])
         number = int(fields.get("sendNo", 0))
@@ -166,7 +166,7 @@
         )
 
     def on_response_started(self, now: float, event: WireEvent) -> Actions:
-        """Handle FIRST: a streamed response has begun."""
+        """Handle FIRST: a streamed response started."""
         rpc = self._rpcs.get(event.fields["handle"])
         if rpc is None:
             return ()
@@ -174,7 +174,7 @@
         return self.controller.on_response_started(now, attempt)
 
     def on_client_disconnected(self, now: float, event: WireEvent) -> Actions:
-        """Handle EXPIRED: the client has left."""
+        """Handle EXPIRED: the client disconnected."""
         rpc = self._rpcs.get(event.fields["handle"])
         if rpc is None:
             return ()
@@ -182,21 +182,21 @@
         return self.controller.on_client_disconnected(now, rpc)
 
     def on_timer(self, now: float, event: WireEvent) -> Actions:
-        """Handle RING: a timer is due."""
+        """Handle RING: a timer expired."""
         subject = self._timer_subjects.pop(int(event.fields["nonce"]), None)
         if subject is None:
             return ()
         return self.controller.on_timer(now, subject)
 
     def on_counter_reply(self, now: float, event: WireEvent) -> Actions:
-        """Handle COUNTER_REPLY: the result of the oldest call for its name."""
+        """Handle COUNTER_REPLY: the result of the oldest pending call for a counter name."""
         fields = event.fields
         name = int(fields["cname"])
-        waiting = self._counter_adds[name]
-        if not waiting:
+        pending_adds = self._counter_adds[name]
+        if not pending_adds:
             return ()
-        add = waiting.popleft()
-        if not waiting:
+        add = pending_adds.popleft()
+        if not pending_adds:
             del self._counter_adds[name]
         total = float(fields.get("reading", 0))
         return self.controller.on_counter_reply(now, add, self._outcome(fields), total)
@@ -206,16 +206,16 @@
         return OUTCOMES.get(fields.get("outcome", ""), api.ERROR)
 
     def _load_report(self, fields: Fields) -> dict[str, float]:
-        """Return a host's load report by field name; empty when none came."""
+        """Return the metrics of a host's load report by name; empty without a report."""
         values = fields.get("healthInfo", "").split(",")
         return {
             name: float(text)
             for name, text in zip(self._report_fields, values, strict=False)
-            if NUMBER.fullmatch(text)
+            if NUMBER_PATTERN.fullmatch(text)
         }
 
     def _encode(self, actions: Actions) -> list[str]:
-        """Return the lines of actions, in their order."""
+        """Return the lines of actions, in the same order."""
         lines = []
         for action in actions:
             lines.append(ENCODERS[type(action)](self, action))
@@ -224,32 +224,32 @@
         return lines
 
     def encode_send_attempt(self, action: act.SendAttempt) -> str:
-        """Return a DISPATCH: send an attempt."""
+        """Return a DISPATCH line, which sends an attempt."""
         return (
             f"DISPATCH gateway={self.number} handle={self._handles[action.rpc]} "
             f"host={action.endpoint.address} "
-            f"timeout={max(SHORTEST_TIME, microseconds(action.timeout))}"
+            f"timeout={max(MIN_DURATION_US, microseconds(action.timeout))}"
         )
 
     def encode_reject(self, action: act.Reject) -> str:
-        """Return a REJECT: reject the request."""
+        """Return a REJECT line, which rejects the request."""
         return (
             f"REJECT gateway={self.number} handle={self._handles[action.rpc]} "
             f"retryAfter={microseconds(action.retry_after)}"
         )
 
     def encode_abort(self, action: act.Abort) -> str:
-        """Return an END_FAILED: fail the request."""
+        """Return an END_FAILED line, which aborts the request."""
         return f"END_FAILED gateway={self.number} handle={self._handles[action.rpc]}"
 
     def encode_cancel_attempt(self, action: act.CancelAttempt) -> str:
-        """Return a RECALL: cancel an attempt."""
+        """Return a RECALL line, which cancels an attempt."""
         attempt = action.attempt
         handle = self._handles[attempt.rpc]
         return f"RECALL gateway={self.number} handle={handle} sendNo={attempt.number}"
 
     def encode_counter_add(self, action: act.CounterAdd) -> str:
-        """Return a POST_AMOUNT: add to a named number of the counter."""
+        """Return a POST_AMOUNT line, which adds to a named value of the counter."""
         self._counter_adds[action.name].append(action)
         return (
             f"POST_AMOUNT gateway={self.number} cname={action.name} "
@@ -257,18 +257,18 @@
         )
 
     def encode_set_timer(self, action: act.SetTimer) -> str:
-        """Return a WAKE_AT: set a timer."""
+        """Return a WAKE_AT line, which sets a timer."""
         self._last_nonce += 1
         self._timer_subjects[self._last_nonce] = action.subject
-        delay = max(SHORTEST_TIME, microseconds(action.delay))
+        delay = max(MIN_DURATION_US, microseconds(action.delay))
         return f"WAKE_AT gateway={self.number} nonce={self._last_nonce} in={delay}"
 
     def encode_write_log(self, action: act.WriteLog) -> str:
-        """Return a RECORD: add a line to the report."""
+        """Return a RECORD line, which adds a text to the simulator's report."""
         return f"RECORD gateway={self.number} reasonText={action.text}"
 
     def encode_watch_endpoints(self, _action: act.WatchEndpoints) -> str:
-        """Return a STREAM_CHANGES: subscribe to changes of the endpoint list."""
+        """Return a STREAM_CHANGES line, which subscribes to changes of the endpoint list."""
         return f"STREAM_CHANGES gateway={self.number} on=1"
 
 
