--- a/petrellane/invariants/__init__.py
+++ b/petrellane/invariants/__init__.py
@@ -1,18 +1,19 @@
-"""The operators' five rules, judged from records alone.
+"""The operators' five rules, and two internal rules, checked from the records of a run.
 
-A record is what a client, a host or discovery observed, never what a gateway believes. Hand every
-record to `InvariantChecker.observe` in the order of time and call `close` at the end; the verdict
-names what was broken, and how near the run came to each rule. The simulation and the testbed hand
-in the same records, so a rule means the same in both.
+A record states what a client, a host or discovery observed, never what a gateway believes. The
+caller passes every record to `InvariantChecker.observe` in order of time and calls `close` at the
+end. The verdict names the broken rules, and states how closely the run approached a violation of
+each of the five. The simulation and the testbed produce the same types of records, so a rule has
+the same meaning in both.
 
-Times are seconds of one true clock, units and work are floats, ids are any hashable values.
+Times are seconds of one accurate clock. Units and work are floats. Ids are any hashable values.
 
-- `records`: the typed records.
-- `parameters`: the figures of the rules.
-- `verdict`: names of the rules, violations, and what comes of a run.
-- `open_rpcs`, `endpoint_views`: what the rules need to remember of RPCs and of endpoint lists.
+- `records`: the types of records.
+- `parameters`: the parameters of the rules.
+- `verdict`: the names of the rules, violations, and the verdict on a run.
+- `open_rpcs`, `endpoint_views`: the state that the rules keep of RPCs and of endpoint lists.
 - `final_answers`, `effects`, `draining`, `cold_starts`, `hard_limits`, `generations`: the rules.
-- `checker`: takes the records and applies the rules.
+- `checker`: receives the records and applies the rules.
 """
 
 from petrellane.invariants.checker import InvariantChecker
--- a/petrellane/invariants/checker.py
+++ b/petrellane/invariants/checker.py
@@ -1,4 +1,4 @@
-"""The checker: takes the records of a run and applies each rule to them."""
+"""The checker, which receives the records of a run and applies the rules to them."""
 
 from collections.abc import Callable
 from typing import Any
@@ -37,9 +37,10 @@
 
 
 class InvariantChecker:
-    """Judges one run from its records, handed in by the order of time.
+    """Checks the records of one run, which its owner passes in order of time.
 
-    A record with an earlier time than the one before is judged as if it came now.
+    It processes records in the order of the calls, even if the time of a record is earlier than
+    that of its predecessor.
 
     Attributes:
         parameters: The parameters of the rules.
@@ -49,7 +50,7 @@
     """
 
     def __init__(self, parameters: RuleParameters) -> None:
-        """Make a checker of a run that begins now."""
+        """Create a checker for a run without records."""
         self.parameters = parameters
         self.log = ViolationLog(parameters.max_violations)
         self.open_rpcs = OpenRpcs()
@@ -71,26 +72,26 @@
             ClientDisconnected: self._on_client_disconnected,
             EndpointNotified: self._views.update,
             GatewayLifecycle: self._on_lifecycle,
-            EndpointStarted: self._cold_starts.started,
+            EndpointStarted: self._cold_starts.track_start,
             StateRetained: self._on_state_retained,
             RpcAdmitted: self._generations.check_admission,
-            GenerationDecided: self._generations.decided,
+            GenerationDecided: self._generations.record_decision,
         }
 
     def observe(self, record: Record) -> None:
-        """Judge one record."""
+        """Apply the rules to one record."""
         self._handlers[type(record)](record)
 
     def close(self, at: float) -> Verdict:
-        """Return the verdict; `at` is the time up to which everything was recorded."""
+        """Return the verdict; `at` is the time up to which the records are complete."""
         for rpc in list(self.open_rpcs.by_id.values()):
             self._final_answers.check_unanswered(rpc, at, self._paused)
-        self._generations.check_undecided()
+        self._generations.check_uncommitted()
         return self.log.verdict()
 
     def _on_received(self, record: RpcReceived) -> None:
         if record.rpc in self.open_rpcs.by_id:
-            self._final_answers.received_again(record)
+            self._final_answers.report_repeated_receipt(record)
             return
         self.open_rpcs.add(OpenRpc(record, record.deadline + self.parameters.answer_slack))
         self._effects.track(record.rpc, record.method)
@@ -99,10 +100,10 @@
         self._draining.check_attempt(record)
         rpc = self.open_rpcs.by_id.get(record.rpc)
         if rpc is None or rpc.is_over:
-            self._final_answers.sent_after_end(record)
+            self._final_answers.report_late_attempt(record)
             return
         if record.number == 0:
-            self.hard_limits.draw(rpc.received, record.at)
+            self.hard_limits.consume(rpc.received, record.at)
         else:
             self._effects.check_retry(rpc, record)
         rpc.attempts[record.number] = ObservedAttempt(record.at, record.host)
@@ -111,28 +112,28 @@
         rpc = self.open_rpcs.by_id.get(record.rpc)
         if rpc is not None and record.number in rpc.attempts:
             rpc.attempts[record.number].outcome = record.outcome
-            self.open_rpcs.forget_if_settled(rpc)
+            self.open_rpcs.remove_if_settled(rpc)
 
     def _on_answered(self, record: RpcAnswered) -> None:
         rpc = self.open_rpcs.by_id.get(record.rpc)
         if rpc is None or rpc.is_answered:
-            self._final_answers.answered_again(record)
+            self._final_answers.report_repeated_answer(record)
             return
         rpc.is_answered = True
         rpc.is_over = True
         self._final_answers.check_answer(rpc, record)
         if record.answer == REJECTED:
             self._effects.check_rejection(rpc, record)
-        self.open_rpcs.forget_if_settled(rpc)
+        self.open_rpcs.remove_if_settled(rpc)
 
     def _on_client_disconnected(self, record: ClientDisconnected) -> None:
         rpc = self.open_rpcs.by_id.get(record.rpc)
         if rpc is None:
             return
         rpc.is_over = True
-        rpc.is_owed = rpc.is_owed and record.at >= rpc.received.deadline
-        if not rpc.is_owed:
-            self.open_rpcs.forget_if_settled(rpc)
+        rpc.needs_answer = rpc.needs_answer and record.at >= rpc.received.deadline
+        if not rpc.needs_answer:
+            self.open_rpcs.remove_if_settled(rpc)
 
     def _on_lifecycle(self, record: GatewayLifecycle) -> None:
         if record.event == PAUSED:
@@ -140,14 +141,14 @@
         elif record.event == RESUMED:
             self._paused.discard(record.gateway)
             for rpc in self.open_rpcs.of_gateway(record.gateway):
-                rpc.is_owed = rpc.is_owed and rpc.received.deadline > record.at
-                rpc.due = max(rpc.due, record.at + self.parameters.answer_slack)
+                rpc.needs_answer = rpc.needs_answer and rpc.received.deadline > record.at
+                rpc.answer_due_at = max(rpc.answer_due_at, record.at + self.parameters.answer_slack)
         elif record.event == KILLED:
             self._paused.discard(record.gateway)
-            self.open_rpcs.forget_gateway(record.gateway)
-            self._views.forget_gateway(record.gateway)
+            self.open_rpcs.remove_gateway(record.gateway)
+            self._views.remove_gateway(record.gateway)
 
     def _on_state_retained(self, record: StateRetained) -> None:
         if record.count:
             text = f"{record.gateway} still holds {record.count} {record.kind} that are over"
-            self.log.violated(RETAINED, record.at, text)
+            self.log.add_violation(RETAINED, record.at, text)
--- a/petrellane/invariants/cold_starts.py
+++ b/petrellane/invariants/cold_starts.py
@@ -1,9 +1,9 @@
-"""Rule `cold`: no host is overloaded while it warms up.
+"""The rule `cold`: no host is overloaded while it warms up.
 
 The rule is broken if a host receives more RPCs of mean work within a span of `overload_for` than
 `RuleParameters.cold_budget` permits, and at least two thirds of that work come from gateways that
 had been notified of the start. All work that reaches the host counts, whether the host rejects it
-or not. One start counts as broken at most once.
+or not. At most one violation is reported per start.
 """
 
 from collections import deque
@@ -15,11 +15,11 @@
 from petrellane.invariants.records import AttemptArrived, EndpointStarted, Id
 from petrellane.invariants.verdict import COLD_START, ViolationLog
 
-CLOCK_TOLERANCE = 1e-3  # seconds by which a notified start may differ from the true one
+CLOCK_TOLERANCE_S = 1e-3  # maximum difference between the notified and the actual start time
 
 
-class Load(NamedTuple):
-    """Work that reached a host, and whether its gateway had been notified of the start."""
+class Arrival(NamedTuple):
+    """Work that reached a host; `is_informed` if its gateway had been notified of the start."""
 
     at: float
     work: float
@@ -28,60 +28,60 @@
 
 @dataclass(slots=True)
 class ColdHost:
-    """A host that warms up, with the loads of the span."""
+    """A host that warms up, and the work that reached it within the last span."""
 
     started_at: float
     capacity: float
-    loads: deque[Load] = field(default_factory=deque)
-    has_collapsed: bool = False
+    arrivals: deque[Arrival] = field(default_factory=deque)
+    is_overloaded: bool = False
 
 
 class ColdStarts:
-    """Judges the load of cold hosts of one run."""
+    """Checks the load of cold hosts; owned by the checker of the run."""
 
     def __init__(self, parameters: RuleParameters, views: EndpointViews, log: ViolationLog) -> None:
-        """Judge by these terms, and by what gateways were notified of, into a log."""
+        """Create the rule; it reads the gateways' views, and adds violations to the log."""
         self._parameters = parameters
         self._views = views
         self._log = log
         self._cold: dict[Id, ColdHost] = {}
 
-    def started(self, record: EndpointStarted) -> None:
-        """Follow a host that has started."""
+    def track_start(self, record: EndpointStarted) -> None:
+        """Track a host that has started."""
         self._cold[record.host] = ColdHost(record.at, record.capacity)
 
     def check_arrival(self, record: AttemptArrived) -> None:
-        """Judge the load of a host with one more attempt."""
+        """Check the load of a host after the arrival of an attempt."""
         host = self._cold.get(record.host)
-        if host is None or host.has_collapsed:
+        if host is None or host.is_overloaded:
             return
         if record.at - host.started_at >= self._parameters.cold:
             del self._cold[record.host]
             return
-        self._add_load(host, record)
-        work = sum(load.work for load in host.loads)
-        informed_work = sum(load.work for load in host.loads if load.is_informed)
+        self._add_arrival(host, record)
+        work = sum(arrival.work for arrival in host.arrivals)
+        informed_work = sum(arrival.work for arrival in host.arrivals if arrival.is_informed)
         if informed_work * 3 >= work * 2:
             self._check_budget(host, work, record)
 
-    def _add_load(self, host: ColdHost, record: AttemptArrived) -> None:
+    def _add_arrival(self, host: ColdHost, record: AttemptArrived) -> None:
         view = self._views.view(record.gateway, record.host, 0.0)
-        is_informed = view.up_since >= host.started_at - CLOCK_TOLERANCE
-        host.loads.append(Load(record.at, record.work, is_informed))
-        while host.loads and host.loads[0].at <= record.at - self._parameters.overload_for:
-            host.loads.popleft()
+        is_informed = view.up_since >= host.started_at - CLOCK_TOLERANCE_S
+        host.arrivals.append(Arrival(record.at, record.work, is_informed))
+        while host.arrivals and host.arrivals[0].at <= record.at - self._parameters.overload_for:
+            host.arrivals.popleft()
 
     def _check_budget(self, host: ColdHost, work: float, record: AttemptArrived) -> None:
         parameters = self._parameters
-        mean = parameters.mean_work or work / len(host.loads)
+        mean = parameters.mean_work or work / len(host.arrivals)
         age = record.at - host.started_at
         count = work / mean
         budget = parameters.cold_budget(age, host.capacity, mean)
-        self._log.approached(COLD_START, count / budget)
+        self._log.record_proximity(COLD_START, count / budget)
         if count > budget:
-            host.has_collapsed = True
+            host.is_overloaded = True
             text = (
-                f"{record.host}, up for {age:.2f} s, had {count:.1f} RPCs of mean "
-                f"work in {parameters.overload_for:g} s, {budget:.1f} at most"
+                f"{record.host}, up for {age:.2f} s, received {count:.1f} RPCs of mean work in "
+                f"{parameters.overload_for:g} s, expected at most {budget:.1f}"
             )
-            self._log.violated(COLD_START, record.at, text, record.rpc)
+            self._log.add_violation(COLD_START, record.at, text, record.rpc)
--- a/petrellane/invariants/endpoint_views.py
+++ b/petrellane/invariants/endpoint_views.py
@@ -1,4 +1,4 @@
-"""What each gateway was last notified of each endpoint."""
+"""The state of each endpoint of which each gateway was last notified."""
 
 from typing import NamedTuple
 
@@ -6,10 +6,13 @@
 
 
 class EndpointView(NamedTuple):
-    """One endpoint as one gateway knows it.
+    """The state of one endpoint of which one gateway was last notified.
 
-    `since` is when the gateway was notified that it is ready, or first that it no longer is;
-    `up_since` is its last start, 0 for long ago.
+    Attributes:
+        state: The endpoint's state.
+        since: The time of the last notification that the endpoint is ready, or of the first one
+            that it is no longer ready, in seconds.
+        up_since: The time of the endpoint's last start, in seconds; 0 if it started long ago.
     """
 
     state: str
@@ -18,21 +21,22 @@
 
 
 class EndpointViews:
-    """The views of all gateways in one run; owned by its checker."""
+    """The views of all gateways; owned by the checker of the run."""
 
     def __init__(self) -> None:
-        """Make an empty table."""
+        """Create an empty table."""
         self._views: dict[tuple[Id, Id], EndpointView] = {}
 
     def view(self, gateway: Id, host: Id, at: float) -> EndpointView:
-        """Return a gateway's view of a host; ready from `at` on where it was notified of none."""
+        """Return a gateway's view of a host; without a notification, ready since `at`."""
         view = self._views.get((gateway, host))
         return EndpointView(READY, at, 0.0) if view is None else view
 
     def update(self, record: EndpointNotified) -> None:
         """Apply a notification.
 
-        For a host that drains first and is gone later, the grace runs from the first notification.
+        If a host is first draining and later gone, the grace period runs from the first of the two
+        notifications.
         """
         before = self.view(record.gateway, record.host, record.at)
         since = before.since
@@ -41,6 +45,6 @@
         view = EndpointView(record.state, since, record.up_since)
         self._views[record.gateway, record.host] = view
 
-    def forget_gateway(self, gateway: Id) -> None:
-        """Forget the views of a gateway that was killed."""
+    def remove_gateway(self, gateway: Id) -> None:
+        """Remove the views of a gateway that was killed."""
         self._views = {key: view for key, view in self._views.items() if key[0] != gateway}
--- a/petrellane/invariants/generations.py
+++ b/petrellane/invariants/generations.py
@@ -1,7 +1,8 @@
-"""Rule `agreed`, of the project's own: RPCs are admitted under settings that are in force.
+"""The internal rule `agreed`: gateways admit RPCs only under settings that are in force.
 
-None is admitted under a generation that was not decided, and none that came later than the grace
-after another was admitted under a later generation.
+No gateway admits an RPC under a generation that was not committed. If a client sends an RPC more
+than `RuleParameters.generation_grace` after the first admission under a generation, no gateway
+admits that RPC under an earlier generation.
 """
 
 from petrellane.invariants.parameters import RuleParameters
@@ -10,10 +11,10 @@
 
 
 class Generations:
-    """Judges the generations of the settings in one run."""
+    """Checks the generations of the settings; owned by the checker of the run."""
 
     def __init__(self, parameters: RuleParameters, log: ViolationLog) -> None:
-        """Judge by these terms into a log."""
+        """Create the rule; it adds violations to the log."""
         self._parameters = parameters
         self._log = log
         self._first_admitted: dict[int, RpcAdmitted] = {}
@@ -22,7 +23,7 @@
         self._latest_since = 0.0
 
     def check_admission(self, record: RpcAdmitted) -> None:
-        """Judge an admission against the latest generation so far."""
+        """Check an admission against the latest generation so far."""
         if record.number > self._latest:
             self._latest = record.number
             self._latest_since = record.at
@@ -31,23 +32,23 @@
             and record.since > self._latest_since + self._parameters.generation_grace
         ):
             text = (
-                f"{record.gateway} admitted RPC {record.rpc}, which came "
-                f"{record.since - self._latest_since:.3f} s after generation {self._latest} was "
-                f"in force, under generation {record.number}"
+                f"{record.gateway} admitted RPC {record.rpc} under generation {record.number}, but "
+                f"the RPC was sent {record.since - self._latest_since:.3f} s after generation "
+                f"{self._latest} was in force"
             )
-            self._log.violated(GENERATION, record.at, text, record.rpc)
+            self._log.add_violation(GENERATION, record.at, text, record.rpc)
         self._first_admitted.setdefault(record.number, record)
 
-    def decided(self, record: GenerationDecided) -> None:
-        """Note what became of a generation."""
+    def record_decision(self, record: GenerationDecided) -> None:
+        """Record whether a generation was committed."""
         self._is_committed[record.number] = record.committed
 
-    def check_undecided(self) -> None:
-        """Judge, at the end of the run, admissions under generations that were never in force."""
+    def check_uncommitted(self) -> None:
+        """Check, at the end of the run, for admissions under generations that never committed."""
         for number, first in self._first_admitted.items():
             if not self._is_committed.get(number, True):
                 text = (
                     f"{first.gateway} admitted RPC {first.rpc} under generation {number}, which "
                     "was never in force"
                 )
-                self._log.violated(GENERATION, first.at, text, first.rpc)
+                self._log.add_violation(GENERATION, first.at, text, first.rpc)
--- a/petrellane/invariants/hard_limits.py
+++ b/petrellane/invariants/hard_limits.py
@@ -1,7 +1,7 @@
-"""Rule `ceilings`: no customer exceeds its plan's hard limit.
+"""The rule `ceilings`: no customer exceeds the hard limit of its plan.
 
-Each customer has a token bucket, filled at the plan's rate, and never drawn below minus its slack
-by first attempts.
+Each customer has a token bucket, which fills at the plan's rate up to the plan's burst. The first
+attempt of an RPC takes the RPC's units. The level must not fall below zero by more than the slack.
 """
 
 from typing import NamedTuple
@@ -10,27 +10,31 @@
 from petrellane.invariants.records import Id, RpcReceived
 from petrellane.invariants.verdict import HARD_LIMIT, ViolationLog
 
-ROUNDING = 1e-6  # units by which sums of floats may differ
+ROUNDING_TOLERANCE = 1e-6  # units by which sums of floats may differ
 
 
 class Bucket(NamedTuple):
-    """A customer's token bucket: the units in it at a time."""
+    """A customer's token bucket: its level, in units, at the time `at`."""
 
     level: float
     at: float
 
 
 class HardLimits:
-    """Judges the units of one run; `buckets` has the one of each customer that was seen."""
+    """Checks the units of customers; owned by the checker of the run.
+
+    Attributes:
+        buckets: The token buckets of the customers that have sent RPCs under a hard limit.
+    """
 
     def __init__(self, parameters: RuleParameters, log: ViolationLog) -> None:
-        """Judge by these terms into a log."""
+        """Create the rule; it adds violations to the log."""
         self.buckets: dict[Id, Bucket] = {}
         self._parameters = parameters
         self._log = log
 
-    def draw(self, received: RpcReceived, at: float) -> None:
-        """Take an RPC's units from its customer's bucket, at its first attempt."""
+    def consume(self, received: RpcReceived, at: float) -> None:
+        """Take the units of an RPC from its customer's bucket, at its first attempt."""
         limit = self._parameters.hard_limits.get(received.plan)
         if limit is None:
             return
@@ -38,10 +42,10 @@
         filled = before + max(0.0, at - since) * limit.rate
         level = min(limit.burst, filled) - received.units
         self.buckets[received.customer] = Bucket(level, max(at, since))
-        self._log.approached(HARD_LIMIT, (limit.burst - level) / (limit.burst + limit.slack))
-        if level < -limit.slack - ROUNDING:
+        self._log.record_proximity(HARD_LIMIT, (limit.burst - level) / (limit.burst + limit.slack))
+        if level < -limit.slack - ROUNDING_TOLERANCE:
             text = (
-                f"customer {received.customer} is {-level - limit.slack:.2f} units past its "
-                f"ceiling and slack with RPC {received.rpc} at {received.gateway}"
+                f"customer {received.customer} exceeded its hard limit and slack by "
+                f"{-level - limit.slack:.2f} units with RPC {received.rpc} at {received.gateway}"
             )
-            self._log.violated(HARD_LIMIT, at, text, received.rpc)
+            self._log.add_violation(HARD_LIMIT, at, text, received.rpc)
--- a/petrellane/invariants/parameters.py
+++ b/petrellane/invariants/parameters.py
@@ -1,4 +1,4 @@
-"""The figures of the rules: grace periods, budgets, and what is known of methods and plans."""
+"""The parameters of the rules: grace periods, budgets, and properties of methods and plans."""
 
 import math
 from dataclasses import dataclass
@@ -11,17 +11,20 @@
 DEDUPLICATED: Final = "deduplicated"
 NON_IDEMPOTENT: Final = "non-idempotent"
 
-# Groups of hosts within which repeats of a deduplicated RPC are discarded.
+# Groups of hosts that discard repeats of a deduplicated RPC.
 ALL_HOSTS: Final = "all"
 SAME_ZONE: Final = "zone"
 
 
 @dataclass(frozen=True)
 class MethodRule:
-    """What the rules need to know of a method.
+    """The properties of a method on which the rules depend.
 
-    `scope` names the group of hosts that discard repeats of an RPC (all of them, those of one zone,
-    or else of one pod), and `window` for how many seconds.
+    Attributes:
+        effect: The effect of a repeated RPC: IDEMPOTENT, DEDUPLICATED or NON_IDEMPOTENT.
+        scope: The group of hosts that discard repeats of an RPC: ALL_HOSTS, SAME_ZONE, or any other
+            value for the hosts of one pod.
+        window: The time for which they discard repeats, in seconds.
     """
 
     effect: str = NON_IDEMPOTENT
@@ -31,7 +34,7 @@
 
 @dataclass(frozen=True)
 class HardLimit:
-    """A plan's hard limit: units a second, units at once, and units of slack."""
+    """A plan's hard limit: rate in units per second, burst and slack in units."""
 
     rate: float
     burst: float
@@ -40,22 +43,27 @@
 
 @dataclass(frozen=True)
 class RuleParameters:
-    """The figures of the rules of one run; times are seconds.
+    """The parameters of the rules for one run; times are in seconds.
 
     Attributes:
         methods: The rule of each method.
         hard_limits: The hard limit of each plan that has one.
         groups: The (pod, zone) of each host.
-        answer_slack: How long after its deadline an RPC may still get its final answer.
-        drain_grace: How long after a notification attempts may still go to a draining host.
-        cold: How long a host warms up after its start.
+        answer_slack: The time after its deadline during which an RPC may still get its final
+            answer.
+        drain_grace: The time after a notification during which a gateway may still send attempts to
+            a draining host.
+        cold: The time for which a host warms up after its start.
         cold_from: The fraction of its capacity that a host has at its start.
-        multiple: The multiple of its present capacity under which a cold host collapses.
+        multiple: The load above which a cold host is overloaded, as a multiple of its current
+            capacity.
         overload_for: The span over which that load is summed.
-        mean_work: Core seconds of an RPC, over all that clients ask; 0: the mean of the span.
-        generation_grace: For how long after an admission under one generation of the settings an
-            RPC that comes may still be admitted under an earlier one.
-        max_violations: How many violations of each rule are kept; more are counted.
+        mean_work: The mean work of an RPC over all requests, in core seconds; 0 selects the mean of
+            the RPCs in the span.
+        generation_grace: The time after the first admission under a generation of the settings
+            during which clients may send RPCs that are still admitted under an earlier one.
+        max_violations: The number of violations of each rule that are kept; further ones are only
+            counted.
     """
 
     methods: dict[str, MethodRule]
@@ -72,15 +80,16 @@
     max_violations: int = 20
 
     def cold_budget(self, age: float, capacity: float, mean: float) -> float:
-        """Return how many RPCs a cold host bears in a span of `overload_for`.
+        """Return how many RPCs may reach a cold host in a span of `overload_for`.
 
-        Of the N that its capacity gives, it bears N + 2 sqrt(N) + 2: the two further terms are for
-        chance, for the sum over all gateways, however many there are.
+        If the host's current capacity permits N RPCs, the budget is N + 2 sqrt(N) + 2. The
+        additional terms allow for random variation of the sum over all gateways, regardless of
+        their number.
 
         Args:
-            age: Seconds since its start.
-            capacity: Core seconds a second when warm.
-            mean: Core seconds of an RPC.
+            age: The time since the host's start, in seconds.
+            capacity: The capacity of the host when warm, in core seconds per second.
+            mean: The mean work of an RPC, in core seconds.
         """
         warmth = self.cold_from + (1 - self.cold_from) * age / self.cold
         allowed = self.multiple * warmth * capacity * self.overload_for / mean
--- a/petrellane/invariants/records.py
+++ b/petrellane/invariants/records.py
@@ -1,13 +1,13 @@
-"""The records that the rules are judged from: what clients, hosts and discovery observed.
+"""The records from which the rules are checked: observations of clients, hosts and discovery.
 
-Each record has `at`, the time in seconds of one true clock. Field names are stored and printed by
-users of this package, so they stay.
+Each record has `at`, its time in seconds of one accurate clock. The users of this package store and
+print the names of the fields, so the names must not change.
 """
 
 from collections.abc import Hashable
 from typing import Final, NamedTuple
 
-Id = Hashable  # of a gateway, an RPC, a host or a customer
+Id = Hashable  # id of a gateway, an RPC, a host or a customer
 
 # Final answers of an RPC.
 OK: Final = "ok"
@@ -24,7 +24,7 @@
 
 
 class RpcReceived(NamedTuple):
-    """A gateway has read the last byte of an RPC; its client gives up at `deadline`."""
+    """A gateway has read the last byte of an RPC, whose client stops waiting at `deadline`."""
 
     at: float
     gateway: Id
@@ -37,7 +37,7 @@
 
 
 class AttemptSent(NamedTuple):
-    """An attempt has left its gateway; `number` counts those of its RPC from 0."""
+    """A gateway has sent an attempt; `number` counts the attempts of the RPC from 0."""
 
     at: float
     gateway: Id
@@ -47,7 +47,10 @@
 
 
 class AttemptEnded(NamedTuple):
-    """The gateway's side of an attempt's connection saw this outcome (a name of the decisions)."""
+    """The gateway's end of an attempt's connection has observed an outcome.
+
+    `outcome` is the name of the outcome in `decisions`.
+    """
 
     at: float
     gateway: Id
@@ -57,7 +60,10 @@
 
 
 class AttemptArrived(NamedTuple):
-    """An attempt's last byte reached its host, which may reject it; `work` is core seconds."""
+    """The last byte of an attempt has reached its host, which may reject it.
+
+    `work` is in core seconds.
+    """
 
     at: float
     gateway: Id
@@ -68,7 +74,7 @@
 
 
 class RpcExecuted(NamedTuple):
-    """A host has done an RPC's work, with its effect."""
+    """A host has executed an RPC, which has taken effect."""
 
     at: float
     rpc: Id
@@ -76,7 +82,7 @@
 
 
 class RpcAnswered(NamedTuple):
-    """The client has the last byte of a final answer: OK, REJECTED or ABORTED."""
+    """The client has received the last byte of a final answer: OK, REJECTED or ABORTED."""
 
     at: float
     gateway: Id
@@ -85,7 +91,7 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client of an RPC has gone, and its gateway can see that."""
+    """The client of an RPC has disconnected, which its gateway can detect."""
 
     at: float
     gateway: Id
@@ -93,9 +99,9 @@
 
 
 class EndpointNotified(NamedTuple):
-    """The endpoint list has notified a gateway of a host's state and last start.
+    """Discovery has notified a gateway of a host's state and last start.
 
-    `up_since` is the time of the start; 0 means long ago.
+    `up_since` is the time of the start; 0 means that the host started long ago.
     """
 
     at: float
@@ -106,7 +112,7 @@
 
 
 class GatewayLifecycle(NamedTuple):
-    """A gateway process has STARTED, or was KILLED, PAUSED or RESUMED."""
+    """A gateway process has STARTED, or was KILLED, PAUSED or RESUMED, as `event` states."""
 
     at: float
     gateway: Id
@@ -114,7 +120,7 @@
 
 
 class EndpointStarted(NamedTuple):
-    """A host has started cold; when warm it does `capacity` core seconds a second."""
+    """A host has started cold; its capacity when warm is in core seconds per second."""
 
     at: float
     host: Id
@@ -122,7 +128,7 @@
 
 
 class StateRetained(NamedTuple):
-    """A gateway still holds `count` things of a kind that are over."""
+    """A gateway retains `count` objects of a kind although they are no longer needed."""
 
     at: float
     gateway: Id
@@ -131,9 +137,9 @@
 
 
 class RpcAdmitted(NamedTuple):
-    """An RPC was admitted as only generation `number` of the settings allows.
+    """A gateway has admitted an RPC under settings that only generation `number` contains.
 
-    Its client sent it at `since`.
+    The client sent the RPC at `since`.
     """
 
     at: float
@@ -144,7 +150,7 @@
 
 
 class GenerationDecided(NamedTuple):
-    """What became of a generation of the settings: whether it was ever to be in force."""
+    """A generation of the settings was decided; `committed` is False if its change aborted."""
 
     at: float
     number: int
--- a/petrellane/invariants/verdict.py
+++ b/petrellane/invariants/verdict.py
@@ -5,7 +5,7 @@
 
 from petrellane.invariants.records import Id
 
-# The operators' five rules, as they are named in scenario files and reports.
+# The operators' five rules, by their names in scenario files and reports.
 LOST: Final = "lost"
 DUPLICATED: Final = "twice"
 DRAINING: Final = "drains"
@@ -13,15 +13,15 @@
 HARD_LIMIT: Final = "ceilings"
 RULES: Final = (LOST, DUPLICATED, DRAINING, COLD_START, HARD_LIMIT)
 
-# Two more of the project's own.
+# Two internal rules.
 RETAINED: Final = "forgotten"
 GENERATION: Final = "agreed"
 
-AT_THE_RULE: Final = 1.0  # the distance at which a rule breaks
+MAX_PROXIMITY: Final = 1.0  # the proximity at which a rule is broken
 
 
 class Violation(NamedTuple):
-    """One break of a rule: how it shows, in one line, and the RPCs that it is about."""
+    """One violation of a rule: its description in one line, and the ids of the RPCs involved."""
 
     rule: str
     at: float
@@ -31,12 +31,13 @@
 
 @dataclass
 class Verdict:
-    """What came of a run.
+    """The result of checking a run.
 
     Attributes:
-        violations: The first ones of each rule, in the order in which they were found.
-        counts: How many there were of each rule that was broken.
-        nearest: The nearest distance to each of the five rules; 1: at it, 0: never close.
+        violations: The first violations of each rule, in the order of detection.
+        counts: The number of violations of each broken rule.
+        nearest: The highest proximity to a violation of each of the five rules, from 0 to 1, which
+            means that the limit was reached.
     """
 
     violations: list[Violation]
@@ -45,26 +46,26 @@
 
 
 class ViolationLog:
-    """Collects the violations and distances of one run; owned by its checker."""
+    """Collects the violations and proximities of one run; owned by its checker."""
 
     def __init__(self, max_per_rule: int) -> None:
-        """Make an empty log that keeps so many violations of each rule and counts the others."""
+        """Create an empty log, which keeps `max_per_rule` violations and counts the others."""
         self.violations: list[Violation] = []
         self.counts: dict[str, int] = {}
         self._max_per_rule = max_per_rule
         self._nearest = dict.fromkeys(RULES, 0.0)
 
-    def violated(self, rule: str, at: float, text: str, *rpcs: Id) -> None:
-        """Note that a rule was broken."""
+    def add_violation(self, rule: str, at: float, text: str, *rpcs: Id) -> None:
+        """Add a violation of a rule."""
         self.counts[rule] = self.counts.get(rule, 0) + 1
         if rule in self._nearest:
-            self.approached(rule, AT_THE_RULE)
+            self.record_proximity(rule, MAX_PROXIMITY)
         if self.counts[rule] <= self._max_per_rule:
             self.violations.append(Violation(rule, at, text, rpcs))
 
-    def approached(self, rule: str, distance: float) -> None:
-        """Note how near the run came to one of the five rules."""
-        self._nearest[rule] = max(self._nearest[rule], min(distance, AT_THE_RULE))
+    def record_proximity(self, rule: str, proximity: float) -> None:
+        """Record the proximity of the run to a violation of one of the five rules."""
+        self._nearest[rule] = max(self._nearest[rule], min(proximity, MAX_PROXIMITY))
 
     def verdict(self) -> Verdict:
         """Return the verdict so far."""
--- a/tests/unit/simulation/test_planted_faults.py
+++ b/tests/unit/simulation/test_planted_faults.py
@@ -55,4 +55,4 @@
     replayed = parse_scenario(format_scenario(small))
     run = FleetSimulation(replayed, controller, keep_records=True).play()
     assert "twice" in run.broken
-    assert "was pushed back though a call-out" in "\n".join(format_timeline(run))
+    assert "was rejected although an attempt" in "\n".join(format_timeline(run))
