--- a/petrellane/config_consensus/commands.py
+++ b/petrellane/config_consensus/commands.py
@@ -161,7 +161,7 @@
 
         Args:
             before: The number of a generation, or a file with settings.
-            after: Likewise, for the second version.
+            after: The same, for the second version.
         """
         contents = [self._read_settings(source) for source in (before, after)]
         lines = settings_diff.describe_changes(*contents)
--- a/petrellane/config_consensus/staff_calls.py
+++ b/petrellane/config_consensus/staff_calls.py
@@ -1,4 +1,4 @@
-"""The handler of staff's calls to a control process: proposals and queries.
+"""The handler of calls from staff (operators) to a control process: proposals and queries.
 
 The handler validates settings before it proposes them; the coordinator decides whether it accepts
 the proposal now. The caller has already been authenticated with the shared key. The control process
@@ -150,7 +150,8 @@
     def _validate(self, content: JsonObject, allow_missing_keys: bool) -> None:
         """Check settings alone, and in combination with those in force.
 
-        The combination consists of the settings under which gateways admit during the change.
+        The combination permits only what both permit. Gateways use it to admit RPCs while the
+        outcome of the change is in doubt.
 
         Args:
             content: The proposed settings.
--- a/petrellane/config_consensus/staff_messages.py
+++ b/petrellane/config_consensus/staff_messages.py
@@ -1,4 +1,4 @@
-"""Messages between staff's commands and a control process: calls, rejections and progress.
+"""Messages between the commands of staff (operators) and a control process.
 
 The messages are JSON objects. Both processes run the same build, so they need no compatibility with
 other versions.
--- a/petrellane/invariants/checker.py
+++ b/petrellane/invariants/checker.py
@@ -50,7 +50,7 @@
     """
 
     def __init__(self, parameters: RuleParameters) -> None:
-        """Create a checker for a run without records."""
+        """Create a checker for a run that has no records yet."""
         self.parameters = parameters
         self.log = ViolationLog(parameters.max_violations)
         self.open_rpcs = OpenRpcs()
--- a/petrellane/invariants/cold_starts.py
+++ b/petrellane/invariants/cold_starts.py
@@ -1,9 +1,9 @@
 """The rule `cold`: no host is overloaded while it warms up.
 
-The rule is broken if a host receives more RPCs of mean work within a span of `overload_for` than
-`RuleParameters.cold_budget` permits, and at least two thirds of that work come from gateways that
-had been notified of the start. All work that reaches the host counts, whether the host rejects it
-or not. At most one violation is reported per start.
+The load of a cold host is the work that reached it within a span of `overload_for`, divided by the
+mean work of an RPC. The rule is broken if the load exceeds `RuleParameters.cold_budget`, and at
+least two thirds of the work come from gateways that had been notified of the host's start. Work
+counts even if the host rejects it. At most one violation is reported per start.
 """
 
 from collections import deque
--- a/petrellane/invariants/hard_limits.py
+++ b/petrellane/invariants/hard_limits.py
@@ -21,7 +21,7 @@
 
 
 class HardLimits:
-    """Checks the units of customers; owned by the checker of the run.
+    """Checks the units that each customer uses; owned by the checker of the run.
 
     Attributes:
         buckets: The token buckets of the customers that have sent RPCs under a hard limit.
--- a/petrellane/invariants/parameters.py
+++ b/petrellane/invariants/parameters.py
@@ -21,7 +21,7 @@
     """The properties of a method on which the rules depend.
 
     Attributes:
-        effect: The effect of a repeated RPC: IDEMPOTENT, DEDUPLICATED or NON_IDEMPOTENT.
+        effect: The idempotency of the method: IDEMPOTENT, DEDUPLICATED or NON_IDEMPOTENT.
         scope: The group of hosts that discard repeats of an RPC: ALL_HOSTS, SAME_ZONE, or any other
             value for the hosts of one pod.
         window: The time for which they discard repeats, in seconds.
@@ -80,7 +80,7 @@
     max_violations: int = 20
 
     def cold_budget(self, age: float, capacity: float, mean: float) -> float:
-        """Return how many RPCs may reach a cold host in a span of `overload_for`.
+        """Return how many RPCs of mean work may reach a cold host in a span of `overload_for`.
 
         If the host's current capacity permits N RPCs, the budget is N + 2 sqrt(N) + 2. The
         additional terms allow for random variation of the sum over all gateways, regardless of
--- a/petrellane/invariants/records.py
+++ b/petrellane/invariants/records.py
@@ -133,7 +133,7 @@
     at: float
     gateway: Id
     kind: str
-    count: int  # type: ignore[assignment]  # hides a method of tuples that nothing calls
+    count: int  # type: ignore[assignment]  # hides `tuple.count`, which is not used
 
 
 class RpcAdmitted(NamedTuple):
--- a/petrellane/invariants/verdict.py
+++ b/petrellane/invariants/verdict.py
@@ -46,7 +46,7 @@
 
 
 class ViolationLog:
-    """Collects the violations and proximities of one run; owned by its checker."""
+    """Collects the violations of one run and its proximity to each limit; owned by its checker."""
 
     def __init__(self, max_per_rule: int) -> None:
         """Create an empty log, which keeps `max_per_rule` violations and counts the others."""
