--- a/petrellane/simulation/baseline_controller.py
+++ b/petrellane/simulation/baseline_controller.py
@@ -1,7 +1,7 @@
-"""What all baselines have in common: a controller that decides nothing but the endpoint.
+"""The base class of the baselines: controllers that decide only which endpoint to use.
 
-Nothing is rejected for overload, there is no quota, and a retry follows only an outcome that proves
-that the attempt before never ran.
+A baseline has no quotas and does not reject RPCs for overload. It retries only after an outcome
+that proves that the previous attempt did not run.
 """
 
 from __future__ import annotations
@@ -39,34 +39,40 @@
 
 
 class Baseline:
-    """What all baselines have in common; `pick_endpoint` is their own.
+    """The base class of the baselines; subclasses implement `pick_endpoint`.
 
-    One gateway process owns it, and it may look at that gateway in the simulation.
+    One gateway process owns each baseline. A baseline has access to that gateway in the simulation.
+
+    Attributes:
+        random: The random stream of the controller.
+        gateway: The gateway process that owns the controller.
+        ready: The ready endpoints, in the order of their numbers.
+        in_flight: The number of attempts in flight at each endpoint, from this gateway only.
     """
 
     needs_gateway: ClassVar[bool] = True
 
     def __init__(self, *, seed: int, gateway: SimulatedGateway, **_settings: object) -> None:
-        """Make a controller that knows no endpoints; other settings have no meaning here."""
+        """Initialize a controller without endpoints; other settings are ignored."""
         self.random = random.Random(seed)
         self.gateway = gateway
         self.ready: list[Endpoint] = []
         self.in_flight: dict[Endpoint, int] = {}
 
-    # What differs between baselines.
+    # Methods for subclasses to override.
 
     def pick_endpoint(self, candidates: Sequence[Endpoint], now: float) -> Endpoint:
-        """The endpoint of the next attempt, among at least one."""
+        """Return the endpoint of the next attempt; `candidates` is not empty."""
         raise NotImplementedError
 
     def on_list_changed(self) -> None:
-        """The ready endpoints have changed."""
+        """Handle a change of the ready endpoints."""
 
     def on_outcome(self, endpoint: Endpoint, outcome: Outcome, now: float) -> None:
-        """An attempt has ended."""
+        """Handle the outcome of an attempt."""
 
     def candidates(self, rpc: Rpc) -> list[Endpoint]:
-        """Where an RPC may go: not where it has been, if there are others."""
+        """Return the ready endpoints that the RPC has not tried; all ready ones if none is left."""
         return without_tried(rpc, self.ready) or self.ready
 
     # Events.
@@ -78,10 +84,10 @@
     def on_endpoint_events(
         self, _now: float, is_full: bool, events: Iterable[EndpointEvent]
     ) -> list[Action]:
-        """Take over the list, in one order at all gateways."""
+        """Apply the list or its changes; all gateways sort the endpoints in the same order."""
         rows = list(events)
-        named = {row.endpoint for row in rows}
-        self.ready = [endpoint for endpoint in self.ready if endpoint not in named and not is_full]
+        listed = {row.endpoint for row in rows}
+        self.ready = [endpoint for endpoint in self.ready if endpoint not in listed and not is_full]
         for row in rows:
             row.endpoint.state = row.state
             row.endpoint.weight = row.weight or 1.0
@@ -93,7 +99,7 @@
         return []
 
     def admit(self, now: float, rpc: Rpc) -> list[Action]:
-        """Send an attempt, or reject the RPC where no endpoint is ready."""
+        """Send an attempt, or reject the RPC if no endpoint is ready."""
         candidates = self.candidates(rpc)
         if not candidates:
             rpc.is_finished = True
@@ -107,7 +113,7 @@
     def on_attempt_ended(
         self, now: float, attempt: SendAttempt, outcome: Outcome, *, over: bool, **_details: object
     ) -> list[Action]:
-        """Retry where the attempt is proven not to have run, or end the RPC."""
+        """Retry if the attempt provably did not run and may be retried, or end the RPC."""
         rpc = attempt.rpc
         endpoint = attempt.endpoint
         attempt.outcome = outcome
@@ -125,7 +131,7 @@
         return [Abort(rpc)]
 
     def on_client_disconnected(self, _now: float, rpc: Rpc) -> list[Action]:
-        """Owe nothing more."""
+        """Finish the RPC without further attempts."""
         rpc.is_finished = True
         return []
 
@@ -141,21 +147,21 @@
 
 
 def number_of(endpoint: Endpoint) -> int:
-    """The number in a simulated endpoint's address."""
+    """Return the number in the address of a simulated endpoint."""
     return int(endpoint.address[1:])
 
 
 def without_tried(rpc: Rpc, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-    """The endpoints that an RPC was not sent to yet."""
+    """Return the endpoints to which no attempt of the RPC was sent."""
     tried = {attempt.endpoint for attempt in rpc.attempts}
     return [endpoint for endpoint in endpoints if endpoint not in tried]
 
 
 class TwoChoices(Baseline):
-    """Draws two by weight and takes the one with fewer attempts in flight."""
+    """Draws two endpoints by weight and picks the one with fewer attempts in flight per weight."""
 
     def pick_endpoint(self, candidates: Sequence[Endpoint], _now: float) -> Endpoint:
-        """The better one of two."""
+        """Return the less loaded of two randomly drawn endpoints."""
         weights = [endpoint.weight for endpoint in candidates]
         pair = self.random.choices(candidates, weights, k=2)
         return min(pair, key=self._load_of)
--- a/petrellane/simulation/baselines.py
+++ b/petrellane/simulation/baselines.py
@@ -1,25 +1,26 @@
-"""Other ways to pick an endpoint, as controllers that the simulation plays beside the real one.
-
-Each is written from its published description, as plainly as it goes, and decides which endpoint
-alone: nothing is rejected for overload, there is no quota, and a retry follows only an outcome that
-proves that the attempt before never ran. All keep to endpoints that the list calls ready, and use
-the list's weights where their description has weights.
-
-- `uniform`; `round robin`, from a place drawn at each start, as all gateways have the list in one
-  order; `two choices` by attempts of its own in flight (Mitzenmacher 2001); `least outstanding` by
-  the same over all endpoints.
-- `subset` (Google SRE book, chapter 20): the list is shuffled by a round that gateways share, and
-  each has a piece of its own. `ring subset` (Ward and others 2022, without history): endpoints and
-  gateways lie evenly on a ring in an order that fits any number, and each gateway has the endpoints
-  that follow its position. `aperture` (Finagle): the ring is cut into as many arcs as there are
-  gateways, and each has what its arc covers, endpoints at its ends by the part covered. In all of
-  them, two choices within the subset.
-- `local queue` (Vargaftik and others 2020) and `reported load` (after Prequal, 2024): answers carry
-  the queue of their endpoint; those of the platform don't, so neither can be had there. The first
-  keeps the last report of each endpoint and adds attempts of its own; the second takes the minimum
-  of a pool of the last reports, each used a few times.
-- `sees all` knows every endpoint's queue now: what nobody can do, and the end of what there is to
-  gain.
+"""Baseline load-balancing policies, which the simulation compares with the admission controller.
+
+Each policy is a simple implementation of its published description and decides only which endpoint
+to use. A baseline has no quotas, does not reject RPCs for overload, and retries only after an
+outcome that proves that the previous attempt did not run. All baselines use only the endpoints that
+are ready in the endpoint list, and its weights if the description has weights.
+
+- `uniform` draws by weight. `round robin` starts at a random position, because all gateways have
+  the list in the same order. `two choices` compares two endpoints by the gateway's own attempts in
+  flight (Mitzenmacher 2001), `least outstanding` compares all endpoints by them.
+- `subset` (Google SRE book, chapter 20): the gateways of one round shuffle the list in the same way
+  and each takes a separate piece. `ring subset` (Ward and others 2022, without history): endpoints
+  and gateways are spread evenly on a ring for any number of them, and each gateway uses the
+  endpoints that follow its position. `aperture` (Finagle): each gateway has an arc of the ring and
+  uses the endpoints that the arc covers, weighted by the covered fraction. All three apply two
+  choices within the subset.
+- `local queue` (Vargaftik and others 2020) and `reported load` (after Prequal, 2024) need answers
+  that report the queue length of their endpoint. The answers of the real platform do not report it,
+  so neither policy is available there. `local queue` keeps the last report of each endpoint and
+  adds the attempts that the gateway has sent since. `reported load` takes the minimum of a pool of
+  recent reports, each of which it uses a few times.
+- `sees all` knows the current queue of every endpoint. No real gateway can know it, so this policy
+  bounds the gain from better load information.
 """
 
 from __future__ import annotations
@@ -37,27 +38,27 @@
 
 
 def _queue_of(gateway: SimulatedGateway, endpoint: Endpoint) -> float:
-    """The attempts at an endpoint now over its weight, as it would report them in an answer."""
+    """Return the current number of attempts at an endpoint, divided by its weight."""
     simulated = gateway.simulation.endpoints_by_name[endpoint.address]
     return (len(simulated.running) + len(simulated.waiting)) / endpoint.weight
 
 
 class Uniform(Baseline):
-    """Draws by weight."""
+    """Draws endpoints by weight."""
 
     def pick_endpoint(self, candidates: Sequence[Endpoint], _now: float) -> Endpoint:
-        """A weighted draw."""
+        """Return an endpoint drawn by weight."""
         weights = [endpoint.weight for endpoint in candidates]
         return self.random.choices(candidates, weights)[0]
 
 
 class RoundRobin(Baseline):
-    """Takes one after the other."""
+    """Picks the endpoints in turn, from a random position."""
 
     _position: int | None = None
 
     def pick_endpoint(self, candidates: Sequence[Endpoint], _now: float) -> Endpoint:
-        """The one after the last."""
+        """Return the endpoint after the previously picked one."""
         if self._position is None:
             self._position = self.random.randrange(1 << 20)
         else:
@@ -66,10 +67,10 @@
 
 
 class LeastOutstanding(Baseline):
-    """Draws among those with the fewest attempts in flight."""
+    """Draws among the endpoints with the fewest attempts in flight per weight."""
 
     def pick_endpoint(self, candidates: Sequence[Endpoint], _now: float) -> Endpoint:
-        """One of the best."""
+        """Return a random endpoint among the least loaded ones."""
         loads = [self.in_flight[endpoint] / endpoint.weight for endpoint in candidates]
         minimum = min(loads)
         best = [
@@ -79,18 +80,18 @@
 
 
 class LocalQueue(Baseline):
-    """Takes the shortest queue by the last reports and by attempts of its own since."""
+    """Picks the shortest queue, estimated from the last report and the attempts sent since."""
 
     def __init__(self, *, seed: int, gateway: SimulatedGateway, **settings: object) -> None:
         super().__init__(seed=seed, gateway=gateway, **settings)
         self._estimates: dict[Endpoint, float] = {}
 
     def on_list_changed(self) -> None:
-        """Keep the estimates of endpoints that stay."""
+        """Keep the estimates of the endpoints that are still ready."""
         self._estimates = {endpoint: self._estimate(endpoint) for endpoint in self.ready}
 
     def pick_endpoint(self, candidates: Sequence[Endpoint], _now: float) -> Endpoint:
-        """One of those with the shortest queue."""
+        """Return a random endpoint among those with the shortest estimated queue."""
         minimum = min(self._estimate(endpoint) for endpoint in candidates)
         best = [endpoint for endpoint in candidates if self._estimate(endpoint) == minimum]
         picked = self.random.choice(best)
@@ -98,7 +99,7 @@
         return picked
 
     def on_outcome(self, endpoint: Endpoint, outcome: Outcome, _now: float) -> None:
-        """Take the report of an answer."""
+        """Store the queue length that a successful answer reports."""
         if outcome == OK and endpoint in self._estimates:
             self._estimates[endpoint] = _queue_of(self.gateway, endpoint)
 
@@ -108,7 +109,7 @@
 
 @dataclass(eq=False, slots=True)
 class LoadReport:
-    """A report of an endpoint's queue, and how many times it may still be used."""
+    """A report of the queue of an endpoint, with the number of times that it may still be used."""
 
     endpoint: Endpoint
     queue: float
@@ -117,19 +118,19 @@
 
 
 class ReportedLoad(Baseline):
-    """Takes the minimum of a pool of the last reports."""
+    """Picks the endpoint with the shortest queue in a pool of recent reports."""
 
-    POOL: ClassVar[int] = 16  # reports kept
-    USES: ClassVar[int] = 3  # times that one is used
-    MAX_AGE_S: ClassVar[float] = 1.0  # seconds after which one is dropped
-    MIN_REPORTS: ClassVar[int] = 2  # with fewer it draws by weight
+    POOL: ClassVar[int] = 16  # the maximum number of reports in the pool
+    USES: ClassVar[int] = 3  # the number of times that a report is used
+    MAX_AGE_S: ClassVar[float] = 1.0  # seconds after which a report is dropped
+    MIN_REPORTS: ClassVar[int] = 2  # with fewer reports, the endpoint is drawn by weight
 
     def __init__(self, *, seed: int, gateway: SimulatedGateway, **settings: object) -> None:
         super().__init__(seed=seed, gateway=gateway, **settings)
         self._reports: list[LoadReport] = []
 
     def pick_endpoint(self, candidates: Sequence[Endpoint], now: float) -> Endpoint:
-        """The endpoint of the best report, or a draw."""
+        """Return the endpoint of the best report, or one drawn by weight if reports are scarce."""
         self._reports = [
             report
             for report in self._reports
@@ -145,17 +146,17 @@
         return best.endpoint
 
     def on_outcome(self, endpoint: Endpoint, outcome: Outcome, now: float) -> None:
-        """Take the report of an answer."""
+        """Store the queue length that a successful answer reports."""
         if outcome == OK:
             report = LoadReport(endpoint, _queue_of(self.gateway, endpoint), self.USES, now)
             self._reports = [*self._reports[-self.POOL + 1 :], report]
 
 
-class SeesAll(Baseline):
-    """Takes the shortest queue there is."""
+class GlobalShortestQueue(Baseline):
+    """Picks the shortest queue of all candidates, from the exact state of the simulation."""
 
     def pick_endpoint(self, candidates: Sequence[Endpoint], _now: float) -> Endpoint:
-        """The best one; equal ones by a draw."""
+        """Return the endpoint with the shortest queue; ties are broken randomly."""
         return min(
             candidates,
             key=lambda endpoint: (_queue_of(self.gateway, endpoint), self.random.random()),
@@ -172,5 +173,5 @@
     "aperture": Aperture,
     "local queue": LocalQueue,
     "reported load": ReportedLoad,
-    "sees all": SeesAll,
+    "sees all": GlobalShortestQueue,
 }
--- a/petrellane/simulation/subsetting_baselines.py
+++ b/petrellane/simulation/subsetting_baselines.py
@@ -1,4 +1,4 @@
-"""Baselines that pick within a subset of the endpoints; `baselines` says where they come from."""
+"""Baselines that pick endpoints within a subset; the module `baselines` cites their sources."""
 
 from __future__ import annotations
 
@@ -14,39 +14,46 @@
 
 
 class Subset(TwoChoices):
-    """Two choices within a piece of the list that is shuffled by rounds."""
+    """Two choices within a piece of the endpoint list, which is shuffled once per round.
+
+    Attributes:
+        shares: The fraction of each endpoint that belongs to the subset, from above 0 to 1.
+    """
 
     SIZE: ClassVar[int] = 20
-    """Endpoints of a subset: the figure that the descriptions name as usual."""
+    """The number of endpoints in a subset: the usual size in the published descriptions."""
 
     def __init__(self, *, seed: int, gateway: SimulatedGateway, **settings: object) -> None:
         super().__init__(seed=seed, gateway=gateway, **settings)
-        # The endpoints of the subset, with the part of each that belongs to it.
-        self.parts: dict[Endpoint, float] = {}
+        self.shares: dict[Endpoint, float] = {}
 
     def on_list_changed(self) -> None:
-        """Take the subset of the new list."""
-        self.parts = dict.fromkeys(self.subset(), 1.0)
+        """Recompute the subset."""
+        self.shares = dict.fromkeys(self.subset(), 1.0)
 
     def subset(self) -> list[Endpoint]:
-        """The piece of this gateway."""
+        """Return the endpoints of the subset of this gateway."""
         size = min(self.SIZE, len(self.ready))
         pieces = max(1, len(self.ready) // size) if size else 1
-        turn, piece = divmod(self.gateway.number, pieces)
+        round_number, piece = divmod(self.gateway.number, pieces)
         shuffled = list(self.ready)
-        random.Random(f"round {turn}").shuffle(shuffled)
+        random.Random(f"round {round_number}").shuffle(shuffled)
         return shuffled[piece * size : (piece + 1) * size]
 
     def candidates(self, rpc: Rpc) -> list[Endpoint]:
-        """The ready ones of the subset, or all where there are none."""
-        ready = [endpoint for endpoint in self.parts if endpoint.state == READY]
+        """Return the ready endpoints of the subset, or all ready endpoints if it has none.
+
+        Endpoints that the RPC has not tried take precedence over the tried ones.
+        """
+        ready = [endpoint for endpoint in self.shares if endpoint.state == READY]
         return without_tried(rpc, ready) or ready or super().candidates(rpc)
 
 
 def ring_position(number: int) -> float:
-    """The position of a number on a ring from 0 to 1, even for any count of numbers.
+    """Return the position of a number on a ring of length 1.
 
-    Its bits in reverse order (van der Corput's sequence).
+    The position is the bit-reversed number as a fraction (the van der Corput sequence), so the
+    first n numbers are spread evenly for any n.
     """
     position = 0.0
     half = 0.5
@@ -65,7 +72,7 @@
     """Two choices within the endpoints that follow this gateway on a ring."""
 
     def subset(self) -> list[Endpoint]:
-        """Those that follow."""
+        """Return the endpoints that follow the position of this gateway on the ring."""
         ring = sorted(self.ready, key=_position_of)
         position = ring_position(self.gateway.number)
         first = next(
@@ -77,19 +84,19 @@
 
 
 class Aperture(Subset):
-    """Two choices within an arc of the ring; endpoints at its ends belong to it in part."""
+    """Two choices within an arc of the ring, weighted by the covered fraction of each endpoint."""
 
     def on_list_changed(self) -> None:
-        """Cover the new list."""
+        """Recompute the fraction of each endpoint that the arc of this gateway covers."""
         endpoints = len(self.ready)
         gateways = len(self.gateway.simulation.gateways) or 1
         minimum = min(1.0, self.SIZE / endpoints if endpoints else 1.0)
         width = max(1 / gateways, minimum)
         begin = self.gateway.number / gateways
         end = begin + width
-        self.parts = {}
+        self.shares = {}
         for index, endpoint in enumerate(self.ready):
-            # The arc may go past the end of the ring, into its next turn.
+            # The arc may extend past the end of the ring, into the next turn.
             covered = sum(
                 max(
                     0.0,
@@ -98,13 +105,13 @@
                 for turn in (0, 1)
             )
             if covered > 0:
-                self.parts[endpoint] = covered * endpoints
+                self.shares[endpoint] = covered * endpoints
 
     def pick_endpoint(self, candidates: Sequence[Endpoint], _now: float) -> Endpoint:
-        """The better one of two, by the parts that belong to the arc."""
-        weights = [self._part_of(endpoint) for endpoint in candidates]
+        """Return the less loaded of two endpoints drawn by share; load is relative to the share."""
+        weights = [self._share_of(endpoint) for endpoint in candidates]
         pair = self.random.choices(candidates, weights, k=2)
-        return min(pair, key=lambda endpoint: self.in_flight[endpoint] / self._part_of(endpoint))
+        return min(pair, key=lambda endpoint: self.in_flight[endpoint] / self._share_of(endpoint))
 
-    def _part_of(self, endpoint: Endpoint) -> float:
-        return self.parts.get(endpoint, 1.0)
+    def _share_of(self, endpoint: Endpoint) -> float:
+        return self.shares.get(endpoint, 1.0)
