--- a/petrellane/simulation/endpoint_faults.py
+++ b/petrellane/simulation/endpoint_faults.py
@@ -1,4 +1,4 @@
-"""Faults of endpoints: they die, vanish, hang, get slow or fail, and drain."""
+"""Fault handlers for endpoints: crashes, partitions, hangs, slowness, errors and drains."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 if TYPE_CHECKING:
     from petrellane.simulation.fleet import FleetSimulation
 
-VANISHED_DETECTION_FACTOR = 2.0  # discovery is slower to detect an endpoint that does not reset
-RESTART_S = 0.5  # seconds from the end of a drained endpoint to its new process
+ISOLATED_DETECTION_FACTOR = 2.0  # an isolated endpoint resets no connection: slower to detect
+RESTART_S = 0.5  # seconds between the exit of a drained endpoint and the start of its new process
 
 
 def kill_endpoint(context: FaultContext) -> EndFault:
-    """An endpoint's process dies, and a cold one starts when the fault ends."""
+    """Kill the process of an endpoint, and start a cold one at the end of the fault."""
     endpoint = context.endpoint()
     discovery = context.simulation.discovery
     endpoint.kill()
@@ -31,11 +31,11 @@
 
 
 def isolate_endpoint(context: FaultContext) -> EndFault:
-    """An endpoint is off the network with all it has; its process lives on."""
+    """Disconnect an endpoint from the network; its process continues to run."""
     endpoint = context.endpoint()
     discovery = context.simulation.discovery
     endpoint.is_unreachable = True
-    discovery.detect(endpoint, GONE, VANISHED_DETECTION_FACTOR)
+    discovery.detect(endpoint, GONE, ISOLATED_DETECTION_FACTOR)
 
     def end() -> None:
         endpoint.is_unreachable = False
@@ -45,7 +45,7 @@
 
 
 def hang_endpoint(context: FaultContext) -> EndFault:
-    """An endpoint accepts attempts and answers nothing."""
+    """Make an endpoint queue attempts without executing them."""
     endpoint = context.endpoint()
     endpoint.is_hanging = True
 
@@ -57,7 +57,7 @@
 
 
 def slow_endpoint(context: FaultContext) -> EndFault:
-    """An endpoint takes longer."""
+    """Increase the execution time of attempts at an endpoint."""
     endpoint = context.endpoint()
     factor = max(1.0, context.fault.magnitude)
     endpoint.slowdown *= factor
@@ -69,7 +69,7 @@
 
 
 def fail_endpoint(context: FaultContext) -> EndFault:
-    """An endpoint answers a fraction of attempts with an error."""
+    """Make an endpoint answer a fraction of its attempts with an error."""
     endpoint = context.endpoint()
     before = endpoint.error_rate
     endpoint.error_rate = min(1.0, context.fault.magnitude)
@@ -81,12 +81,12 @@
 
 
 def drain_endpoint(context: FaultContext) -> EndFault:
-    """An endpoint drains, ends when the fault ends, and comes back cold."""
+    """Drain an endpoint, kill it at the end of the fault, and start a cold process afterwards."""
     return _drain(context.simulation, context.endpoint())
 
 
 def drain_endpoints(context: FaultContext) -> EndFault:
-    """A fraction of the endpoints drains at once."""
+    """Drain a fraction of the endpoints simultaneously."""
     simulation = context.simulation
     return end_all(
         [_drain(simulation, endpoint) for endpoint in context.sample(simulation.endpoints)]
@@ -110,7 +110,7 @@
 
 
 def restart_zone(context: FaultContext) -> EndFault:
-    """All endpoints of a zone die, and come back cold when the fault ends."""
+    """Kill all endpoints of a zone, and start cold processes at the end of the fault."""
     discovery = context.simulation.discovery
     zone = context.zone()
     endpoints = [endpoint for endpoint in context.simulation.endpoints if endpoint.zone == zone]
@@ -127,7 +127,7 @@
 
 
 def lose_answers(context: FaultContext) -> EndFault:
-    """A fraction of the answers of all endpoints is lost."""
+    """Drop a fraction of the answers of all endpoints."""
     simulation = context.simulation
     before = simulation.lost_answer_rate
     simulation.lost_answer_rate = min(1.0, context.fault.magnitude)
--- a/petrellane/simulation/fault_handlers.py
+++ b/petrellane/simulation/fault_handlers.py
@@ -1,6 +1,6 @@
-"""What the handlers of faults have in common.
+"""The types and helpers shared by the fault handlers.
 
-A handler begins a fault and returns what ends it, or None where there is nothing to end.
+A handler begins a fault and returns the function that ends it, or None if there is nothing to end.
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
 
 
 class FaultContext(NamedTuple):
-    """A fault that begins, the run that it befalls, and random numbers of its own."""
+    """The arguments of a fault handler: the simulation, the fault and its random stream."""
 
     simulation: FleetSimulation
     fault: Fault
     rng: random.Random
 
     def gateway(self) -> SimulatedGateway:
-        """The gateway that it befalls."""
+        """Return the target gateway of the fault."""
         return self.simulation.gateways[self.fault.target % len(self.simulation.gateways)]
 
     def endpoint(self) -> SimulatedEndpoint:
-        """The endpoint that it befalls."""
+        """Return the target endpoint of the fault."""
         return self.simulation.endpoints[self.fault.target % len(self.simulation.endpoints)]
 
     def zone(self) -> int:
-        """The zone that it befalls."""
+        """Return the number of the target zone of the fault."""
         return self.fault.target % self.simulation.world.zones
 
     def sample(self, population: Sequence[T]) -> list[T]:
-        """A random part of a population, of the size that the fault's magnitude says."""
+        """Return a random sample; the magnitude of the fault is its fraction of the population."""
         size = round(self.fault.magnitude * len(population))
         return self.rng.sample(population, max(1, min(len(population), size)))
 
@@ -50,7 +50,7 @@
 
 
 def end_all(ends: Sequence[EndFault]) -> EndFault:
-    """What ends several faults, in their order."""
+    """Return a function that ends several faults in their order."""
 
     def end() -> None:
         for end_one in ends:
--- a/petrellane/simulation/faults.py
+++ b/petrellane/simulation/faults.py
@@ -1,7 +1,7 @@
 """Begins and ends the faults of a scenario.
 
-What each fault does is in `gateway_faults`, `endpoint_faults` and `service_faults`. Faults of a
-type may overlap.
+`gateway_faults`, `endpoint_faults` and `service_faults` contain the fault handlers. Faults of the
+same type may overlap.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
     **endpoint_faults.HANDLERS,
     **service_faults.HANDLERS,
 }
-"""What begins the faults of each type of `FAULT_TYPES`."""
+"""The handler of each fault type in `FAULT_TYPES`."""
 
 
 class FaultInjector:
-    """Begins and ends the faults of one run; every one ends by itself, at its end at the latest."""
+    """Begins and ends the faults of one run; `length` limits each fault."""
 
     def __init__(self, simulation: FleetSimulation) -> None:
         self._simulation = simulation
 
     def schedule(self, faults: Iterable[Fault]) -> None:
-        """Schedule faults."""
+        """Schedule the start of each fault."""
         seed = self._simulation.world.seed
         for number, fault in enumerate(faults):
             rng = seeded_random(seed, "fault", fault.type, fault.target, number)
@@ -51,7 +51,7 @@
 
 
 def describe_fault(fault: Fault) -> str:
-    """A fault as a time line names it, with its target as a letter and a number."""
+    """Return the name of a fault in the timeline, with its target as a letter and a number."""
     targets = FAULT_TYPES[fault.type].targets
     if not targets:
         return fault.type
--- a/petrellane/simulation/gateway_faults.py
+++ b/petrellane/simulation/gateway_faults.py
@@ -1,4 +1,4 @@
-"""Faults of gateways: processes that die, stand still, run twice or are replaced."""
+"""Fault handlers for gateways: crashes, pauses, second processes and hot restarts."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from petrellane.simulation.fault_handlers import EndFault, FaultContext, FaultHandler, end_all
 
-CLEAN_BELOW = 1 / 3  # magnitudes of a hot restart in which all goes well
-LOST_BELOW = 2 / 3  # magnitudes above that in which what is handed over is lost
+SUCCESS_BELOW = 1 / 3  # the hot restart succeeds at lower magnitudes
+HANDOFF_LOST_BELOW = 2 / 3  # the handoff is lost at lower magnitudes, down to SUCCESS_BELOW
 
 
 def kill_gateway(context: FaultContext) -> EndFault:
-    """A gateway dies, and a new process starts when the fault ends."""
+    """Kill a gateway, and start a new process at the end of the fault."""
     gateway = context.gateway()
     gateway.kill()
     return gateway.start
 
 
 def kill_gateways(context: FaultContext) -> EndFault:
-    """A fraction of the gateways dies at once."""
+    """Kill a fraction of the gateways simultaneously."""
     gateways = context.sample(context.simulation.gateways)
     for gateway in gateways:
         gateway.kill()
@@ -26,38 +26,42 @@
 
 
 def pause_gateway(context: FaultContext) -> EndFault:
-    """A gateway stands still."""
+    """Pause a gateway process."""
     gateway = context.gateway()
     gateway.pause()
     return gateway.resume
 
 
-def run_gateway_twice(context: FaultContext) -> EndFault:
-    """A second process under one name gets half of what comes in, until it is killed."""
+def run_second_process(context: FaultContext) -> EndFault:
+    """Run a second process under the name of a gateway, and kill it at the end of the fault.
+
+    The load balancer in front distributes new RPCs evenly over the processes of one name.
+    """
     number = context.fault.target % len(context.simulation.gateways)
     return context.simulation.add_second_process(number).kill
 
 
 def hot_restart_gateway(context: FaultContext) -> EndFault | None:
-    """Another process takes over from a gateway.
+    """Replace a gateway process by a successor.
 
-    In the first third of magnitudes all goes well. In the second what is handed over is lost, and
-    the predecessor goes on; in the last the successor dies when the fault ends.
+    The magnitude selects the result. Below `SUCCESS_BELOW` the hot restart succeeds. Below
+    `HANDOFF_LOST_BELOW` the leases are lost in the handoff and the predecessor continues to serve.
+    Above it the successor dies at the end of the fault.
     """
     simulation = context.simulation
     number = context.fault.target % len(simulation.gateways)
     predecessor = simulation.gateways[number]
     if not predecessor.is_alive or predecessor.is_paused:
         return None
-    if CLEAN_BELOW <= context.fault.magnitude < LOST_BELOW:
+    if SUCCESS_BELOW <= context.fault.magnitude < HANDOFF_LOST_BELOW:
         predecessor.export_leases()
         predecessor.resume_leases()
         return None
     successor = simulation.hot_restart(predecessor)
-    is_clean = context.fault.magnitude < CLEAN_BELOW
+    succeeds = context.fault.magnitude < SUCCESS_BELOW
 
     def end() -> None:
-        if not is_clean and simulation.gateways[number] is successor:
+        if not succeeds and simulation.gateways[number] is successor:
             successor.kill()
             simulation.undo_hot_restart(predecessor, successor)
 
@@ -68,6 +72,6 @@
     "gateway killed": kill_gateway,
     "gateways killed": kill_gateways,
     "gateway paused": pause_gateway,
-    "gateway twice": run_gateway_twice,
+    "gateway twice": run_second_process,
     "gateway followed": hot_restart_gateway,
 }
--- a/petrellane/simulation/network.py
+++ b/petrellane/simulation/network.py
@@ -1,6 +1,7 @@
-"""Links between zones: slow, or cut in one or both directions.
+"""The simulated network links between zones, with delays and partitions.
 
-A message over a cut link is lost, and nobody is notified.
+A link can be cut in one direction or in both. The network drops messages on a cut link without
+notifying the sender.
 """
 
 import random
@@ -8,34 +9,34 @@
 
 from petrellane.simulation.scenario import World
 
-Place = int | str
+Location = int | str
 """The number of a zone, or `Network.COUNTER`."""
 
 COUNTER_ZONE = 0
 
 
 class Network:
-    """The links of one run.
+    """The links of one run; `FleetSimulation` owns it.
 
     Attributes:
-        extra_delay: Maximum of the seconds that a message takes beyond the usual.
+        extra_delay: The maximum delay that faults add to a message, in seconds.
     """
 
     COUNTER: ClassVar[str] = "counter"
-    """The place of the counter: it stands in zone 0, and its own links can be cut alone."""
+    """The location of the counter: it runs in zone 0, but its links can be cut separately."""
 
     def __init__(self, world: World) -> None:
         self.extra_delay = 0.0
         self._world = world
-        self._cuts: dict[tuple[Place, Place], int] = {}
+        self._cuts: dict[tuple[Location, Location], int] = {}
 
-    def change_cuts(self, sender: Place, receiver: Place, change: int) -> None:
-        """Cut a link once more (a change of 1), or take one cut back (-1)."""
+    def change_cuts(self, sender: Location, receiver: Location, change: int) -> None:
+        """Add a cut to a link (a change of 1) or remove a cut (a change of -1)."""
         link = (sender, receiver)
         self._cuts[link] = self._cuts.get(link, 0) + change
 
-    def delay(self, sender: Place, receiver: Place, rng: random.Random) -> float | None:
-        """Seconds that a message takes; None when it is lost."""
+    def delay(self, sender: Location, receiver: Location, rng: random.Random) -> float | None:
+        """Return the delay of a message, in seconds; None if the network drops the message."""
         if self._cuts and self._is_cut(sender, receiver):
             return None
         links = 1
@@ -47,8 +48,8 @@
         jitter = 1 + self._world.jitter * rng.random()
         return self._world.latency * links * jitter + extra
 
-    def _is_cut(self, sender: Place, receiver: Place) -> bool:
-        """Whether a link is cut between the places themselves or their zones."""
+    def _is_cut(self, sender: Location, receiver: Location) -> bool:
+        """Return whether the link between two locations, or between their zones, is cut."""
         return any(
             self._cuts.get((start, end), 0) > 0
             for start in (sender, _zone_of(sender))
@@ -56,7 +57,7 @@
         )
 
 
-def _zone_of(place: Place) -> Place:
-    if place == Network.COUNTER:
+def _zone_of(location: Location) -> Location:
+    if location == Network.COUNTER:
         return COUNTER_ZONE
-    return place
+    return location
--- a/petrellane/simulation/service_faults.py
+++ b/petrellane/simulation/service_faults.py
@@ -1,4 +1,4 @@
-"""Faults of what gateways depend on: links, counter, discovery; and floods of clients."""
+"""Fault handlers for network links, the counter, discovery and client load."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from petrellane.simulation import discovery
 from petrellane.simulation.fault_handlers import EndFault, FaultContext, FaultHandler
-from petrellane.simulation.network import Network, Place
+from petrellane.simulation.network import Location, Network
 
-LOSS_INTERVAL_S = 0.3  # seconds between losses of a counter that keeps losing what it has
+LOSS_INTERVAL_S = 0.3  # seconds between the data losses of one fault of the counter
 
-Link = tuple[Place, Place]
-"""The places of a sender and a receiver."""
+Link = tuple[Location, Location]
+"""The locations of a sender and a receiver."""
 
 # Links.
 
 
 def delay_messages(context: FaultContext) -> EndFault:
-    """Messages take longer, each by a time of its own."""
+    """Add a random delay to each message."""
     network = context.simulation.network
     seconds = context.fault.magnitude
     network.extra_delay += seconds
@@ -29,22 +29,22 @@
 
 
 def cut_zone(context: FaultContext) -> EndFault:
-    """A zone is cut off in both directions."""
+    """Cut all links between a zone and the other zones, in both directions."""
     return _cut_links(context, _links_from_zone(context) + _links_to_zone(context))
 
 
-def deafen_zone(context: FaultContext) -> EndFault:
-    """Nothing gets into a zone."""
+def block_zone_ingress(context: FaultContext) -> EndFault:
+    """Cut all links from other zones to a zone."""
     return _cut_links(context, _links_to_zone(context))
 
 
-def mute_zone(context: FaultContext) -> EndFault:
-    """Nothing gets out of a zone."""
+def block_zone_egress(context: FaultContext) -> EndFault:
+    """Cut all links from a zone to other zones."""
     return _cut_links(context, _links_from_zone(context))
 
 
 def cut_counter(context: FaultContext) -> EndFault:
-    """A zone is cut off from the counter."""
+    """Cut the links between a zone and the counter, in both directions."""
     zone = context.zone()
     return _cut_links(context, [(zone, Network.COUNTER), (Network.COUNTER, zone)])
 
@@ -78,7 +78,7 @@
 
 
 def slow_counter(context: FaultContext) -> EndFault:
-    """The counter takes longer."""
+    """Increase the service time of the counter."""
     counter = context.simulation.counter
     factor = max(1.0, context.fault.magnitude)
     counter.slowdown *= factor
@@ -90,7 +90,7 @@
 
 
 def silence_counter(context: FaultContext) -> EndFault:
-    """The counter answers nothing."""
+    """Make the counter send no replies and lose a fraction of the adds."""
     counter = context.simulation.counter
     counter.silent_faults += 1
 
@@ -100,34 +100,34 @@
     return end
 
 
-def refuse_at_counter(context: FaultContext) -> EndFault:
-    """The counter rejects all adds."""
+def reject_at_counter(context: FaultContext) -> EndFault:
+    """Make the counter reject all adds."""
     counter = context.simulation.counter
-    counter.refusing_faults += 1
+    counter.rejecting_faults += 1
 
     def end() -> None:
-        counter.refusing_faults -= 1
+        counter.rejecting_faults -= 1
 
     return end
 
 
-def forget_counts(context: FaultContext) -> EndFault:
-    """The counter loses a fraction of its counts, again and again."""
-    return _repeat(context, context.simulation.counter.forget, context.fault.magnitude)
+def lose_counts(context: FaultContext) -> EndFault:
+    """Make the counter periodically lose a fraction of its counts."""
+    return _repeat(context, context.simulation.counter.lose_counts, context.fault.magnitude)
 
 
 def replace_counter(context: FaultContext) -> EndFault:
-    """The counter loses all counts, again and again."""
-    return _repeat(context, context.simulation.counter.forget, 1.0)
+    """Make the counter periodically lose all its counts."""
+    return _repeat(context, context.simulation.counter.lose_counts, 1.0)
 
 
 def roll_back_counter(context: FaultContext) -> EndFault:
-    """The counter goes back to an older state, again and again."""
+    """Make the counter periodically return to an older state."""
     return _repeat(context, context.simulation.counter.roll_back, context.fault.magnitude)
 
 
 def _repeat(context: FaultContext, function: Callable[[float], None], argument: float) -> EndFault:
-    """Make a call every so often while the fault lasts: what is lost once is lost again."""
+    """Call a function immediately and every `LOSS_INTERVAL_S` seconds during the fault."""
     events = context.simulation.events
     until = events.now + context.fault.length
 
@@ -141,20 +141,20 @@
 
 
 def _end_nothing() -> None:
-    """End a fault that stops by itself."""
+    """Do nothing; the periodic call of the fault stops without a handler."""
 
 
 def split_counter(context: FaultContext) -> EndFault:
-    """The counter splits into two replicas."""
+    """Split the counter into two replicas."""
     context.simulation.counter.split()
-    return context.simulation.counter.join
+    return context.simulation.counter.end_split
 
 
 # Discovery and clients.
 
 
 def delay_endpoint_list(context: FaultContext) -> EndFault:
-    """Notifications of the endpoint list take longer."""
+    """Delay the notifications of changes to the endpoint list."""
     endpoint_list = context.simulation.discovery
     seconds = context.fault.magnitude
     endpoint_list.extra_delay += seconds
@@ -165,24 +165,24 @@
     return end
 
 
-def refuse_at_discovery(context: FaultContext) -> EndFault:
-    """Discovery can't be reached."""
+def disconnect_discovery(context: FaultContext) -> EndFault:
+    """Make discovery unreachable, so that polls fail immediately."""
     return context.simulation.discovery.begin_fault(discovery.REFUSED)
 
 
 def silence_discovery(context: FaultContext) -> EndFault:
-    """Discovery answers nothing."""
+    """Make discovery leave all polls unanswered."""
     return context.simulation.discovery.begin_fault(discovery.SILENT)
 
 
 def limit_discovery(context: FaultContext) -> EndFault:
-    """Discovery rejects polls over so many a second."""
+    """Make discovery reject the polls above a rate limit."""
     limit = max(1.0, context.fault.magnitude)
     return context.simulation.discovery.begin_fault(discovery.REJECTING, limit)
 
 
 def flood(context: FaultContext) -> EndFault:
-    """A customer sends a multiple of its rate."""
+    """Multiply the call rate of a customer."""
     clients = context.simulation.clients
     customer = clients[context.fault.target % len(clients)]
     factor = max(1.0, context.fault.magnitude)
@@ -197,18 +197,18 @@
 HANDLERS: Mapping[str, FaultHandler] = {
     "messages late": delay_messages,
     "zone cut": cut_zone,
-    "zone deaf": deafen_zone,
-    "zone mute": mute_zone,
+    "zone deaf": block_zone_ingress,
+    "zone mute": block_zone_egress,
     "counter cut": cut_counter,
     "counter slow": slow_counter,
     "counter silent": silence_counter,
-    "counter refuses": refuse_at_counter,
-    "counter forgets": forget_counts,
+    "counter refuses": reject_at_counter,
+    "counter forgets": lose_counts,
     "counter replaced": replace_counter,
     "counter rolled back": roll_back_counter,
     "counter split": split_counter,
     "list late": delay_endpoint_list,
-    "discovery refused": refuse_at_discovery,
+    "discovery refused": disconnect_discovery,
     "discovery silent": silence_discovery,
     "discovery turned away": limit_discovery,
     "flood": flood,
