--- a/petrellane/simulation/__init__.py
+++ b/petrellane/simulation/__init__.py
@@ -1,20 +1,21 @@
-"""A fleet in simulated time, from a seed: the real decisions among faulty neighbours.
+"""A deterministic discrete-event simulation of a fleet of gateways under faults.
 
-A run promises to be the same to the last digit wherever it has the same scenario; rules are judged
-by `petrellane.invariants`, and every choice of a gateway is made by `petrellane.decisions`.
+The simulated gateways run the production code of `petrellane.decisions`, and
+`petrellane.invariants` checks the rules. Runs of the same scenario produce identical results.
 
-- `scenario`, `scenario_files`: what a run is made of, and the file that holds it.
-- `scenario_generation`, `sparse_traffic`: scenarios from a seed.
-- `event_queue`, `network`: simulated time and links.
-- `gateways`, `gateway_actions`, `controllers`: gateways around an admission controller.
-- `endpoints`, `counter`, `discovery`, `clients`, `figures`: everybody else.
-- `faults`, `gateway_faults`, `endpoint_faults`, `service_faults`: what goes wrong.
-- `fleet`, `retained_state`: one run, from its scenario to its verdict.
-- `property_search`, `shrinking`: looks for a broken rule, and reduces what it finds.
-- `baselines`, `baseline_controller`, `subsetting_baselines`, `quotas`: other ways to decide, for
+- `scenario`, `scenario_files`: the scenario of a run and its file format.
+- `scenario_generation`, `sparse_traffic`: the generation of scenarios from a seed.
+- `event_queue`, `network`: simulated time and network links.
+- `gateways`, `gateway_actions`, `controllers`: the gateways and the interface of their controllers.
+- `endpoints`, `counter`, `discovery`, `clients`, `figures`: the other components of the fleet and
+  the figures of its service.
+- `faults`, `fault_handlers`, `gateway_faults`, `endpoint_faults`, `service_faults`: the faults.
+- `fleet`, `retained_state`: a run from its scenario to its verdict, and the detection of leaks.
+- `property_search`, `shrinking`: the search for violations of rules and the shrinking of scenarios.
+- `baselines`, `baseline_controller`, `subsetting_baselines`, `quotas`: alternative policies for
   comparison.
-- `timeline`, `command`: a run as a person reads it.
+- `timeline`, `command`: the timeline of a run and the command line.
 """
 
 VERSION = 1
-"""A scenario is replayed only on the version that it was written for."""
+"""The version of the simulation; it replays only scenarios of the same version."""
--- a/petrellane/simulation/controllers.py
+++ b/petrellane/simulation/controllers.py
@@ -1,6 +1,6 @@
-"""What a simulated gateway needs of the decisions, so that others can take their place.
+"""The interface between a simulated gateway and its controller.
 
-The admission controller fits, and so do the baselines and controllers with a planted fault.
+The admission controller, the baselines and the controllers with a planted fault implement it.
 """
 
 from __future__ import annotations
@@ -13,46 +13,48 @@
 
 
 class Controller(Protocol):
-    """Takes the events of one gateway process and answers with actions to execute.
+    """Handles the events of one gateway process and returns the actions to execute.
 
-    `petrellane.decisions.controller.AdmissionController` says what each event means.
+    The gateway process owns its controller. The class
+    `petrellane.decisions.controller.AdmissionController` documents the events.
     """
 
     def start(self, now: float, /) -> list[Action]:
-        """The process has started."""
+        """Handle the start of the process."""
 
     def on_endpoint_events(
         self, now: float, is_full: bool, events: Iterable[EndpointEvent], /
     ) -> list[Action]:
-        """The endpoint list or changes to it have come."""
+        """Handle the full endpoint list or changes to it."""
 
     def admit(self, now: float, rpc: Rpc, /) -> list[Action]:
-        """An RPC has come."""
+        """Handle the arrival of an RPC."""
 
     def on_attempt_ended(
         self, now: float, attempt: SendAttempt, outcome: Outcome, /, *, over: bool, took: float
     ) -> list[Action]:
-        """An attempt has ended."""
+        """Handle the end of an attempt."""
 
     def on_client_disconnected(self, now: float, rpc: Rpc, /) -> list[Action]:
-        """The client of an RPC has gone."""
+        """Handle the disconnection of the client of an RPC."""
 
     def on_counter_reply(
         self, now: float, add: CounterAdd, outcome: Outcome, total: float, /
     ) -> list[Action]:
-        """The counter has answered an add, or failed to."""
+        """Handle the outcome of an add to the counter."""
 
     def on_timer(self, now: float, subject: TimerSubject, /) -> list[Action]:
-        """The time that a `SetTimer` asked for has come."""
+        """Handle the expiry of a timer that a `SetTimer` action started."""
 
 
 ControllerFactory = Callable[..., Controller]
-"""Makes the controller of a process from its settings by keyword.
+"""Creates the controller of a process from settings passed by keyword.
 
-One with a true attribute `needs_gateway` also gets the `gateway`, and sees the simulation.
+A factory with a true attribute `needs_gateway` also receives the argument `gateway`, through which
+the controller can access the simulation.
 """
 
 
 def needs_gateway(factory: ControllerFactory) -> bool:
-    """Whether controllers of a kind get to see their simulated gateway."""
+    """Return whether the factory takes the simulated gateway as an argument."""
     return bool(getattr(factory, "needs_gateway", False))
--- a/petrellane/simulation/discovery.py
+++ b/petrellane/simulation/discovery.py
@@ -1,7 +1,9 @@
-"""The endpoint list: late at random, later still by faults, and in order at each gateway.
+"""The simulated discovery service, which sends the endpoint list to gateways.
 
-From the first fault of discovery on, gateways poll it by the rules that they have on sockets. Until
-then a change is notified to every gateway directly, which saves the calls.
+Each gateway receives the changes of the list in order, after a random delay that faults increase.
+Until the first fault of discovery, the simulation notifies every gateway of a change directly,
+which avoids the cost of simulating polls. From that fault on, gateways poll discovery with the
+backoff that they use on real connections.
 """
 
 from __future__ import annotations
@@ -27,19 +29,19 @@
     poll_timeout=2.0,
     initial_pause=0.1,
 )
-"""As petrellane/net/limits.py has them."""
+"""The defaults in `petrellane/net/limits.py` for a gateway that has an endpoint list."""
 
-STALE_S = 1.0  # seconds by which a list is old that a starting gateway has kept
+STALE_S = 1.0  # seconds; the age of the endpoint list that a starting gateway has
 MIN_NOTIFICATION_DELAY = 0.02  # seconds
 NOTIFICATION_JITTER = 0.4  # seconds
 
-REFUSED = "refused"  # no poll arrives
-SILENT = "silent"  # no poll is answered
-REJECTING = "turned away"  # no poll is answered over so many a second
+REFUSED = "refused"  # polls fail immediately
+SILENT = "silent"  # polls time out without an answer
+REJECTING = "turned away"  # discovery rejects the polls above a rate limit
 
 
 class EndpointRow(NamedTuple):
-    """One endpoint as the list has it; `started_at` is None where that was before the run."""
+    """One row of the endpoint list; `started_at` is None for a start before the run."""
 
     endpoint: SimulatedEndpoint
     state: str
@@ -49,14 +51,17 @@
 class SimulatedDiscovery:
     """Owns the endpoint list of one run and notifies gateways of its changes.
 
+    `FleetSimulation` owns it.
+
     Attributes:
-        rows: The list as it is now, with the endpoints that are gone.
-        index: Counts the changes of the list.
-        changed_at: The index of the last change of each endpoint.
-        extra_delay: Maximum of the seconds by which faults delay a notification.
-        active_faults: How many faults of each kind are on.
-        polls: How many polls came in each second.
-        rejected_polls: How many of them were rejected.
+        rows: The current list, including the endpoints that are gone.
+        index: The version of the list: the number of changes so far.
+        changed_at: The version of the last change of each endpoint.
+        extra_delay: The maximum delay that faults add to a notification, in seconds.
+        active_faults: The number of active faults of each kind.
+        polls: The number of polls that gateways sent in each second of the run.
+        rejected_polls: The number of these polls that discovery rejected.
+        simulation: The simulation that the service belongs to.
     """
 
     def __init__(self, simulation: FleetSimulation) -> None:
@@ -75,25 +80,25 @@
         self._last_notification_at: dict[SimulatedGateway, float] = {}
         self._rate_limits: list[float] = []
         self._served_at: deque[float] = deque()
-        # The clients of living gateways, from the first fault on.
+        # The client of each live gateway; None until the first fault of discovery.
         self._clients: dict[SimulatedGateway, DiscoveryClient] | None = None
 
     def full_list(self) -> list[EndpointRow]:
-        """The list without the endpoints that are gone."""
+        """Return the current list without the endpoints that are gone."""
         return [row for row in self.rows.values() if row.state != GONE]
 
     def stale_list(self) -> list[EndpointRow]:
-        """The list that a gateway has kept from before its start."""
+        """Return the outdated list that a gateway has at its start."""
         return [row for row in self._stale_rows.values() if row.state != GONE]
 
     def update(self, endpoint: SimulatedEndpoint, state: str) -> None:
-        """Discovery itself learns of a state now."""
+        """Change the state of an endpoint in the list and notify the gateways."""
         row = EndpointRow(endpoint, state, endpoint.started_at)
         self.rows[endpoint] = row
         self.simulation.events.schedule_after(STALE_S, self._set_stale_row, row)
         self.index += 1
         self.changed_at[endpoint] = self.index
-        for gateway in self.simulation.living_gateways():
+        for gateway in self.simulation.live_gateways():
             if self._clients is None:
                 self.notify(gateway, False, [row])
             else:
@@ -103,17 +108,17 @@
         self._stale_rows[row.endpoint] = row
 
     def detect(self, endpoint: SimulatedEndpoint, state: str, factor: float = 1.0) -> None:
-        """Discovery learns of a state within the world's delay, if it is still so then.
+        """Detect a state after a random delay, if the endpoint is still in that state then.
 
         Args:
-            endpoint: What it learns of.
-            state: READY or GONE.
-            factor: By how much the delay is longer than usual.
+            endpoint: The endpoint whose state has changed.
+            state: The new state, READY or GONE.
+            factor: The factor by which the maximum detection delay is longer than usual.
         """
         delay = self._rng.random() * self.simulation.world.detection_delay * factor
-        self.simulation.events.schedule_after(delay, self._update_if_so, endpoint, state)
+        self.simulation.events.schedule_after(delay, self._update_if_current, endpoint, state)
 
-    def _update_if_so(self, endpoint: SimulatedEndpoint, state: str) -> None:
+    def _update_if_current(self, endpoint: SimulatedEndpoint, state: str) -> None:
         is_up = endpoint.is_alive and not endpoint.is_unreachable
         row = self.rows[endpoint]
         is_known = row.state == state and row.started_at == endpoint.started_at
@@ -121,7 +126,7 @@
             self.update(endpoint, state)
 
     def notify(self, gateway: SimulatedGateway, is_full: bool, rows: Iterable[EndpointRow]) -> None:
-        """Send rows to a gateway, which gets them after those that were sent before."""
+        """Send rows to a gateway, which receives them after all rows sent earlier."""
         events = self.simulation.events
         time = max(
             events.now
@@ -141,7 +146,7 @@
         )
 
     def watch(self, gateway: SimulatedGateway) -> None:
-        """A gateway begins to watch: it gets the full list as it is when the answer leaves."""
+        """Start the watch of a gateway, which receives the full list first."""
         if self._clients is None:
             self.notify(gateway, True, self.full_list())
             return
@@ -150,19 +155,19 @@
         client.poll()
 
     def begin_fault(self, kind: str, rate_limit: float = 0.0) -> Callable[[], None]:
-        """Begin a fault, which breaks all watches.
+        """Begin a fault, which interrupts all watches.
 
         Args:
-            kind: REFUSED, SILENT or REJECTING.
-            rate_limit: Polls a second that are served, for REJECTING.
+            kind: The kind of fault: REFUSED, SILENT or REJECTING.
+            rate_limit: The polls per second that discovery still answers, for REJECTING.
 
         Returns:
-            What ends the fault.
+            The function that ends the fault.
         """
         if self._clients is None:
             self._clients = {
                 gateway: DiscoveryClient(self, gateway, self.index)
-                for gateway in self.simulation.living_gateways()
+                for gateway in self.simulation.live_gateways()
             }
             for client in self._clients.values():
                 client.start_poll()
@@ -180,7 +185,7 @@
         return end
 
     def is_over_rate_limit(self) -> bool:
-        """Whether the poll that comes now is one too many; if not, it counts as served."""
+        """Return whether a new poll exceeds the rate limit; if not, count it as served."""
         now = self.simulation.events.now
         while self._served_at and self._served_at[0] <= now - 1.0:
             self._served_at.popleft()
@@ -191,7 +196,7 @@
 
 
 class DiscoveryClient:
-    """The polls of one incarnation of a gateway."""
+    """Sends the polls of one incarnation of a gateway; `SimulatedDiscovery` owns it."""
 
     def __init__(
         self,
@@ -199,7 +204,7 @@
         gateway: SimulatedGateway,
         version: int | None = None,
     ) -> None:
-        """Make a client that has the list up to a version; None for no list."""
+        """Initialize a client whose gateway has the list of a version; None for no list."""
         self._discovery = discovery
         self._gateway = gateway
         self._incarnation = gateway.incarnation
@@ -213,14 +218,14 @@
         self._backoff = Backoff(rng.random, POLL_TIMES)
 
     def start_poll(self) -> None:
-        """Begin a poll that discovery holds until there are changes."""
+        """Start a poll that discovery holds until the list changes or the hold expires."""
         self._poll_number += 1
         self._backoff.start_poll(self._events.now, self._version is not None)
         self._is_watching = True
-        self._schedule(self._backoff.remaining_hold(self._events.now), self._on_hold_over)
+        self._schedule(self._backoff.remaining_hold(self._events.now), self._on_hold_expired)
 
     def _schedule(self, seconds: float, function: Callable[..., None], *arguments: object) -> None:
-        """Schedule a call that is not made where this poll is over by then."""
+        """Schedule a call that is skipped if a poll has started or ended by then."""
         self._events.schedule_after(
             seconds, self._call_if_current, self._poll_number, function, arguments
         )
@@ -232,9 +237,9 @@
             function(*arguments)
 
     def poll(self) -> None:
-        """Send a poll, which arrives at once.
+        """Send a poll, which reaches discovery without delay.
 
-        It is answered when there are changes, or when its hold is over.
+        Without a fault, discovery answers it when the list has changes or the hold expires.
         """
         discovery = self._discovery
         second = int(self._events.now)
@@ -253,7 +258,7 @@
             self.answer_watch()
 
     def answer_watch(self) -> None:
-        """Answer the poll in progress, if its gateway lacks changes."""
+        """Answer the current poll if its gateway lacks changes of the list."""
         discovery = self._discovery
         if (
             not self._is_watching
@@ -275,11 +280,11 @@
             if discovery.changed_at.get(endpoint, 0) > self._version
         ]
 
-    def _on_hold_over(self) -> None:
+    def _on_hold_expired(self) -> None:
         self._on_success(has_changes=False)
 
     def _on_success(self, *, has_changes: bool) -> None:
-        """The poll was answered; the next one follows the answer."""
+        """End an answered poll, and send the next one after a round trip."""
         self._end_poll()
         self._backoff.on_success(has_changes)
         self._schedule(2 * self._discovery.simulation.world.latency, self.poll)
@@ -289,7 +294,7 @@
         self._schedule(self._backoff.pause_after(failure, self._events.now), self.poll)
 
     def _time_out(self) -> None:
-        """No answer comes: the poll fails at its time limit."""
+        """Let the current poll fail at its timeout, without an answer."""
         self._end_poll()
         remaining = self._backoff.deadline - self._events.now
         self._schedule(remaining, self._on_failure, PollFailure.TIMED_OUT)
@@ -299,7 +304,7 @@
         self._is_watching = False
 
     def break_watch(self, kind: str) -> None:
-        """A fault begins: the watch ends at once, or stays without an answer."""
+        """Interrupt the watch at the start of a fault: it fails immediately or times out."""
         if not self._is_watching:
             return
         if kind == SILENT:
--- a/petrellane/simulation/endpoints.py
+++ b/petrellane/simulation/endpoints.py
@@ -1,7 +1,7 @@
-"""Endpoints: cores and slots, a queue, slow start, shared idempotency keys, and their faults.
+"""Simulated endpoints with cores, slots, a queue, slow start and shared idempotency keys.
 
-An endpoint works on attempts and replies; when it starts, dies or misbehaves is decided by
-`endpoint_faults`, and what the endpoint list says of it by `discovery`.
+An endpoint executes attempts and replies to them. The handlers in `endpoint_faults` start, kill and
+impair endpoints, and `discovery` maintains their states in the endpoint list.
 """
 
 from __future__ import annotations
@@ -28,29 +28,33 @@
     from petrellane.simulation.fleet import FleetSimulation
     from petrellane.simulation.gateways import SimulatedGateway
 
-DUPLICATE_REPLY_DELAY = 0.001  # seconds until a duplicate gets the answer of the first execution
-KEY_SLACK = 1.0  # seconds for which a key is remembered beyond its window
+DUPLICATE_REPLY_DELAY = (
+    0.001  # seconds until an endpoint answers a duplicate of an accepted attempt
+)
+KEY_SLACK = 1.0  # seconds for which an endpoint retains a key beyond its window
 
 KeyGroup = tuple[str, int]
-"""Which endpoints share a memory of idempotency keys: a kind of group and its number."""
+"""A group of endpoints that share idempotency keys: the kind of the group and its number."""
 
-KeyMemory = dict[tuple[str, int], float]
-"""Until when each idempotency key, a customer and the number of its call, is remembered."""
+KeyExpiries = dict[tuple[str, int], float]
+"""The expiry time of each idempotency key, which is a customer and the number of its call."""
 
 
 class PendingAttempt:
-    """One attempt on its way; the gateway's side ends once, the endpoint's may go on for longer.
+    """One attempt between a gateway and an endpoint.
+
+    The attempt ends once for the gateway; the endpoint may continue to execute it afterwards.
 
     Attributes:
-        gateway: Whose attempt it is.
-        attempt: As the decisions know it.
-        call: What the client wants done.
+        gateway: The gateway process that sends the attempt.
+        attempt: The action that sent the attempt.
+        call: The call of the client.
         rpc: The id of the RPC.
-        number: Counts the RPC's attempts from 0.
-        endpoint: Where it goes.
-        incarnation: Of the gateway, when it was sent.
-        is_ended: Whether the gateway knows its outcome.
-        is_abandoned: Whether the gateway waits for it no more.
+        number: The number of the attempt within its RPC, from 0.
+        endpoint: The endpoint that receives the attempt.
+        incarnation: The incarnation of the gateway that sent the attempt.
+        is_ended: Whether the gateway knows the outcome.
+        is_abandoned: Whether the gateway no longer waits for the outcome.
     """
 
     __slots__ = (
@@ -85,20 +89,20 @@
 
 
 class SimulatedEndpoint:
-    """One endpoint over all its incarnations; lives as long as the run.
+    """One endpoint across its incarnations; `FleetSimulation` owns it.
 
     Attributes:
-        name: Its address.
-        zone: The zone that it runs in.
-        pod: The endpoints of one pod share idempotency keys.
-        started_at: When its process started; None where that was before the run.
-        is_alive: Whether its process runs.
-        is_unreachable: Whether nothing gets in or out.
-        is_hanging: Whether it accepts and answers nothing.
-        slowdown: By how much longer it takes.
-        error_rate: The fraction of attempts that it answers with an error.
-        running: The attempts that it works on, with its incarnation when they began.
-        waiting: The attempts in its queue.
+        name: The address of the endpoint.
+        zone: The number of the zone that the endpoint runs in.
+        pod: The number of its pod; the endpoints of a pod can share idempotency keys.
+        started_at: The time at which the process started; None if it started before the run.
+        is_alive: Whether the process is running.
+        is_unreachable: Whether the endpoint is disconnected from the network.
+        is_hanging: Whether the endpoint queues attempts without executing them.
+        slowdown: The factor by which faults lengthen the execution of an attempt.
+        error_rate: The fraction of attempts that the endpoint answers with an error.
+        running: The attempts in execution, with the incarnation in which each one began.
+        waiting: The attempts in the queue.
     """
 
     def __init__(self, simulation: FleetSimulation, number: int) -> None:
@@ -120,7 +124,7 @@
         self._incarnation = 0
 
     def receive(self, pending: PendingAttempt) -> None:
-        """The last byte of an attempt has arrived."""
+        """Handle the last byte of an attempt: answer it, reject it or add it to the queue."""
         if self.is_unreachable:
             return
         if not self.is_alive:
@@ -128,7 +132,7 @@
             return
         self._record_arrival(pending)
         now = self._simulation.events.now
-        keys = self._key_memory(pending)
+        keys = self._shared_keys(pending)
         if keys is not None and keys.get(pending.call.key, -1.0) >= now:
             self._simulation.events.schedule_after(DUPLICATE_REPLY_DELAY, self._reply, pending, OK)
             return
@@ -143,7 +147,7 @@
     def start_waiting(self) -> None:
         """Start attempts from the queue while a slot is free.
 
-        Abandoned ones are dropped where work can be cancelled.
+        The endpoint drops abandoned attempts if the scenario allows the cancellation of work.
         """
         world = self._simulation.world
         while (
@@ -157,14 +161,14 @@
                 continue
             sharing = max(1.0, (len(self.running) + 1) / world.cores)
             work = pending.call.work
-            duration = work * sharing * self.slowdown / self._speed / self._warmth()
+            duration = work * sharing * self.slowdown / self._speed / self._warm_up_fraction()
             self.running[pending] = self._incarnation
             self._simulation.events.schedule_after(
                 duration, self._finish, pending, self._incarnation
             )
 
     def kill(self) -> None:
-        """The process dies, and what it worked on or had in its queue is reset."""
+        """Kill the process and reset all attempts in execution and in the queue."""
         self.is_alive = False
         self._incarnation += 1
         lost = [*self.running, *self.waiting]
@@ -174,7 +178,7 @@
             self._reply(pending, RESET)
 
     def start(self) -> None:
-        """A new process starts, cold, unless there is one."""
+        """Start a new, cold process unless a process is running."""
         if self.is_alive:
             return
         now = self._simulation.events.now
@@ -184,16 +188,16 @@
         capacity = self._simulation.world.cores * self._speed
         self._simulation.record(EndpointStarted(now, self.name, capacity))
 
-    def _warmth(self) -> float:
-        """The fraction of its capacity that it has now."""
+    def _warm_up_fraction(self) -> float:
+        """Return the fraction of its full capacity that the endpoint has at its present age."""
         world = self._simulation.world
         if self.started_at is None:
             return 1.0
         age = (self._simulation.events.now - self.started_at) / world.slow_start
         return min(1.0, world.slow_start_minimum + (1 - world.slow_start_minimum) * age)
 
-    def _key_memory(self, pending: PendingAttempt) -> KeyMemory | None:
-        """The memory of keys that it shares for a method; None where no key counts."""
+    def _shared_keys(self, pending: PendingAttempt) -> KeyExpiries | None:
+        """Return the keys shared within the scope of the method; None without deduplication."""
         method = pending.call.method
         if method.effect != DEDUPLICATED:
             return None
@@ -217,7 +221,7 @@
         )
 
     def _finish(self, pending: PendingAttempt, incarnation: int) -> None:
-        """An attempt's work is done, unless its process died meanwhile."""
+        """Finish the execution of an attempt, unless its process has died."""
         if incarnation != self._incarnation:
             return
         self.running.pop(pending, None)
@@ -234,7 +238,7 @@
         self.start_waiting()
 
     def _reply(self, pending: PendingAttempt, outcome: Outcome) -> None:
-        """Report an outcome to the gateway, unless a link is cut or the endpoint unreachable."""
+        """Send an outcome to the gateway, unless the endpoint or its link is disconnected."""
         if self.is_unreachable:
             return
         delay = self._simulation.network.delay(self.zone, pending.gateway.zone, self._rng)
--- a/petrellane/simulation/event_queue.py
+++ b/petrellane/simulation/event_queue.py
@@ -1,6 +1,6 @@
-"""Simulated time: one queue of scheduled calls, no wall clock and no thread.
+"""The event queue of the simulation, without wall clock or threads.
 
-Promises that calls for the same time are made in the order in which they were scheduled.
+The queue makes calls that are scheduled for the same time in the order of their scheduling.
 """
 
 import heapq
@@ -10,7 +10,7 @@
 
 
 class ScheduledCall(NamedTuple):
-    """A call to make; `order` is unique, so that no two entries compare beyond it."""
+    """A scheduled call; `order` is unique, so a comparison never reaches `function`."""
 
     time: float
     order: int
@@ -19,10 +19,10 @@
 
 
 class EventQueue:
-    """The clock and the scheduled calls of one run.
+    """The clock and the scheduled calls of one run; `FleetSimulation` owns it.
 
     Attributes:
-        now: The time of the call that is being made, in seconds of the run.
+        now: The current simulated time, in seconds since the start of the run.
     """
 
     def __init__(self) -> None:
@@ -33,17 +33,17 @@
     def schedule_after(
         self, delay: float, function: Callable[..., object], *arguments: object
     ) -> None:
-        """Schedule a call so many seconds from now; a negative delay counts as none."""
+        """Schedule a call after a delay in seconds; a negative delay counts as 0."""
         self._count += 1
         time = self.now + max(0.0, delay)
         heapq.heappush(self._calls, ScheduledCall(time, self._count, function, arguments))
 
     def schedule_at(self, time: float, function: Callable[..., object], *arguments: object) -> None:
-        """Schedule a call at a time; one that has passed counts as now."""
+        """Schedule a call at a simulated time; a time in the past counts as now."""
         self.schedule_after(time - self.now, function, *arguments)
 
     def run_until(self, end: float) -> None:
-        """Make all calls up to a time, and leave the clock there."""
+        """Make all calls up to and including a time, then set the clock to that time."""
         calls = self._calls
         while calls and calls[0].time <= end:
             call = heapq.heappop(calls)
@@ -53,5 +53,8 @@
 
 
 def seeded_random(*parts: object) -> random.Random:
-    """A random stream of its own, so that what one party draws never shifts what another does."""
+    """Return a random stream seeded by the parts.
+
+    Each component has its own stream, so its draws do not change those of other components.
+    """
     return random.Random(" ".join(map(str, parts)))
--- a/petrellane/simulation/fleet.py
+++ b/petrellane/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""One run of a scenario: everything put together, played to its end and judged."""
+"""Runs one scenario: creates the simulated fleet, plays the run and returns the verdict."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from petrellane.simulation.controllers import ControllerFactory, needs_gateway
 from petrellane.simulation.counter import SimulatedCounter
 from petrellane.simulation.discovery import SimulatedDiscovery
-from petrellane.simulation.endpoints import KeyGroup, KeyMemory, SimulatedEndpoint
+from petrellane.simulation.endpoints import KeyExpiries, KeyGroup, SimulatedEndpoint
 from petrellane.simulation.event_queue import EventQueue, seeded_random
 from petrellane.simulation.faults import FaultInjector
 from petrellane.simulation.figures import FigureCollector, ServiceFigures
@@ -31,9 +31,9 @@
 from petrellane.simulation.retained_state import count_retained
 from petrellane.simulation.scenario import Scenario
 
-ANSWER_SLACK_S = 0.05  # seconds past a deadline that an answer may come
-SETTLE_S = 4.0  # seconds after the last deadline in which everything has to come to rest
-FAULT_SETTLE_S = 0.5  # seconds after a fault in which what it broke comes back
+ANSWER_SLACK_S = 0.05  # seconds after its deadline in which an RPC may still be answered
+SETTLE_S = 4.0  # seconds after the last deadline in which pending work must finish
+FAULT_SETTLE_S = 0.5  # seconds after a fault in which its target recovers
 
 UNKNOWN_RPC = "unknown"
 
@@ -41,7 +41,7 @@
 
 
 class TraceLine(NamedTuple):
-    """What somebody did that is no record; `party` is empty for the run itself."""
+    """A trace event that is not a record; `party` is empty for an event of the run itself."""
 
     at: float
     party: str
@@ -50,14 +50,14 @@
 
 @dataclass
 class Run:
-    """What came of a scenario.
+    """The results of one run.
 
     Attributes:
-        scenario: What was played.
-        verdict: By the rules.
-        figures: What clients got.
-        records: In the order of time; None unless they were kept.
-        trace: In the order of time; None unless records were kept.
+        scenario: The scenario of the run.
+        verdict: The verdict of the invariant checker.
+        figures: The figures of the service that clients received.
+        records: The records in chronological order; None unless the run kept them.
+        trace: The trace in chronological order; None unless the run kept records.
     """
 
     scenario: Scenario
@@ -68,12 +68,12 @@
 
     @property
     def broken(self) -> list[str]:
-        """The rules that were broken."""
+        """The names of the violated rules, sorted."""
         return sorted(self.verdict.counts)
 
 
 def make_method(settings: scenarios.Method, max_attempts: int) -> Method:
-    """A method of a scenario as the decisions know it."""
+    """Convert a method of a scenario to a `Method` of the decisions."""
     return Method(
         settings.name,
         settings.latency_objective,
@@ -88,7 +88,7 @@
 
 
 def make_plan(settings: scenarios.Plan) -> Plan:
-    """A plan of a scenario as the decisions know it."""
+    """Convert a plan of a scenario to a `Plan` of the decisions."""
     return Plan(
         settings.name,
         settings.rate,
@@ -102,30 +102,32 @@
 
 
 class FleetSimulation:
-    """One run: its parties, and what they share. It is played once.
+    """One run: its simulated components and their shared state.
+
+    The caller owns the simulation and plays it only once.
 
     Attributes:
-        scenario: What is played.
-        world: Of the scenario.
-        controller_factory: Makes the controller of each gateway process.
-        controller_settings: What it is made with, beside seed and zone.
-        keeps_records: Whether records and a trace are kept, for a person to read.
-        events: Simulated time.
-        network: The links.
-        methods: By name, as the decisions know them.
-        plans: By name, likewise.
-        answer_slack: Seconds past a deadline that an answer may come.
-        lost_answer_rate: The fraction of answers that faults lose.
-        idempotency_keys: The keys that groups of endpoints remember.
-        endpoints: By number.
-        endpoints_by_name: The same by name.
+        scenario: The scenario of the run.
+        world: The `World` line of the scenario.
+        controller_factory: The factory that creates the controller of each gateway process.
+        controller_settings: The keyword arguments of the factory, except seed, zone and gateway.
+        keeps_records: Whether the run keeps records and a trace for a timeline.
+        events: The event queue and the simulated clock.
+        network: The simulated network.
+        methods: The methods of the decisions, by name.
+        plans: The plans of the decisions, by name.
+        answer_slack: The time after its deadline in which an RPC may still be answered, in seconds.
+        lost_answer_rate: The fraction of endpoint answers that a fault drops.
+        idempotency_keys: The idempotency keys that each group of endpoints shares.
+        endpoints: The endpoints, by number.
+        endpoints_by_name: The endpoints, by name.
         counter: The shared counter.
-        discovery: The endpoint list.
-        gateways: By number: the processes that have their places.
-        other_processes: Further processes under the name of a gateway, by their own names.
-        figures: What clients get.
-        clients: Of each customer.
-        checker: Judges the records.
+        discovery: The discovery service.
+        gateways: The current process of each gateway, by number.
+        other_processes: The further processes under the name of a gateway, by process name.
+        figures: The collector of service figures.
+        clients: The clients of each customer, in the order of the scenario.
+        checker: The invariant checker, which observes every record.
     """
 
     def __init__(
@@ -134,12 +136,13 @@
         controller_factory: ControllerFactory = AdmissionController,
         keep_records: bool = False,
     ) -> None:
-        """Put a run together.
+        """Create the components of a run.
 
         Args:
-            scenario: What to play.
-            controller_factory: Makes controllers; the real one unless a test plants a fault.
-            keep_records: Whether the run is to have records and a trace.
+            scenario: The scenario to play.
+            controller_factory: The factory of controllers. The default creates the admission
+                controller; baselines and tests with planted faults pass others.
+            keep_records: Whether the run keeps records and a trace.
         """
         world = scenario.world
         self.scenario = scenario
@@ -155,18 +158,18 @@
             method.name: make_method(method, world.max_attempts) for method in scenario.methods
         }
         self.plans = {plan.name: make_plan(plan) for plan in scenario.plans}
-        self.idempotency_keys: dict[KeyGroup, KeyMemory] = {}
+        self.idempotency_keys: dict[KeyGroup, KeyExpiries] = {}
         self._records: list[Record] = []
         self._trace: list[TraceLine] = []
         self._rpc_names: dict[Rpc, str] = {}
         self._rng = seeded_random(world.seed, "front")
-        # Until when the front does not know that a process has died.
+        # The time at which the load balancer in front detects the death of each process.
         self._undetected_until: dict[SimulatedGateway, float] = {}
         self.other_processes: dict[str, SimulatedGateway] = {}
-        self._make_parties()
+        self._create_components()
 
-    def _make_parties(self) -> None:
-        """Make all parties; those that schedule events first have them first."""
+    def _create_components(self) -> None:
+        """Create all components in an order that determines the order of simultaneous events."""
         world = self.world
         self.endpoints = [SimulatedEndpoint(self, number) for number in range(world.endpoints)]
         self.endpoints_by_name = {endpoint.name: endpoint for endpoint in self.endpoints}
@@ -179,10 +182,10 @@
         FaultInjector(self).schedule(self.scenario.faults)
 
     def terms(self) -> Terms:
-        """The figures of the rules in this scenario.
+        """Return the parameters of the invariant rules for this scenario.
 
-        Two processes under one name may pass a hard limit by what the second one's share fills in
-        while both serve: that much is allowed for, at a share of one, and no more.
+        While two processes run under one gateway name, the share of the second process refills the
+        hard limit as well. The slack of each hard limit includes this refill, at a share of 1.
         """
         world = self.world
         second_process_s = sum(
@@ -212,46 +215,46 @@
             mean_work=self.scenario.mean_work(),
         )
 
-    # What is seen of the run.
+    # Records and trace.
 
     def record(self, record: Record) -> None:
-        """Hand a record to the checker, and keep it where records are kept."""
+        """Pass a record to the invariant checker, and store it if the run keeps records."""
         self.checker.observe(record)
         if self.keeps_records:
             self._records.append(record)
 
     def trace(self, party: str, text: str) -> None:
-        """Keep a line of the trace where records are kept."""
+        """Store a line of the trace if the run keeps records."""
         if self.keeps_records:
             self._trace.append(TraceLine(self.events.now, party, text))
 
     def remember_name(self, rpc: Rpc, name: str) -> None:
-        """Keep the name of an RPC that is over, where records are kept."""
+        """Store the name of an RPC that has ended if the run keeps records."""
         if self.keeps_records:
             self._rpc_names[rpc] = name
 
     def name_of(self, rpc: Rpc) -> str:
-        """The name of an RPC that is over, for the record of an action on it."""
+        """Return the name of an RPC that has ended, for the record of a later action on it."""
         return self._rpc_names.get(rpc, UNKNOWN_RPC)
 
-    # Gateways as the front sees them.
+    # The load balancer in front of the gateways.
 
-    def living_gateways(self) -> list[SimulatedGateway]:
-        """All gateway processes that run."""
+    def live_gateways(self) -> list[SimulatedGateway]:
+        """Return all running gateway processes, including paused ones."""
         processes = [*self.gateways, *self.other_processes.values()]
         return [process for process in processes if process.is_alive]
 
     def on_gateway_death(self, gateway: SimulatedGateway) -> None:
-        """A process has died; the front detects it later."""
+        """Schedule the time at which the load balancer in front detects the death of a process."""
         delay = self.world.detection_delay * self._rng.random()
         self._undetected_until[gateway] = self.events.now + delay
 
-    def front_sees(self, gateway: SimulatedGateway) -> bool:
-        """Whether the front believes that a process runs."""
+    def appears_alive(self, gateway: SimulatedGateway) -> bool:
+        """Return whether the load balancer in front considers a process alive."""
         return gateway.is_alive or self.events.now < self._undetected_until.get(gateway, 0.0)
 
     def pick_process(self, gateway: SimulatedGateway, rng: random.Random) -> SimulatedGateway:
-        """The gateway, or with even odds another process under its name."""
+        """Draw one process uniformly: the gateway or another live process under its name."""
         others = [
             process
             for process in self.other_processes.values()
@@ -261,7 +264,7 @@
             return gateway
         return rng.choice([gateway, *others])
 
-    # Further processes under the name of a gateway.
+    # Second processes and hot restarts.
 
     def add_second_process(self, number: int) -> SimulatedGateway:
         """Start a second process under the name of a gateway."""
@@ -271,9 +274,9 @@
         return process
 
     def hot_restart(self, predecessor: SimulatedGateway) -> SimulatedGateway:
-        """Start a process that takes the place of another one.
+        """Start a successor process, which takes over the leases of its predecessor.
 
-        The predecessor hands over what it has, and still answers what it took.
+        The predecessor still answers the RPCs that it has received.
         """
         successor = SimulatedGateway(self, predecessor.number, f"{predecessor.name}+")
         successor.clock_offset = predecessor.clock_offset
@@ -285,7 +288,7 @@
         return successor
 
     def undo_hot_restart(self, predecessor: SimulatedGateway, successor: SimulatedGateway) -> None:
-        """The successor is gone: its predecessor takes its place again."""
+        """Replace a failed successor by its predecessor, which starts again if it has died."""
         self.other_processes[successor.name] = successor
         self.gateways[predecessor.number] = predecessor
         successor.is_superseded = True
@@ -299,7 +302,7 @@
     # The run.
 
     def play(self) -> Run:
-        """Play the scenario until everything has come to rest, and judge it."""
+        """Play the scenario, give pending work time to finish, and return the results."""
         for gateway in self.gateways:
             gateway.start()
         last_event = max(
@@ -311,7 +314,8 @@
         longest_deadline = max(method.deadline for method in self.scenario.methods)
         end = last_event + longest_deadline + SETTLE_S
         self.events.run_until(end)
-        # A controller that sees the simulation reaches all of it.
+        # A controller with access to its gateway reaches every object of the simulation, so a count
+        # of retained objects would say nothing.
         if not needs_gateway(self.controller_factory):
             self._record_retained(end)
         return Run(
@@ -323,13 +327,13 @@
         )
 
     def _record_retained(self, end: float) -> None:
-        for gateway in self.living_gateways():
+        for gateway in self.live_gateways():
             for kind, count in count_retained(gateway).items():
                 self.record(StateRetained(end, gateway.name, kind, count))
 
 
 def _controller_settings(world: scenarios.World) -> dict[str, Any]:
-    """What controllers are made with, by keyword."""
+    """Return the keyword arguments of the controller factory."""
     return {
         "uses_counter": True,
         "counter_timeout": world.counter_timeout,
--- a/petrellane/simulation/gateway_actions.py
+++ b/petrellane/simulation/gateway_actions.py
@@ -1,6 +1,6 @@
-"""Executes the actions of a simulated gateway's controller.
+"""Executes the actions of the controller of a simulated gateway.
 
-The counterpart of `petrellane.gateway.action_executor` in simulated time.
+The counterpart in simulated time of `petrellane.gateway.action_executor`.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
     )
     from petrellane.simulation.gateways import SimulatedGateway
 
-CONNECT_TIMEOUT = 0.25  # seconds until an endpoint without an answer counts as unreachable
-MIN_TIMEOUT = 1e-6  # seconds that an attempt has at least
-SLOW_CANCEL_RATE = 0.1  # fraction of cancels that wait for others on their connection
-SLOW_CANCEL_DELAY = 0.05  # seconds that these take
+CONNECT_TIMEOUT = 0.25  # seconds until an unanswered connection attempt fails
+MIN_TIMEOUT = 1e-6  # seconds; the minimum timeout of an attempt
+SLOW_CANCEL_RATE = 0.1  # fraction of cancellations that wait behind others on their connection
+SLOW_CANCEL_DELAY = 0.05  # seconds that such a cancellation waits
 
 
 class ActionExecutor(ActionDispatcher):
-    """Executes the actions of one gateway, which owns it."""
+    """Executes the actions of one gateway; the gateway owns it."""
 
     def __init__(self, gateway: SimulatedGateway) -> None:
         super().__init__()
@@ -40,7 +40,7 @@
         self._simulation = gateway.simulation
 
     def answer_ok(self, rpc: Rpc) -> None:
-        """Relay the answer of an endpoint to the client, if it still waits."""
+        """Relay the answer of an endpoint to the client if the client still waits."""
         if rpc in self._gateway.open_rpcs:
             self._answer(rpc, OK)
 
@@ -51,7 +51,10 @@
         self._answer(action.rpc, ABORTED)
 
     def _answer(self, rpc: Rpc, answer: str, retry_after: float = 0.0) -> None:
-        """Answer an RPC; an answer after the end of the RPC is recorded, and judged."""
+        """Answer an RPC.
+
+        An answer to an RPC that has ended is only recorded, for the invariant checker.
+        """
         gateway = self._gateway
         simulation = self._simulation
         now = simulation.events.now
@@ -68,7 +71,7 @@
         )
 
     def _send_attempt(self, action: SendAttempt) -> None:
-        """Send an attempt to its endpoint, on an open connection or on a new one."""
+        """Send an attempt to its endpoint, over an open connection or a new one."""
         gateway = self._gateway
         simulation = self._simulation
         now = simulation.events.now
@@ -90,36 +93,39 @@
         simulation = self._simulation
         events = simulation.events
         endpoint = pending.endpoint
-        there = simulation.network.delay(gateway.zone, endpoint.zone, gateway.rng)
-        back = simulation.network.delay(endpoint.zone, gateway.zone, gateway.rng)
+        outbound = simulation.network.delay(gateway.zone, endpoint.zone, gateway.rng)
+        inbound = simulation.network.delay(endpoint.zone, gateway.zone, gateway.rng)
         timeout = max(MIN_TIMEOUT, pending.attempt.timeout)
         events.schedule_after(timeout, gateway.report_outcome, pending, LATE)
         if self._has_connection(pending) and endpoint.is_alive:
-            if there is not None:
-                events.schedule_after(there, endpoint.receive, pending)
-        elif there is None or back is None or endpoint.is_unreachable:
+            if outbound is not None:
+                events.schedule_after(outbound, endpoint.receive, pending)
+        elif outbound is None or inbound is None or endpoint.is_unreachable:
             events.schedule_after(CONNECT_TIMEOUT, gateway.report_outcome, pending, UNREACHABLE)
         elif not endpoint.is_alive:
-            events.schedule_after(there + back, gateway.report_outcome, pending, UNREACHABLE)
+            events.schedule_after(outbound + inbound, gateway.report_outcome, pending, UNREACHABLE)
         else:
             gateway.connected.add(endpoint.name)
-            arrives_at = events.now + there + back + there
+            arrives_at = events.now + outbound + inbound + outbound
             events.schedule_at(arrives_at, self._arrive_on_new_connection, pending)
 
     def _has_connection(self, pending: PendingAttempt) -> bool:
-        """Whether the attempt finds an open connection; only a known endpoint takes a draw."""
+        """Return whether an open connection is available for the attempt.
+
+        The method draws a random number only for an endpoint that had a connection before.
+        """
         gateway = self._gateway
         reuse = self._simulation.world.connection_reuse
         return pending.endpoint.name in gateway.connected and gateway.rng.random() < reuse
 
     @staticmethod
     def _arrive_on_new_connection(pending: PendingAttempt) -> None:
-        """The connection is open and the attempt written, unless it was given up before."""
+        """Deliver an attempt over its new connection, unless the attempt has already ended."""
         if not pending.is_ended:
             pending.endpoint.receive(pending)
 
     def _cancel_attempt(self, action: CancelAttempt) -> None:
-        """Stop waiting for an attempt; at times others wait on its connection, which delays it."""
+        """Cancel an attempt; some cancellations wait behind others on their connection."""
         gateway = self._gateway
         for pending in gateway.pending_attempts:
             if pending.attempt is action.attempt:
@@ -143,4 +149,4 @@
         self._simulation.trace(self._gateway.name, action.text)
 
     def _watch_endpoints(self, action: WatchEndpoints) -> None:
-        """Do nothing: the watch is on from the start."""
+        """Do nothing: the gateway watches the endpoint list from its start."""
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -1,7 +1,7 @@
-"""Gateways: one controller each, with a clock, an endpoint list and connections of its own.
+"""Simulated gateways: each has an admission controller, a clock, an endpoint list and connections.
 
-`SimulatedGateway` reports what happens to its controller, as a gateway process does, and
-`gateway_actions` executes the actions. Every decision is the controller's.
+`SimulatedGateway` passes events to its controller, as a gateway process does, and `gateway_actions`
+executes the actions that the controller returns. The controller makes every decision.
 """
 
 from __future__ import annotations
@@ -43,33 +43,37 @@
     from petrellane.simulation.fleet import FleetSimulation
 
 CLOCK_EPOCH = 1000.0
-"""What a correct clock shows when the run begins; 0 would read as long ago."""
+"""The reading of an accurate clock at the start of the run, in seconds; 0 would mean long ago."""
 
-MIN_DURATION = 1e-6  # seconds that an attempt takes at least
+MIN_DURATION = 1e-6  # seconds; the minimum duration of an attempt
 
 DeferredEvent = tuple[Callable[..., None], tuple[Any, ...]]
-"""An event that has come while the process was paused: a function and its arguments."""
+"""An event that arrived while the process was paused: its handler and the arguments."""
 
 
 class SimulatedGateway:
-    """One gateway over all its incarnations, or a second process under its name.
+    """One gateway across its incarnations, or a further process under the name of a gateway.
+
+    `FleetSimulation` owns the gateways of a run.
 
     Attributes:
-        simulation: The run that it belongs to.
-        number: Of the gateway.
-        name: Of the process.
-        zone: The zone that it runs in.
-        rng: Its random numbers.
-        clock_offset: What its clock shows beyond the time of the run.
-        incarnation: Counts its process starts and deaths.
-        is_alive: Whether its process runs.
-        is_superseded: Whether another process has its place.
-        successor: The process that took over from it.
-        endpoints: The endpoints that it knows, by name.
-        connected: The names of the endpoints that it has had a connection to.
-        open_rpcs: The RPCs whose clients wait.
-        pending_attempts: The attempts whose outcome it does not know, oldest first.
-        customers: The customers that it knows, by name.
+        simulation: The simulation that the gateway belongs to.
+        number: The number of the gateway.
+        name: The name of the process.
+        zone: The number of the zone that the process runs in.
+        rng: The random stream of the process.
+        clock_offset: The difference between the clock of the process and the time of the run, in
+            seconds.
+        incarnation: The number of starts and deaths of the process so far.
+        is_alive: Whether the process is running; a paused process is running.
+        is_paused: Whether the process is paused.
+        is_superseded: Whether another process has replaced it after a hot restart.
+        successor: The process that took over from it in a hot restart.
+        endpoints: The endpoints that the process knows, by name.
+        connected: The names of the endpoints that the process has opened a connection to.
+        open_rpcs: The RPCs whose clients wait for an answer.
+        pending_attempts: The attempts whose outcome the process does not know, oldest first.
+        customers: The customers that the process knows, by name.
     """
 
     def __init__(self, simulation: FleetSimulation, number: int, name: str | None = None) -> None:
@@ -87,10 +91,10 @@
         self._controller: Controller | None = None
         self._executor = ActionExecutor(self)
         self._handoff_receiver: hot_restart.HandoffReceiver[None] | None = None
-        self._forget_state()
+        self._reset_state()
 
-    def _forget_state(self) -> None:
-        """Begin with the state of a new process."""
+    def _reset_state(self) -> None:
+        """Reset the state to that of a new process."""
         self.successor: SimulatedGateway | None = None
         self.endpoints: dict[str, Endpoint] = {}
         self.connected: set[str] = set()
@@ -98,34 +102,34 @@
         self.pending_attempts: dict[PendingAttempt, None] = {}
         self.customers: dict[str, Customer] = {}
         self._deferred_events: list[DeferredEvent] = []
-        # When it was paused, while it reads what has come since.
+        # The clock reading at the pause, until the process has handled all deferred events.
         self._paused_at: float | None = None
 
     @property
     def controller(self) -> Controller:
-        """The controller of the process that runs.
+        """The controller of the running process.
 
         Raises:
-            RuntimeError: No process runs.
+            RuntimeError: The process is not running.
         """
         if self._controller is None:
-            raise RuntimeError(f"expected {self.name} to run, found no process")
+            raise RuntimeError(f"expected {self.name} to be running, found no running process")
         return self._controller
 
     def clock(self) -> float:
-        """What its clock shows."""
+        """Return the reading of the clock of the gateway, in seconds."""
         return self.simulation.events.now + self.clock_offset
 
     # The process.
 
     def start(self) -> None:
-        """Start a new process, which knows nothing but the list that discovery last had."""
+        """Start a new process, whose only state is a stale copy of the endpoint list."""
         if self.is_alive:
             return
         self.incarnation += 1
         self.is_alive = True
         self.is_paused = False
-        self._forget_state()
+        self._reset_state()
         self._controller = self._make_controller()
         self._record_lifecycle("started")
         self._executor.execute(self.controller.start(self.clock()))
@@ -140,7 +144,7 @@
         return factory(seed=self.rng.getrandbits(60), zone=f"z{self.zone}", **settings)
 
     def kill(self) -> None:
-        """The process dies: clients see broken connections, and attempts go on at endpoints."""
+        """Kill the process: client connections break, and endpoints continue to run attempts."""
         if not self.is_alive:
             return
         self.is_alive = False
@@ -161,14 +165,14 @@
             )
 
     def pause(self) -> None:
-        """The process stands still, and what comes waits."""
+        """Pause the process and defer the events that arrive."""
         if self.is_alive and not self.is_paused:
             self.is_paused = True
             self._paused_at = self.clock()
             self._record_lifecycle("paused")
 
     def resume(self) -> None:
-        """The process goes on, and reads what has come meanwhile in its order."""
+        """Resume the process and handle the deferred events in the order of their arrival."""
         if self.is_alive and self.is_paused:
             self.is_paused = False
             self._record_lifecycle("resumed")
@@ -179,7 +183,11 @@
             self._paused_at = None
 
     def deliver(self, incarnation: int, function: Callable[..., None], *arguments: object) -> None:
-        """Something reaches the process of one incarnation: now, when it goes on, or never."""
+        """Deliver an event to one incarnation of the process.
+
+        A paused process handles the event when it resumes; a process of another incarnation, or a
+        dead one, never does.
+        """
         if incarnation == self.incarnation and self.is_alive:
             if self.is_paused:
                 self._deferred_events.append((function, arguments))
@@ -193,22 +201,22 @@
     # Hot restart.
 
     def export_leases(self) -> list[dict[str, Any]]:
-        """Give up all leases; the messages as the process that follows reads them."""
+        """Give up all leases and return the messages as the successor decodes them from JSON."""
         messages = hot_restart.export_leases(self._admission_controller(), self.clock())
         rows = [hot_restart_messages.encode(message) for message in messages]
         decoded: list[dict[str, Any]] = orjson.loads(orjson.dumps(rows))
         return decoded
 
     def resume_leases(self) -> None:
-        """The process that followed is gone: go on with what is left."""
+        """Resume the refill of hard limits after the handoff has failed."""
         hot_restart.resume_hard_limit_refill(self._admission_controller(), self.clock())
 
     def import_leases(
         self, predecessor: SimulatedGateway, messages: Iterable[dict[str, Any]]
     ) -> None:
-        """Take over what another process gave up.
+        """Take over the leases that the predecessor gave up.
 
-        What it has in flight counts until it reports that it ended.
+        RPCs in flight at the predecessor count here until the predecessor reports their end.
         """
         receiver: hot_restart.HandoffReceiver[None] = hot_restart.HandoffReceiver()
         for message in messages:
@@ -220,7 +228,7 @@
         )
 
     def on_predecessor_rpc_ended(self, customer: str) -> None:
-        """An RPC that the predecessor had has ended there."""
+        """Release the in-flight slot of an RPC that has ended at the predecessor."""
         receiver = self._handoff_receiver
         if self.is_alive and receiver and receiver.on_request_ended(customer):
             hot_restart.release_in_flight(
@@ -228,7 +236,7 @@
             )
 
     def _admission_controller(self) -> AdmissionController:
-        """The controller; it may also be a copy of the class, with a planted fault."""
+        """Return the controller as an `AdmissionController`, or as a copy with a planted fault."""
         return cast(AdmissionController, self.controller)
 
     def _find_customer(
@@ -244,31 +252,32 @@
     # Events.
 
     def on_endpoint_list(self, is_full: bool, rows: Iterable[EndpointRow]) -> None:
-        """The endpoint list or changes to it have come; what a full one leaves out is gone."""
+        """Apply the endpoint list or changes to it; endpoints missing from a full list are gone."""
         now = self.simulation.events.now
         events = []
-        named = set()
+        listed = set()
         for row in rows:
             name = row.endpoint.name
             endpoint = self.endpoints.setdefault(name, Endpoint(name))
-            named.add(name)
+            listed.add(name)
             events.append(_endpoint_event(endpoint, row))
             started_at = row.started_at or 0.0
             self.simulation.record(EndpointNotified(now, self.name, name, row.state, started_at))
         if is_full:
-            # A known fault: the order of a set of texts, and so of these simultaneous records,
-            # depends on PYTHONHASHSEED. It changes no decision and no verdict.
-            for name in self.endpoints.keys() - named:
+            # Known issue: the iteration order of a set of strings, and therefore the order of these
+            # simultaneous records, depends on PYTHONHASHSEED. No decision or verdict depends on
+            # it.
+            for name in self.endpoints.keys() - listed:
                 self.simulation.record(EndpointNotified(now, self.name, name, GONE, 0.0))
         self._executor.execute(self.controller.on_endpoint_events(self.clock(), is_full, events))
         self.endpoints = {
             name: endpoint
             for name, endpoint in self.endpoints.items()
-            if endpoint.state != GONE and (name in named or not is_full)
+            if endpoint.state != GONE and (name in listed or not is_full)
         }
 
     def receive(self, rpc: ClientRpc) -> None:
-        """The last byte of an RPC has arrived; a paused process has it all the same."""
+        """Record the arrival of an RPC, also while the process is paused, and deliver it."""
         call = rpc.call
         self.simulation.record(
             RpcReceived(
@@ -285,9 +294,10 @@
         self.deliver(self.incarnation, self._admit, rpc)
 
     def _admit(self, client_rpc: ClientRpc) -> None:
-        """Hand an RPC to the controller.
+        """Pass an RPC to the controller.
 
-        Its patience counts from now or, as the gateway can't know when it came, from the pause on.
+        The patience of its client counts from now. After a pause it counts from the start of the
+        pause, because the gateway does not know when a deferred RPC arrived.
         """
         call = client_rpc.call
         now = self.clock()
@@ -311,7 +321,7 @@
         self._executor.execute(self.controller.admit(now, rpc))
 
     def on_client_disconnected(self, client_rpc: ClientRpc) -> None:
-        """The client of an RPC has closed its connection."""
+        """Handle the disconnection of the client of an RPC."""
         for rpc, other in self.open_rpcs.items():
             if other is client_rpc:
                 now = self.simulation.events.now
@@ -321,7 +331,7 @@
                 return
 
     def report_outcome(self, pending: PendingAttempt, outcome: Outcome) -> None:
-        """An attempt has ended, as far as the process can see."""
+        """Report the outcome of an attempt to the incarnation that sent it."""
         self.deliver(pending.incarnation, self._on_attempt_ended, pending, outcome)
 
     def _on_attempt_ended(self, pending: PendingAttempt, outcome: Outcome) -> None:
@@ -350,7 +360,7 @@
         )
 
     def on_counter_reply(self, add: CounterAdd, outcome: Outcome, total: float) -> None:
-        """The counter has answered an add, or its time limit has passed."""
+        """Handle the outcome of an add: the reply of the counter, or a timeout."""
         if isinstance(add.purpose, PendingTopUp) and self.simulation.keeps_records:
             customer = add.purpose.lease.customer.name
             result = f"a total of {total:g}" if outcome == OK else outcome
@@ -362,7 +372,7 @@
         self._executor.execute(self.controller.on_counter_reply(self.clock(), add, outcome, total))
 
     def on_timer(self, subject: TimerSubject) -> None:
-        """The time that a `SetTimer` asked for has come."""
+        """Handle the expiry of a timer that a `SetTimer` action started."""
         self._executor.execute(self.controller.on_timer(self.clock(), subject))
 
 
--- a/petrellane/simulation/retained_state.py
+++ b/petrellane/simulation/retained_state.py
@@ -1,4 +1,4 @@
-"""Counts what a gateway process still holds of RPCs that are over."""
+"""Counts the RPCs and attempts that a gateway process retains, to detect leaks."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
     from petrellane.simulation.gateways import SimulatedGateway
 
 _PLAIN = (type, str, float, int)
-"""Types whose values hold nothing that is counted."""
+"""Types whose values do not refer to RPCs or attempts."""
 
 
 def count_retained(gateway: SimulatedGateway) -> dict[str, int]:
-    """How many RPCs and attempts a gateway still reaches, from its controller on.
+    """Count the RPCs and attempts of a gateway and those reachable from its controller.
 
     Returns:
-        Counts by kind; RPCs and attempts that the gateway itself has open come first.
+        The counts by kind, starting with the RPCs and attempts that the gateway itself has open.
     """
     counts = {"open RPCs": len(gateway.open_rpcs), "attempts": len(gateway.pending_attempts)}
     seen: set[int] = set()
