--- a/petrellane/simulation/fleet.py
+++ b/petrellane/simulation/fleet.py
@@ -41,10 +41,10 @@
 
 
 class TraceLine(NamedTuple):
-    """A trace event that is not a record; `party` is empty for an event of the run itself."""
+    """A trace event that is not a record; `component` is empty for an event of the run itself."""
 
     at: float
-    party: str
+    component: str
     text: str
 
 
@@ -223,10 +223,10 @@
         if self.keeps_records:
             self._records.append(record)
 
-    def trace(self, party: str, text: str) -> None:
+    def trace(self, component: str, text: str) -> None:
         """Store a line of the trace if the run keeps records."""
         if self.keeps_records:
-            self._trace.append(TraceLine(self.events.now, party, text))
+            self._trace.append(TraceLine(self.events.now, component, text))
 
     def remember_name(self, rpc: Rpc, name: str) -> None:
         """Store the name of an RPC that has ended if the run keeps records."""
--- a/petrellane/simulation/timeline.py
+++ b/petrellane/simulation/timeline.py
@@ -196,7 +196,7 @@
     ]
     lines.sort(key=lambda line: line.at)
     left_out = max(0, len(lines) - MAX_LINES)
-    texts = [f"{line.at:9.3f}  {line.party:8}  {line.text}" for line in lines[left_out:]]
+    texts = [f"{line.at:9.3f}  {line.component:8}  {line.text}" for line in lines[left_out:]]
     if left_out:
         texts.insert(0, f"{'':9}  ({left_out} earlier lines left out)")
     return texts
