--- a/petrellane/simulation/__init__.py
+++ b/petrellane/simulation/__init__.py
@@ -1,7 +1,8 @@
 """A deterministic discrete-event simulation of a fleet of gateways under faults.
 
 The simulated gateways run the production code of `petrellane.decisions`, and
-`petrellane.invariants` checks the rules. Runs of the same scenario produce identical results.
+`petrellane.invariants` checks the rules. Runs of the same scenario produce identical decisions,
+figures and verdicts.
 
 - `scenario`, `scenario_files`: the scenario of a run and its file format.
 - `scenario_generation`, `sparse_traffic`: the generation of scenarios from a seed.
--- a/petrellane/simulation/faults.py
+++ b/petrellane/simulation/faults.py
@@ -27,7 +27,7 @@
 
 
 class FaultInjector:
-    """Begins and ends the faults of one run; `length` limits each fault."""
+    """Begins the faults of one run, and ends each of them after its `length`."""
 
     def __init__(self, simulation: FleetSimulation) -> None:
         self._simulation = simulation
--- a/petrellane/simulation/gateways.py
+++ b/petrellane/simulation/gateways.py
@@ -67,7 +67,7 @@
         incarnation: The number of starts and deaths of the process so far.
         is_alive: Whether the process is running; a paused process is running.
         is_paused: Whether the process is paused.
-        is_superseded: Whether another process has replaced it after a hot restart.
+        is_superseded: Whether another process has replaced it, by a hot restart or its rollback.
         successor: The process that took over from it in a hot restart.
         endpoints: The endpoints that the process knows, by name.
         connected: The names of the endpoints that the process has opened a connection to.
