--- a/petrellane/simulation/scenario.py
+++ b/petrellane/simulation/scenario.py
@@ -1,8 +1,8 @@
-"""What a run is made of: sizes of the fleet, plans, methods, customers and faults.
+"""The contents of a scenario: the fleet, plans, methods, customers and faults.
 
-Times are seconds of the run, which begins at 0; units are those of the plans. The names of a
-scenario file differ from those of the code where the file's are older: `msgspec.field(name=...)`
-translates, and the tags name the kind of a line. `scenario_files` reads and writes the files.
+Times are seconds since the start of the run; units are those of the plans. Where a key in scenario
+files differs from the field's name, `msgspec.field(name=...)` gives the key. The tag of a class is
+the `kind` of its lines. `scenario_files` reads and writes the files.
 """
 
 from __future__ import annotations
@@ -19,39 +19,44 @@
 
 
 class World(ScenarioLine, tag="world", frozen=True):
-    """Sizes and figures of the fleet.
+    """The size of the fleet and the properties of its network, endpoints and counter.
 
     Attributes:
         model: The version of the simulation that the scenario was written for.
-        seed: Of all random numbers of the run.
-        length: Seconds for which clients send.
-        gateways: How many gateways there are.
-        endpoints: How many endpoints there are.
-        zones: Over how many zones both are spread.
-        pod: Endpoints of a zone that share a memory of idempotency keys.
-        cores: Of each endpoint; work is core seconds.
-        slots: RPCs that an endpoint works on at once.
-        queue: RPCs that wait there.
-        cancel: Whether abandoned work is stopped.
-        latency: Seconds one way within a zone, and twice that across zones.
-        jitter: A message takes longer by up to this fraction.
-        connection_reuse: Fraction of attempts that find an open connection.
-        clock_skew: Clocks of gateways are off by up to so many seconds.
-        detection_delay: Maximum of seconds until the front and discovery detect a death.
-        exponential: Whether work is drawn exponentially, in place of evenly around its mean.
-        retries: Of a client.
-        patience: Fraction of the deadline that a client waits for one RPC.
-        counter_parts: Parts of the counter, which serve side by side.
-        counter_per_s: Adds a second that the counter serves.
-        counter_timeout: Seconds that a gateway waits for it.
-        slow_start: Seconds that an endpoint warms up.
-        slow_start_minimum: Fraction of its capacity that it has at its start.
-        multiple: Multiple of its present capacity under which a cold endpoint collapses.
-        overload_for: Seconds over which that load is summed.
-        drain_grace: Seconds after a notification in which attempts may go to a draining endpoint.
-        max_attempts: For one RPC.
+        seed: The seed of all random numbers of the run.
+        length: The time for which clients send RPCs, in seconds.
+        gateways: The number of gateways.
+        endpoints: The number of endpoints.
+        zones: The number of zones over which gateways and endpoints are distributed.
+        pod: The number of endpoints in a pod, the part of a zone that shares idempotency keys.
+        cores: The number of cores of each endpoint; work is in core seconds.
+        slots: The maximum number of RPCs that an endpoint executes concurrently.
+        queue: The maximum number of RPCs that wait at an endpoint for a slot.
+        cancel: Whether endpoints drop abandoned attempts from their queues.
+        latency: The one-way latency within a zone, in seconds; it is doubled across zones.
+        jitter: The maximum addition to the latency of a message, as a fraction of it.
+        connection_reuse: The fraction of attempts that find an open connection.
+        clock_skew: The maximum offset of a gateway's clock from the time of the run, in seconds.
+        detection_delay: The maximum delay until the front (the load balancer between clients and
+            gateways) detects the death of a gateway, and the basis of the delay until discovery
+            detects the start or the death of an endpoint, in seconds.
+        exponential: Whether the work of an RPC is drawn from an exponential distribution; else
+            from a uniform one around the method's mean.
+        retries: The maximum number of retries of a client.
+        patience: The time that a client waits for one RPC, as a fraction of the deadline.
+        counter_parts: The number of partitions of the counter, which serve adds in parallel.
+        counter_per_s: The adds per second that the counter serves.
+        counter_timeout: The time that a gateway waits for a reply of the counter, in seconds.
+        slow_start: The time that a restarted endpoint takes to warm up, in seconds.
+        slow_start_minimum: The fraction of its capacity that an endpoint has when it starts.
+        multiple: The load above which a cold endpoint collapses, as a multiple of its present
+            capacity.
+        overload_for: The time over which that load is summed, in seconds.
+        drain_grace: The time after a drain notification during which the gateway may still send
+            attempts to the endpoint, in seconds.
+        max_attempts: The maximum number of attempts that a gateway makes for one RPC.
         may_cancel: Whether gateways cancel attempts.
-        max_retry_after: Maximum of seconds that a rejected client is asked to wait.
+        max_retry_after: The maximum Retry-After of a rejected RPC, in seconds.
     """
 
     model: int
@@ -87,17 +92,17 @@
 
 
 class Plan(ScenarioLine, tag="plan", frozen=True):
-    """One plan; the figures mean what they mean in `petrellane.decisions.types.Plan`.
+    """One plan; its fields correspond to those of `petrellane.decisions.types.Plan`.
 
     Attributes:
-        name: Customers refer to it.
-        rate: Quota in units a second; 0 for no quota.
-        burst: Units that a full quota holds.
-        hard_limit_rate: In units a second; 0 for no hard limit.
-        hard_limit_burst: Units that a full hard limit holds.
-        hard_limit_slack: Units by which it may be passed.
-        max_in_flight: Maximum of attempts in flight; 0 for no maximum.
-        price: What one unit is worth.
+        name: The name by which customers refer to the plan.
+        rate: The quota, in units per second; 0 for no quota.
+        burst: The units that a full quota holds.
+        hard_limit_rate: The hard limit, in units per second; 0 for no hard limit.
+        hard_limit_burst: The units that a full hard limit holds.
+        hard_limit_slack: The units by which the hard limit may be exceeded.
+        max_in_flight: The maximum number of attempts in flight; 0 for no maximum.
+        price: The value of one unit.
     """
 
     name: str
@@ -114,16 +119,18 @@
     """One method.
 
     Attributes:
-        name: Of the method.
-        effect: What running it twice does, as in `petrellane.decisions.types.Effect`.
-        share: Its weight among the RPCs that clients send.
-        work: Mean work, in core seconds.
-        latency_objective: Seconds within which an answer is worth `priority_weight`.
-        deadline: Seconds after which a client gives up.
-        key_scope: Which endpoints share an idempotency key.
-        key_window: Seconds for which they remember it.
-        priority_weight: Worth of an answer in time.
-        late_priority_weight: Worth of a later answer, as a fraction of it.
+        name: The name of the method.
+        effect: The effect of a repeated execution, a value of `petrellane.decisions.types.Effect`.
+        share: The weight of the method when a client picks the method of an RPC.
+        work: The mean work of an RPC of one unit, in core seconds.
+        latency_objective: The time within which an answer has the full `priority_weight`, in
+            seconds.
+        deadline: The time after which a client gives up, in seconds.
+        key_scope: The endpoints that share idempotency keys, in the notation of
+            `petrellane.decisions.types.KeyScope.parse`.
+        key_window: The time for which these endpoints remember a key, in seconds.
+        priority_weight: The value of an answer within the latency objective.
+        late_priority_weight: The value of a later answer, as a fraction of `priority_weight`.
     """
 
     name: str
@@ -142,14 +149,16 @@
     """One customer, whose clients send through some of the gateways.
 
     Attributes:
-        name: Of the customer.
-        plan: The name of its plan.
-        rate: RPCs a second.
-        first_gateway: The number of the first gateway that it comes through.
-        gateway_count: How many gateways it comes through, from that one on.
-        units: Maximum of units of an RPC.
-        concentration: 0: its RPCs come evenly, 1: all through one gateway, its preferred one.
-        move_interval: Seconds until another gateway is the preferred one; 0: never.
+        name: The name of the customer.
+        plan: The name of the customer's plan.
+        rate: The RPCs per second that the customer's clients send.
+        first_gateway: The number of the first gateway that the customer uses.
+        gateway_count: The number of consecutive gateways that the customer uses.
+        units: The maximum number of units of an RPC.
+        concentration: The fraction of RPCs that always go to the customer's preferred gateway; the
+            others go to a random one of its gateways.
+        move_interval: The time after which the next gateway becomes the preferred one, in
+            seconds; 0 for never.
     """
 
     name: str
@@ -163,14 +172,15 @@
 
 
 class Fault(ScenarioLine, tag="fault", frozen=True):
-    """Something that goes wrong for a while; `FAULT_TYPES` has its kinds.
+    """One injected fault.
 
     Attributes:
         type: A key of `FAULT_TYPES`.
-        at: When it begins.
-        length: Seconds until it ends.
-        target: The number of what it befalls.
-        magnitude: Its size, in the unit that its kind names.
+        at: The start of the fault, in seconds of the run.
+        length: The duration of the fault, in seconds.
+        target: The number of the affected gateway, endpoint, zone or customer, modulo the number
+            of these in the run.
+        magnitude: The magnitude of the fault, in the unit that its `FaultType` names.
     """
 
     type: str = msgspec.field(name="what")
@@ -181,19 +191,23 @@
 
 
 class Expectation(ScenarioLine, tag="expect", frozen=True):
-    """What a replay is to show: the rules that are broken, none when empty."""
+    """The expected outcome of a replay.
+
+    Attributes:
+        broken: The rules that the run breaks; empty for none.
+    """
 
     broken: list[str] = []
 
 
 class FaultType(NamedTuple):
-    """A kind of fault.
+    """The properties of one type of fault.
 
     Attributes:
-        targets: What `Fault.target` counts; empty where it has no meaning.
-        magnitude: The unit of `Fault.magnitude`; empty where it has no meaning.
-        min_length: Minimum of the seconds that a generated fault lasts.
-        max_length: Maximum of them.
+        targets: The objects that `Fault.target` numbers; empty when the field is unused.
+        magnitude: The unit of `Fault.magnitude`; empty when the field is unused.
+        min_length: The minimum duration of a generated fault, in seconds.
+        max_length: The maximum duration of a generated fault, in seconds.
     """
 
     targets: str
@@ -235,19 +249,19 @@
     "discovery silent": FaultType("", "", 3.0, 25.0),
     "discovery turned away": FaultType("", "calls a second that are served", 3.0, 25.0),
 }
-"""The kinds of fault, by their names in scenario files."""
+"""The types of fault, by their names in scenario files."""
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """A complete run, ready to be played.
+    """A complete scenario, from which a run can be played.
 
     Attributes:
-        world: Sizes and figures of the fleet.
-        plans: At least one.
-        methods: At least one.
-        customers: At least one.
-        faults: In any order.
-        expected: What a replay is to show; None where nothing is expected.
+        world: The size and the properties of the fleet.
+        plans: The plans, at least one.
+        methods: The methods, at least one.
+        customers: The customers, at least one.
+        faults: The faults, in any order.
+        expected: The expected outcome; None when the scenario states none.
     """
 
     world: World
@@ -258,9 +272,10 @@
     expected: Expectation | None = None
 
     def mean_work(self) -> float:
-        """Core seconds of an RPC, over all that clients ask for.
+        """Return the mean work of an RPC, in core seconds.
 
-        The mean over methods by their shares, and over units from 1 to a customer's maximum.
+        Methods are weighted by their shares and customers by their rates; the units of an RPC are
+        uniform from 1 to the customer's maximum.
         """
         shares = sum(method.share for method in self.methods)
         rates = sum(customer.rate for customer in self.customers) or 1.0
@@ -272,5 +287,5 @@
         return work / shares * (0.5 + units / 2)
 
     def replace(self, **changes: Any) -> Scenario:  # noqa: ANN401 - any of the fields
-        """The same with some fields changed."""
+        """Return a copy with some fields changed."""
         return msgspec.structs.replace(self, **changes)
--- a/petrellane/simulation/scenario_files.py
+++ b/petrellane/simulation/scenario_files.py
@@ -1,8 +1,8 @@
-"""Reads and writes scenario files: one JSON object a line, `#` begins a comment.
+"""Reads and writes scenario files: one JSON object per line, and comments after `#`.
 
-The first object is the world; plans, methods, customers and faults follow, and at most one
-`expect`. A malformed line raises a `ScenarioError` that names file, line, what was expected and
-what was found.
+The first object is the world. Plans, methods, customers, faults and the expectation follow; a plan
+precedes its customers. A malformed line raises a `ScenarioError` with the file, the line, the
+expected and the found value.
 """
 
 import math
@@ -34,15 +34,18 @@
 
 
 class ScenarioError(Exception):
-    """A scenario that is malformed or of another version; the text is one line."""
+    """Raised for a scenario that is malformed or of another version; the message is one line."""
 
 
 def parse_scenario(text: str, name: str = "scenario") -> Scenario:
-    """The scenario of a file's text.
+    """Parse the text of a scenario file.
 
     Args:
-        text: Of the file.
-        name: Of the file, for errors.
+        text: The text of the file.
+        name: The name of the file, for error messages.
+
+    Returns:
+        The scenario.
 
     Raises:
         ScenarioError: The text is malformed, or of another version.
@@ -53,7 +56,7 @@
         if not row.strip() or row.lstrip().startswith("#"):
             continue
         line = _parse_line(row, f"{name}:{number}", plan_names)
-        _check_place(line, f"{name}:{number}", is_first=not lines)
+        _check_position(line, f"{name}:{number}", is_first=not lines)
         if isinstance(line, Plan):
             plan_names.add(line.name)
         lines.append(line)
@@ -62,56 +65,63 @@
     return _assemble(lines, f"{name}:{len(text.splitlines())}")
 
 
-def _parse_line(row: str, place: str, plan_names: Set[str]) -> Line:
+def _parse_line(row: str, location: str, plan_names: Set[str]) -> Line:
     try:
         line: Line = msgspec.json.decode(row, type=Line)
     except msgspec.MsgspecError as error:
-        raise ScenarioError(f"{place}: {error}") from error
+        raise ScenarioError(f"{location}: {error}") from error
     error_text = find_error(line, plan_names)
     if error_text:
-        raise ScenarioError(f"{place}: {error_text}")
+        raise ScenarioError(f"{location}: {error_text}")
     return line
 
 
-def _check_place(line: Line, place: str, is_first: bool) -> None:
-    """Check that the world, of this version, is the first object and the only one."""
+def _check_position(line: Line, location: str, is_first: bool) -> None:
+    """Check that the first object, and no other one, is a world of the present version."""
     if isinstance(line, World) != is_first:
-        raise ScenarioError(f"{place}: expected one world, as the first object")
+        raise ScenarioError(f"{location}: expected one world, as the first object")
     if isinstance(line, World) and line.model != VERSION:
         raise ScenarioError(
-            f"{place}: model: expected version {VERSION}, found {line.model}: "
-            "a run of another version would be another run"
+            f"{location}: model: expected version {VERSION}, found {line.model}: "
+            "the simulation plays only scenarios of its own version"
         )
 
 
-def _assemble(lines: list[Line], last_place: str) -> Scenario:
-    """The scenario of all lines; `last_place` is named where some are missing."""
+def _assemble(lines: list[Line], last_location: str) -> Scenario:
+    """Return the scenario of all lines.
+
+    Raises:
+        ScenarioError: A required kind of line is missing; the error names `last_location`.
+    """
     for kind, word in _REQUIRED.items():
-        if not _of_kind(lines, kind):
-            raise ScenarioError(f"{last_place}: expected at least one {word}, found none")
-    expectations = _of_kind(lines, Expectation)
+        if not _lines_of_type(lines, kind):
+            raise ScenarioError(f"{last_location}: expected at least one {word}, found none")
+    expectations = _lines_of_type(lines, Expectation)
     return Scenario(
-        _of_kind(lines, World)[0],
-        _of_kind(lines, Plan),
-        _of_kind(lines, Method),
-        _of_kind(lines, Customer),
-        _of_kind(lines, Fault),
+        _lines_of_type(lines, World)[0],
+        _lines_of_type(lines, Plan),
+        _lines_of_type(lines, Method),
+        _lines_of_type(lines, Customer),
+        _lines_of_type(lines, Fault),
         expectations[0] if expectations else None,
     )
 
 
-def _of_kind(lines: list[Line], kind: type[LineT]) -> tuple[LineT, ...]:
+def _lines_of_type(lines: list[Line], kind: type[LineT]) -> tuple[LineT, ...]:
     return tuple(line for line in lines if isinstance(line, kind))
 
 
 def find_error(line: Line, plan_names: Set[str]) -> str | None:
-    """What is wrong with a line; None when nothing is.
+    """Find a field of a line that has an invalid value.
 
     Args:
-        line: A well-formed line.
-        plan_names: The names of the plans before it.
+        line: A decoded line.
+        plan_names: The names of the plans on earlier lines.
+
+    Returns:
+        A description of the first error; None when the line is valid.
     """
-    error = _find_bad_number(line)
+    error = _find_number_error(line)
     if error:
         return error
     if isinstance(line, Customer):
@@ -120,8 +130,8 @@
     return find(line) if find else None
 
 
-def _find_bad_number(line: Line) -> str | None:
-    """The first field whose number is none that a run can use."""
+def _find_number_error(line: Line) -> str | None:
+    """Describe the first field whose number is negative or not finite; None when there is none."""
     for name, key in zip(line.__struct_fields__, line.__struct_encode_fields__, strict=True):
         value = getattr(line, name)
         if isinstance(value, (int, float)) and not (math.isfinite(value) and value >= 0):
@@ -132,14 +142,14 @@
 def _find_world_error(world: World) -> str | None:
     if world.gateways and world.endpoints and world.zones and world.cores and world.pod:
         return None
-    return "gateways, hosts, zones, pod and cores: expected a number from 1, found 0"
+    return "gateways, hosts, zones, pod and cores: expected numbers above 0, found 0"
 
 
 def _find_plan_error(plan: Plan) -> str | None:
     if bool(plan.hard_limit_rate) == bool(plan.hard_limit_burst):
         return None
     return (
-        "ceiling_rate and ceiling_burst: expected both or none, "
+        "ceiling_rate and ceiling_burst: expected both above 0 or both 0, "
         f"found {plan.hard_limit_rate} and {plan.hard_limit_burst}"
     )
 
@@ -166,14 +176,14 @@
 
 def _find_customer_error(customer: Customer, plan_names: Set[str]) -> str | None:
     if customer.plan not in plan_names:
-        return f"plan: expected one that stands before it, found {customer.plan}"
+        return f"plan: expected the name of a plan on an earlier line, found {customer.plan}"
     if not customer.gateway_count:
         return "spread: expected a number from 1, found 0"
     return None
 
 
 def format_scenario(scenario: Scenario, comment: str = "") -> str:
-    """The text of a file that `parse_scenario` takes, with a comment before it."""
+    """Return the text of a scenario file, with a comment at its head."""
     rows = [f"# {line}".rstrip() for line in comment.splitlines()]
     lines: list[ScenarioLine] = [
         scenario.world,
--- a/petrellane/simulation/scenario_generation.py
+++ b/petrellane/simulation/scenario_generation.py
@@ -1,6 +1,7 @@
-"""Scenarios from a seed, biased toward what is rare: faults in pairs, at window turns, in recovery.
+"""Generates scenarios from seeds, biased toward rare conditions.
 
-The order of the draws is part of what a seed means: a draw that is added or moved makes other
+Examples are overlapping faults, faults at the start of a quota window and faults during recovery.
+The order of the random draws determines the scenario of a seed: an added or moved draw changes the
 scenarios of all seeds.
 """
 
@@ -25,14 +26,19 @@
 
 
 class Range(NamedTuple):
-    """The bounds of an even draw."""
+    """The bounds of a uniform distribution."""
 
     minimum: float
     maximum: float
 
 
 class Theme(NamedTuple):
-    """What a scenario is mostly about: the faults that it draws from, and how many."""
+    """A bias of generated scenarios toward related faults.
+
+    Attributes:
+        fault_types: The fault types to draw from; a repeated type is drawn more often.
+        counts: The numbers of faults to draw from.
+    """
 
     fault_types: Sequence[str]
     counts: Sequence[int]
@@ -56,12 +62,13 @@
 }
 NO_MAGNITUDE = Range(0.0, 0.0)
 
-# Seeds stay what they were: `with_hot_restarts` adds what the generation leaves out here.
+# Drawing the excluded types would change the scenarios of existing seeds; `with_hot_restarts` adds
+# hot restarts to a generated scenario.
 GENERATED_FAULTS = tuple(
     name for name in FAULT_TYPES if name != HOT_RESTART and not name.startswith("discovery")
 )
 
-# A fault that is named twice is drawn twice as often.
+# A fault type that is listed twice is drawn twice as often.
 HARD_LIMIT_FAULTS = (
     "counter forgets",
     "counter replaced",
@@ -111,28 +118,31 @@
     "list late",
 )
 
-COLD_START = "cold"
+COLD_START = "cold starts"
 THEMES = {
     "any": Theme(GENERATED_FAULTS, (1, 2, 2, 3, 3, 4)),
-    "ceilings": Theme(HARD_LIMIT_FAULTS, (2, 3, 4)),
-    "lives": Theme(INCARNATION_FAULTS, (3, 4, 5)),
+    "hard limits": Theme(HARD_LIMIT_FAULTS, (2, 3, 4)),
+    "incarnations": Theme(INCARNATION_FAULTS, (3, 4, 5)),
     COLD_START: Theme(COLD_START_FAULTS, (1, 2, 3)),
     "effects": Theme(EFFECT_FAULTS, (1, 2, 3)),
 }
-HOT_THEMES = ("ceilings", "lives")
-"""Themes in which the customer with the hard limit asks for more than it."""
+HOT_THEMES = ("hard limits", "incarnations")
+"""Themes in which the customer with the hard limit requests more units than the limit allows."""
 
-MIN_WORK_PER_S = 10.0
-"""RPCs that an endpoint serves a second at least: of a few large ones no share can be measured."""
+MIN_ENDPOINT_RPCS_PER_S = 10.0
+"""The minimum capacity of an endpoint, in RPCs per second.
+
+Fractions of RPCs cannot be measured on a few large ones.
+"""
 
-MAX_RATE = 40.0  # RPCs a second of one customer
-MAX_FAULTS = 6  # that a mutation leaves
-MAX_FAULT_LENGTH = 10.0  # seconds, after a mutation
-TARGETS = 64  # numbers that targets are drawn from; a run takes them modulo what there is
+MAX_RATE_PER_S = 40.0  # RPCs per second of one customer
+MAX_FAULTS = 6  # a mutation adds no fault to a scenario with this many
+MAX_FAULT_LENGTH_S = 10.0  # maximum after a mutation
+TARGET_COUNT = 64  # targets are drawn below this; a run takes them modulo the number of objects
 
 
 def generate_scenario(seed: int) -> Scenario:
-    """The scenario of a seed, the same on every machine."""
+    """Generate the scenario of a seed, which is the same on every machine."""
     rng = seeded_random("scenario", seed)
     theme = rng.choice(list(THEMES))
     is_hot = theme in HOT_THEMES
@@ -144,7 +154,7 @@
     methods = _generate_methods(rng, work)
     busy_cores = 1.5 * work * 1.5 * sum(customer.rate for customer in customers)
     load = rng.choice((0.2, 0.4) if is_hot else (0.3, 0.6, 0.8, 1.2))
-    cores = max(MIN_WORK_PER_S * work, busy_cores / endpoints / load)
+    cores = max(MIN_ENDPOINT_RPCS_PER_S * work, busy_cores / endpoints / load)
     world = _generate_world(rng, gateways, endpoints, round(cores, 4), is_hot)
     scenario = Scenario(world, plans, methods, customers)
     faults: list[Fault] = []
@@ -155,7 +165,7 @@
 
 
 def _generate_plans(rng: random.Random) -> tuple[Plan, ...]:
-    """Three plans: one of small customers, one with a hard limit, one without a quota."""
+    """Generate three plans: one with a small quota, one with a hard limit, one without a quota."""
     rate = rng.uniform(3.0, 8.0)
     burst = rate * rng.uniform(0.5, 2.5)
     hard_limit = rng.uniform(1.1, 2.2)
@@ -178,7 +188,11 @@
 def _generate_customers(
     rng: random.Random, theme: str, plans: tuple[Plan, ...], gateways: int
 ) -> tuple[Customer, ...]:
-    """One to four customers; the first has the hard limit, and sends above it in a hot theme."""
+    """Generate one to four customers.
+
+    The first one has a hard limit. In a hot theme its RPCs per second are 0.7, 1.5 or 3 times the
+    units per second of the limit.
+    """
     is_hot = theme in HOT_THEMES
     customers = []
     for number in range(rng.choice((1, 2) if is_hot else (2, 3, 4))):
@@ -194,7 +208,7 @@
             Customer(
                 f"c{number}",
                 plan.name,
-                round(min(MAX_RATE, max(0.5, rate)), 2),
+                round(min(MAX_RATE_PER_S, max(0.5, rate)), 2),
                 rng.randrange(gateways),
                 rng.randint(1, gateways) if number else gateways,
                 3 if plan.hard_limit_rate else rng.choice((1, 2)),
@@ -206,7 +220,7 @@
 
 
 def _generate_methods(rng: random.Random, work: float) -> tuple[Method, ...]:
-    """A method of each effect."""
+    """Generate one method of each effect."""
     return (
         Method("look", IDEMPOTENT, 0.5, round(work, 4), 0.5, rng.choice((1.0, 2.0))),
         Method(
@@ -267,7 +281,7 @@
 def _generate_fault(
     rng: random.Random, scenario: Scenario, earlier: Sequence[Fault], name: str
 ) -> Fault:
-    """One fault of a type, near the earlier ones as often as not."""
+    """Generate a fault of a type, often close in time to one of the earlier faults."""
     fault_type = FAULT_TYPES[name]
     magnitude = 0.0
     if name in MAGNITUDES:
@@ -276,31 +290,35 @@
         name,
         round(_generate_fault_time(rng, scenario, earlier), 3),
         round(rng.uniform(fault_type.min_length, fault_type.max_length), 3),
-        rng.randrange(TARGETS),
+        rng.randrange(TARGET_COUNT),
         round(magnitude, 3),
     )
 
 
 def _generate_fault_time(rng: random.Random, scenario: Scenario, earlier: Sequence[Fault]) -> float:
-    """Anywhere, at a window's turn of some plan, or as an earlier fault begins or ends."""
+    """Generate the start of a fault, in seconds of the run.
+
+    The start is near the start, middle or end of an earlier fault, near the start of a quota window
+    of some plan, or uniform over the run.
+    """
     length = scenario.world.length
     kind = rng.random()
     if earlier and kind < 0.45:
         other = rng.choice(earlier)
-        into = rng.choice((0.0, 0.5, 1.0)) * other.length
-        return max(0.0, other.at + into + rng.uniform(-0.3, 0.3))
+        offset = rng.choice((0.0, 0.5, 1.0)) * other.length
+        return max(0.0, other.at + offset + rng.uniform(-0.3, 0.3))
     if kind < 0.65:
         plan = rng.choice(scenario.plans)
         window = plan.burst / plan.rate if plan.rate else 1.0
-        turn = window * rng.randint(0, int(length / window))
-        return max(0.0, turn + rng.uniform(-0.05, 0.05))
+        window_start = window * rng.randint(0, int(length / window))
+        return max(0.0, window_start + rng.uniform(-0.05, 0.05))
     return rng.uniform(0.2, 0.9) * length
 
 
 def with_hot_restarts(scenario: Scenario, seed: int) -> Scenario:
-    """The scenario with one to three hot restarts, each cut somewhere.
+    """Add one to three hot restarts to a scenario, often close in time to its faults.
 
-    They are near its faults as often as not.
+    Their magnitudes decide whether the hot restart completes or fails, and how.
     """
     rng = seeded_random("followed", seed)
     faults = list(scenario.faults)
@@ -310,9 +328,9 @@
 
 
 def mutate(scenario: Scenario, seed: int) -> Scenario:
-    """A neighbour of a scenario: other random numbers, and one change.
+    """Return the scenario with another seed of its random numbers and one random change.
 
-    One fault is added, replaced or moved, or one customer sends more.
+    The change adds, replaces or shifts a fault, or raises the rate of a customer.
     """
     rng = seeded_random("neighbour", seed)
     faults = list(scenario.faults)
@@ -326,19 +344,19 @@
         faults[index] = _generate_fault(rng, scenario, others, rng.choice(GENERATED_FAULTS))
     elif kind < 0.8:
         index = rng.randrange(len(faults))
-        faults[index] = _move_fault(rng, faults[index])
+        faults[index] = _perturb_fault(rng, faults[index])
     else:
         index = rng.randrange(len(customers))
-        rate = round(min(MAX_RATE, customers[index].rate * 1.5), 2)
+        rate = round(min(MAX_RATE_PER_S, customers[index].rate * 1.5), 2)
         customers[index] = msgspec.structs.replace(customers[index], rate=rate)
     world = msgspec.structs.replace(scenario.world, seed=rng.getrandbits(32))
     return scenario.replace(world=world, customers=tuple(customers), faults=tuple(faults))
 
 
-def _move_fault(rng: random.Random, fault: Fault) -> Fault:
-    """The fault a little earlier or later, longer or shorter, larger or smaller."""
+def _perturb_fault(rng: random.Random, fault: Fault) -> Fault:
+    """Return the fault with small random changes of its start, length and magnitude."""
     at = max(0.0, fault.at + rng.gauss(0.0, 0.4))
-    length = min(MAX_FAULT_LENGTH, fault.length * rng.uniform(0.6, 1.6))
+    length = min(MAX_FAULT_LENGTH_S, fault.length * rng.uniform(0.6, 1.6))
     largest = MAGNITUDES.get(fault.type, NO_MAGNITUDE).maximum
     magnitude = min(largest, fault.magnitude * rng.uniform(0.8, 1.25))
     return msgspec.structs.replace(
