--- a/petrellane/simulation/command.py
+++ b/petrellane/simulation/command.py
@@ -1,4 +1,4 @@
-"""The commands `property-search` and `replay`: progress, files and text for a person."""
+"""The commands `property-search` and `replay`: progress, files and printed reports."""
 
 from __future__ import annotations
 
@@ -25,15 +25,18 @@
 from petrellane.simulation.shrinking import shrink
 from petrellane.simulation.timeline import format_timeline, format_verdict
 
-PROGRESS_INTERVAL_S = 10.0  # seconds between lines of progress where there is no terminal
+PROGRESS_INTERVAL_S = 10.0  # between progress lines when stderr is not a terminal
 HISTOGRAM_COLUMNS = 5
 
 
 class SearchProgress:
-    """Shows progress: a live line on a terminal, elsewhere a line every ten seconds.
+    """Shows the progress of a search on stderr.
+
+    On a terminal it updates one status line; elsewhere it prints a line every
+    `PROGRESS_INTERVAL_S` seconds.
 
     Attributes:
-        latest: What the search had seen when it last reported.
+        latest: The result that the search last reported.
     """
 
     def __init__(self, runs: int) -> None:
@@ -59,13 +62,13 @@
             self._status.stop()
 
     def update(self, result: SearchResult) -> None:
-        """The search reports progress."""
+        """Store the result so far, and show it when a progress line is due."""
         self.latest = result
         elapsed = time.monotonic() - self._started_at
-        near = " ".join(f"{rule} {result.nearest[rule]:.2f}" for rule in RULES)
+        nearest = " ".join(f"{rule} {result.nearest[rule]:.2f}" for rule in RULES)
         line = (
             f"{result.runs} of {self._runs} runs, {result.runs / elapsed:.0f}/s, "
-            f"broken in {len(result.found)}; nearest: {near}"
+            f"rules broken in {len(result.found)} runs; nearest distances: {nearest}"
         )
         if self._status:
             self._status.update(line)
@@ -75,23 +78,27 @@
 
 
 def search(seeds: int, first: int, jobs: int, enough: int, out: str) -> int:
-    """Search for a broken rule, and write what is found; the exit code.
+    """Search for scenarios that break a rule, shrink them and write them to files.
 
-    An interrupt ends it with what was seen so far.
+    On a keyboard interrupt the function reports the result so far.
 
     Args:
-        seeds: Scenarios to play.
+        seeds: The number of scenarios to play.
         first: The first seed.
-        jobs: Processes; 0 is one a core.
-        enough: How many that break a rule end the search.
-        out: Folder for what is found.
+        jobs: The number of worker processes; 0 for one per core.
+        enough: The number of rule-breaking runs after which the search ends, and the maximum
+            number that is shrunk and written.
+        out: The folder for the shrunk scenarios.
+
+    Returns:
+        The exit code: 1 when a rule was broken, else 0.
     """
     progress = SearchProgress(seeds)
     try:
         with progress:
             result = property_search.search(first, seeds, jobs, enough, progress.update)
     except KeyboardInterrupt:
-        print("interrupted; what follows is what was seen", file=sys.stderr)
+        print("interrupted; the results so far follow", file=sys.stderr)
         result = progress.latest
     ok_share = result.ok_share_sum / max(1, result.runs)
     print(
@@ -109,7 +116,11 @@
 
 
 def format_histogram(bins: list[int]) -> str:
-    """How many runs came how near, in fifths of the way; the last figure is at the rule."""
+    """Format a histogram of the runs' nearest distances to a rule.
+
+    The columns before the bar count the runs in each fifth of the range from 0 to 1; the figure
+    after it counts the runs that reached the rule.
+    """
     width = property_search.BINS // HISTOGRAM_COLUMNS
     columns = [
         str(sum(bins[start : start + width])) for start in range(0, property_search.BINS, width)
@@ -118,15 +129,12 @@
 
 
 def report_found(found: SearchRun, folder: Path) -> None:
-    """Shrink a scenario that breaks a rule, write it to a folder and print its time line."""
+    """Shrink a scenario that breaks a rule, write it to a folder and print its timeline."""
     rule = min(found.counts)
     scenario = shrink(found.scenario, rule)
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{rule}-{found.name.replace(' ', '-')}.ndjson"
-    comment = (
-        f"Breaks the rule `{rule}`; cut down from {found.name}. "
-        "What guards against it: (to be written)"
-    )
+    comment = f"Breaks the rule `{rule}`; shrunk from {found.name}. Safeguard: (to be written)"
     path.write_text(format_scenario(scenario, comment))
     run = FleetSimulation(scenario, keep_records=True).play()
     print(f"{found.name}: {format_verdict(run)}")
@@ -135,16 +143,19 @@
 
 
 def replay(file: str, seed: bool, out: str, records: str = "") -> int:
-    """Play a scenario and print its time line; the exit code.
+    """Play a scenario and print its timeline, verdict and figures.
 
     Args:
-        file: A scenario file, or the number of a seed.
+        file: The path of a scenario file, or a seed.
         seed: Whether `file` is a seed.
-        out: A file to write the scenario to; empty for none.
-        records: A file to write the records to; empty for none.
+        out: The path to write the scenario to; empty for none.
+        records: The path to write the run's records to; empty for none.
+
+    Returns:
+        The exit code: 0 when the run broke exactly the rules that its scenario expects, else 1.
 
     Raises:
-        ScenarioError: The file can't be read or is malformed.
+        ScenarioError: The file can't be read or is malformed, or the seed is not a number.
     """
     scenario = _load_scenario(file, seed)
     if out:
@@ -171,14 +182,14 @@
 
 
 def format_figures(figures: ServiceFigures) -> str:
-    """The figures of a run in one line."""
+    """Return the figures of a run in one line."""
     parts = [f"ok share {figures.ok_share:.3f}", f"beyond quota {figures.beyond_quota:.3f}"]
     parts += [f"{answer} {count}" for answer, count in figures.answers.items()]
     return ", ".join(parts)
 
 
 def _check_expectation(run: Run) -> int:
-    """Print how a run differs from what its scenario expects; the exit code."""
+    """Return the exit code, and print the broken rules when they differ from those expected."""
     expected = run.scenario.expected.broken if run.scenario.expected else []
     if run.broken == sorted(expected):
         return 0
--- a/petrellane/simulation/property_search.py
+++ b/petrellane/simulation/property_search.py
@@ -1,9 +1,9 @@
-"""Looks through scenarios for a broken rule, over all cores.
+"""Property search: plays generated scenarios on all cores to find ones that break a rule.
 
-A search goes in rounds: one part of a round is generated from new seeds, the other consists of
-neighbours of the scenarios that came nearest to a rule so far. What a round plays depends on the
-search's first seed and the rounds before it alone, so a search gives the same verdict on any number
-of cores. What it finds is reduced by `shrinking`.
+A search runs in rounds. One part of a round is generated from new seeds; the other part consists of
+mutations of the scenarios that came nearest to a rule in earlier rounds. The scenarios of a round
+depend only on the first seed and the earlier rounds, so a search gives the same result on any
+number of cores. `shrinking` reduces the scenarios that break a rule.
 """
 
 from __future__ import annotations
@@ -20,30 +20,35 @@
 from petrellane.simulation.scenario import Scenario
 from petrellane.simulation.scenario_generation import generate_scenario, mutate
 
-ROUND_SIZE = 256  # scenarios of a round
+ROUND_SIZE = 256  # scenarios in a round
 NEW_SEED_SHARE = 0.6  # fraction of a round that is generated from new seeds
-NEAREST_KEPT = 6  # nearest scenarios that are kept for each rule
-BINS = 20  # of a histogram of nearest distances, from 0 to 1
-PROGRESS_INTERVAL = 16  # runs between reports of progress
-CHUNK_SIZE = 4  # scenarios that a worker process takes at once
+NEAREST_KEPT = 6  # scenarios kept per rule
+BINS = 20  # bins of a histogram of nearest distances, from 0 to 1
+PROGRESS_INTERVAL = 16  # runs between progress reports
+CHUNK_SIZE = 4  # scenarios that a worker process receives at a time
 
 
 class NamedScenario(NamedTuple):
-    """A scenario, and a name that says where it comes from."""
+    """A scenario to play.
+
+    Attributes:
+        name: The origin of the scenario: the seed, or the seed of the mutation.
+        scenario: The scenario.
+    """
 
     name: str
     scenario: Scenario
 
 
 class SearchRun(NamedTuple):
-    """What a worker process reports of a run: the figures that the search needs, no more.
+    """The summary of a run that a worker process returns to the search.
 
     Attributes:
-        name: Of the scenario.
-        scenario: What was played.
-        counts: How often each rule was broken.
-        nearest: The nearest distance to each rule.
-        ok_share: Worth of what was served, of what was asked for within quotas.
+        name: The name of the scenario.
+        scenario: The scenario.
+        counts: The number of violations of each broken rule.
+        nearest: The nearest distance to each rule, from 0 (never close) to 1 (at the rule).
+        ok_share: The run's `ServiceFigures.ok_share`.
     """
 
     name: str
@@ -55,14 +60,16 @@
 
 @dataclass
 class SearchResult:
-    """What a search has seen so far.
+    """The result of a search so far.
 
     Attributes:
-        runs: How many scenarios were played.
+        runs: The number of runs.
         found: The runs that broke rules.
-        nearest: The nearest distance to each rule; 1: at it, 0: never close.
-        histograms: For each rule, how many runs came how near; the last bin is at the rule.
-        ok_share_sum: The sum of the runs' shares.
+        nearest: The nearest distance to each rule over all runs, from 0 (never close) to 1 (at the
+            rule).
+        histograms: For each rule, the number of runs by nearest distance; the last bin counts the
+            runs that reached the rule.
+        ok_share_sum: The sum of the runs' `ok_share`.
     """
 
     runs: int = 0
@@ -74,7 +81,7 @@
     ok_share_sum: float = 0.0
 
     def add(self, run: SearchRun) -> None:
-        """Count a run."""
+        """Add a run to the result."""
         self.runs += 1
         self.ok_share_sum += run.ok_share
         if run.counts:
@@ -85,7 +92,7 @@
 
 
 def play(job: NamedScenario) -> SearchRun:
-    """Play a scenario, in a worker process."""
+    """Play a scenario and summarize the run; called in a worker process."""
     run = FleetSimulation(job.scenario).play()
     return SearchRun(
         job.name, job.scenario, run.verdict.counts, run.verdict.nearest, run.figures.ok_share
@@ -93,7 +100,13 @@
 
 
 class Candidate(NamedTuple):
-    """A scenario that came near a rule; `order` is unique, later ones come first."""
+    """A scenario that came near a rule without breaking it.
+
+    Attributes:
+        distance: The nearest distance to the rule.
+        order: A unique number that breaks ties; later candidates have smaller numbers.
+        scenario: The scenario.
+    """
 
     distance: float
     order: int
@@ -101,14 +114,14 @@
 
 
 class NearestScenarios:
-    """The scenarios that came nearest to each rule without breaking it."""
+    """Keeps the scenarios that came nearest to each rule without breaking it."""
 
     def __init__(self) -> None:
         self._by_rule: dict[str, list[Candidate]] = {rule: [] for rule in RULES}
         self._count = 0
 
     def offer(self, scenario: Scenario, nearest: dict[str, float]) -> None:
-        """Keep a scenario for the rules that it came nearest to."""
+        """Keep a scenario for each rule to which it is among the nearest."""
         for rule, distance in nearest.items():
             if 0.0 < distance < 1.0:
                 self._count += 1
@@ -118,7 +131,7 @@
                     heapq.heappop(candidates)
 
     def scenarios(self) -> list[Scenario]:
-        """All that are kept, by rule and distance."""
+        """Return the kept scenarios, ordered by rule and distance."""
         return [
             candidate.scenario
             for rule in RULES
@@ -136,18 +149,23 @@
     """Play scenarios until enough of them have broken a rule.
 
     Args:
-        first_seed: The same one gives the same search.
-        runs: The maximum of scenarios to play.
-        workers: Processes; 0 is one a core.
-        enough: How many that break a rule end the search.
-        on_progress: Is called every few runs.
+        first_seed: The seed of the first scenario, which determines the search.
+        runs: The maximum number of scenarios to play.
+        workers: The number of worker processes; 0 for one per core.
+        enough: The number of rule-breaking runs after which the search ends; the current round is
+            completed.
+        on_progress: A function that is called with the result every `PROGRESS_INTERVAL` runs and
+            after the last run.
+
+    Returns:
+        The result over all runs.
     """
     result = SearchResult()
     nearest = NearestScenarios()
     with ProcessPoolExecutor(workers or os.cpu_count() or 1) as pool:
         while result.runs < runs and len(result.found) < enough:
             size = min(ROUND_SIZE, runs - result.runs)
-            jobs = list(_round(first_seed + result.runs, size, nearest.scenarios()))
+            jobs = list(_generate_round(first_seed + result.runs, size, nearest.scenarios()))
             for run in pool.map(play, jobs, chunksize=CHUNK_SIZE):
                 result.add(run)
                 if not run.counts:
@@ -158,14 +176,20 @@
     return result
 
 
-def _round(first_seed: int, size: int, parents: list[Scenario]) -> Iterator[NamedScenario]:
-    """The scenarios of a round."""
-    from_seeds = size
+def _generate_round(first_seed: int, size: int, parents: list[Scenario]) -> Iterator[NamedScenario]:
+    """Yield the scenarios of a round.
+
+    Args:
+        first_seed: The first seed of the round.
+        size: The number of scenarios.
+        parents: The scenarios to mutate; empty in the first round.
+    """
+    new_seeds = size
     if parents:
-        from_seeds = max(1, round(size * NEW_SEED_SHARE))
-    for seed in range(first_seed, first_seed + from_seeds):
+        new_seeds = max(1, round(size * NEW_SEED_SHARE))
+    for seed in range(first_seed, first_seed + new_seeds):
         yield NamedScenario(f"seed {seed}", generate_scenario(seed))
-    for index in range(size - from_seeds):
-        seed = first_seed + from_seeds + index
+    for index in range(size - new_seeds):
+        seed = first_seed + new_seeds + index
         parent = parents[index % len(parents)]
         yield NamedScenario(f"neighbour {seed}", mutate(parent, seed))
--- a/petrellane/simulation/shrinking.py
+++ b/petrellane/simulation/shrinking.py
@@ -1,4 +1,4 @@
-"""Reduces a scenario that breaks a rule to a small one that still does."""
+"""Shrinking: reduces a scenario that breaks a rule to a smaller one that still breaks it."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from petrellane.simulation.scenario_files import Line, find_error
 
 MAX_RUNS = 400
-AFTER_BREAK_S = 0.1  # seconds that a shortened run goes on after the break
-MIN_FAULT_LENGTH = 0.2  # seconds under which a fault is not shortened
+AFTER_VIOLATION_S = 0.1  # time that a shortened run continues after the violation
+MIN_FAULT_LENGTH_S = 0.2  # seconds; faults up to this length are not shortened
 
 WORLD_CHANGES: tuple[Mapping[str, Any], ...] = (
     {"zones": 1},
@@ -24,7 +24,7 @@
     {"counter_parts": 1},
     {"patience": 1.0},
 )
-"""Changes that make the world simpler."""
+"""Changes that simplify the world; each is tried on its own."""
 
 LineT = TypeVar("LineT", bound=ScenarioLine)
 
@@ -35,18 +35,19 @@
     max_runs: int = MAX_RUNS,
     controller_factory: ControllerFactory = AdmissionController,
 ) -> Scenario:
-    """The smallest scenario found that still breaks a rule.
+    """Reduce a scenario for as long as it still breaks a rule.
 
     Args:
-        scenario: What breaks the rule; it comes back as it is where it does not.
-        rule: Its name.
-        max_runs: How many runs may be played.
-        controller_factory: Makes the controllers that break it.
+        scenario: The scenario, which breaks the rule.
+        rule: The name of the rule.
+        max_runs: The maximum number of runs, including that of the given scenario.
+        controller_factory: The factory of the gateways' controllers.
 
     Returns:
-        The scenario, which expects what it breaks.
+        The smallest scenario found, which expects the rules that it breaks; the given scenario
+        unchanged if it does not break the rule.
     """
-    run = find_break(scenario, rule, controller_factory)
+    run = find_violating_run(scenario, rule, controller_factory)
     if run is None:
         return scenario
     runs = 0
@@ -59,7 +60,7 @@
             runs += 1
             if runs >= max_runs:
                 break
-            candidate_run = find_break(candidate, rule, controller_factory)
+            candidate_run = find_violating_run(candidate, rule, controller_factory)
             if candidate_run:
                 scenario = candidate
                 run = candidate_run
@@ -68,10 +69,10 @@
     return scenario.replace(expected=Expectation(run.broken))
 
 
-def find_break(
+def find_violating_run(
     scenario: Scenario, rule: str, controller_factory: ControllerFactory = AdmissionController
 ) -> Run | None:
-    """The run of a scenario, when it breaks a rule."""
+    """Play a scenario, and return the run if it breaks a rule."""
     run = FleetSimulation(scenario, controller_factory).play()
     return run if rule in run.verdict.counts else None
 
@@ -83,21 +84,21 @@
 
 
 def _shorten(scenario: Scenario, run: Run, rule: str) -> Scenario:
-    """The same up to the first break of the rule, without the faults that come after it."""
+    """Return the scenario up to the first violation, without the faults that start after it."""
     world = scenario.world
-    first_break = min(
+    first_violation = min(
         (violation.at for violation in run.verdict.violations if violation.rule == rule),
         default=world.length,
     )
-    if first_break + AFTER_BREAK_S < world.length:
-        length = round(first_break + AFTER_BREAK_S, 3)
+    if first_violation + AFTER_VIOLATION_S < world.length:
+        length = round(first_violation + AFTER_VIOLATION_S, 3)
         world = msgspec.structs.replace(world, length=length)
-    faults = tuple(fault for fault in scenario.faults if fault.at <= first_break)
+    faults = tuple(fault for fault in scenario.faults if fault.at <= first_violation)
     return scenario.replace(world=world, faults=faults)
 
 
 def _simplify(scenario: Scenario) -> Iterator[Scenario]:
-    """Scenarios that differ from this one by something less, the largest cuts first."""
+    """Yield scenarios that are simpler in one respect, the largest reductions first."""
     for index in range(len(scenario.faults)):
         yield scenario.replace(faults=_without(scenario.faults, index))
     if len(scenario.customers) > 1:
@@ -144,7 +145,7 @@
 
 def _shorten_faults(scenario: Scenario) -> Iterator[Scenario]:
     for index, fault in enumerate(scenario.faults):
-        if fault.length > MIN_FAULT_LENGTH:
+        if fault.length > MIN_FAULT_LENGTH_S:
             shorter = msgspec.structs.replace(fault, length=round(fault.length / 2, 3))
             yield scenario.replace(faults=_replaced(scenario.faults, index, shorter))
 
--- a/petrellane/simulation/timeline.py
+++ b/petrellane/simulation/timeline.py
@@ -1,6 +1,6 @@
-"""A run as a person reads it: who knew what, when, around what was broken.
+"""Formats a run as a timeline of the events that concern its violations.
 
-The texts are part of what `petrellane replay` and `petrellane property-search` print.
+`petrellane replay` and `petrellane property-search` print these texts.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 )
 from petrellane.simulation.fleet import Run, TraceLine
 
-DETAIL_S = 2.0  # seconds before the first break that are shown in full
-MAX_LINES = 120  # what is left out is counted
+DETAIL_S = 2.0  # time before the first violation that is shown in full
+MAX_LINES = 120  # earlier lines are omitted and counted
 
-CHECKER = "CHECKER"  # the party of a broken rule
-COUNTER_ADD = "asked for"  # in the trace of an add to the counter
+CHECKER = "CHECKER"  # the party of lines that report a violation
+COUNTER_ADD = "asked for"  # text that marks an add to the counter in the trace
 
 
 def _describe_received(record: RpcReceived) -> str:
@@ -99,24 +99,24 @@
 
 
 def describe_record(record: Record) -> str:
-    """One record in words, without its time and its party."""
+    """Describe a record in words, without its time and its party."""
     return _DESCRIPTIONS.get(type(record), str)(record)
 
 
 @dataclass(frozen=True)
 class _Focus:
-    """What the first breaks of all rules are about.
+    """The objects that the first violation of each rule concerns; selects the lines to show.
 
     Attributes:
-        breaks: The first break of each rule.
-        rpcs: The ids of their RPCs.
-        hosts: The endpoints that these were sent to.
-        customers: The customers that sent them.
+        violations: The first violation of each rule.
+        rpcs: The ids of the RPCs of these violations.
+        hosts: The endpoints to which these RPCs were sent.
+        customers: The customers that sent these RPCs.
         customer_rpcs: The ids of all RPCs of these customers.
-        start: From when on it is shown.
+        start: The time from which related records are shown, in seconds of the run.
     """
 
-    breaks: list[Violation]
+    violations: list[Violation]
     rpcs: set[object]
     hosts: set[object]
     customers: set[object]
@@ -124,7 +124,7 @@
     start: float
 
     def concerns(self, record: Record) -> bool:
-        """Whether a record has to do with the breaks."""
+        """Return whether a record is related to the violations."""
         if isinstance(record, GatewayLifecycle):
             return True
         if isinstance(record, (EndpointNotified, EndpointStarted)):
@@ -137,13 +137,16 @@
         return getattr(record, "rpc", None) in self.rpcs
 
     def shows_record(self, record: Record) -> bool:
-        """Whether a record is shown."""
+        """Return whether a record is shown."""
         if isinstance(record, (GatewayLifecycle, EndpointStarted)):
             return True
         return self.start <= record.at and self.concerns(record)
 
     def shows_trace(self, line: TraceLine) -> bool:
-        """Whether a line of the trace is shown: adds to the counter only where they matter."""
+        """Return whether a trace line is shown.
+
+        Adds to the counter are shown only for the customers of the violations, from `start` on.
+        """
         if COUNTER_ADD not in line.text:
             return True
         is_customers = any(f" of {customer} " in line.text for customer in self.customers)
@@ -151,14 +154,14 @@
 
 
 def _find_focus(run: Run) -> _Focus:
-    first_breaks = {violation.rule: violation for violation in reversed(run.verdict.violations)}
-    breaks = list(first_breaks.values())
-    rpcs: set[object] = {rpc for violation in breaks for rpc in violation.rpcs}
+    first_violations = {violation.rule: violation for violation in reversed(run.verdict.violations)}
+    violations = list(first_violations.values())
+    rpcs: set[object] = {rpc for violation in violations for rpc in violation.rpcs}
     records = run.records or []
     received = [record for record in records if isinstance(record, RpcReceived)]
     customers: set[object] = {record.customer for record in received if record.rpc in rpcs}
     return _Focus(
-        breaks,
+        violations,
         rpcs,
         hosts={
             record.host
@@ -167,21 +170,23 @@
         },
         customers=customers,
         customer_rpcs={record.rpc for record in received if record.customer in customers},
-        start=min((violation.at for violation in breaks), default=0.0) - DETAIL_S,
+        start=min((violation.at for violation in violations), default=0.0) - DETAIL_S,
     )
 
 
 def _party_of(record: Record) -> str:
-    """The name of whoever did or saw what a record says."""
+    """Return the name of the endpoint or gateway that a record belongs to; empty for none."""
     if isinstance(record, (AttemptArrived, RpcExecuted, EndpointStarted)):
         return str(record.host)
     return str(getattr(record, "gateway", ""))
 
 
 def format_timeline(run: Run) -> list[str]:
-    """The lines of a run that kept its records.
+    """Return the lines of the timeline of a run that kept its records.
 
-    Faults and changes of mode all along, and what concerns the first break of each rule in full.
+    The timeline shows faults, changes of mode, lifecycle events of gateways and starts of endpoints
+    over the whole run. Records related to the first violation of each rule are shown from
+    `DETAIL_S` before the earliest of these violations.
     """
     focus = _find_focus(run)
     lines = [line for line in run.trace or [] if focus.shows_trace(line)]
@@ -192,7 +197,7 @@
     ]
     lines += [
         TraceLine(violation.at, CHECKER, f"{violation.rule}: {violation.text}")
-        for violation in focus.breaks
+        for violation in focus.violations
     ]
     lines.sort(key=lambda line: line.at)
     left_out = max(0, len(lines) - MAX_LINES)
@@ -203,10 +208,10 @@
 
 
 def format_verdict(run: Run) -> str:
-    """One line: what was broken, or how near the run came to each rule."""
+    """Return one line with the broken rules, or with the nearest distance to each rule."""
     if run.verdict.counts:
         return "broken: " + ", ".join(
             f"{rule} {count} times" for rule, count in sorted(run.verdict.counts.items())
         )
-    near = ", ".join(f"{rule} {distance:.2f}" for rule, distance in run.verdict.nearest.items())
-    return f"no rule broken; nearest (1 is at the rule): {near}"
+    nearest = ", ".join(f"{rule} {distance:.2f}" for rule, distance in run.verdict.nearest.items())
+    return f"no rule broken; nearest (1 is at the rule): {nearest}"
