--- a/petrellane/simulation/figures.py
+++ b/petrellane/simulation/figures.py
@@ -1,4 +1,8 @@
-"""What clients got of what they asked for: the measure by which builds are compared."""
+"""Service figures of a run, by which builds are compared.
+
+The value of an RPC is its units times the priority weight of its method times the price of its
+plan.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,12 @@
 
 
 class QuotaLevel(NamedTuple):
-    """The units that a customer's quota held at a time."""
+    """The units available in a customer's quota at a time.
+
+    Attributes:
+        level: The available units.
+        at: The time, in seconds of the run.
+    """
 
     level: float
     at: float
@@ -25,9 +34,11 @@
     """The figures of one run.
 
     Attributes:
-        ok_share: Worth of what was served over the worth of what was asked for within quotas.
+        ok_share: The value of the RPCs within quotas that were served, as a fraction of the value
+            of all RPCs within quotas; a late answer counts with the late priority weight.
         beyond_quota: Units served beyond quotas, as a fraction of all units served.
-        answers: How many answers of each kind clients got, in the order of their first ones.
+        answers: The number of answers of each kind, in the order in which the kinds first
+            occurred.
     """
 
     ok_share: float
@@ -36,19 +47,19 @@
 
 
 class FigureCollector:
-    """Collects the figures of one run; clients report to it."""
+    """Collects the figures of one run from the calls and answers that clients report."""
 
     def __init__(self, simulation: FleetSimulation) -> None:
         self._simulation = simulation
         self._quotas: dict[str, QuotaLevel] = {}
-        self._offered_worth = 0.0
-        self._served_worth = 0.0
+        self._offered_value = 0.0
+        self._served_value = 0.0
         self._served_units = 0.0
         self._units_beyond = 0.0
         self._answers: Counter[str] = Counter()
 
     def on_call(self, call: ClientCall) -> None:
-        """A client asks for something: it is within the quota if the quota covers it now."""
+        """Count a new call, and determine whether the customer's quota covers it."""
         plan = self._simulation.plans[call.customer.plan]
         now = self._simulation.events.now
         quota = self._quotas.get(call.customer.name, QuotaLevel(plan.burst, now))
@@ -56,11 +67,11 @@
         call.is_within_quota = not plan.rate or level >= call.units
         if call.is_within_quota:
             level -= call.units
-            self._offered_worth += call.units * call.method.priority_weight * plan.price
+            self._offered_value += call.units * call.method.priority_weight * plan.price
         self._quotas[call.customer.name] = QuotaLevel(level, now)
 
     def on_answer(self, call: ClientCall, answer: str) -> None:
-        """A client has got an answer."""
+        """Count the answer to a call."""
         self._answers[answer] += 1
         if answer != OK:
             return
@@ -70,16 +81,16 @@
             return
         plan = self._simulation.plans[call.customer.plan]
         duration = self._simulation.events.now - call.started_at
-        worth = 1.0
+        value = 1.0
         if duration > call.method.latency_objective:
-            worth = call.method.late_priority_weight
-        self._served_worth += worth * call.units * call.method.priority_weight * plan.price
+            value = call.method.late_priority_weight
+        self._served_value += value * call.units * call.method.priority_weight * plan.price
 
     def summary(self) -> ServiceFigures:
-        """The figures so far."""
+        """Return the figures so far."""
         ok_share = 1.0
-        if self._offered_worth:
-            ok_share = self._served_worth / self._offered_worth
+        if self._offered_value:
+            ok_share = self._served_value / self._offered_value
         beyond_quota = 0.0
         if self._served_units:
             beyond_quota = self._units_beyond / self._served_units
--- a/petrellane/simulation/quotas.py
+++ b/petrellane/simulation/quotas.py
@@ -1,7 +1,8 @@
-"""What is admitted beyond quotas over a complete fleet, and a controller to compare it with.
+"""Measures what a complete fleet admits beyond quotas, with a baseline controller to compare.
 
-The definition is in docs/history/acceptance.md. `TrueQuotas` is the truth, `DelayedQuotaController`
-sees it late and decides by it, and `measure_quota_use` reads the records of a run.
+`TrueQuotas` holds the exact quotas over all gateways, `DelayedQuotaController` is a baseline that
+reads them with a delay, and `measure_quota_use` computes the use of quotas from the records of a
+run. The definitions are in docs/history/acceptance.md.
 """
 
 from __future__ import annotations
@@ -22,30 +23,36 @@
 if TYPE_CHECKING:
     from petrellane.simulation.gateways import SimulatedGateway
 
-ALL_PLANS = "all"
-LONG_AGO = -1e9  # seconds of the run
+ALL_PLANS = "all"  # key of the sums over all plans
+LONG_AGO = -1e9  # seconds of the run: before any event
 
 
 class QuotaPlan(Protocol):
-    """What a quota needs of a plan, of a scenario or of the decisions."""
+    """The attributes of a plan that a quota uses; both `Plan` classes provide them."""
 
     @property
     def rate(self) -> float:
-        """Units a second; 0 for no quota."""
+        """The quota, in units per second; 0 for no quota."""
 
     @property
     def burst(self) -> float:
-        """Units that a full quota holds."""
+        """The units that a full quota holds."""
 
 
 class TrueQuotas:
-    """One true quota for each customer, over all gateways; times are seconds of the run."""
+    """The exact quota of each customer over all gateways.
+
+    Times are seconds of the run.
+
+    Attributes:
+        levels: The level of the quota after the customer's last RPC, by customer.
+    """
 
     def __init__(self) -> None:
         self.levels: dict[str, QuotaLevel] = {}
 
     def take(self, customer: str, plan: QuotaPlan, now: float, units: float) -> bool:
-        """Take an RPC's units where the quota covers them; whether it does."""
+        """Take the units of an RPC if the quota covers them, and return whether it does."""
         last = self.levels.get(customer, QuotaLevel(plan.burst, now))
         level = min(plan.burst, last.level + plan.rate * (now - last.at))
         is_covered = not plan.rate or level >= units
@@ -56,7 +63,11 @@
 
 
 class QuotaHistory:
-    """The true quotas, and what they were up to a delay ago."""
+    """The exact quotas and their recent history.
+
+    Attributes:
+        delay: The age up to which `level_at` can be queried, in seconds.
+    """
 
     def __init__(self, delay: float) -> None:
         self.delay = delay
@@ -64,7 +75,7 @@
         self._levels: dict[str, deque[QuotaLevel]] = {}
 
     def take(self, customer: str, plan: QuotaPlan, now: float, units: float) -> None:
-        """Take an RPC's units."""
+        """Take the units of an RPC if the quota covers them, and store the new level."""
         levels = self._levels.setdefault(customer, deque([QuotaLevel(plan.burst, LONG_AGO)]))
         self._quotas.take(customer, plan, now, units)
         levels.append(self._quotas.levels[customer])
@@ -72,7 +83,7 @@
             levels.popleft()
 
     def level_at(self, customer: str, plan: QuotaPlan, time: float) -> float:
-        """The units that a quota held at a time up to the delay ago."""
+        """Return the units available at a time that is at most `delay` seconds ago."""
         last = QuotaLevel(plan.burst, time)
         for level in reversed(self._levels.get(customer, ())):
             if level.at <= time:
@@ -82,16 +93,20 @@
 
 
 class Admission(NamedTuple):
-    """Units that a gateway has admitted at a time."""
+    """The units that a gateway admitted at a time, in seconds of the run."""
 
     at: float
     units: float
 
 
 class DelayedQuotaController(TwoChoices):
-    """Admits what the true quota held a while ago, less what this gateway has admitted since.
+    """Admits RPCs by the exact quota, which it reads with a delay.
 
-    `delayed_quota_controller` makes the class of one run, whose gateways share the true quotas.
+    The gateway subtracts the units that it has admitted itself during the delay.
+    `delayed_quota_controller` creates the class of one run, whose gateways share one history.
+
+    Attributes:
+        history: The exact quotas, shared by the gateways of the run.
     """
 
     history: ClassVar[QuotaHistory]
@@ -101,7 +116,7 @@
         self._admitted: dict[str, deque[Admission]] = {}
 
     def admit(self, now: float, rpc: Rpc) -> list[Action]:
-        """Send an attempt, or reject what the quota does not cover."""
+        """Send an attempt, or reject the RPC if the quota does not cover it."""
         customer = rpc.customer.name
         plan = rpc.customer.plan
         delay = self.history.delay
@@ -121,22 +136,26 @@
 
 
 def delayed_quota_controller(delay_s: float) -> type[DelayedQuotaController]:
-    """The controller that sees quotas so many seconds late, for one run."""
+    """Return a controller class for one run, which reads quotas with this delay in seconds."""
 
-    class OneRun(DelayedQuotaController):
+    class SingleRunController(DelayedQuotaController):
         history = QuotaHistory(delay_s)
 
-    return OneRun
+    return SingleRunController
 
 
 class QuotaUse(NamedTuple):
-    """What a plan's customers got.
+    """The use of quotas by the customers of a plan.
+
+    The value of an RPC is its units times the priority weight of its method times the price of its
+    plan.
 
     Attributes:
-        asked: Units asked for.
-        sent: Units sent.
-        beyond: Units sent that the quota did not cover.
-        cost: Their worth over the worth of what was asked for within quotas.
+        asked: The units requested.
+        sent: The units sent to endpoints.
+        beyond: The units sent that the quota did not cover.
+        cost: The value of the units sent beyond quotas, as a fraction of the value requested
+            within quotas.
     """
 
     asked: float
@@ -147,40 +166,47 @@
 
 @dataclass
 class _QuotaSums:
-    """The sums of one plan while records are read."""
+    """Running sums for one plan, from which its `QuotaUse` is computed."""
 
     asked: float = 0.0
     sent: float = 0.0
     beyond: float = 0.0
-    worth_asked_within: float = 0.0
-    worth_beyond: float = 0.0
+    value_asked_within: float = 0.0
+    value_beyond: float = 0.0
 
     def result(self) -> QuotaUse:
-        """The figures of all records so far."""
+        """Return the figures of the records so far."""
         cost = 0.0
-        if self.worth_asked_within:
-            cost = self.worth_beyond / self.worth_asked_within
+        if self.value_asked_within:
+            cost = self.value_beyond / self.value_asked_within
         return QuotaUse(self.asked, self.sent, self.beyond, cost)
 
 
 def measure_quota_use(scenario: Scenario, records: Iterable[Record]) -> dict[str, QuotaUse]:
-    """By plan, and in all: units asked for and sent, and the cost of those beyond quotas.
+    """Compute the use of quotas of a run.
 
     Args:
-        scenario: What was played.
-        records: Of the run, in any order.
+        scenario: The scenario of the run.
+        records: The records of the run, in any order.
+
+    Returns:
+        The use of quotas by plan, and in total under `ALL_PLANS`.
     """
-    measure = _QuotaMeasure(scenario)
+    accumulator = _QuotaAccumulator(scenario)
     for record in sorted(records, key=attrgetter("at")):
         if isinstance(record, RpcReceived):
-            measure.on_received(record)
+            accumulator.on_received(record)
         elif isinstance(record, AttemptSent):
-            measure.on_sent(record)
-    return {name: sums.result() for name, sums in measure.sums.items()}
+            accumulator.on_sent(record)
+    return {name: sums.result() for name, sums in accumulator.sums.items()}
 
 
-class _QuotaMeasure:
-    """Sums up the records of one run."""
+class _QuotaAccumulator:
+    """Accumulates the sums of one run from its records.
+
+    Attributes:
+        sums: The sums by plan, and in total under `ALL_PLANS`.
+    """
 
     def __init__(self, scenario: Scenario) -> None:
         self._plans = {plan.name: plan for plan in scenario.plans}
@@ -192,19 +218,19 @@
         self.sums = {name: _QuotaSums() for name in (*self._plans, ALL_PLANS)}
 
     def on_received(self, rpc: RpcReceived) -> None:
-        """An RPC was asked for."""
+        """Add an RPC that a gateway received."""
         self._received[rpc.rpc] = rpc
         plan = self._plans[rpc.plan]
-        worth = rpc.units * self._weights[rpc.method] * plan.price
+        value = rpc.units * self._weights[rpc.method] * plan.price
         is_covered = self._quotas_asked.take(str(rpc.customer), plan, rpc.at, rpc.units)
         for name in (rpc.plan, ALL_PLANS):
             sums = self.sums[name]
             sums.asked += rpc.units
             if is_covered:
-                sums.worth_asked_within += worth
+                sums.value_asked_within += value
 
     def on_sent(self, attempt: AttemptSent) -> None:
-        """An attempt was sent; the first one of its RPC counts."""
+        """Add the first attempt of an RPC; later attempts of the RPC count nothing."""
         self._sent[attempt.rpc] += 1
         if self._sent[attempt.rpc] > 1:
             return
@@ -216,4 +242,4 @@
             sums.sent += rpc.units
             if not is_covered:
                 sums.beyond += rpc.units
-                sums.worth_beyond += rpc.units * self._weights[rpc.method] * plan.price
+                sums.value_beyond += rpc.units * self._weights[rpc.method] * plan.price
--- a/petrellane/simulation/sparse_traffic.py
+++ b/petrellane/simulation/sparse_traffic.py
@@ -1,4 +1,4 @@
-"""A fleet of many gateways that each see little traffic: scenarios, and what a run showed."""
+"""Scenarios of many gateways with little traffic each, and the service measured in their runs."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from petrellane.simulation.fleet import Run
 from petrellane.simulation.scenario import Customer, Fault, Method, Plan, Scenario, World
 
-SLOTS = 2  # RPCs that an endpoint works on at once
+SLOTS = 2  # RPCs that an endpoint executes concurrently
 
 
-def sparse_scenario(  # noqa: PLR0913 - an argument for each figure that callers vary
+def sparse_scenario(  # noqa: PLR0913 - an argument for each parameter that callers vary
     gateways: int = 200,
     endpoints: int = 100,
     load: float = 0.8,
@@ -26,19 +26,20 @@
     faults: tuple[Fault, ...] = (),
     zones: int = 1,
 ) -> Scenario:
-    """A scenario of many gateways that share some traffic.
+    """Return a scenario of many gateways, with one customer per gateway.
 
     Args:
-        gateways: How many.
-        endpoints: How many.
-        load: The fraction of the endpoints' capacity that the traffic takes.
-        seed: Of all random numbers.
-        rate: RPCs a second of all gateways together.
-        length: Seconds for which clients send.
-        patience: The latency objective, as a multiple of an RPC's mean work.
+        gateways: The number of gateways.
+        endpoints: The number of endpoints.
+        load: The traffic, as a fraction of the endpoints' capacity.
+        seed: The seed of all random numbers.
+        rate: The total traffic, in RPCs per second.
+        length: The time for which clients send, in seconds.
+        patience: The latency objective, as a multiple of an RPC's mean work; the deadline is four
+            times the objective.
         unevenness: The standard deviation of the logarithm of a gateway's traffic.
-        faults: What goes wrong.
-        zones: How many.
+        faults: The faults.
+        zones: The number of zones.
     """
     rng = seeded_random("thin", seed)
     work = load * endpoints * SLOTS / rate
@@ -73,16 +74,16 @@
 
 
 class ServiceMeasure(NamedTuple):
-    """What became of some RPCs.
+    """The outcome and the latency of a set of RPCs.
 
     Attributes:
-        rpcs: How many there were.
+        rpcs: The number of RPCs.
         ok: The fraction that was served.
         rejected: The fraction that was rejected.
         late: The fraction that was served after the latency objective.
-        p50: Median of the seconds until they were served.
-        p99: 99th percentile of them.
-        attempts: Attempts for each RPC.
+        p50: The median latency of the served RPCs, in seconds.
+        p99: The 99th percentile of their latency, in seconds.
+        attempts: The mean number of attempts per RPC.
     """
 
     rpcs: int
@@ -95,12 +96,14 @@
 
 
 class _Answer(NamedTuple):
+    """An answer and its latency, in seconds."""
+
     answer: str
     duration: float
 
 
 def measure_service(run: Run, since: float) -> ServiceMeasure:
-    """What became of the RPCs from a time on, in a run that kept its records."""
+    """Measure the RPCs that arrived at or after `since`, in a run that kept its records."""
     received_at, answers, attempts = _collect(run.records or [], since, run.scenario.world.length)
     durations = sorted(answer.duration for answer in answers if answer.answer == OK) or [0.0]
     objective = run.scenario.methods[0].latency_objective
@@ -119,7 +122,12 @@
 def _collect(
     records: Iterable[Record], since: float, until: float
 ) -> tuple[dict[object, float], list[_Answer], int]:
-    """When RPCs came, by id, the last answer of each, and the number of attempts."""
+    """Collect the RPCs that arrived in a span of time.
+
+    Returns:
+        The arrival time of each RPC by id, the last answer to each answered RPC, and the total
+        number of attempts.
+    """
     received_at: dict[object, float] = {}
     answers: dict[object, _Answer] = {}
     attempts = 0
