--- a/tests/unit/simulation/__init__.py
+++ b/tests/unit/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The simulated fleet: seeded runs, planted faults, scenario files, and the invariants."""
+"""Tests of the simulated fleet: seeded runs, planted faults, scenario files and invariants."""
--- a/tests/unit/simulation/planted.py
+++ b/tests/unit/simulation/planted.py
@@ -1,6 +1,7 @@
-"""Faults planted in one line of the decisions, and how many scenarios find each.
+"""Faults planted in the source of the decisions, and the search for scenarios that reveal them.
 
-`python -m tests.unit.simulation.planted SEED...` prints how many each needs from these seeds on.
+`python -m tests.unit.simulation.planted SEED...` prints how many scenarios the search needs to
+reveal each fault, starting from each of these seeds.
 """
 
 import importlib
@@ -20,23 +21,24 @@
 from petrellane.simulation.scenario_generation import generate_scenario
 
 DECISIONS = pathlib.Path(decisions.__file__).parent
-# What the simulation makes and looks at itself: a run with a planted fault uses the real ones.
+# The simulation shares instances of these modules' classes with the decisions, so a run with a
+# planted fault uses the original modules.
 SHARED_MODULES = {"actions", "types"}
 
 
 @dataclass(frozen=True)
 class PlantedFault:
-    """A change of one place in the decisions.
+    """A fault that replaces one piece of source text in the decisions.
 
     Attributes:
-        name: What is wrong then.
-        module: The module of the decisions that is changed.
-        before: The text in it, which must stand there once.
-        after: What stands in its place.
-        rule: The rule that is broken.
-        seeds: Within how many scenarios it is found.
-        first: The seed of the first of them.
-        missed: Whether so few scenarios do not find it.
+        name: A description of the fault.
+        module: The module of the decisions that contains the text.
+        before: The original text, which occurs in the module exactly once.
+        after: The replacement.
+        rule: The rule that the fault breaks.
+        seeds: The number of scenarios to search.
+        first: The seed of the first scenario.
+        missed: Whether the fault is known to stay unrevealed in `seeds` scenarios.
     """
 
     name: str
@@ -56,10 +58,12 @@
 
 
 def faulty_controller(fault: PlantedFault) -> type[AdmissionController]:
-    """Return the controller's class out of a copy of all decisions that has the fault."""
+    """Return the controller class from a copy of the decisions that contains the fault."""
     path = DECISIONS / f"{fault.module}.py"
     text = path.read_text()
-    assert text.count(fault.before) == 1, f"{fault.name}: its line must stand in {path.name} once"
+    assert text.count(fault.before) == 1, (
+        f"{fault.name}: its text must occur in {path.name} exactly once"
+    )
     code = compile(text.replace(fault.before, fault.after), fault.name, "exec")
     package = decisions.__name__
     module = types.ModuleType(f"{package}.{fault.module}")
@@ -75,11 +79,11 @@
 
 
 def scenarios_needed(fault: PlantedFault, first: int = 0) -> int | None:
-    """Return the number of the first scenario that shows the fault; None where none of them does.
+    """Return the number of scenarios played until one reveals the fault; None if none does.
 
     Args:
-        fault: What is planted.
-        first: The seed of the first scenario; 0 for the fault's own.
+        fault: The planted fault.
+        first: The seed of the first scenario; 0 for `fault.first`.
     """
     controller = faulty_controller(fault)
     first_seed = first or fault.first
@@ -91,7 +95,7 @@
 
 
 def main() -> None:
-    """Print how many scenarios each fault needs, from a few first seeds."""
+    """Print how many scenarios reveal each fault, from each of the first seeds in the arguments."""
     first_seeds = [int(argument) for argument in sys.argv[1:]] or [0]
     jobs = list(itertools.product(FAULTS, first_seeds))
     with ProcessPoolExecutor(os.cpu_count()) as pool:
--- a/tests/unit/simulation/scenario_folder.py
+++ b/tests/unit/simulation/scenario_folder.py
@@ -1,4 +1,4 @@
-"""The scenario files of this folder, which `petrellane replay FILE` plays too."""
+"""Reads the scenario files in `scenarios/`, which `petrellane replay FILE` plays as well."""
 
 import pathlib
 
@@ -10,6 +10,6 @@
 
 
 def read_scenario(name: str) -> Scenario:
-    """Return the scenario of a file, which is named without its suffix."""
+    """Return the scenario of a file, given the file's name without its suffix."""
     path = SCENARIOS / f"{name}.ndjson"
     return parse_scenario(path.read_text(), path.name)
--- a/tests/unit/simulation/test_commands.py
+++ b/tests/unit/simulation/test_commands.py
@@ -1,39 +1,39 @@
-"""`petrellane replay` and `petrellane property-search`: exit codes, and what they print."""
+"""Tests of the exit codes and the output of `petrellane replay` and `property-search`."""
 
 import pathlib
 import subprocess
 import sys
 
 
-def assert_ends(exit_code: int, text: str, *arguments: str) -> None:
-    """Run `petrellane` and assert its exit code, and that it prints the text."""
-    ended = subprocess.run(
+def assert_exits(exit_code: int, text: str, *arguments: str) -> None:
+    """Run `petrellane`, and assert its exit code and that its output contains the text."""
+    completed = subprocess.run(
         [sys.executable, "-m", "petrellane", *arguments],
         capture_output=True,
         text=True,
         check=False,
     )
-    assert ended.returncode == exit_code, ended.stderr
-    assert text in ended.stdout + ended.stderr
+    assert completed.returncode == exit_code, completed.stderr
+    assert text in completed.stdout + completed.stderr
 
 
 def test_replay_names_the_line_out_of_form(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "bad.ndjson"
     path.write_text('{"kind":"world"}\n')
-    assert_ends(2, "bad.ndjson:1", "replay", str(path))
+    assert_exits(2, "bad.ndjson:1", "replay", str(path))
 
 
 def test_replay_of_a_missing_file(tmp_path: pathlib.Path) -> None:
-    assert_ends(2, "expected a scenario file", "replay", str(tmp_path / "none"))
+    assert_exits(2, "expected a scenario file", "replay", str(tmp_path / "none"))
 
 
 def test_replay_of_a_seed() -> None:
-    assert_ends(0, "no rule broken", "replay", "--seed", "5")
+    assert_exits(0, "no rule broken", "replay", "--seed", "5")
 
 
 def test_replay_of_a_seed_that_is_no_number() -> None:
-    assert_ends(2, "expected a whole number, found x", "replay", "--seed", "x")
+    assert_exits(2, "expected a whole number, found x", "replay", "--seed", "x")
 
 
 def test_a_search_of_no_seeds() -> None:
-    assert_ends(2, "seeds", "property-search", "--seeds", "0")
+    assert_exits(2, "seeds", "property-search", "--seeds", "0")
--- a/tests/unit/simulation/test_fleet.py
+++ b/tests/unit/simulation/test_fleet.py
@@ -1,4 +1,4 @@
-"""Runs of the simulated fleet: seeds and hard cases break no rule, and a seed is one run."""
+"""Tests of simulated runs: searched scenarios break no rule, and a seed determines its run."""
 
 import os
 from concurrent.futures import ProcessPoolExecutor
@@ -14,7 +14,7 @@
 from petrellane.simulation.scenario_generation import generate_scenario, with_hot_restarts
 from tests.unit.simulation.scenario_folder import SCENARIO_NAMES, read_scenario
 
-SEARCHED_SCENARIOS = 1500  # a third of them neighbours of the nearest
+SEARCHED_SCENARIOS = 1500  # a third of them are mutations of the scenarios nearest to a rule
 HOT_RESTART_SEEDS = range(1, 401)
 
 
@@ -41,7 +41,7 @@
 
 
 def broken_by_hot_restarts(seed: int) -> list[str]:
-    """Return the rules broken by a scenario with hot restarts, each cut at another point."""
+    """Return the rules that the scenario of a seed with added hot restarts breaks."""
     return FleetSimulation(with_hot_restarts(generate_scenario(seed), seed)).play().broken
 
 
@@ -54,7 +54,7 @@
     assert broken == {}
 
 
-# How soon gateways learn of changes after an outage of discovery.
+# The delay until gateways learn of changes after an outage of discovery.
 
 
 def test_simulated_polls_have_the_times_of_the_gateway() -> None:
@@ -75,7 +75,7 @@
     "fault", ["refused", "silent", "turned away"], ids=["refused", "silent", "rejected"]
 )
 def test_gateways_are_notified_in_time_once_discovery_has_recovered(fault: str) -> None:
-    """Discovery serves a little less than one call a second for each of sixty gateways."""
+    """Discovery serves slightly less than one call per second for each of sixty gateways."""
     result = play_outage(1, 60, fault, 50.0)
     assert None not in result.delays
     assert max(result.delays) < 6.0
--- a/tests/unit/simulation/test_invariants.py
+++ b/tests/unit/simulation/test_invariants.py
@@ -1,4 +1,4 @@
-"""The invariant checker on records made by hand: each rule broken, and just not broken."""
+"""Tests of the invariant checker with handwritten records on both sides of the rules' limits."""
 
 import dataclasses
 from collections.abc import Hashable
@@ -36,7 +36,7 @@
 )
 
 
-def judge(*records: Record, terms: Terms = TERMS) -> Verdict:
+def check_records(*records: Record, terms: Terms = TERMS) -> Verdict:
     """Return the verdict on a run that has these records."""
     checker = InvariantChecker(terms)
     for record in records:
@@ -51,25 +51,25 @@
     units: float = 1.0,
     rpc: Hashable = "r",
 ) -> RpcReceived:
-    """Return the record of an RPC that has two seconds."""
+    """Return the record of an RPC with a deadline of two seconds."""
     return RpcReceived(at, "g", rpc, "who", plan, method, units, at + 2.0)
 
 
-# Each RPC gets its final answer in time.
+# Each RPC receives its final answer in time.
 
 
 def test_a_missing_answer_is_lost() -> None:
-    assert judge(received()).counts == {"lost": 1}
+    assert check_records(received()).counts == {"lost": 1}
 
 
 def test_an_answer_within_the_slack_is_in_time() -> None:
-    verdict = judge(received(), RpcAnswered(3.04, "g", "r", "aborted"))
+    verdict = check_records(received(), RpcAnswered(3.04, "g", "r", "aborted"))
     assert verdict.counts == {}
     assert verdict.nearest["lost"] > 0.99
 
 
 def test_an_answer_after_the_slack_is_lost() -> None:
-    assert judge(received(), RpcAnswered(3.06, "g", "r", "aborted")).counts == {"lost": 1}
+    assert check_records(received(), RpcAnswered(3.06, "g", "r", "aborted")).counts == {"lost": 1}
 
 
 @pytest.mark.parametrize(
@@ -84,7 +84,7 @@
 def test_no_answer_is_due_of_a_killed_gateway_or_to_a_client_that_left_early(
     record: Record, counts: dict[str, int]
 ) -> None:
-    assert judge(received(), record).counts == counts
+    assert check_records(received(), record).counts == counts
 
 
 # No RPC takes effect twice.
@@ -102,7 +102,7 @@
 def test_an_idempotency_key_holds_in_its_zone_and_window(
     sent_at: float, ended_at: float, host: str, counts: dict[str, int]
 ) -> None:
-    verdict = judge(
+    verdict = check_records(
         received("lodge"),
         AttemptSent(1.0, "g", "r", 0, "a"),
         AttemptEnded(1.5, "g", "r", 0, "late"),
@@ -114,7 +114,7 @@
 
 
 def test_attempts_that_overlap_are_effects_twice() -> None:
-    verdict = judge(
+    verdict = check_records(
         received(),
         AttemptSent(1.0, "g", "r", 0, "a"),
         AttemptSent(1.1, "g", "r", 1, "b"),
@@ -123,7 +123,7 @@
     assert verdict.counts["twice"] == 1
 
 
-# Cold hosts are not pushed over.
+# Cold hosts are not overloaded.
 
 
 @pytest.mark.parametrize(
@@ -133,13 +133,13 @@
 def test_a_cold_host_bears_its_budget_and_twice_its_root_and_two(
     number: int, of_notified: int, counts: dict[str, int]
 ) -> None:
-    """The budget is 10 RPCs here, so the limit is 18.3.
+    """The capacity allows 10 RPCs here, so the limit is 10 + 2 sqrt(10) + 2 = 18.3.
 
-    A gateway that was not notified of the start is not to blame; with over a third of the work
-    from such gateways, nobody is.
+    An overload is a violation only if at least two thirds of the work come from gateways that were
+    notified of the start.
     """
     gateways = ["not"] * (number - of_notified) + ["knows"] * of_notified
-    verdict = judge(
+    verdict = check_records(
         EndpointStarted(1.0, "a", 1.0),
         EndpointNotified(1.0, "knows", "a", "ready", 1.0),
         EndpointNotified(1.0, "not", "a", "ready", 0.0),
@@ -155,7 +155,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.floats(0, 3), st.integers(1, 6)), min_size=1, max_size=40))
 def test_a_hard_limit_holds_for_every_span(draws: list[tuple[float, int]]) -> None:
-    """No span may hold more than burst, slack and what the rate gives in it."""
+    """No span of time may admit more than the burst, the slack and the rate times the span."""
     checker = InvariantChecker(TERMS)
     now = 0.0
     admitted: list[tuple[float, int]] = []
--- a/tests/unit/simulation/test_planted_faults.py
+++ b/tests/unit/simulation/test_planted_faults.py
@@ -1,4 +1,4 @@
-"""Planted faults: the search finds each, and shrinking leaves a scenario that shows it."""
+"""Tests that the search finds each planted fault, and that a shrunk scenario still shows it."""
 
 import os
 from concurrent.futures import ProcessPoolExecutor
--- a/tests/unit/simulation/test_scenario_files.py
+++ b/tests/unit/simulation/test_scenario_files.py
@@ -1,4 +1,4 @@
-"""Files of scenarios: what is written is read, and lines out of form are named in the error."""
+"""Tests that scenario files are read back as written, and that errors name malformed lines."""
 
 import pytest
 from hypothesis import given, settings
