--- a/petrellane/testbed/command.py
+++ b/petrellane/testbed/command.py
@@ -1,4 +1,4 @@
-"""The commands `testbed run` and `testbed demo`: a live table, a timeline, the verdict."""
+"""The commands `testbed run` and `testbed demo`, which show a run live and print its verdict."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 def play_file(path: str, records: str = "") -> int:
-    """Play a run file.
+    """Carry out the run of a file.
 
     Args:
-        path: The run file.
-        records: Where the records of the run are written; empty for nowhere.
+        path: The path of the run file.
+        records: The path of the file for the records of the run; empty to write none.
 
     Returns:
         The exit code.
@@ -39,7 +39,7 @@
 
 
 def demo() -> int:
-    """Play three gateways and six hosts for 20 s, one host killed half way.
+    """Run three gateways and six hosts for 20 s, and kill one host after 10 s.
 
     Returns:
         The exit code.
@@ -52,12 +52,12 @@
 
 
 def play(run: RunFile, spec: FleetSpec | None = None, records: str = "") -> int:
-    """Play a run, and print its timeline and its verdict.
+    """Carry out a run, and print its timeline and its verdict.
 
     Args:
         run: The run.
-        spec: The fleet; None for the one that the run describes.
-        records: Where the records of the run are written; empty for nowhere.
+        spec: The description of the fleet; None to derive it from the run.
+        records: The path of the file for the records of the run; empty to write none.
 
     Returns:
         The exit code.
@@ -81,10 +81,15 @@
 
 
 def exit_code_of(lab: LoopbackFleet, verdict: Verdict, expected: Sequence[str]) -> int:
-    """Print whether rules broke as expected, and return the exit code.
+    """Print the broken rules, and return the exit code.
 
-    It is 1 where a rule broke that was not to, or one did not that was to, where a process crashed
-    or the testbed had a fault, or where the run proves nothing.
+    The exit code is 1 if the broken rules differ from the expected ones, if a process crashed, if
+    the testbed had a fault, or if the run is void.
+
+    Args:
+        lab: The fleet of the run.
+        verdict: The verdict of the invariant checker.
+        expected: The names of the rules that the run has to break.
     """
     is_expected = sorted(verdict.counts) == sorted(expected)
     text = "no rule broken"
@@ -98,7 +103,7 @@
 
 
 def print_result(lab: LoopbackFleet, verdict: Verdict) -> None:
-    """Print the answers, the violations, and what went wrong with the run itself."""
+    """Print the answers, the violations, the crashes, and the faults of the testbed."""
     no_gateway = ""
     if lab.clients.turned_back:
         no_gateway = f", {lab.clients.turned_back} found no gateway"
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -1,9 +1,9 @@
 """A fleet on loopback: gateways, control processes, test doubles, relays and clients.
 
-`LoopbackFleet` is a context: whatever happens within, all its processes have ended after it. Work
-with it from the outside through `run_until` and `run_for`, which run the scheduler, or in greenlets
-of its scheduler. Gateways and control processes are processes of their own; all else runs in this
-process, on one scheduler and one clock.
+`LoopbackFleet` is a context manager that ends all its processes on exit, also after an exception.
+A caller drives the fleet with `run_until` and `run_for`, which run the scheduler, or from greenlets
+of that scheduler. Each gateway and each control process is a separate operating system process; the
+test doubles, relays and clients run in this process and share one scheduler and one clock.
 """
 
 import shutil
@@ -43,16 +43,16 @@
 
 Found = TypeVar("Found")
 
-LAST_PORT = 2000  # ports are given away from the next on
-# A flush to a shared disk takes any time, which is not what a run is about.
+LAST_PORT = 2000  # the address pool assigns ports above this one
+# Files are kept in memory because the duration of a flush to a shared disk is unpredictable.
 MEMORY_DISK = Path("/dev/shm")
-TURN_MS = 10  # of one turn of the scheduler at most
-VOID_STALL_S = 0.5  # after a longer stall, what was seen came in no sure order: the run is void
+TURN_MS = 10  # maximum poll timeout of one scheduler turn
+VOID_STALL_S = 0.5  # after a longer stall the order of observations is unreliable: the run is void
 READY_PATIENCE_S = 20.0
 READY_PATIENCE_PER_GATEWAY_S = 0.2
 KEY = b"key of one run only"
-MAXIMUM_LINE = 160  # characters of an event in the timeline
-MAXIMUM_STDERR = 200  # characters of standard error in the timeline
+MAXIMUM_LINE = 160  # characters of an event that the timeline shows
+MAXIMUM_STDERR = 200  # characters of standard error that the timeline shows
 TIMELINE_EVENTS = frozenset(
     {
         "fault",
@@ -71,32 +71,33 @@
 
 
 class LoopbackFleet:
-    """A fleet of a spec, from its making until `close`.
+    """The processes, test doubles, relays and clients of one fleet, which it owns until `close`.
 
     Attributes:
-        spec: What it is made of.
-        settings: The settings that its gateways start with.
-        scheduler: Runs all that is in this process.
-        addresses: Gives away the ports of its own loopback address.
-        folder: Holds all its files.
-        key: The key of calls between its processes; `key_file` is its path.
-        records: What every party saw.
-        counter: The counter.
-        discovery: Discovery.
-        hosts: The hosts.
-        gateways: The gateways.
+        spec: The description of the fleet.
+        settings: The settings with which the gateways start.
+        scheduler: The scheduler of everything that runs in this process.
+        addresses: The pool that assigns addresses and ports of the fleet's loopback address.
+        folder: The path of the directory that holds all files of the fleet.
+        key: The key that authenticates calls between the processes of the fleet.
+        key_file: The path of the file that holds the key.
+        records: The observations of all parties.
+        counter: The test double of the counter.
+        discovery: The test double of discovery.
+        hosts: The test doubles of the hosts.
+        gateways: The gateways, in order of their numbers.
         controls: The control processes by name.
-        relays: The relays between them.
-        fronts: What clients know of each gateway.
-        clients: The load.
-        crashes: Processes that ended in an unexpected way.
-        faults: Exceptions in this process.
-        longest_stall_s: The longest time for which this process did not run its scheduler while
-            there was load.
+        relays: The relays between the parties.
+        fronts: The clients' view of each gateway.
+        clients: The clients, which generate the load.
+        crashes: The processes that ended unexpectedly or logged a fault.
+        faults: The tracebacks of exceptions in this process.
+        longest_stall_s: The longest time, in seconds, for which this process did not run its
+            scheduler under load.
     """
 
     def __init__(self, spec: FleetSpec) -> None:
-        """Make all parties, and write the gateways' files; no process is started."""
+        """Create all parties and write the gateways' files, without starting a process."""
         self.spec = spec
         self.settings: Settings = spec.settings or build_settings(SettingsSpec(spec.gateways))
         self.scheduler = Scheduler()
@@ -142,21 +143,21 @@
 
     @property
     def void(self) -> str:
-        """Why the run proves nothing; "" where it does."""
+        """The reason why the run is inconclusive; "" for a conclusive run."""
         if self.longest_stall_s > VOID_STALL_S:
             stall = f"the testbed stood still for {self.longest_stall_s:.2f} s"
             return f"{stall}: this machine is too busy"
         return ""
 
     def start(self, controls: Sequence[str] = ("control",), ready: bool = True) -> None:
-        """Start the gateways, and control processes where settings change through them.
+        """Start the gateways and, if the spec has `agreement`, the control processes.
 
         Args:
-            controls: Names of the control processes.
-            ready: Whether to wait until all are ready and lead.
+            controls: The names of the control processes.
+            ready: Whether to wait until all gateways are ready and each control process has led.
 
         Raises:
-            AssertionError: They are not ready in time.
+            AssertionError: A gateway is not ready in time, or a control process does not lead.
         """
         for gateway in self.gateways:
             gateway.start()
@@ -171,8 +172,8 @@
             self.run_until(control.is_leading, f"{control.name} leads", patience)
 
     def run_turn(self) -> None:
-        """Run the scheduler for one turn, and note stalls."""
-        # Whoever drives the fleet did something else meanwhile: to start a process takes time.
+        """Run the scheduler for one turn, and record stalls."""
+        # The caller may have done other work since the last turn, such as starting a process.
         away = time.monotonic() - self._turned_at
         if away > SETTLE_S:
             self.records.last_stall = self.records.turns
@@ -188,7 +189,7 @@
             self.records.last_stall = self.records.turns
 
     def run_for(self, seconds: float) -> None:
-        """Let so much time go by."""
+        """Run the scheduler for a number of seconds."""
         until = time.monotonic() + seconds
         while time.monotonic() < until:
             self.run_turn()
@@ -196,28 +197,31 @@
     def run_until(
         self, condition: Callable[[], Found], description: str, patience: float = 20.0
     ) -> Found:
-        """Run until a condition gives something true; return that.
+        """Run the scheduler until a condition returns a true value, and return this value.
 
         Args:
-            condition: Called after each turn.
-            description: What is awaited, for the error.
-            patience: Seconds to wait at most.
+            condition: The function that is called before each turn.
+            description: The awaited state, for the error message.
+            patience: The timeout, in seconds.
 
         Raises:
-            AssertionError: It does not hold in time.
+            AssertionError: The condition does not hold in time.
         """
         limit = time.monotonic() + patience
         while not (found := condition()):
             if time.monotonic() >= limit:
-                raise AssertionError(f"never came: {description}\n{self.timeline()}")
+                raise AssertionError(f"timed out waiting for: {description}\n{self.timeline()}")
             self.run_turn()
         return found
 
     def finish_load(self, patience: float = 5.0) -> None:
-        """End the load, and wait for the end of what is in flight.
+        """End the load, and wait until no RPC is in flight.
+
+        Args:
+            patience: The timeout, in seconds.
 
         Raises:
-            AssertionError: It does not end in time.
+            AssertionError: RPCs are still in flight after the timeout.
         """
         self.clients.stop()
         self.run_until(lambda: not self.clients.out, "all answers", patience)
@@ -225,13 +229,19 @@
     def change_settings(
         self, settings: Settings, patience: float = 15.0, **arguments: object
     ) -> dict[str, Any]:
-        """Propose settings to the first control process, and follow the change to its end.
+        """Propose settings to the first control process, and wait for the outcome.
+
+        Args:
+            settings: The proposed settings.
+            patience: The timeout, in seconds.
+            **arguments: Further fields of the proposal.
 
         Returns:
-            The change at its end, everywhere where it can be; or the refusal.
+            The change once it has its outcome and, if it is committed, all serving gateways know
+            it; the answer of the control process if it refuses the proposal.
 
         Raises:
-            AssertionError: It does not end in time.
+            AssertionError: The change has no such outcome in time.
         """
         control = next(iter(self.controls.values()))
         change = control.ask("propose", settings=settings, **arguments)
@@ -244,13 +254,14 @@
         return ended or {}
 
     def agreed_generation(self, names: Collection[str] | None = None) -> int | None:
-        """Return the generation that gateways have in force without a doubt.
+        """Return the generation of the settings that gateways have in force.
 
         Args:
-            names: The gateways that are asked; None for all.
+            names: The names of the gateways to compare; None for all.
 
         Returns:
-            Its number; None where they differ.
+            The number of the generation; None if the gateways differ, or if one of them has
+            reported no generation or has a prepared one.
         """
         numbers = set()
         for gateway in self.gateways:
@@ -261,7 +272,7 @@
         return numbers.pop() if len(numbers) == 1 else None
 
     def reach(self, route: Route) -> str:
-        """Return where a party reaches another as host:port, through a relay where one is due."""
+        """Return the address, as host:port, at which a route begins: its relay or its target."""
         return format_address(self._address(route))
 
     def between(
@@ -270,21 +281,27 @@
         to: Collection[str] | None = None,
         of: Collection[str] | None = None,
     ) -> list[Relay]:
-        """Return the relays of these kinds of route, to these parties, of these parties."""
+        """Return the relays of some kinds of route.
+
+        Args:
+            *kinds: The kinds of route.
+            to: The targets of the routes; None for all.
+            of: The sources of the routes; None for all.
+        """
         return self.relays.between(kinds, to, of)
 
     def partition(self, names: Collection[str]) -> None:
-        """Cut a set of gateways from control processes and the other gateways, both ways."""
+        """Separate some gateways from the control processes and the other gateways."""
         self.records.note(f"cut: {', '.join(names)} from the rest")
         self.relays.partition(names)
 
     def heal(self) -> None:
-        """End all faults of relays."""
+        """End all faults of all relays."""
         self.records.note("all relays healed")
         self.relays.heal()
 
     def verdict(self) -> invariants.Verdict:
-        """Return what the invariants say of the run, generations of settings included."""
+        """Return the verdict of the invariant checker, also on the generations of the settings."""
         for control in self.controls.values():
             if control.process is not None and control.process.is_running:
                 for generation in control.ask("history").get("history", ()):
@@ -299,11 +316,11 @@
         return verdict
 
     def timeline(self, maximum: int = 60) -> str:
-        """Return what happened last, a line each."""
+        """Return the latest events of the run, one per line."""
         return "\n".join(f"{at:8.3f} {text}" for at, text in self.records.timeline[-maximum:])
 
     def on_event(self, name: str, event: LogEvent) -> None:
-        """Take what a process has logged."""
+        """Handle an event that a process has logged."""
         kind = event["event"]
         if kind in TIMELINE_EVENTS:
             shown = {key: value for key, value in event.items() if key not in HIDDEN_FIELDS}
@@ -312,14 +329,14 @@
             self.crashes.append(Crash(name, "fault", event.get("trace", event.get("error"))))
 
     def on_crash(self, process: Process) -> None:
-        """Take note that a process ended in an unexpected way."""
+        """Record that a process ended unexpectedly."""
         code = process.popen.returncode
         text = process.stderr_tail()
         self.crashes.append(Crash(process.name, code, text))
         self.records.note(f"{process.name} crashed: exit code {code}: {text[-MAXIMUM_STDERR:]}")
 
     def close(self) -> None:
-        """End all processes by their ids, and remove all files."""
+        """End all processes of the fleet, close the test doubles, and remove all files."""
         for gateway in self.gateways:
             gateway.close()
         for control in self.controls.values():
@@ -341,7 +358,7 @@
             self.records.checker.terms.groups[host.name] = 1, "z"
 
     def _follow_host(self, name: str) -> None:
-        """Let the relays to a host refuse connections until it listens again."""
+        """Make the relays to a host refuse connections while the host does not listen."""
         for relay in self.between(RouteKind.HOST, to=[name]):
             relay.follow_target()
 
@@ -352,7 +369,7 @@
         return all(gateway.ready for gateway in self.gateways) and self.relays.are_listening()
 
     def _address(self, route: Route) -> Address:
-        """Return where a route begins: at its relay, or at its target."""
+        """Return the address of a route's relay, or of its target if it has no relay."""
         if not self.relays.has_relay(route):
             return self._target(route)
         relay = self.relays.by_route.get(route)
@@ -365,7 +382,7 @@
         return relay.address
 
     def _target(self, route: Route) -> Address:
-        """Return where a route ends."""
+        """Return the address of a route's target."""
         if route.kind is RouteKind.COUNTER:
             return self.counter.address
         if route.kind is RouteKind.DISCOVERY:
@@ -381,14 +398,14 @@
         return next(host for host in self.hosts if host.name == name)
 
     def _row_seen_by(self, gateway: str, row: EndpointRow) -> EndpointRow:
-        """Return a host of the list with the address at which a gateway is to reach it."""
+        """Return a row of the endpoint list with the address that a gateway has to use."""
         route = Route(RouteKind.HOST, gateway, row["name"])
         return {**row, "address": self.reach(route)} if self.relays.has_relay(route) else row
 
     def _on_exception(self, error: Exception) -> None:
-        """Keep an exception of this process: it is a fault of the testbed."""
+        """Record an exception of this process as a fault of the testbed."""
         self.faults.append("".join(traceback.format_exception(error)[-3:]))
 
 
 def _ignore() -> None:
-    """Do nothing when a host crashes or starts."""
+    """Ignore that a host crashes or starts."""
--- a/petrellane/testbed/fleet_control.py
+++ b/petrellane/testbed/fleet_control.py
@@ -1,4 +1,4 @@
-"""A control process of a fleet: its files, its process, and calls to it as staff makes them."""
+"""A control process of a fleet: its files, its operating system process, and calls to it."""
 
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
@@ -15,23 +15,23 @@
 CALL_TIMEOUT_S = 3.0
 ANSWER_PATIENCE_S = 6.0
 
-Roster = dict[str, str | list[str]]  # gateway names to addresses of their management
+Roster = dict[str, str | list[str]]  # management addresses by gateway name
 
 
 class FleetControl:
     """A control process, owned by its fleet.
 
     Attributes:
-        name: Its name.
-        port: Where staff reaches it.
-        folder: Its own folder.
-        file: Its configuration file.
-        journal: Its journal.
-        events: What its processes have logged.
-        process: Its process; None before the first start.
-        roster: The gateways that it knows; None for all of the fleet.
-        environ: Variables of its next process.
-        build: The build that its next process runs.
+        name: The name of the control process.
+        port: The port on which it serves calls.
+        folder: The path of its directory.
+        file: The path of its configuration file.
+        journal: The path of its journal.
+        events: The events that its processes have logged.
+        process: The current or last process; None before the first start.
+        roster: The gateways in its configuration; None for all gateways of the fleet.
+        environ: The environment variables of the next process.
+        build: The build that the next process runs.
     """
 
     def __init__(
@@ -40,12 +40,13 @@
         name: str,
         journal: str | None = None,
     ) -> None:
-        """Take a port and make the folder; nothing is started.
+        """Take a port and create the directory, without starting a process.
 
         Args:
-            fleet: The fleet that it is of.
-            name: Its name.
-            journal: The journal of another control process, to go on with; None for its own.
+            fleet: The fleet that owns the control process.
+            name: The name of the control process.
+            journal: The path of another control process's journal to continue; None for a journal
+                in the directory of this control process.
         """
         self.name = name
         self.port = fleet.addresses.next_port()
@@ -61,9 +62,9 @@
         self._fleet = fleet
 
     def start(self) -> None:
-        """Write its file, and start its process."""
+        """Write the configuration file, and start a process."""
         if self.process is not None:
-            self.process.read_output()  # its end may not have been reported yet
+            self.process.read_output()  # the fleet may not have handled its exit yet
             self.process.close()
         self._write_config()
         self._fleet.records.note(f"{self.name} starts")
@@ -78,10 +79,10 @@
         self.process = Process(self._fleet.scheduler, spec, self._on_event, self._on_ended)
 
     def kill(self) -> None:
-        """Kill it outright.
+        """Kill the process with SIGKILL.
 
         Raises:
-            RuntimeError: It was never started.
+            RuntimeError: No process was started.
         """
         if self.process is None:
             raise RuntimeError(f"expected a process of {self.name}, found none")
@@ -90,14 +91,21 @@
         self.process.popen.wait()
 
     def is_leading(self) -> bool:
-        """Return whether one of its processes has led."""
+        """Return whether a process of this control process has become the leader."""
         return any(event["event"] == "leading" for event in self.events)
 
     def ask(self, command: str, **arguments: object) -> dict[str, Any]:
-        """Call it as staff does, and run the fleet until the answer.
+        """Make the same call as an operator, and run the fleet until the answer arrives.
+
+        Args:
+            command: The command.
+            **arguments: Further fields of the message.
 
         Returns:
-            The answer; {"none": why} where there is none.
+            The answer; {"none": reason} if the call failed.
+
+        Raises:
+            AssertionError: The call does not end in time.
         """
         client = rpc_client.RpcClient(self._fleet.scheduler, LIMITS, self._fleet.key)
         message = {"do": command, "to": "control", **arguments}
@@ -118,14 +126,18 @@
         return answers[0]
 
     def ended_change(self, number: int) -> dict[str, Any] | None:
-        """Return a change that has ended and is known to all that serve; None before."""
+        """Return a change that is complete; None before.
+
+        A committed change is complete once all serving gateways know it; an aborted or superseded
+        change is complete immediately.
+        """
         change = self.ask("change", number=number)
         outcome = change.get("outcome")
         is_known = outcome == "committed" and not change["owed"]
         return change if outcome in ("aborted", "superseded") or is_known else None
 
     def close(self) -> None:
-        """End its process."""
+        """End the process."""
         if self.process is not None:
             self.process.close()
 
--- a/petrellane/testbed/fleet_gateway.py
+++ b/petrellane/testbed/fleet_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway of a fleet: its addresses, its configuration file, its process."""
+"""One gateway of a fleet: its addresses, its configuration file and its process."""
 
 import signal
 import socket
@@ -20,28 +20,28 @@
 
 
 class FleetGateway:
-    """One gateway, owned by its fleet; its process may be killed, started and succeeded.
+    """One gateway, owned by its fleet; its process can be killed, restarted and hot-restarted.
 
     Attributes:
-        name: "g" and its number.
-        number: Its place in the fleet, from 0.
-        fleet: The fleet that it is of.
-        port: Where clients reach it.
-        management_port: Where staff and other parties reach it.
-        folder: Its own folder, with its state.
-        file: Its configuration file.
-        events: What its processes have logged.
-        process: Its process; None before the first start.
-        former_processes: Processes that were succeeded.
-        ready: Whether its process serves.
-        skew_s: Seconds by which the clock of its next process is off.
-        build: The build that its next process runs.
-        environ: Variables of its next process.
-        listener: The clients' listening socket, where the fleet holds it.
+        name: The name of the gateway: "g" and the number.
+        number: The index of the gateway in the fleet, from 0.
+        fleet: The fleet that owns the gateway.
+        port: The port on which it serves clients.
+        management_port: The port on which it serves operators, control processes and gateways.
+        folder: The path of its directory, which also holds its durable state.
+        file: The path of its configuration file.
+        events: The events that its processes have logged.
+        process: The current or last process; None before the first start.
+        former_processes: The predecessors that hot restarts have replaced.
+        ready: Whether the process serves clients.
+        skew_s: The clock skew of the next process, in seconds.
+        build: The build that the next process runs.
+        environ: The environment variables of the next process.
+        listener: The listening socket for clients if the fleet holds it; else None.
     """
 
     def __init__(self, fleet: "LoopbackFleet", number: int) -> None:
-        """Take ports and make the folder; nothing is started."""
+        """Take ports and create the directory, without starting a process."""
         self.name = f"g{number}"
         self.number = number
         self.fleet = fleet
@@ -65,7 +65,7 @@
             self._successor_management_port = fleet.addresses.next_port()
 
     def config(self) -> dict[str, Any]:
-        """Return its configuration, as the file has it."""
+        """Return the content of the configuration file."""
         fleet = self.fleet
         config = {
             "name": self.name,
@@ -94,10 +94,13 @@
         return config
 
     def management_addresses(self, party: str) -> str | list[str]:
-        """Return where a party reaches its management.
+        """Return the addresses at which a party reaches the management API of this gateway.
+
+        Args:
+            party: The name of the control process or gateway that connects.
 
         Returns:
-            An address; two where one process may succeed another.
+            One address; with hot restarts a list of two, of which the second is the successor's.
         """
         address = self.fleet.reach(Route(RouteKind.AGENT, party, self.name))
         if self.listener is None:
@@ -105,21 +108,27 @@
         return [address, self._at(self._successor_management_port)]
 
     def write_config(self, config: dict[str, Any] | None = None) -> None:
-        """Replace its file; None for the configuration of `config`."""
+        """Replace the configuration file.
+
+        Args:
+            config: The new content; None for the result of `config`.
+        """
         new_file = Path(self.file + ".new")
         new_file.write_bytes(orjson.dumps(config or self.config()))
         new_file.rename(self.file)
 
     def start(self) -> None:
-        """Start its process.
+        """Start a process.
 
         Raises:
-            RuntimeError: It runs already.
+            RuntimeError: The previous process is still running.
         """
         if self.process is not None:
             if self.process.is_running:
-                raise RuntimeError(f"expected that {self.name} has ended, found it running")
-            self.process.read_output()  # its end may not have been reported yet
+                raise RuntimeError(
+                    f"cannot start {self.name}: its previous process is still running"
+                )
+            self.process.read_output()  # the fleet may not have handled its exit yet
             self.process.close()
         self.ready = False
         self.fleet.records.note(f"{self.name} starts")
@@ -127,7 +136,12 @@
         self.process = self._run({})
 
     def replace(self) -> None:
-        """Start a successor of the running process, which is ended afterwards."""
+        """Hot-restart the gateway: start a successor, then send SIGTERM to its predecessor.
+
+        Raises:
+            AssertionError: The successor does not start in time.
+            RuntimeError: No process was started.
+        """
         old = self.running_process()
         self.fleet.records.note(f"{self.name} is replaced")
         event_count = len(self.events)
@@ -136,13 +150,17 @@
         self.former_processes.append(old)
         self.fleet.run_until(
             lambda: any(event["event"] == "started" for event in self.events[event_count:]),
-            f"{self.name} follows itself",
+            f"the successor of {self.name} started",
         )
         old.expected = True
         old.signal(signal.SIGTERM)
 
     def kill(self) -> None:
-        """Kill it outright: nobody answers what it had received."""
+        """Kill the process with SIGKILL: the RPCs that it has received get no answer.
+
+        Raises:
+            RuntimeError: No process was started.
+        """
         process = self.running_process()
         self.fleet.records.note(f"{self.name} is killed")
         self.ready = False
@@ -152,33 +170,33 @@
         self._forget()
 
     def pause(self) -> None:
-        """Stop its process until `resume`."""
-        self.fleet.records.note(f"{self.name} is stopped")
+        """Suspend the process until `resume`."""
+        self.fleet.records.note(f"{self.name} is paused")
         self.running_process().pause()
         self._record("paused")
 
     def resume(self) -> None:
-        """Let its process go on."""
-        self.fleet.records.note(f"{self.name} goes on")
+        """Resume the suspended process."""
+        self.fleet.records.note(f"{self.name} is resumed")
         self.running_process().resume()
         self._record("resumed")
 
     def last_event(self, name: str) -> LogEvent | None:
-        """Return the last event of this name; None before the first."""
+        """Return the latest logged event with a name; None if there is none."""
         return next((event for event in reversed(self.events) if event["event"] == name), None)
 
     def running_process(self) -> Process:
-        """Return its process.
+        """Return the current or last process.
 
         Raises:
-            RuntimeError: It was never started.
+            RuntimeError: No process was started.
         """
         if self.process is None:
             raise RuntimeError(f"expected a process of {self.name}, found none")
         return self.process
 
     def close(self) -> None:
-        """End its processes, and close its listening socket."""
+        """End all processes, and close the listening socket that the fleet holds."""
         for process in (self.process, *self.former_processes):
             if process is not None:
                 process.close()
@@ -189,7 +207,7 @@
         return format_address((self.fleet.addresses.ip, port))
 
     def _relays(self) -> list[Relay]:
-        """Return the relays that lead to it."""
+        """Return the relays in front of the gateway."""
         return self.fleet.between(RouteKind.CLIENT, RouteKind.AGENT, to=[self.name])
 
     def _follow_target(self) -> None:
@@ -228,7 +246,7 @@
             self.fleet.on_crash(process)
 
     def _forget(self) -> None:
-        """Take note that its process has ended without answering what it had received."""
+        """Record that the process has ended without answering the RPCs that it had received."""
         self.fleet.discovery.forget(self.name)
         self.fleet.records.on_gateway_killed(self.name)
 
--- a/petrellane/testbed/fleet_hosts.py
+++ b/petrellane/testbed/fleet_hosts.py
@@ -1,4 +1,4 @@
-"""Makes the hosts of a fleet."""
+"""Creates the test doubles of a fleet's hosts."""
 
 from petrellane.net.scheduler import Scheduler
 from petrellane.testbed.addresses import AddressPool
@@ -14,7 +14,10 @@
     spec: FleetSpec,
     settings: Settings,
 ) -> list[FakeHost]:
-    """Return the hosts of a fleet, which listen and have idempotency keys in common."""
+    """Return the hosts of a fleet, which already listen.
+
+    The hosts share the idempotency keys that have been executed.
+    """
     mean_work_s = {method.name: spec.work for method in spec.methods}
     slow_start = settings["obligations"]
     executed_keys: dict[str | None, None] = {}
--- a/petrellane/testbed/fleet_relays.py
+++ b/petrellane/testbed/fleet_relays.py
@@ -1,6 +1,6 @@
-"""The relays of a fleet: which party reaches which other through one, and faults between sets.
+"""The relays of a fleet, which inject faults on the routes between its parties.
 
-A route without a relay leads straight to its target.
+On a route without a relay, the source connects directly to the target.
 """
 
 import enum
@@ -16,7 +16,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """Which service a route leads to."""
+    """The kind of a route, by the service at its target."""
 
     CLIENT = "client"  # clients to a gateway
     COUNTER = "counter"  # a gateway to the counter
@@ -25,7 +25,7 @@
     AGENT = "agent"  # a control process or gateway to a gateway's management
 
 
-RELAY_NAMES = {  # as a fleet's spec and run files name them
+RELAY_NAMES = {  # the names in `FleetSpec.relays` and in run files
     RouteKind.CLIENT: "clients",
     RouteKind.COUNTER: "counter",
     RouteKind.DISCOVERY: "discovery",
@@ -36,7 +36,14 @@
 
 
 class Route(NamedTuple):
-    """One party's way to another; both name the gateway where that is the only named party."""
+    """A connection path from one party to another.
+
+    Attributes:
+        kind: The kind of the route.
+        source: The name of the party that connects.
+        target: The name of the party that accepts. On a route with only one named party, `source`
+            and `target` both name that gateway.
+    """
 
     kind: RouteKind
     source: str
@@ -44,7 +51,7 @@
 
     @property
     def label(self) -> str:
-        """Names the route among those of a fleet, also for the draws of its relay."""
+        """The unique name of the route in its fleet, which also seeds the relay's random draws."""
         if self.kind in TWO_PARTIES:
             return f"{self.kind} {self.source} {self.target}"
         return f"{self.kind} {self.target}"
@@ -54,7 +61,7 @@
     """The relays of one fleet, which owns and closes them.
 
     Attributes:
-        by_route: Each relay by its route, in the order in which they were made.
+        by_route: The relays by route, in order of creation.
     """
 
     def __init__(
@@ -65,14 +72,14 @@
         pool: AddressPool,
         is_gateway: Callable[[str], bool],
     ) -> None:
-        """Make no relay yet.
+        """Initialize the set without creating a relay.
 
         Args:
             scheduler: The scheduler of the run.
-            relayed: Which routes have relays, by the names of `FleetSpec.relays`.
-            seed: Of the relays' draws.
-            pool: Gives their addresses.
-            is_gateway: Tells whether a party's name is that of a gateway.
+            relayed: The kinds of routes that have relays, as in `FleetSpec.relays`.
+            seed: The seed of the relays' random draws.
+            pool: The pool that assigns the relays' addresses.
+            is_gateway: The function that returns whether a name is that of a gateway.
         """
         self.by_route: dict[Route, Relay] = {}
         self._scheduler = scheduler
@@ -82,14 +89,14 @@
         self._is_gateway = is_gateway
 
     def has_relay(self, route: Route) -> bool:
-        """Return whether a route leads through a relay of its own."""
+        """Return whether a route leads through a relay."""
         if RELAY_NAMES[route.kind] in self._relayed:
             return True
         is_of_control = route.kind is RouteKind.AGENT and not self._is_gateway(route.source)
         return is_of_control and RELAYED_AGENTS_OF_CONTROL in self._relayed
 
     def make(self, route: Route, target: Address) -> Relay:
-        """Make the relay of a route that leads to an address."""
+        """Create the relay of a route, with the address of the route's target."""
         relay = Relay(self._scheduler, target, self._seed, route.label, self._pool.next_address())
         self.by_route[route] = relay
         return relay
@@ -100,7 +107,13 @@
         targets: Collection[str] | None = None,
         sources: Collection[str] | None = None,
     ) -> list[Relay]:
-        """Return the relays of these kinds of route, to these targets, from these sources."""
+        """Return the relays of some kinds of route.
+
+        Args:
+            kinds: The kinds of route.
+            targets: The targets of the routes; None for all.
+            sources: The sources of the routes; None for all.
+        """
         return [
             relay
             for route, relay in self.by_route.items()
@@ -110,7 +123,7 @@
         ]
 
     def partition(self, names: Collection[str]) -> None:
-        """Cut a set of gateways from control processes and all other gateways, both ways."""
+        """Separate some gateways from the control processes and all other gateways."""
         for route, relay in self.by_route.items():
             if route.kind is RouteKind.AGENT and (route.source in names) != (route.target in names):
                 relay.fault("cut")
@@ -121,7 +134,7 @@
             relay.heal()
 
     def are_listening(self) -> bool:
-        """Return whether all relays accept connections."""
+        """Return whether all relays have a listening socket."""
         return all(relay.listener is not None for relay in self.by_route.values())
 
     def all(self) -> Iterable[Relay]:
--- a/petrellane/testbed/fleet_spec.py
+++ b/petrellane/testbed/fleet_spec.py
@@ -1,4 +1,4 @@
-"""What a fleet is made of, and the settings and rules that follow from it."""
+"""The description of a fleet, and the settings and invariant parameters derived from it."""
 
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass, field
@@ -7,19 +7,21 @@
 from petrellane import invariants
 from petrellane.testbed.clients import Customer, Method
 
-MICROSECONDS = 1_000_000  # of a second: the unit of the settings file
+MICROSECONDS = 1_000_000  # per second; durations in the settings file are in microseconds
 EFFECTS = {
     invariants.IDEMPOTENT: "pure",
     invariants.DEDUPLICATED: "token",
     invariants.NON_IDEMPOTENT: "side_effect",
 }
-ANSWER_SLACK_S = 0.15  # an answer may be read so much after its deadline
+ANSWER_SLACK_S = 0.15  # maximum delay after the deadline at which a client reads the answer
 DRAIN_GRACE_S = 1.5
-HARD_LIMIT_SLACK_S = 0.15  # of the limit's rate, as clocks of counter and clients differ
+# Units admitted in this time at the limit's rate are tolerated, as the clocks of the counter and
+# the clients differ.
+HARD_LIMIT_SLACK_S = 0.15
 DEFAULT_CUSTOMERS = 8
 DEFAULT_ATTEMPTS = 4
 
-Settings = dict[str, Any]  # as the settings file has them
+Settings = dict[str, Any]  # the content of the settings file
 
 LOOK = {
     "name": "look",
@@ -50,17 +52,17 @@
 
 @dataclass(frozen=True)
 class SettingsSpec:
-    """What the settings of a run say.
+    """The variable parts of a run's settings.
 
     Attributes:
-        gateways: How many gateways there are.
-        extra_methods: Names of idempotent methods beside look, lodge and post.
-        without: Names of methods that are left out.
-        attempts: Attempts of an RPC at most.
-        quota: Units a second of the plan `sold`.
-        hard_limit: Its hard limit in units a second; 0 for none.
-        slow_start_s: Seconds that a host takes to warm up.
-        slow_start_minimum: The share of load that it gets when it starts.
+        gateways: The number of gateways.
+        extra_methods: The names of idempotent methods in addition to look, lodge and post.
+        without: The names of methods to omit.
+        attempts: The maximum number of attempts per RPC.
+        quota: The quota of the plan `sold`, in units per second.
+        hard_limit: The hard limit of the plan `sold`, in units per second; 0 for none.
+        slow_start_s: The time that a host takes to warm up, in seconds.
+        slow_start_minimum: The share of its full load that a host gets when it starts.
     """
 
     gateways: int
@@ -74,7 +76,7 @@
 
 
 def build_settings(spec: SettingsSpec) -> Settings:
-    """Return settings with up to three methods and more, and the plans `free` and `sold`."""
+    """Return settings with the methods of a spec and the plans `free` and `sold`."""
     methods = [dict(row) for row in (LOOK, LODGE, POST)]
     methods += [
         {
@@ -127,26 +129,26 @@
 
 @dataclass
 class FleetSpec:
-    """What a fleet is made of.
+    """The description of a fleet.
 
     Attributes:
-        gateways: How many gateways.
-        hosts: How many hosts.
-        seed: Of all draws.
+        gateways: The number of gateways.
+        hosts: The number of hosts.
+        seed: The seed of all random draws.
         agreement: Whether settings change through a control process.
-        relays: Between which kinds of party faults can be injected, of "clients", "counter",
-            "discovery", "hosts" (one for each gateway and host), "agents" (control processes and
-            gateways to gateways), "agents-of-control" (control processes alone).
-        settings: Of the gateways; None for those of `build_settings`.
-        work: Mean seconds of work of an RPC.
-        slots: RPCs that a host runs at a time.
-        queue: RPCs that wait there at most.
-        rate: RPCs a second.
-        methods: What clients ask.
-        customers: Who asks; None for eight of the plan `free`, each through all gateways.
-        proves: By method, the one generation of the settings that has it.
-        follow: Whether the fleet holds the gateways' listening sockets, so that one process of a
-            gateway can succeed another.
+        relays: The kinds of routes that have relays, on which faults can be injected: "clients",
+            "counter", "discovery", "hosts" (a relay for each pair of gateway and host), "agents"
+            (control processes and gateways to gateways), "agents-of-control" (control processes
+            to gateways).
+        settings: The settings of the gateways; None for those of `build_settings`.
+        work: The mean work of an RPC, in seconds.
+        slots: The maximum number of RPCs that a host runs concurrently.
+        queue: The maximum number of RPCs that wait at a host.
+        rate: The load, in RPCs per second.
+        methods: The methods that clients call.
+        customers: The customers; None for eight of the plan `free`, each through all gateways.
+        proves: The generation of the settings, by each method that only this generation has.
+        follow: Whether the fleet holds the gateways' listening sockets, which hot restarts need.
     """
 
     gateways: int = 3
@@ -165,7 +167,7 @@
     follow: bool = False
 
     def customers_or_default(self) -> list[Customer]:
-        """Return who asks."""
+        """Return the customers of the load."""
         return self.customers or [
             Customer(
                 number + 1,
@@ -178,7 +180,7 @@
 
 
 def build_terms(spec: FleetSpec, settings: Settings) -> invariants.Terms:
-    """Return the figures of the invariants for a fleet with these settings."""
+    """Return the parameters of the invariants for a fleet with these settings."""
     effects = {word: effect for effect, word in EFFECTS.items()}
     methods = {method.name: invariants.MethodRule(method.effect) for method in spec.methods}
     for row in settings["classes"]:
--- a/petrellane/testbed/hollow/gateway.py
+++ b/petrellane/testbed/hollow/gateway.py
@@ -1,4 +1,4 @@
-"""One hollow gateway: a `GatewayProcess` whose clients, hosts and list are simulated in part."""
+"""One hollow gateway: a `GatewayProcess` with simulated clients and hosts."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
     from petrellane.gateway.runtime import Address
     from petrellane.net.log import Logger
 
-KNOWN_HOSTS = 52  # that a module knows: one service's fraction of 250 among 13,000
+KNOWN_HOSTS = 52  # hosts that a decision module knows: 1/250 of 13,000
 MEAN_ATTEMPT_S = 0.02
 RESPONSE = b"x"
 
 
 class GatewayGroup(Protocol):
-    """What a hollow gateway needs of the group that it is in."""
+    """The interface of the group, as its hollow gateways use it."""
 
     scheduler: Scheduler
     limits: Limits
@@ -44,14 +44,19 @@
     host_count: int
 
     def entries_by_number(self, endpoint_list: EndpointListUpdate) -> Mapping[int, EndpointEntry]:
-        """Return the entries of a list by the numbers of their hosts."""
+        """Return the entries of an endpoint list by host number."""
 
     def on_list_applied(self, previous_index: int | None, index: int) -> None:
-        """Note that a gateway has the list of an index, after that of another."""
+        """Record that a gateway has applied an endpoint list.
+
+        Args:
+            previous_index: The index of the list that it had before; None if it had none.
+            index: The index of the new list.
+        """
 
 
 class SimulatedAttempt:
-    """An attempt that uses no connection, in the form in which the executor gets its end."""
+    """An attempt without a connection; replaces `PendingAttempt` in the executor's callback."""
 
     __slots__ = ("attempt",)
 
@@ -60,18 +65,18 @@
 
 
 class SimulatedEndpointPools:
-    """Stands in for `EndpointPools`: every attempt ends ok, after a random time.
+    """Replaces `EndpointPools`: each attempt succeeds after a random time, or times out first.
 
-    Made by each hollow gateway for its life. Owns the timers of attempts; the figures that the
-    gateway's log and its hot restart read are there, and stay zero.
+    Each hollow gateway owns one, which owns the timers of the attempts. The counters that the
+    gateway's log and its hot restart read exist and stay zero.
     """
 
     def __init__(self, executor: ActionExecutor, rng: random.Random) -> None:
-        """Begin without an attempt.
+        """Initialize the pools without attempts in flight.
 
         Args:
-            executor: Gets the ends of attempts.
-            rng: Of the times that attempts take.
+            executor: The executor that is notified when attempts end.
+            rng: The random number generator for the durations of attempts.
         """
         self.scheduler = executor.scheduler
         self.limits = executor.limits
@@ -83,22 +88,22 @@
         self.timers: dict[SendAttempt, Timer] = {}
 
     def on_endpoint_changed(self, endpoint: Endpoint, address: Address | None) -> None:
-        """Do nothing: no connection is made."""
+        """Do nothing, as there are no connections."""
 
     def on_endpoint_removed(self, endpoint: Endpoint) -> None:
-        """Do nothing: there is no connection."""
+        """Do nothing, as there are no connections."""
 
     def send(
         self,
         request: ClientRequest,  # noqa: ARG002 - part of the interface
         attempt: SendAttempt,
     ) -> None:
-        """Begin an attempt; it ends at its timeout at the latest."""
+        """Start an attempt that ends after a random time, at most after its timeout."""
         duration = min(self.random.expovariate(1 / MEAN_ATTEMPT_S), attempt.timeout)
         self.timers[attempt] = self.scheduler.call_later(duration, partial(self._end, attempt, OK))
 
     def _end(self, attempt: SendAttempt, outcome: Outcome) -> None:
-        """End an attempt that is still in flight."""
+        """End an attempt if it is still in flight."""
         timer = self.timers.pop(attempt, None)
         if timer:
             timer.cancel()
@@ -106,31 +111,32 @@
             self.on_attempt_ended(pending, outcome, RESPONSE, b"")
 
     def cancel(self, attempt: SendAttempt) -> None:
-        """End an attempt as cancelled, in the next turn."""
+        """End an attempt as cancelled, in the next scheduler turn."""
         self.scheduler.call_soon(self._end, attempt, CANCELLED)
 
     def on_client_disconnected(
         self, attempts: Iterable[SendAttempt], may_cancel: bool = True
     ) -> None:
-        """Do nothing: no client leaves."""
+        """Do nothing, as simulated clients do not disconnect."""
 
     def expire(self, attempts: Iterable[SendAttempt]) -> None:
-        """End the time of some attempts now."""
+        """End some attempts as timed out."""
         for attempt in attempts:
             self._end(attempt, LATE)
 
 
 class SharedEndpointWatch(EndpointWatch):
-    """The watch of the endpoint list, which reads a complete list once for the whole process.
+    """A watch of the endpoint list that parses each complete list once per process.
 
-    Each gateway would spend a tenth of a second on 13,000 hosts, one after the other on one core.
-    The last complete list that any gateway of the process got is cached.
+    Parsing 13,000 hosts takes a tenth of a second, which all gateways of the process would spend
+    one after the other on the same core. The class caches the complete list that was parsed last.
+    Each hollow gateway owns a watch.
     """
 
     complete_lists: ClassVar[dict[bytes, EndpointListUpdate]] = {}
 
     def decode(self, body: bytes) -> EndpointListUpdate:
-        """Return the list of an answer's body."""
+        """Return the endpoint list in the body of an answer."""
         body = bytes(body)
         endpoint_list = self.complete_lists.get(body)
         if endpoint_list is None:
@@ -142,19 +148,19 @@
 
 
 class HollowGateway(GatewayProcess):
-    """One hollow gateway, which reports each list to its group; lives as long as the group."""
+    """One hollow gateway, owned by its group, to which it reports each applied endpoint list."""
 
     def __init__(
         self, group: GatewayGroup, config: Config, number: int, *, is_at_rest: bool
     ) -> None:
-        """Make a gateway that has not started.
+        """Create a gateway without starting it.
 
         Args:
-            group: The group that it is in.
-            config: Its configuration.
-            number: Its number in the run.
-            is_at_rest: Whether it has the list and the settings of a fleet at rest; else it asks
-                for both, as after a start.
+            group: The group that owns the gateway.
+            config: The configuration of the gateway.
+            number: The number of the gateway in the run.
+            is_at_rest: Whether the gateway starts with the endpoint list and the settings of a
+                fleet at rest; otherwise it requests both, as after a restart.
         """
         super().__init__(config, limits=group.limits, scheduler=group.scheduler)
         self.group = group
@@ -169,7 +175,7 @@
         self.executor.counts = group.tally
 
     def start(self) -> None:
-        """Start as any gateway does, but listen for no clients."""
+        """Start the gateway without a listener for clients."""
         self.executor.start(self.known_part(self.first_list))
         self.start_background_work()
         self.begin_serving()
@@ -180,13 +186,17 @@
             self.participant.notify_if_ready()
 
     def make_watch(self, index: int | None) -> EndpointWatch:
-        """Return a watch of the endpoint list from a version on; None: from a complete list on."""
+        """Return a watch of the endpoint list.
+
+        Args:
+            index: The index of the list that the gateway has; None to request a complete list.
+        """
         return SharedEndpointWatch(
             self.runtime, self.config.discovery, index, self, self.executor.controller.random
         )
 
     def known_part(self, endpoint_list: EndpointListUpdate) -> EndpointListUpdate:
-        """Return what of a list its module knows: consecutive hosts, by their numbers."""
+        """Return the part of an endpoint list for the decision module: consecutive host numbers."""
         if not self.group.has_module:
             return replace(endpoint_list, entries=[])
         first = self.number * KNOWN_HOSTS
@@ -210,20 +220,23 @@
         self.group.on_list_applied(previous_index, endpoint_list.index)
 
     def log_figures(self) -> None:
-        """Do nothing: the meter's lines have the figures of the whole process."""
+        """Do nothing, as the meter logs the figures of the whole process."""
 
 
 class QuietLog:
-    """A log without the line of each change of the list, whose times the group reports."""
+    """A log without the event `hosts`, as the group reports the times of endpoint list changes.
+
+    Each hollow gateway owns one, which wraps its logger.
+    """
 
     def __init__(self, log: Logger) -> None:
         self.log = log
 
     def event(self, event: str, **figures: object) -> None:
-        """Log an event with its figures."""
+        """Log an event with its fields, unless it is `hosts`."""
         if event != "hosts":
             self.log.event(event, **figures)
 
     def fault(self, error: BaseException) -> None:
-        """Log an exception that nothing else caught."""
+        """Log an uncaught exception."""
         self.log.fault(error)
--- a/petrellane/testbed/hollow/group.py
+++ b/petrellane/testbed/hollow/group.py
@@ -1,4 +1,4 @@
-"""All hollow gateways of one process: made, started, cut off, and reported for."""
+"""The hollow gateways of one process: creates and starts them, cuts them off, and reports."""
 
 from __future__ import annotations
 
@@ -22,30 +22,30 @@
 if TYPE_CHECKING:
     from petrellane.config.endpoints import EndpointEntry
 
-START_INTERVAL_S = 0.005  # between starts: they are not to stand still meanwhile
+START_INTERVAL_S = 0.005  # between starts, so that gateways which run already are not stalled
 FLUSH_INTERVAL_S = 0.05
-REPORT_INTERVAL_S = 0.5  # between lines on which gateways have which lists since
-MAX_CHANGES_PER_LIST = 2000  # that one list may bring of which each is reported
-MAX_TIMES_PER_LINE = 300  # so that a line of the log is written in one piece
-SEED_STEP = 10_000  # between the seeds of runs, beyond any gateway's number
+REPORT_INTERVAL_S = 0.5  # between reports of the times at which gateways applied lists
+MAX_CHANGES_PER_LIST = 2000  # latest changes of one list that are reported individually
+MAX_TIMES_PER_LINE = 300  # keeps a log line short enough for a single write
+SEED_STEP = 10_000  # more than any gateway number, so that the seeds of two runs differ
 TIME_DIGITS = 4
 
 
 class HollowGroup:
-    """The hollow gateways of one process; lives as long as the process.
+    """The hollow gateways of one process, which lives as long as the process.
 
     Attributes:
-        gateways: The gateways, in order of their numbers.
-        tally: What all of them count.
-        answers: Requests that were answered.
+        gateways: The gateways, in the order of `HollowParameters.numbers`.
+        tally: The counters that the executors of all gateways share.
+        answers: The number of answered requests.
     """
 
     def __init__(self, parameters: HollowParameters, scheduler: Scheduler, log: Logger) -> None:
-        """Make all gateways; none is started.
+        """Create all gateways without starting them.
 
         Args:
-            parameters: What the testbed has written for this process.
-            scheduler: Runs all gateways.
+            parameters: The parameters that the testbed has written for this process.
+            scheduler: The scheduler of all gateways.
             log: The log of the process.
         """
         self.parameters = parameters
@@ -57,8 +57,10 @@
         self.tally: Counter[str] = Counter()
         self.answers = 0
         self.is_counting = False
-        self.arrivals: dict[int, list[float]] = {}  # times at which gateways had a list, by index
-        self.first_arrivals: list[float] = []  # those of gateways that had none before
+        self.arrivals: dict[
+            int, list[float]
+        ] = {}  # times at which gateways applied a change, by index
+        self.first_arrivals: list[float] = []  # times of the first lists of gateways
         self.last_list: EndpointListUpdate | None = None
         self.last_entries: dict[int, EndpointEntry] = {}
         base = parse_config(orjson.loads(Path(parameters.config_path).read_bytes()))
@@ -83,46 +85,46 @@
         return HollowGateway(self, config, number, is_at_rest=self.parameters.is_at_rest)
 
     def start(self) -> None:
-        """Start all gateways, one after the other."""
+        """Start all gateways one after the other, and begin to report."""
         for index, gateway in enumerate(self.gateways):
             self.scheduler.call_later(index * START_INTERVAL_S, gateway.start)
         self._flush_logs()
         self._report_arrivals()
 
     def _flush_logs(self) -> None:
-        """Write lines of logs that a full pipe has held back."""
+        """Write buffered log lines that a full pipe has delayed."""
         self.scheduler.call_later(FLUSH_INTERVAL_S, self._flush_logs)
         self.log.flush()
         for gateway in self.gateways:
             gateway.log.flush()
 
-    # What the testbed asks for.
+    # Commands of the testbed.
 
     def begin(self) -> None:
-        """Begin the steady phase: changes of the list are counted, and requests come."""
+        """Begin the steady phase: record changes of the endpoint list, and start the load."""
         self.is_counting = True
         self.load.begin()
 
     def end_load(self) -> None:
-        """Send no more requests."""
+        """Stop the load."""
         self.load.end()
 
     def cut_off(self) -> None:
-        """Leave connections to the management listeners of some gateways unaccepted."""
+        """Stop accepting connections at the management listeners of the unreachable gateways."""
         for gateway in self.unreachable_gateways:
             gateway.management.pause_accepting()
 
     def reconnect(self) -> None:
-        """Accept these connections again."""
+        """Accept connections at these management listeners again."""
         for gateway in self.unreachable_gateways:
             gateway.management.resume_accepting()
 
-    # What gateways and their requests call.
+    # Callbacks of gateways and their requests.
 
     def entries_by_number(self, endpoint_list: EndpointListUpdate) -> Mapping[int, EndpointEntry]:
-        """Return a list's entries by the numbers of their hosts.
+        """Return the entries of an endpoint list by host number.
 
-        They are found once for all gateways that have the same list.
+        The result for the last list is cached, as many gateways apply the same list.
         """
         if self.last_list is not endpoint_list:
             self.last_list = endpoint_list
@@ -130,19 +132,19 @@
         return self.last_entries
 
     def on_reply_ready(self) -> None:
-        """Count an answer."""
+        """Count an answered request."""
         self.answers += 1
 
     def is_client_disconnected(self) -> bool:
-        """Return False: no client leaves."""
+        """Return False, as simulated clients do not disconnect."""
         return False
 
     def on_list_applied(self, previous_index: int | None, index: int) -> None:
-        """Note that a gateway has the list of an index now.
+        """Record that a gateway has applied an endpoint list.
 
         Args:
-            previous_index: The index of the list that it had; None where it had none.
-            index: The index of the list that it has.
+            previous_index: The index of the list that it had before; None if it had none.
+            index: The index of the new list.
         """
         now = round(self.scheduler.now(), TIME_DIGITS)
         if previous_index is None:
@@ -155,7 +157,7 @@
     # Reports.
 
     def _report_arrivals(self) -> None:
-        """Log which gateways had which lists since the last time."""
+        """Log the times at which gateways applied lists since the last report."""
         self.scheduler.call_later(REPORT_INTERVAL_S, self._report_arrivals)
         arrivals = self.arrivals
         self.arrivals = {}
@@ -166,7 +168,7 @@
         self._log_times("listed", first_arrivals)
 
     def _log_times(self, event: str, times: list[float], **figures: object) -> None:
-        """Log times of many gateways, in lines of a bounded length."""
+        """Log the times of many gateways, in several lines of bounded length."""
         for start in range(0, len(times), MAX_TIMES_PER_LINE):
             line_times = times[start : start + MAX_TIMES_PER_LINE]
             self.log.event(
@@ -177,7 +179,7 @@
             )
 
     def figures(self) -> dict[str, Any]:
-        """Return sums since the start, and the longest turn since the last call."""
+        """Return totals since the start, and the longest scheduler turn since the last call."""
         longest_turn = self.scheduler.longest_turn
         self.scheduler.longest_turn = 0.0
         return {
--- a/petrellane/testbed/hollow/load.py
+++ b/petrellane/testbed/hollow/load.py
@@ -1,4 +1,4 @@
-"""Requests at a steady rate over the hollow gateways of one process, in an open loop."""
+"""The open-loop load generator of one process of hollow gateways."""
 
 from __future__ import annotations
 
@@ -12,27 +12,28 @@
 from petrellane.testbed.hollow.gateway import HollowGateway
 from petrellane.testbed.hollow.parameters import LoadMethod, LoadParameters
 
-WIDE_CUSTOMER_INTERVAL = 10  # one of so many customers comes to all gateways
-GATEWAYS_PER_CUSTOMER = 3  # that the other customers come to
-FIRST_GATEWAY_STEP = 7919  # a prime, so that neighbours come to other gateways
+WIDE_CUSTOMER_INTERVAL = 10  # every tenth customer sends requests to all gateways
+GATEWAYS_PER_CUSTOMER = 3  # of each other customer
+FIRST_GATEWAY_STEP = 7919  # a prime, so that consecutive customers use different gateways
 MAX_REQUESTS_PER_TURN = 64
 QUERY_COMMAND = b"SVC.QUERY"
 SUBMIT_COMMAND = b"SVC.SUBMIT"
 
 
 class LoadTarget(RequestOwner, Protocol):
-    """What the load needs of the group whose gateways get it."""
+    """The interface of the group whose gateways get the load."""
 
     scheduler: Scheduler
     gateways: list[HollowGateway]
 
 
 class HollowLoad:
-    """The load of one process; owned by its group.
+    """The load of one process, owned by its group.
 
     Attributes:
-        sent: Requests so far.
-        narrow: The customers that come to some gateways alone, by the gateway's number.
+        sent: The number of requests sent so far.
+        wide: The customers that send requests to all gateways.
+        narrow: The customers that use only a few gateways, by gateway number.
     """
 
     def __init__(
@@ -41,9 +42,9 @@
         """Assign customers to gateways; no request is sent before `begin`.
 
         Args:
-            target: Whose gateways get the requests.
-            parameters: Rate, seed, customers and methods.
-            numbers: The numbers of the process's gateways.
+            target: The group whose gateways get the requests.
+            parameters: The rate, the seed, the customers and the methods.
+            numbers: The numbers of the gateways in this process.
         """
         self.target = target
         self.rate = parameters.rate
@@ -61,29 +62,32 @@
                 self._assign(customer)
 
     def _assign(self, customer: int) -> None:
-        """Assign a customer to its gateways, as far as they are in this process."""
+        """Assign a customer to those of its gateways that are in this process."""
         for step in range(min(GATEWAYS_PER_CUSTOMER, self.gateway_count)):
             number = (self.first_gateway(customer) + step) % self.gateway_count
             if number in self.narrow:
                 self.narrow[number].append(customer)
 
     def first_gateway(self, customer: int) -> int:
-        """Return the number of the first gateway that a customer comes to."""
+        """Return the number of the first gateway of a customer."""
         return customer * FIRST_GATEWAY_STEP % self.gateway_count
 
     def begin(self) -> None:
-        """Send requests from now on."""
+        """Start sending requests, if the rate is positive."""
         self.is_active = self.rate > 0
         if self.is_active:
             self.next_at = self.target.scheduler.now()
             self._send_due()
 
     def end(self) -> None:
-        """Send no more requests."""
+        """Stop sending requests."""
         self.is_active = False
 
     def _send_due(self) -> None:
-        """Send those that are due by now, each at its own time of the schedule."""
+        """Send the requests that are due, and schedule the next call.
+
+        A call sends a bounded number of requests; overdue ones follow in the next turn.
+        """
         now = self.target.scheduler.now()
         sent = 0
         while self.is_active and self.next_at <= now and sent < MAX_REQUESTS_PER_TURN:
@@ -95,7 +99,7 @@
             self.target.scheduler.call_later(delay, self._send_due)
 
     def _send(self) -> None:
-        """Send one request of a random customer to a random gateway."""
+        """Send a request of a random customer to a random gateway."""
         gateway = self.random.choice(self.target.gateways)
         narrow = self.narrow[gateway.number]
         is_wide = not narrow or self.random.random() < 1 / WIDE_CUSTOMER_INTERVAL
@@ -105,14 +109,14 @@
         words = self._command(customer, method, is_wide=is_wide)
         parsed = resp.parse_command(words, 0, gateway.limits)
         if parsed is None:
-            raise ValueError("expected a complete command")
+            raise ValueError("generated request: expected a complete command, found a partial one")
         spans, end = parsed
         command = Command(0, spans, end)
         request = ClientRequest(words, command, self.target, is_query=method.is_query)
         gateway.executor.on_request(request)
 
     def _command(self, customer: int, method: LoadMethod, *, is_wide: bool) -> bytearray:
-        """Return the bytes that a client would send."""
+        """Return the request as the bytes that a client sends."""
         first_gateway = 0
         gateway_count = self.gateway_count
         if not is_wide:
--- a/petrellane/testbed/hollow/parameters.py
+++ b/petrellane/testbed/hollow/parameters.py
@@ -9,12 +9,12 @@
 
 import orjson
 
-IDEMPOTENT_EFFECT = "pure"  # of a method, as the settings file has it
+IDEMPOTENT_EFFECT = "pure"  # the value of `effect` in the settings file
 US_PER_MS = 1000
 
 
 class LoadMethod(NamedTuple):
-    """A method that requests are generated of."""
+    """A method of the generated requests."""
 
     name: str
     is_query: bool
@@ -22,20 +22,20 @@
 
     @classmethod
     def from_settings(cls, row: Mapping[str, Any]) -> LoadMethod:
-        """Read a method from its row of the settings file."""
+        """Return a method from its row in the settings file."""
         return cls(row["name"], row["effect"] == IDEMPOTENT_EFFECT, row["giveUp"] // US_PER_MS)
 
 
 @dataclass(frozen=True)
 class LoadParameters:
-    """The requests of one process.
+    """The load of one process.
 
     Attributes:
-        rate: Requests a second over all gateways of the process; 0 for none.
-        seed: Of the run's random numbers.
-        gateway_count: The hollow gateways of the run.
-        customer_count: The customers of the run.
-        methods: The methods that requests are generated of.
+        rate: The requests per second over all gateways of the process; 0 for none.
+        seed: The seed of the run's random numbers.
+        gateway_count: The number of hollow gateways in the run.
+        customer_count: The number of customers in the run.
+        methods: The methods of the generated requests.
     """
 
     rate: float
@@ -47,19 +47,21 @@
 
 @dataclass(frozen=True)
 class HollowParameters:
-    """The parameters of one process.
+    """The parameters of one process of hollow gateways.
 
     Attributes:
-        config_path: A gateway's configuration, which all start from.
-        state_folder: Where gateways that agree on settings keep their state, a folder each.
-        numbers: The numbers of the process's gateways.
-        host_count: The hosts in the endpoint list.
-        has_module: Whether gateways decide and lease; else they know no endpoint.
-        is_at_rest: Whether they start as of a fleet at rest, with its endpoint list and the
-            settings in force; else they ask for both.
-        unreachable_count: Gateways with a number below this can be cut off.
-        command_descriptor: The pipe on which the testbed gives commands; None without.
-        load: The requests that come.
+        config_path: The path of the configuration from which all gateways derive theirs.
+        state_folder: The path of the directory that holds a state directory for each gateway with
+            a participant.
+        numbers: The numbers of the gateways in this process.
+        host_count: The number of hosts in the endpoint list.
+        has_module: Whether the decision modules of the gateways know endpoints.
+        is_at_rest: Whether the gateways start with the endpoint list and the settings of a fleet
+            at rest; otherwise they request both.
+        unreachable_count: The number below which gateways can be cut off.
+        command_descriptor: The descriptor of the pipe for commands of the testbed; None without
+            a pipe.
+        load: The load of the process.
     """
 
     config_path: str
@@ -74,7 +76,7 @@
 
     @classmethod
     def from_dict(cls, stored: Mapping[str, Any]) -> HollowParameters:
-        """Read parameters from the form in which the testbed writes them."""
+        """Return the parameters from the content of the file."""
         return cls(
             config_path=stored["file"],
             state_folder=stored["folder"],
@@ -95,5 +97,5 @@
 
     @classmethod
     def read(cls, path: str) -> HollowParameters:
-        """Read the file at a path."""
+        """Read the parameters from the file at a path."""
         return cls.from_dict(orjson.loads(Path(path).read_bytes()))
--- a/petrellane/testbed/hollow/process.py
+++ b/petrellane/testbed/hollow/process.py
@@ -1,4 +1,4 @@
-"""The process of hollow gateways: reads its parameters, and serves until the testbed ends it."""
+"""The main function of a process of hollow gateways, which runs until the testbed ends it."""
 
 import gc
 import sys
@@ -11,15 +11,15 @@
 from petrellane.testbed.metered import STANDARD_OUTPUT, Meter
 from petrellane.testbed.services import MAXIMUM_LOG_LINES
 
-THREAD_SWITCH_S = 0.0005  # each participant has a thread that writes, and they wait for each other
+THREAD_SWITCH_S = 0.0005  # shortens the waits of the participants' writer threads for each other
 
 
 def run(path: str, meter: Meter) -> int:
     """Run the hollow gateways of one process.
 
     Args:
-        path: The file that the testbed has written.
-        meter: The meter of the process, which gets the group's figures.
+        path: The path of the parameter file that the testbed has written.
+        meter: The meter of the process, which also reports the figures of the group.
 
     Returns:
         The exit code.
--- a/petrellane/testbed/run_display.py
+++ b/petrellane/testbed/run_display.py
@@ -1,4 +1,4 @@
-"""What is shown while a run file is played: a live table of gateways and endpoints."""
+"""The display of a run in progress: a live table of gateways and endpoints."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from petrellane.testbed.fleet_gateway import FleetGateway
 
 REFRESH_INTERVAL_S = 0.5
-LINE_INTERVAL_S = 5.0  # between lines where there is no terminal
+LINE_INTERVAL_S = 5.0  # between progress lines if the output is not a terminal
 HEADINGS = (
     "gateway",
     "state",
@@ -33,7 +33,7 @@
 
 
 class DisplayedHost(Protocol):
-    """What is shown of a host."""
+    """The properties of a host that the table shows."""
 
     name: str
     busy: int
@@ -41,21 +41,22 @@
 
     @property
     def listener(self) -> object:
-        """Its listening socket; None while it is down."""
+        """The listening socket; None while the host is down."""
 
 
 class RunDisplay:
-    """A live table of a run; without a terminal, a line every five seconds.
+    """A live table of a run, or a progress line every five seconds without a terminal.
 
-    Used as a context manager around the run, whose scheduler refreshes it.
+    The command that carries out the run uses the display as a context manager; the scheduler of the
+    fleet refreshes it.
     """
 
     def __init__(self, lab: LoopbackFleet, seconds: float) -> None:
-        """Show nothing yet.
+        """Initialize the display without showing it.
 
         Args:
             lab: The fleet of the run.
-            seconds: The length of the run.
+            seconds: The length of the run, in seconds.
         """
         self.lab = lab
         self.seconds = seconds
@@ -83,7 +84,7 @@
             self.live.stop()
 
     def _refresh(self) -> None:
-        """Show the present state, now and from now on."""
+        """Show the present state, and schedule the next refresh."""
         self.lab.scheduler.call_later(REFRESH_INTERVAL_S, self._refresh)
         passed = time.monotonic() - self.began
         if self.live:
@@ -113,7 +114,7 @@
 
 
 def format_answers(lab: LoopbackFleet) -> str:
-    """Return one line on what became of the RPCs so far."""
+    """Return one line with the numbers of answered RPCs by outcome."""
     counts: dict[str, int] = {}
     for (_, answer), number in lab.records.counts.items():
         counts[answer] = counts.get(answer, 0) + number
--- a/petrellane/testbed/run_file.py
+++ b/petrellane/testbed/run_file.py
@@ -1,31 +1,31 @@
-"""A run as a file, in TOML: what the fleet is made of, what happens when, and what is expected.
+"""The run file, in TOML: the fleet, the steps with their times, and the expected violations.
 
     [lab]                      # sizes and figures; all have defaults
     gateways = 3
     hosts = 6
     seconds = 10.0
-    rate = 100.0               # RPCs a second
+    rate = 100.0               # RPCs per second
     seed = 1
-    agreement = false          # a control process, and agents at the gateways
-    quota = 0.0                # units a second of plan `sold`; 0: none
-    ceiling = 0.0              # its hard limit; 0: none
-    cold = 0.0                 # seconds for which a host that has started is cold
-    cold_from = 1.0            # the share of its speed that it begins with
-    relays = ["clients", "counter", "discovery", "agents"]    # where faults can be put; "hosts" too
+    agreement = false          # whether a control process changes the settings
+    quota = 0.0                # quota of the plan `sold`, in units per second; 0: none
+    ceiling = 0.0              # hard limit of the plan `sold`, in units per second; 0: none
+    cold = 0.0                 # slow start of a host after it starts, in seconds
+    cold_from = 1.0            # share of its full speed with which a host starts
+    relays = ["clients", "counter", "discovery", "agents"]    # routes with relays; also "hosts"
 
     [[step]]
-    at = 4.0                   # seconds after the load began
+    at = 4.0                   # seconds after the start of the load
     do = "kill"                # one of STEPS
-    who = ["h1"]               # gateways g0.., hosts h0.., control; none where the step needs none
-    for = 2.0                  # undone after so long; 0: never
-    size = 1.0                 # its meaning is beside each step
-    between = ["agents"]       # of relays: clients, counter, discovery, agents, hosts
+    who = ["h1"]               # gateways g0.., hosts h0.., control; empty for other steps
+    for = 2.0                  # seconds after which the step is undone; 0: never
+    size = 1.0                 # depends on the step, see STEPS
+    between = ["agents"]       # faulty routes: clients, counter, discovery, agents, hosts
 
     [expect]
-    broken = []                # rules of the invariants
+    broken = []                # names of the rules that the run breaks
 
-The same file and seed bring the same faults at the same times; processes are real, so which RPC
-meets which fault may differ.
+The same file and seed inject the same faults at the same times. As the processes are real, the RPCs
+that a fault affects may differ between two runs.
 """
 
 import tomllib
@@ -53,18 +53,18 @@
     "stop",  # gateways
     "old file",  # gateways
     "term",  # gateways
-    "slow",  # hosts; size: times
-    "fail",  # hosts; size: the share of what it takes
+    "slow",  # hosts; size: the factor by which work takes longer
+    "fail",  # hosts; size: the share of RPCs that fail
     "silent",  # hosts
     "drain",  # hosts
     "counter quiet",
     "counter refuses",
     "counter forgets",
     "discovery away",
-    "rate",  # size: RPCs a second
-    "propose",  # size: attempts that the new settings give
+    "rate",  # size: RPCs per second
+    "propose",  # size: the maximum number of attempts in the new settings
     "split",  # gateways
-    *RELAY_FAULTS,  # gateways, hosts; size: late in seconds, lossy a share, half in bytes
+    *RELAY_FAULTS,  # gateways, hosts; size: `late` seconds, `lossy` share, `half` bytes
 )
 ROUTE_KINDS = {name: kind for kind, name in RELAY_NAMES.items()}
 EXTRA_RULES = ("agreed", "forgotten")
@@ -77,11 +77,11 @@
 
 
 class RunFileError(Exception):
-    """A run file that is out of form; the text is one line with the file and the key."""
+    """A run file is unreadable or malformed; the message names the file and the key."""
 
 
 class LabSection(msgspec.Struct, forbid_unknown_fields=True):
-    """The section `lab`."""
+    """The section `lab`: the fleet and the load."""
 
     gateways: int = 3
     hosts: int = 6
@@ -98,7 +98,7 @@
 
 
 class Step(msgspec.Struct, forbid_unknown_fields=True, rename={"length": "for"}):
-    """Something that is done; `length` is the key `for`."""
+    """A step of the run; `length` has the key `for` in the file."""
 
     at: float
     do: str
@@ -109,13 +109,13 @@
 
 
 class Expectation(msgspec.Struct, forbid_unknown_fields=True):
-    """The section `expect`: names of the rules that the run is to break."""
+    """The section `expect`: the names of the rules that the run has to break."""
 
     broken: list[str] = []
 
 
 class RunFile(msgspec.Struct, forbid_unknown_fields=True):
-    """A complete run."""
+    """The content of a run file."""
 
     lab: LabSection = msgspec.field(default_factory=LabSection)
     step: list[Step] = []
@@ -126,7 +126,7 @@
     """Read a run file.
 
     Raises:
-        RunFileError: It can't be read, or is out of form.
+        RunFileError: The file is unreadable or malformed.
     """
     try:
         return parse_run_file(Path(path).read_text(encoding="utf-8"), path)
@@ -135,10 +135,14 @@
 
 
 def parse_run_file(text: str, name: str = "run") -> RunFile:
-    """Parse the text of a run file; `name` begins the errors.
+    """Parse the text of a run file.
+
+    Args:
+        text: The text.
+        name: The name of the file, with which error messages start.
 
     Raises:
-        RunFileError: It is out of form.
+        RunFileError: The text is malformed.
     """
     try:
         run = msgspec.convert(tomllib.loads(text), RunFile)
@@ -203,7 +207,7 @@
 
 
 def settings_of(lab: LabSection, attempts: int = DEFAULT_ATTEMPTS) -> Settings:
-    """Return the settings of a run, with so many attempts of an RPC at most."""
+    """Return the settings of a run, with a maximum number of attempts per RPC."""
     return build_settings(
         SettingsSpec(
             lab.gateways,
@@ -217,7 +221,7 @@
 
 
 def fleet_spec_of(run: RunFile) -> FleetSpec:
-    """Return what the fleet of a run is made of."""
+    """Return the description of the fleet of a run."""
     lab = run.lab
     is_sold = bool(lab.quota or lab.ceiling)
     customers = [
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -1,7 +1,7 @@
-"""Carries out the steps of a run in a fleet, each at its time, and undoes those that end.
+"""Executes the steps of a run in a fleet at their scheduled times, and undoes those that end.
 
-A step that can be undone gives a call for it. Faults of relays end all at once: where two overlap
-at a relay, the end of the first heals both.
+A step that can be undone returns a function that undoes it. Healing a relay ends all of its faults:
+if two faults overlap at a relay, the end of the first one heals both.
 """
 
 import signal
@@ -21,25 +21,25 @@
 
 
 class StepRunner:
-    """Carries out the steps of one run; lives as long as its fleet."""
+    """Executes the steps of one run; lives as long as its fleet."""
 
     def __init__(self, fleet: LoopbackFleet, run: RunFile) -> None:
-        """Plan nothing yet."""
+        """Initialize the runner without scheduling a step."""
         self._fleet = fleet
         self._run = run
 
     def begin(self) -> None:
-        """Set a timer for each step; its time counts from now."""
+        """Set a timer for each step, whose time is relative to this call."""
         for step in self._run.step:
             self._after(step.at, partial(self._take, step))
 
     def _after(self, seconds: float, call: Undo) -> None:
-        """Make a call in a greenlet of its own after some seconds."""
+        """Call a function in a new greenlet after some seconds."""
         scheduler = self._fleet.scheduler
         scheduler.call_later(seconds, partial(scheduler.spawn, call))
 
     def _take(self, step: Step) -> None:
-        """Do a step, and set a timer for its end."""
+        """Execute a step, and set a timer for its end."""
         undo = self._execute(step)
         if step.length and undo is not None:
             self._after(step.length, partial(self._end, step, undo))
@@ -49,7 +49,7 @@
         undo()
 
     def _execute(self, step: Step) -> Undo | None:
-        """Do one step; return what undoes it."""
+        """Execute a step, and return the function that undoes it; None if there is none."""
         fleet = self._fleet
         routes = step.between if step.do in RELAY_FAULTS else ()
         fleet.records.note(" ".join([step.do, *step.who, *routes]))
@@ -79,7 +79,11 @@
         return [by_name[name] for name in step.who if name in by_name]
 
     def _inject_relay_fault(self, step: Step) -> Undo:
-        """Inject a fault between parties: those that lead to them, and to hosts also from them."""
+        """Inject a fault into the relays to the step's parties, and return how to undo it.
+
+        Without parties the fault affects all relays of the step's routes. On routes to hosts, it
+        also affects the relays from the parties.
+        """
         kinds = [ROUTE_KINDS[name] for name in step.between]
         relays = self._fleet.between(*kinds, to=step.who or None)
         if step.who and RouteKind.HOST in kinds:
@@ -89,7 +93,7 @@
         return partial(_call_all, [relay.heal for relay in relays])
 
     def _execute_at_service(self, name: str) -> Undo | None:
-        """Do a step at the counter or discovery; return what undoes it."""
+        """Execute a step at the counter or discovery, and return the function that undoes it."""
         counter = self._fleet.counter
         discovery = self._fleet.discovery
         if name == "counter forgets":
@@ -105,7 +109,7 @@
         return partial(_bring_back, discovery)
 
     def _execute_at_party(self, step: Step, party: Party) -> Undo | None:
-        """Do a step at one gateway, host or control process; return what undoes it."""
+        """Execute a step at a gateway, host or control process; return how to undo it."""
         if isinstance(party, FakeHost):
             return self._execute_at_host(step, party)
         if step.do == "kill":
@@ -119,7 +123,7 @@
                 party.pause()
                 return party.resume
             if step.do == "old file":
-                # As at the first start of the run, whatever settings were agreed on since.
+                # Restores the file of the first start, with the settings from before all changes.
                 party.kill()
                 party.write_config()
                 party.start()
@@ -129,7 +133,7 @@
         return None
 
     def _execute_at_host(self, step: Step, host: FakeHost) -> Undo | None:
-        """Do a step at one host; return what undoes it."""
+        """Execute a step at a host, and return the function that undoes it."""
         discovery = self._fleet.discovery
         if step.do == "kill":
             host.crash()
@@ -160,7 +164,7 @@
 
 
 def _bring_back(discovery: FakeDiscovery) -> None:
-    """Let discovery answer again, watches that are held included."""
+    """Make discovery answer again, including the watches that it holds."""
     discovery.away = False
     discovery.notify()
 
@@ -171,13 +175,13 @@
 
 
 def _start_host(host: FakeHost, discovery: FakeDiscovery) -> None:
-    """Start a host again, and put it on the list with its start."""
+    """Restart a host, and publish its start time in the endpoint list."""
     host.start()
     discovery.put(host.name, host.host_port, since=host.started_at)
 
 
 def _restore_host(step: str, host: FakeHost, before: tuple[float, float, bool]) -> None:
-    """Undo a step, to what the host was like before it."""
+    """Restore the property of a host that a step has changed."""
     slowdown, error_rate, silent = before
     if step == "slow":
         host.slowdown = slowdown
--- a/petrellane/testbed/testbed.py
+++ b/petrellane/testbed/testbed.py
@@ -1,7 +1,7 @@
-"""The processes of a scale run: started, given commands, and surely ended.
+"""The processes of a scale run: starts them, sends them commands, and ends them.
 
-What is run, and what its figures mean, is left to the module of scale runs. The order is `start`,
-`run`, `rest` and `close`; `close` ends all processes whatever happened before.
+The package `scale` decides what to run and evaluates the figures. A caller calls `start`, `run`,
+`rest` and `close` in this order; `close` ends all processes, also after an error.
 """
 
 import os
@@ -20,33 +20,34 @@
 from petrellane.testbed.scale_process import ScaleProcess, ScaleProcessSpec
 from petrellane.testbed.scale_reports import ScaleReports
 
-LAST_PORT = 9999  # ports are given away from the next on
-MEMORY_DISK = Path("/dev/shm")  # a thousand gateways have no disk in common
+LAST_PORT = 9999  # the address pool assigns ports above this one
+# Files are kept in memory, as the gateways of a real fleet do not share one disk.
+MEMORY_DISK = Path("/dev/shm")
 READY_PATIENCE_S = 120.0  # for all gateways
 SERVICES_PATIENCE_S = 20.0  # for the test doubles
-TURN_MS = 10  # of one turn of the scheduler at most
+TURN_MS = 10  # maximum poll timeout of one scheduler turn
 WARM_UP_S = 1.0  # between the start and the steady phase
-LAST_LINES_S = 1.6  # in which all meters report once more
+LAST_LINES_S = 1.6  # long enough for each meter to report once more
 MAXIMUM_FAULTS_SHOWN = 3
 
 
 class ScaleRunError(Exception):
-    """A run that did not come about; the text is one line."""
+    """A scale run could not be started; the message is one line."""
 
 
 class ScaleTestbed:
-    """All processes of a run, and what they reported.
+    """All processes of a scale run, and their reports; owned by the caller of the run.
 
     Attributes:
         parameters: The sizes of the run.
-        scheduler: Runs what is in this process.
-        folder: Holds all files.
-        addresses: Gives away the ports of the run's own address.
-        processes: All processes that were started.
-        names: The names of all gateways.
-        reports: What the processes reported.
+        scheduler: The scheduler of this process.
+        folder: The path of the directory that holds all files of the run.
+        addresses: The pool that assigns ports of the run's loopback address.
+        processes: The processes that were started.
+        names: The names of all gateways, the hollow gateways first.
+        reports: The reports of the processes.
         changes: The changes of settings.
-        longest_turn_s: The longest turn of this process in the steady phase.
+        longest_turn_s: The longest scheduler turn of this process in the steady phase, in seconds.
     """
 
     def __init__(
@@ -55,12 +56,12 @@
         numbers_by_process: Sequence[Sequence[int]],
         settings_of: Callable[[int], Settings],
     ) -> None:
-        """Make the folder; nothing is started.
+        """Create the directory, without starting a process.
 
         Args:
             parameters: The sizes of the run.
             numbers_by_process: The numbers of the hollow gateways in each of their processes.
-            settings_of: Gives the settings after so many changes.
+            settings_of: The function that returns the settings after a number of changes.
         """
         self.parameters = parameters
         self.scheduler = Scheduler()
@@ -80,23 +81,23 @@
 
     @cached_property
     def files(self) -> ScaleFiles:
-        """The addresses and files of the run, made at the start."""
+        """The addresses and files of the run, created at first use."""
         return ScaleFiles(self.parameters, self.folder, self.addresses, self._settings_of(0))
 
     def of_role(self, role: str) -> list[ScaleProcess]:
-        """Return the processes of a role."""
+        """Return the processes with a role."""
         return [process for process in self.processes if process.role == role]
 
     def command_all(self, name: str) -> None:
-        """Give all processes a command."""
+        """Send a command to all processes."""
         for process in self.processes:
             process.command(name)
 
     def start(self) -> None:
-        """Start all, and wait until all are ready.
+        """Start all processes, and wait until they are ready.
 
         Raises:
-            ScaleRunError: They are not ready in time, or one has a fault.
+            ScaleRunError: A process is not ready in time, or reports a fault.
         """
         hollow = self.parameters.hollow
         ready = self.reports.ready_after
@@ -119,7 +120,7 @@
         self._run_for(WARM_UP_S)
 
     def run(self) -> tuple[float, float]:
-        """Run the steady phase; return the Unix times of its begin and end."""
+        """Run the steady phase, and return the Unix times at which it begins and ends."""
         begin = time.time()
         self.longest_turn_s = 0.0
         self.command_all("begin")
@@ -132,7 +133,7 @@
         return begin, time.time()
 
     def rest(self) -> None:
-        """End the load; wait until what is under way has ended and is reported."""
+        """End the load, and wait until pending changes have ended and meters have reported."""
         self.command_all("quiet")
         limit = time.monotonic() + CHANGE_TIMEOUT_S
         expected = self.parameters.settings_changes
@@ -141,7 +142,7 @@
         self._run_for(LAST_LINES_S)
 
     def close(self) -> None:
-        """End all processes by their ids, and remove all files."""
+        """End all processes of the run, and remove all files."""
         for process in self.processes:
             process.close()
         shutil.rmtree(self.folder, ignore_errors=True)
@@ -156,7 +157,11 @@
         counter = self.files.counter_parameters()
         self._start(ScaleProcessSpec("discovery", "discovery", ["discovery"], discovery))
         self._start(ScaleProcessSpec("counter", "counter", ["counter"], counter))
-        self._run_until(self._have_services_started, "the fakes", SERVICES_PATIENCE_S)
+        self._run_until(
+            self._have_services_started,
+            "fake counter and fake discovery started",
+            SERVICES_PATIENCE_S,
+        )
 
     def _have_services_started(self) -> bool:
         return all(
@@ -165,10 +170,14 @@
         )
 
     def _start_hollow(self, at_rest: bool) -> Iterator[ScaleProcess]:
-        """Start all hollow gateways, a process at each step.
+        """Start the processes of all hollow gateways, one per iteration.
 
         Args:
-            at_rest: Whether they start as of a fleet at rest, with its endpoint list.
+            at_rest: Whether the gateways start with the state of a fleet at rest: its endpoint list
+                and its settings.
+
+        Yields:
+            The started process.
         """
         path = ""
         if self.parameters.hollow:
@@ -192,9 +201,9 @@
             self._run_turn()
 
     def _restart(self) -> None:
-        """End all hollow gateways, and start them with nothing but their folders.
+        """Kill all hollow gateways, and restart them with only their durable state.
 
-        It runs in a greenlet, and others have their turns between two processes.
+        The method runs in a greenlet and yields to the scheduler between two processes.
         """
         for process in self.of_role("hollow"):
             process.process.kill()
@@ -217,10 +226,15 @@
             self._run_turn()
 
     def _run_until(self, condition: Callable[[], bool], description: str, patience: float) -> None:
-        """Run until a condition holds.
+        """Run the scheduler until a condition holds.
+
+        Args:
+            condition: The function that is called before each turn.
+            description: The awaited state, for the error message.
+            patience: The timeout, in seconds.
 
         Raises:
-            ScaleRunError: It does not hold in time, or a process has a fault.
+            ScaleRunError: The condition does not hold in time, or a process has reported a fault.
         """
         limit = time.monotonic() + patience
         while not condition():
@@ -228,7 +242,7 @@
                 faults = "".join(
                     f"; {fault}" for fault in self.reports.faults[:MAXIMUM_FAULTS_SHOWN]
                 )
-                raise ScaleRunError(f"never came: {description}{faults}")
+                raise ScaleRunError(f"timed out or failed while waiting for: {description}{faults}")
             self._run_turn()
 
     def _on_exception(self, error: Exception) -> None:
