--- a/petrellane/testbed/fleet_gateway.py
+++ b/petrellane/testbed/fleet_gateway.py
@@ -59,7 +59,7 @@
         self.environ: dict[str, str] = {}
         self.listener: socket.socket | None = None
         self._successor_management_port = 0
-        if fleet.spec.follow:
+        if fleet.spec.holds_listeners:
             address = (fleet.addresses.ip, self.port)
             self.listener = socket.create_server(address, backlog=LISTEN_BACKLOG)
             self._successor_management_port = fleet.addresses.next_port()
--- a/petrellane/testbed/fleet_spec.py
+++ b/petrellane/testbed/fleet_spec.py
@@ -148,7 +148,7 @@
         methods: The methods that clients call.
         customers: The customers; None for eight of the plan `free`, each through all gateways.
         proves: The generation of the settings, by each method that only this generation has.
-        follow: Whether the fleet holds the gateways' listening sockets, which hot restarts need.
+        holds_listeners: Whether the fleet holds the gateways' listening sockets, which hot restarts need.
     """
 
     gateways: int = 3
@@ -164,7 +164,7 @@
     methods: list[Method] = field(default_factory=_default_methods)
     customers: list[Customer] | None = None
     proves: dict[str, int] = field(default_factory=dict)
-    follow: bool = False
+    holds_listeners: bool = False
 
     def customers_or_default(self) -> list[Customer]:
         """Return the customers of the load."""
--- a/tests/integration/testbed/fleets.py
+++ b/tests/integration/testbed/fleets.py
@@ -37,7 +37,7 @@
     rate: float = 150.0,
     gateway_faults: Mapping[int, str] | None = None,
     control_fault: str = "",
-    follow: bool = False,
+    holds_listeners: bool = False,
 ) -> Iterator[LoopbackFleet]:
     """Run a fleet under load that has generation 1 in force.
 
@@ -46,7 +46,7 @@
         rate: RPCs a second.
         gateway_faults: Planted faults by the number of their gateway.
         control_fault: The planted fault of the control process; "" for none.
-        follow: Whether one process of a gateway can succeed another.
+        holds_listeners: Whether one process of a gateway can succeed another.
     """
     spec = FleetSpec(
         gateways=gateways,
@@ -56,7 +56,7 @@
         proves={BEFORE: 1, AFTER: 2},
         settings=build_settings(SettingsSpec(gateways)),
         work=WORK_S,
-        follow=follow,
+        holds_listeners=holds_listeners,
     )
     with LoopbackFleet(spec) as fleet:
         for number, fault in (gateway_faults or {}).items():
--- a/tests/integration/testbed/test_fleet_changes.py
+++ b/tests/integration/testbed/test_fleet_changes.py
@@ -139,7 +139,7 @@
 
 
 def test_a_successor_of_a_process_has_the_generation() -> None:
-    with running_fleet(follow=True) as fleet:
+    with running_fleet(holds_listeners=True) as fleet:
         fleet.gateways[0].replace()
         assert fleet.change_settings(second_settings(fleet))["reached"] == 3
         fleet.run_for(0.5)
