--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -115,7 +115,7 @@
         self._turned_at = time.monotonic()
         terms = build_terms(spec, self.settings)
         self.records = Records(terms, self.scheduler.now, self.scheduler.call_later)
-        self.records.generation_by_method = spec.proves
+        self.records.generation_by_method = spec.generation_by_method
         self.relays = FleetRelays(
             self.scheduler, spec.relays, spec.seed, self.addresses, self._is_gateway
         )
--- a/petrellane/testbed/fleet_spec.py
+++ b/petrellane/testbed/fleet_spec.py
@@ -147,7 +147,7 @@
         rate: The load, in RPCs per second.
         methods: The methods that clients call.
         customers: The customers; None for eight of the plan `free`, each through all gateways.
-        proves: The generation of the settings, by each method that only this generation has.
+        generation_by_method: The generation of the settings, by each method that only this generation has.
         holds_listeners: Whether the fleet holds the gateways' listening sockets, which hot restarts need.
     """
 
@@ -163,7 +163,7 @@
     rate: float = 100.0
     methods: list[Method] = field(default_factory=_default_methods)
     customers: list[Customer] | None = None
-    proves: dict[str, int] = field(default_factory=dict)
+    generation_by_method: dict[str, int] = field(default_factory=dict)
     holds_listeners: bool = False
 
     def customers_or_default(self) -> list[Customer]:
--- a/tests/integration/testbed/fleets.py
+++ b/tests/integration/testbed/fleets.py
@@ -53,7 +53,7 @@
         agreement=True,
         rate=rate,
         methods=METHODS,
-        proves={BEFORE: 1, AFTER: 2},
+        generation_by_method={BEFORE: 1, AFTER: 2},
         settings=build_settings(SettingsSpec(gateways)),
         work=WORK_S,
         holds_listeners=holds_listeners,
