--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -271,7 +271,7 @@
                 numbers.add(None if event is None or in_doubt else event["number"])
         return numbers.pop() if len(numbers) == 1 else None
 
-    def reach(self, route: Route) -> str:
+    def reachable_address(self, route: Route) -> str:
         """Return the address, as host:port, at which a route begins: its relay or its target."""
         return format_address(self._address(route))
 
@@ -400,7 +400,7 @@
     def _row_seen_by(self, gateway: str, row: EndpointRow) -> EndpointRow:
         """Return a row of the endpoint list with the address that a gateway has to use."""
         route = Route(RouteKind.HOST, gateway, row["name"])
-        return {**row, "address": self.reach(route)} if self.relays.has_relay(route) else row
+        return {**row, "address": self.reachable_address(route)} if self.relays.has_relay(route) else row
 
     def _on_exception(self, error: Exception) -> None:
         """Record an exception of this process as a fault of the testbed."""
--- a/petrellane/testbed/fleet_gateway.py
+++ b/petrellane/testbed/fleet_gateway.py
@@ -71,8 +71,8 @@
             "name": self.name,
             "listen": self._at(self.port),
             "management": self._at(self.management_port),
-            "discovery": fleet.reach(Route(RouteKind.DISCOVERY, self.name, self.name)),
-            "counter": fleet.reach(Route(RouteKind.COUNTER, self.name, self.name)),
+            "discovery": fleet.reachable_address(Route(RouteKind.DISCOVERY, self.name, self.name)),
+            "counter": fleet.reachable_address(Route(RouteKind.COUNTER, self.name, self.name)),
             "seed": f"{fleet.spec.seed * 1000 + self.number:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {
@@ -102,7 +102,7 @@
         Returns:
             One address; with hot restarts a list of two, of which the second is the successor's.
         """
-        address = self.fleet.reach(Route(RouteKind.AGENT, party, self.name))
+        address = self.fleet.reachable_address(Route(RouteKind.AGENT, party, self.name))
         if self.listener is None:
             return address
         return [address, self._at(self._successor_management_port)]
