--- a/petrellane/testbed/scale/runner.py
+++ b/petrellane/testbed/scale/runner.py
@@ -52,7 +52,7 @@
         for role in ROLES:
             start[role] = total_usage(meter_lines_of(testbed, role))
         begin, end = testbed.run()
-        testbed.rest()
+        testbed.finish_load()
         return make_report(config, collect(testbed, start, begin, end))
     finally:
         testbed.close()
--- a/petrellane/testbed/testbed.py
+++ b/petrellane/testbed/testbed.py
@@ -132,7 +132,7 @@
         self._run_for(self.parameters.seconds)
         return begin, time.time()
 
-    def rest(self) -> None:
+    def finish_load(self) -> None:
         """End the load, and wait until pending changes have ended and meters have reported."""
         self.command_all("quiet")
         limit = time.monotonic() + CHANGE_TIMEOUT_S
