--- a/petrellane/testbed/scale/observations.py
+++ b/petrellane/testbed/scale/observations.py
@@ -128,7 +128,7 @@
 ) -> list[ProcessObservation]:
     """Return the processes of one role, with what they spent between two times."""
     processes = []
-    for party in testbed.of_role(role):
+    for party in testbed.processes_of_role(role):
         usage, traffic = party.usage(begin, end)
         process = ProcessObservation(
             gateway_count=party.gateway_count,
@@ -144,7 +144,7 @@
 
 def meter_lines_of(testbed: ScaleTestbed, role: str) -> list[MeterLine]:
     """Return the last line of each meter of a role."""
-    return [party.meter_lines[-1] for party in testbed.of_role(role) if party.meter_lines]
+    return [party.meter_lines[-1] for party in testbed.processes_of_role(role) if party.meter_lines]
 
 
 def _proposed_change(change: Mapping[str, Any]) -> ProposedChange:
--- a/petrellane/testbed/testbed.py
+++ b/petrellane/testbed/testbed.py
@@ -84,7 +84,7 @@
         """The addresses and files of the run, created at first use."""
         return ScaleFiles(self.parameters, self.folder, self.addresses, self._settings_of(0))
 
-    def of_role(self, role: str) -> list[ScaleProcess]:
+    def processes_of_role(self, role: str) -> list[ScaleProcess]:
         """Return the processes with a role."""
         return [process for process in self.processes if process.role == role]
 
@@ -205,7 +205,7 @@
 
         The method runs in a greenlet and yields to the scheduler between two processes.
         """
-        for process in self.of_role("hollow"):
+        for process in self.processes_of_role("hollow"):
             process.process.kill()
         for name in self.names[: self.parameters.hollow]:
             self.reports.ready_after.pop(name, None)
