--- a/petrellane/testbed/hollow/load.py
+++ b/petrellane/testbed/hollow/load.py
@@ -33,7 +33,7 @@
     Attributes:
         sent: The number of requests sent so far.
         wide: The customers that send requests to all gateways.
-        narrow: The customers that use only a few gateways, by gateway number.
+        customers_by_gateway: The customers that use only a few gateways, by gateway number.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self.next_at = 0.0
         customers = range(parameters.customer_count)
         self.wide = [customer for customer in customers if customer % WIDE_CUSTOMER_INTERVAL == 0]
-        self.narrow: dict[int, list[int]] = {number: [] for number in numbers}
+        self.customers_by_gateway: dict[int, list[int]] = {number: [] for number in numbers}
         for customer in customers:
             if customer % WIDE_CUSTOMER_INTERVAL:
                 self._assign(customer)
@@ -65,8 +65,8 @@
         """Assign a customer to those of its gateways that are in this process."""
         for step in range(min(GATEWAYS_PER_CUSTOMER, self.gateway_count)):
             number = (self.first_gateway(customer) + step) % self.gateway_count
-            if number in self.narrow:
-                self.narrow[number].append(customer)
+            if number in self.customers_by_gateway:
+                self.customers_by_gateway[number].append(customer)
 
     def first_gateway(self, customer: int) -> int:
         """Return the number of the first gateway of a customer."""
@@ -101,7 +101,7 @@
     def _send(self) -> None:
         """Send a request of a random customer to a random gateway."""
         gateway = self.random.choice(self.target.gateways)
-        narrow = self.narrow[gateway.number]
+        narrow = self.customers_by_gateway[gateway.number]
         is_wide = not narrow or self.random.random() < 1 / WIDE_CUSTOMER_INTERVAL
         customer = self.random.choice(self.wide if is_wide else narrow)
         method = self.random.choice(self.methods)
--- a/tests/integration/testbed/test_scale_hollow_gateways.py
+++ b/tests/integration/testbed/test_scale_hollow_gateways.py
@@ -242,7 +242,7 @@
 
 
 def test_rpcs_of_a_customer_come_to_its_own_gateways(load: HollowLoad) -> None:
-    for number, customers in load.narrow.items():
+    for number, customers in load.customers_by_gateway.items():
         for customer in customers:
             assert is_gateway_of(load, number, customer)
     expected_count = sum(
@@ -251,4 +251,4 @@
         for customer in range(CUSTOMER_COUNT)
         if customer % WIDE_CUSTOMER_INTERVAL
     )
-    assert sum(map(len, load.narrow.values())) == expected_count
+    assert sum(map(len, load.customers_by_gateway.values())) == expected_count
