--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -41,18 +41,18 @@
 from petrellane.testbed.records import SETTLE_S, Records
 from petrellane.testbed.relay import Relay
 
-Found = TypeVar("Found")
+Result = TypeVar("Result")
 
 LAST_PORT = 2000  # the address pool assigns ports above this one
 # Files are kept in memory because the duration of a flush to a shared disk is unpredictable.
 MEMORY_DISK = Path("/dev/shm")
-TURN_MS = 10  # maximum poll timeout of one scheduler turn
-VOID_STALL_S = 0.5  # after a longer stall the order of observations is unreliable: the run is void
+MAX_POLL_MS = 10  # maximum poll timeout of one scheduler turn
+MAX_STALL_S = 0.5  # after a longer stall the order of observations is unreliable: the run is void
 READY_PATIENCE_S = 20.0
 READY_PATIENCE_PER_GATEWAY_S = 0.2
 KEY = b"key of one run only"
-MAXIMUM_LINE = 160  # characters of an event that the timeline shows
-MAXIMUM_STDERR = 200  # characters of standard error that the timeline shows
+MAX_EVENT_LENGTH = 160  # characters of an event that the timeline shows
+MAX_STDERR_LENGTH = 200  # characters of standard error that the timeline shows
 TIMELINE_EVENTS = frozenset(
     {
         "fault",
@@ -112,7 +112,7 @@
         self.faults: list[str] = []
         self.crashes: list[Crash] = []
         self.longest_stall_s = 0.0
-        self._turned_at = time.monotonic()
+        self._last_turn_at = time.monotonic()
         terms = build_terms(spec, self.settings)
         self.records = Records(terms, self.scheduler.now, self.scheduler.call_later)
         self.records.generation_by_method = spec.generation_by_method
@@ -124,7 +124,7 @@
         self.gateways: list[FleetGateway] = []
         self.controls: dict[str, FleetControl] = {}
         self.hosts = make_hosts(self.scheduler, self.records, self.addresses, spec, self.settings)
-        self._list_hosts()
+        self._register_hosts()
         for number in range(spec.gateways):
             self.gateways.append(FleetGateway(self, number))
         self.fronts: list[Front] = []
@@ -144,7 +144,7 @@
     @property
     def void(self) -> str:
         """The reason why the run is inconclusive; "" for a conclusive run."""
-        if self.longest_stall_s > VOID_STALL_S:
+        if self.longest_stall_s > MAX_STALL_S:
             stall = f"the testbed stood still for {self.longest_stall_s:.2f} s"
             return f"{stall}: this machine is too busy"
         return ""
@@ -174,15 +174,15 @@
     def run_turn(self) -> None:
         """Run the scheduler for one turn, and record stalls."""
         # The caller may have done other work since the last turn, such as starting a process.
-        away = time.monotonic() - self._turned_at
-        if away > SETTLE_S:
+        idle_s = time.monotonic() - self._last_turn_at
+        if idle_s > SETTLE_S:
             self.records.last_stall = self.records.turns
         timeout_ms = self.scheduler.poll_timeout_ms()
-        self.scheduler.run_once(TURN_MS if timeout_ms is None else min(TURN_MS, timeout_ms))
+        self.scheduler.run_once(MAX_POLL_MS if timeout_ms is None else min(MAX_POLL_MS, timeout_ms))
         self.records.turns += 1
-        stall = away + self.scheduler.longest_turn
+        stall = idle_s + self.scheduler.longest_turn
         self.scheduler.longest_turn = 0.0
-        self._turned_at = time.monotonic()
+        self._last_turn_at = time.monotonic()
         if stall > SETTLE_S and (self.clients.on or self.clients.out):
             self.records.note(f"the testbed stood still for {stall:.3f} s")
             self.longest_stall_s = max(self.longest_stall_s, stall)
@@ -195,8 +195,8 @@
             self.run_turn()
 
     def run_until(
-        self, condition: Callable[[], Found], description: str, patience: float = 20.0
-    ) -> Found:
+        self, condition: Callable[[], Result], description: str, patience: float = 20.0
+    ) -> Result:
         """Run the scheduler until a condition returns a true value, and return this value.
 
         Args:
@@ -324,7 +324,7 @@
         kind = event["event"]
         if kind in TIMELINE_EVENTS:
             shown = {key: value for key, value in event.items() if key not in HIDDEN_FIELDS}
-            self.records.note(f"{name}: {kind} {orjson.dumps(shown).decode()[:MAXIMUM_LINE]}")
+            self.records.note(f"{name}: {kind} {orjson.dumps(shown).decode()[:MAX_EVENT_LENGTH]}")
         if kind == "fault":
             self.crashes.append(Crash(name, "fault", event.get("trace", event.get("error"))))
 
@@ -333,7 +333,7 @@
         code = process.popen.returncode
         text = process.stderr_tail()
         self.crashes.append(Crash(process.name, code, text))
-        self.records.note(f"{process.name} crashed: exit code {code}: {text[-MAXIMUM_STDERR:]}")
+        self.records.note(f"{process.name} crashed: exit code {code}: {text[-MAX_STDERR_LENGTH:]}")
 
     def close(self) -> None:
         """End all processes of the fleet, close the test doubles, and remove all files."""
@@ -351,7 +351,7 @@
         self.discovery.close()
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    def _list_hosts(self) -> None:
+    def _register_hosts(self) -> None:
         for host in self.hosts:
             host.on_restart = partial(self._follow_host, host.name)
             self.discovery.put(host.name, host.host_port)
@@ -400,7 +400,11 @@
     def _row_seen_by(self, gateway: str, row: EndpointRow) -> EndpointRow:
         """Return a row of the endpoint list with the address that a gateway has to use."""
         route = Route(RouteKind.HOST, gateway, row["name"])
-        return {**row, "address": self.reachable_address(route)} if self.relays.has_relay(route) else row
+        return (
+            {**row, "address": self.reachable_address(route)}
+            if self.relays.has_relay(route)
+            else row
+        )
 
     def _on_exception(self, error: Exception) -> None:
         """Record an exception of this process as a fault of the testbed."""
--- a/petrellane/testbed/fleet_gateway.py
+++ b/petrellane/testbed/fleet_gateway.py
@@ -32,7 +32,7 @@
         file: The path of its configuration file.
         events: The events that its processes have logged.
         process: The current or last process; None before the first start.
-        former_processes: The predecessors that hot restarts have replaced.
+        predecessors: The predecessors that hot restarts have replaced.
         ready: Whether the process serves clients.
         skew_s: The clock skew of the next process, in seconds.
         build: The build that the next process runs.
@@ -52,7 +52,7 @@
         self.file = str(Path(self.folder) / "config.json")
         self.events: list[LogEvent] = []
         self.process: Process | None = None
-        self.former_processes: list[Process] = []
+        self.predecessors: list[Process] = []
         self.ready = False
         self.skew_s = 0.0
         self.build = Build()
@@ -147,7 +147,7 @@
         event_count = len(self.events)
         management = self._at(self._successor_management_port)
         self.process = self._run({"PROXY_MANAGEMENT": management})
-        self.former_processes.append(old)
+        self.predecessors.append(old)
         self.fleet.run_until(
             lambda: any(event["event"] == "started" for event in self.events[event_count:]),
             f"the successor of {self.name} started",
@@ -197,7 +197,7 @@
 
     def close(self) -> None:
         """End all processes, and close the listening socket that the fleet holds."""
-        for process in (self.process, *self.former_processes):
+        for process in (self.process, *self.predecessors):
             if process is not None:
                 process.close()
         if self.listener is not None:
--- a/petrellane/testbed/fleet_spec.py
+++ b/petrellane/testbed/fleet_spec.py
@@ -147,8 +147,10 @@
         rate: The load, in RPCs per second.
         methods: The methods that clients call.
         customers: The customers; None for eight of the plan `free`, each through all gateways.
-        generation_by_method: The generation of the settings, by each method that only this generation has.
-        holds_listeners: Whether the fleet holds the gateways' listening sockets, which hot restarts need.
+        generation_by_method: The generation of the settings that contains a method, by method; for
+            methods that only one generation contains.
+        holds_listeners: Whether the fleet holds the gateways' listening sockets, which hot restarts
+            need.
     """
 
     gateways: int = 3
--- a/petrellane/testbed/hollow/load.py
+++ b/petrellane/testbed/hollow/load.py
@@ -32,7 +32,7 @@
 
     Attributes:
         sent: The number of requests sent so far.
-        wide: The customers that send requests to all gateways.
+        wide_customers: The customers that send requests to all gateways.
         customers_by_gateway: The customers that use only a few gateways, by gateway number.
     """
 
@@ -55,7 +55,9 @@
         self.sent = 0
         self.next_at = 0.0
         customers = range(parameters.customer_count)
-        self.wide = [customer for customer in customers if customer % WIDE_CUSTOMER_INTERVAL == 0]
+        self.wide_customers = [
+            customer for customer in customers if customer % WIDE_CUSTOMER_INTERVAL == 0
+        ]
         self.customers_by_gateway: dict[int, list[int]] = {number: [] for number in numbers}
         for customer in customers:
             if customer % WIDE_CUSTOMER_INTERVAL:
@@ -103,16 +105,16 @@
         gateway = self.random.choice(self.target.gateways)
         narrow = self.customers_by_gateway[gateway.number]
         is_wide = not narrow or self.random.random() < 1 / WIDE_CUSTOMER_INTERVAL
-        customer = self.random.choice(self.wide if is_wide else narrow)
+        customer = self.random.choice(self.wide_customers if is_wide else narrow)
         method = self.random.choice(self.methods)
         self.sent += 1
-        words = self._command(customer, method, is_wide=is_wide)
-        parsed = resp.parse_command(words, 0, gateway.limits)
+        encoded = self._command(customer, method, is_wide=is_wide)
+        parsed = resp.parse_command(encoded, 0, gateway.limits)
         if parsed is None:
             raise ValueError("generated request: expected a complete command, found a partial one")
         spans, end = parsed
         command = Command(0, spans, end)
-        request = ClientRequest(words, command, self.target, is_query=method.is_query)
+        request = ClientRequest(encoded, command, self.target, is_query=method.is_query)
         gateway.executor.on_request(request)
 
     def _command(self, customer: int, method: LoadMethod, *, is_wide: bool) -> bytearray:
@@ -128,10 +130,10 @@
         )
         if not method.is_query:
             fields += f",k=k{self.sent}"
-        words = resp.encode_command(
+        encoded = resp.encode_command(
             QUERY_COMMAND if method.is_query else SUBMIT_COMMAND,
             b"%016X" % (customer + 1),
             b"r%d" % self.sent,
             fields.encode(),
         )
-        return bytearray(words)
+        return bytearray(encoded)
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -31,20 +31,20 @@
     def begin(self) -> None:
         """Set a timer for each step, whose time is relative to this call."""
         for step in self._run.step:
-            self._after(step.at, partial(self._take, step))
+            self._after(step.at, partial(self._begin_step, step))
 
     def _after(self, seconds: float, call: Undo) -> None:
         """Call a function in a new greenlet after some seconds."""
         scheduler = self._fleet.scheduler
         scheduler.call_later(seconds, partial(scheduler.spawn, call))
 
-    def _take(self, step: Step) -> None:
+    def _begin_step(self, step: Step) -> None:
         """Execute a step, and set a timer for its end."""
         undo = self._execute(step)
         if step.length and undo is not None:
-            self._after(step.length, partial(self._end, step, undo))
+            self._after(step.length, partial(self._end_step, step, undo))
 
-    def _end(self, step: Step, undo: Undo) -> None:
+    def _end_step(self, step: Step, undo: Undo) -> None:
         self._fleet.records.note(f"{step.do} is over: {', '.join(step.who)}")
         undo()
 
@@ -106,7 +106,7 @@
             counter.refuses = True
             return partial(setattr, counter, "refuses", False)
         discovery.away = True
-        return partial(_bring_back, discovery)
+        return partial(_restore_discovery, discovery)
 
     def _execute_at_party(self, step: Step, party: Party) -> Undo | None:
         """Execute a step at a gateway, host or control process; return how to undo it."""
@@ -163,7 +163,7 @@
         undo()
 
 
-def _bring_back(discovery: FakeDiscovery) -> None:
+def _restore_discovery(discovery: FakeDiscovery) -> None:
     """Make discovery answer again, including the watches that it holds."""
     discovery.away = False
     discovery.notify()
--- a/petrellane/testbed/testbed.py
+++ b/petrellane/testbed/testbed.py
@@ -25,7 +25,7 @@
 MEMORY_DISK = Path("/dev/shm")
 READY_PATIENCE_S = 120.0  # for all gateways
 SERVICES_PATIENCE_S = 20.0  # for the test doubles
-TURN_MS = 10  # maximum poll timeout of one scheduler turn
+MAX_POLL_MS = 10  # maximum poll timeout of one scheduler turn
 WARM_UP_S = 1.0  # between the start and the steady phase
 LAST_LINES_S = 1.6  # long enough for each meter to report once more
 MAXIMUM_FAULTS_SHOWN = 3
@@ -217,7 +217,7 @@
     def _run_turn(self) -> None:
         began = time.monotonic()
         timeout_ms = self.scheduler.poll_timeout_ms()
-        self.scheduler.run_once(TURN_MS if timeout_ms is None else min(TURN_MS, timeout_ms))
+        self.scheduler.run_once(MAX_POLL_MS if timeout_ms is None else min(MAX_POLL_MS, timeout_ms))
         self.longest_turn_s = max(self.longest_turn_s, time.monotonic() - began)
 
     def _run_for(self, seconds: float) -> None:
