--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -325,7 +325,7 @@
     from petrellane.testbed.run_file import RunFileError
 
     try:
-        raise typer.Exit(command.play_file(file, records))
+        raise typer.Exit(command.run_from_file(file, records))
     except RunFileError as error:
         _exit_with_error(error)
 
--- a/petrellane/testbed/command.py
+++ b/petrellane/testbed/command.py
@@ -22,7 +22,7 @@
 EXIT_FAILED = 1
 
 
-def play_file(path: str, records: str = "") -> int:
+def run_from_file(path: str, records: str = "") -> int:
     """Carry out the run of a file.
 
     Args:
@@ -35,7 +35,7 @@
     Raises:
         RunFileError: The file cannot be read or is malformed.
     """
-    return play(load_run_file(path), records=records)
+    return execute_run(load_run_file(path), records=records)
 
 
 def demo() -> int:
@@ -48,10 +48,10 @@
         "three gateways, six hosts, a counter and discovery, on loopback; "
         "host h2 is killed half way"
     )
-    return play(DEMO, FleetSpec(rate=DEMO.lab.rate))
+    return execute_run(DEMO, FleetSpec(rate=DEMO.lab.rate))
 
 
-def play(run: RunFile, spec: FleetSpec | None = None, records: str = "") -> int:
+def execute_run(run: RunFile, spec: FleetSpec | None = None, records: str = "") -> int:
     """Carry out a run, and print its timeline and its verdict.
 
     Args:
