--- a/benchmarks/config_consensus.py
+++ b/benchmarks/config_consensus.py
@@ -178,7 +178,7 @@
 def describe_verdict(lab: LoopbackFleet) -> Row:
     """Return broken rules, and whether the run proves anything."""
     verdict = lab.verdict()
-    stalls = [line for _, line in lab.records.timeline if "stood still" in line]
+    stalls = [line for _, line in lab.records.timeline if "the testbed stalled" in line]
     return {
         "broken": verdict.counts,
         "first_breaks": [violation.text for violation in verdict.violations[:4]],
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -145,7 +145,7 @@
     def void(self) -> str:
         """The reason why the run is inconclusive; "" for a conclusive run."""
         if self.longest_stall_s > MAX_STALL_S:
-            stall = f"the testbed stood still for {self.longest_stall_s:.2f} s"
+            stall = f"the testbed stalled for {self.longest_stall_s:.2f} s"
             return f"{stall}: this machine is too busy"
         return ""
 
@@ -184,7 +184,7 @@
         self.scheduler.longest_turn = 0.0
         self._last_turn_at = time.monotonic()
         if stall > SETTLE_S and (self.clients.on or self.clients.out):
-            self.records.note(f"the testbed stood still for {stall:.3f} s")
+            self.records.note(f"the testbed stalled for {stall:.3f} s")
             self.longest_stall_s = max(self.longest_stall_s, stall)
             self.records.last_stall = self.records.turns
 
@@ -224,7 +224,7 @@
             AssertionError: RPCs are still in flight after the timeout.
         """
         self.clients.stop()
-        self.run_until(lambda: not self.clients.out, "all answers", patience)
+        self.run_until(lambda: not self.clients.out, "answers to all RPCs", patience)
 
     def change_settings(
         self, settings: Settings, patience: float = 15.0, **arguments: object
@@ -249,7 +249,7 @@
             return change
         number = change["number"]
         ended = self.run_until(
-            lambda: control.ended_change(number), f"an end of change {number}", patience
+            lambda: control.ended_change(number), f"the outcome of change {number}", patience
         )
         return ended or {}
 
--- a/petrellane/testbed/fleet_control.py
+++ b/petrellane/testbed/fleet_control.py
@@ -64,7 +64,7 @@
     def start(self) -> None:
         """Write the configuration file, and start a process."""
         if self.process is not None:
-            self.process.read_output()  # the fleet may not have handled its exit yet
+            self.process.read_output()  # handles the exit if the scheduler has not reported it yet
             self.process.close()
         self._write_config()
         self._fleet.records.note(f"{self.name} starts")
@@ -85,7 +85,7 @@
             RuntimeError: No process was started.
         """
         if self.process is None:
-            raise RuntimeError(f"expected a process of {self.name}, found none")
+            raise RuntimeError(f"{self.name} has no process: it was never started")
         self._fleet.records.note(f"{self.name} is killed")
         self.process.kill()
         self.process.popen.wait()
--- a/petrellane/testbed/fleet_gateway.py
+++ b/petrellane/testbed/fleet_gateway.py
@@ -128,7 +128,7 @@
                 raise RuntimeError(
                     f"cannot start {self.name}: its previous process is still running"
                 )
-            self.process.read_output()  # the fleet may not have handled its exit yet
+            self.process.read_output()  # handles the exit if the scheduler has not reported it yet
             self.process.close()
         self.ready = False
         self.fleet.records.note(f"{self.name} starts")
@@ -192,7 +192,7 @@
             RuntimeError: No process was started.
         """
         if self.process is None:
-            raise RuntimeError(f"expected a process of {self.name}, found none")
+            raise RuntimeError(f"{self.name} has no process: it was never started")
         return self.process
 
     def close(self) -> None:
--- a/petrellane/testbed/hollow/gateway.py
+++ b/petrellane/testbed/hollow/gateway.py
@@ -160,7 +160,7 @@
             config: The configuration of the gateway.
             number: The number of the gateway in the run.
             is_at_rest: Whether the gateway starts with the endpoint list and the settings of a
-                fleet at rest; otherwise it requests both, as after a restart.
+                fleet in steady state; otherwise it requests both, as after a restart.
         """
         super().__init__(config, limits=group.limits, scheduler=group.scheduler)
         self.group = group
--- a/petrellane/testbed/hollow/group.py
+++ b/petrellane/testbed/hollow/group.py
@@ -57,9 +57,7 @@
         self.tally: Counter[str] = Counter()
         self.answers = 0
         self.is_counting = False
-        self.arrivals: dict[
-            int, list[float]
-        ] = {}  # times at which gateways applied a change, by index
+        self.arrivals: dict[int, list[float]] = {}  # times of applying a change, by its index
         self.first_arrivals: list[float] = []  # times of the first lists of gateways
         self.last_list: EndpointListUpdate | None = None
         self.last_entries: dict[int, EndpointEntry] = {}
--- a/petrellane/testbed/hollow/load.py
+++ b/petrellane/testbed/hollow/load.py
@@ -13,7 +13,7 @@
 from petrellane.testbed.hollow.parameters import LoadMethod, LoadParameters
 
 WIDE_CUSTOMER_INTERVAL = 10  # every tenth customer sends requests to all gateways
-GATEWAYS_PER_CUSTOMER = 3  # of each other customer
+GATEWAYS_PER_CUSTOMER = 3  # for customers that do not use all gateways
 FIRST_GATEWAY_STEP = 7919  # a prime, so that consecutive customers use different gateways
 MAX_REQUESTS_PER_TURN = 64
 QUERY_COMMAND = b"SVC.QUERY"
--- a/petrellane/testbed/hollow/parameters.py
+++ b/petrellane/testbed/hollow/parameters.py
@@ -57,7 +57,7 @@
         host_count: The number of hosts in the endpoint list.
         has_module: Whether the decision modules of the gateways know endpoints.
         is_at_rest: Whether the gateways start with the endpoint list and the settings of a fleet
-            at rest; otherwise they request both.
+            in steady state; otherwise they request both.
         unreachable_count: The number below which gateways can be cut off.
         command_descriptor: The descriptor of the pipe for commands of the testbed; None without
             a pipe.
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -45,7 +45,7 @@
             self._after(step.length, partial(self._end_step, step, undo))
 
     def _end_step(self, step: Step, undo: Undo) -> None:
-        self._fleet.records.note(f"{step.do} is over: {', '.join(step.who)}")
+        self._fleet.records.note(f"{step.do} ends: {', '.join(step.who)}")
         undo()
 
     def _execute(self, step: Step) -> Undo | None:
--- a/petrellane/testbed/testbed.py
+++ b/petrellane/testbed/testbed.py
@@ -1,7 +1,7 @@
 """The processes of a scale run: starts them, sends them commands, and ends them.
 
 The package `scale` decides what to run and evaluates the figures. A caller calls `start`, `run`,
-`rest` and `close` in this order; `close` ends all processes, also after an error.
+`finish_load` and `close` in this order; `close` ends all processes, also after an error.
 """
 
 import os
@@ -173,8 +173,8 @@
         """Start the processes of all hollow gateways, one per iteration.
 
         Args:
-            at_rest: Whether the gateways start with the state of a fleet at rest: its endpoint list
-                and its settings.
+            at_rest: Whether the gateways start with the endpoint list and the settings of a fleet
+                in steady state.
 
         Yields:
             The started process.
