--- a/petrellane/testbed/__init__.py
+++ b/petrellane/testbed/__init__.py
@@ -1,15 +1,16 @@
-"""Fleets on loopback: real gateways, test doubles of all that they talk to, and the invariants.
+"""Loopback fleets: real gateways, fakes of their peers, and the invariant checker.
 
-A fleet (`fleet`) has gateways and control processes as processes of their own; the rest runs in
-one process, on one scheduler and one clock:
+A fleet (`fleet`) starts each gateway and each control process as a separate process. Everything
+else runs in the testbed's process, on one scheduler and one clock:
 
-    clients -- relay -- gateways -- relay -- test doubles (hosts, counter, discovery)
-    what every party saw -- `records` -- invariants
+    clients -- relay -- gateways -- relay -- fakes (hosts, counter, discovery)
+    observations of every party -- `records` -- invariants
 
-`run_file` reads a run, `runner` carries out its steps, `command` shows it; tests and benchmarks use
-`fleet.LoopbackFleet` directly.
+`run_file` parses a run file, `runner` executes its steps and `command` prints the results. Tests
+and benchmarks use `fleet.LoopbackFleet` directly.
 
-A scale run has hollow gateways, real ones and the test doubles in processes of their own: `scale`
-says what is run, `testbed` holds the processes, and each reports through `metered` what it spends.
-`slopes` fits lines to such runs, and `capacity` works out the page of capacity from them.
+A scale run starts hollow gateways, real gateways and fakes in separate processes: `scale` defines
+the run, `testbed` manages the processes, and each process reports its resource usage through
+`metered`. `slopes` fits lines to the results of scale runs, and `capacity` computes the capacity
+page from them.
 """
--- a/petrellane/testbed/addresses.py
+++ b/petrellane/testbed/addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of one run, so that runs beside each other never meet."""
+"""Loopback addresses for one run, allocated so that concurrent runs do not collide."""
 
 import contextlib
 import random
@@ -6,7 +6,7 @@
 
 from petrellane.net.stream import Address
 
-ANY_PORT: Address = ("127.0.0.1", 0)  # the kernel picks a port
+ANY_PORT: Address = ("127.0.0.1", 0)  # the kernel assigns the port
 
 
 def format_address(address: Address) -> str:
@@ -16,20 +16,20 @@
 
 
 class AddressPool:
-    """Gives away ports of a loopback address that belongs to one run alone.
+    """Allocates ports of a random loopback IP address; owned by one run.
 
-    The ports are below those that the kernel gives away by itself: a socket with one of those
-    could connect to itself when it dials a port where nobody listens, and then holds the port.
+    The ports lie below the kernel's ephemeral range. A socket that dials an ephemeral port without
+    a listener may be assigned that same port, connect to itself and so occupy the port.
     """
 
     def __init__(self, last_port: int) -> None:
-        """Make a pool whose first port comes after `last_port`."""
+        """Initialize a pool that allocates ports above `last_port`."""
         parts = [random.SystemRandom().randint(1, 250) for _ in range(3)]
         self.ip = "127." + ".".join(map(str, parts))
         self._last_port = last_port
 
     def next_port(self) -> int:
-        """Return a port where nobody listens and that was not given away before."""
+        """Return a port that has no listener and that the pool has not allocated before."""
         while True:
             self._last_port += 1
             with (
@@ -39,5 +39,5 @@
                 return self._last_port
 
     def next_address(self) -> Address:
-        """Return the address of the next port."""
+        """Return the pool's IP address with its next port."""
         return self.ip, self.next_port()
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -1,8 +1,8 @@
-"""Clients in an open loop: RPCs come at intended times, whatever became of those before.
+"""Open-loop clients: RPCs are sent at intended times, whether or not earlier ones have finished.
 
-A front deals a customer's RPCs out among the gateways of its set. Clients keep to the protocol:
-one RPC at a time on a connection, a new connection where all are busy, and a second attempt on a
-new one where a kept connection was closed under a command.
+The clients spread a customer's RPCs at random among the gateways of the customer's set. They follow
+the protocol: one RPC at a time per connection, a new connection when all are busy, and a second
+attempt on a new connection when the gateway closed a reused connection before it answered.
 """
 
 import random
@@ -17,21 +17,28 @@
 from petrellane.testbed.records import ReceivedRpc, Records
 
 DIAL_TIMEOUT_S = 0.5
-GRACE_S = 0.3  # past its patience, after which a client stops listening
-SUSPECT_S = 0.25  # before a gateway that could not be reached is tried again
-MINIMUM_PATIENCE_S = 0.001  # of a second attempt
+GRACE_S = 0.3  # how long a client waits past its deadline, and from half-close to close
+SUSPECT_S = 0.25  # the time for which clients try other gateways first after a failed dial
+MINIMUM_PATIENCE_S = 0.001  # the shortest timeout of an attempt
 BULK_STRING = 0x24
 
-# What an exchange may end with beside the answers that the invariants know and errors of a host.
-AGAIN = "again"  # the connection ended without an answer
-LATE = "late"  # no answer came in time
-GONE = "gone"  # the client closed its connection
-SPOILT = "spoilt"  # an answer to another RPC
+# Outcomes of an exchange besides the answers in `invariants` and host errors.
+AGAIN = "again"  # the connection ended before an answer arrived
+LATE = "late"  # timed out
+GONE = "gone"  # the client closed the connection
+SPOILT = "spoilt"  # the answer belongs to another RPC
 
 
 @dataclass(frozen=True)
 class Method:
-    """What clients ask: `share` of the RPCs, with `patience` in seconds."""
+    """A method that clients call.
+
+    Attributes:
+        name: The method's name.
+        share: The method's relative weight when the load draws an RPC.
+        effect: The method's effect class, one of those in `invariants`.
+        patience: The timeout of an RPC, in seconds.
+    """
 
     name: str
     share: float = 1.0
@@ -41,7 +48,16 @@
 
 @dataclass(frozen=True)
 class Customer:
-    """Who asks: `share` of the RPCs, through `gateway_count` gateways from `first_gateway` on."""
+    """A customer whose clients send RPCs.
+
+    Attributes:
+        number: The customer's number, from which its id is formatted.
+        plan: The customer's plan.
+        share: The customer's relative weight when the load draws an RPC.
+        first_gateway: The index of the first gateway in the customer's set.
+        gateway_count: The number of consecutive gateways in the customer's set.
+        units: The units that each RPC of the customer costs.
+    """
 
     number: int
     plan: str
@@ -58,14 +74,14 @@
 
 @dataclass(frozen=True)
 class ClientRpc:
-    """One RPC of a client.
+    """An RPC that a client sends.
 
     Attributes:
-        name: Its id.
-        method: What is asked.
-        customer: Who asks.
-        intended: The scheduler's time at which it was due to be sent.
-        leave_at: The scheduler's time at which its client leaves; None where that is drawn.
+        name: The RPC's id.
+        method: The method that the client calls.
+        customer: The customer that the client belongs to.
+        intended: The scheduler time at which the RPC was due to be sent, in seconds.
+        leave_at: The scheduler time at which the client disconnects; None to draw it at random.
     """
 
     name: str
@@ -77,7 +93,13 @@
 
 @dataclass(frozen=True)
 class Load:
-    """What clients send: `rate` RPCs a second of these methods and customers."""
+    """The load that clients generate.
+
+    Attributes:
+        rate: The initial rate, in RPCs per second.
+        methods: The methods that RPCs are drawn from.
+        customers: The customers that RPCs are drawn from.
+    """
 
     rate: float
     methods: Sequence[Method]
@@ -85,18 +107,18 @@
 
 
 class Front:
-    """What clients know of one gateway.
+    """The clients' connection pool for one gateway.
 
     Attributes:
         name: The gateway's name.
-        address: Where it is reached.
-        idle: Connections that stand and are not in use.
-        avoided_until: The scheduler's time until which others are tried first.
-        taken_in: Whether RPCs go there at all.
+        address: The address at which clients reach the gateway.
+        idle: The open connections that no RPC uses.
+        avoided_until: The scheduler time until which clients try other gateways first.
+        taken_in: Whether clients send RPCs to the gateway.
     """
 
     def __init__(self, name: str, address: Address) -> None:
-        """Make a front without connections."""
+        """Initialize a pool without connections."""
         self.name = name
         self.address = address
         self.idle: list[Stream] = []
@@ -105,19 +127,19 @@
 
 
 class Clients:
-    """The load of a run, owned by its fleet.
+    """Generates the load of a run; owned by its fleet.
 
     Attributes:
-        rate: RPCs a second.
-        on: Whether RPCs are sent.
-        out: RPCs in flight.
-        leaving: The share of RPCs whose client closes its connection within its patience.
-        half_closing: The share of these that end their sending first and close later.
-        turned_back: RPCs that found no gateway.
-        rpc_count: RPCs sent by the load so far.
-        load: What is sent; its rate is that of the start.
-        seed: The begin of the RPCs' ids.
-        waits: For each answer the seconds since the intended time, and its kind.
+        rate: The current rate, in RPCs per second.
+        on: Whether the load sends RPCs.
+        out: The number of RPCs in flight.
+        leaving: The share of RPCs whose client disconnects before the deadline.
+        half_closing: The share of those clients that half-close their connection first.
+        turned_back: The number of RPCs for which no gateway was reachable.
+        rpc_count: The number of RPCs that the load has drawn so far.
+        load: The load to generate; `rate` replaces its rate after the start.
+        seed: The seed of the load, which is also the prefix of RPC ids.
+        waits: The seconds from the intended time to the answer, and its kind, for each answer.
     """
 
     def __init__(
@@ -128,7 +150,7 @@
         load: Load,
         seed: int = 0,
     ) -> None:
-        """Make clients that send nothing yet; `seed` is of all their draws."""
+        """Initialize stopped clients; `seed` determines all random draws."""
         self.rate = load.rate
         self.on = False
         self.out = 0
@@ -146,17 +168,17 @@
         self._next_at = 0.0
 
     def start(self) -> None:
-        """Send from now on."""
+        """Start to send RPCs."""
         self.on = True
         self._next_at = self._scheduler.monotonic()
         self._arrive()
 
     def stop(self) -> None:
-        """Send no more; what is in flight goes on."""
+        """Stop sending RPCs; RPCs in flight continue."""
         self.on = False
 
     def send(self, rpc: ClientRpc) -> None:
-        """Send one RPC, and wait for its end; in a greenlet."""
+        """Send one RPC and wait until it ends; must run in a greenlet."""
         customer = rpc.customer
         numbers = [
             (customer.first_gateway + step) % len(self._fronts)
@@ -176,18 +198,18 @@
                     self._record_received(rpc, front)
                 verdict = self._exchange(stream, rpc, deadline)
                 if rpc.name not in self._records.open_rpcs:
-                    # It died with its gateway: nobody may send it again.
+                    # The gateway was killed, which ended the RPC: no client may retry it.
                     stream.close()
                     return
                 if verdict == AGAIN and was_idle:
-                    continue  # the connection was closed under our command
+                    continue  # the gateway closed the reused connection before it answered
                 self._finish(front, stream, rpc, verdict)
                 return
             front.avoided_until = self._scheduler.monotonic() + SUSPECT_S
         self.turned_back += 1
 
     def _arrive(self) -> None:
-        """Send what is due, and come back at the next intended time."""
+        """Send all RPCs that are due, and reschedule itself for the next intended time."""
         while self.on and self._next_at <= self._scheduler.monotonic():
             self._scheduler.spawn(self._send_drawn, self._next_at)
             self._next_at += self._random.expovariate(self.rate)
@@ -196,7 +218,7 @@
             self._scheduler.call_later(delay, self._arrive)
 
     def _send_drawn(self, intended: float) -> None:
-        """Draw one RPC, and send it."""
+        """Draw a method and a customer at random, and send an RPC."""
         methods = self.load.methods
         method = self._random.choices(methods, [method.share for method in methods])[0]
         customers = self.load.customers
@@ -222,7 +244,7 @@
         )
 
     def _connections(self, front: Front) -> Iterator[tuple[Stream, bool]]:
-        """Yield an idle connection where one stands, then a new one; with whether it was idle."""
+        """Yield an open idle connection, if any, then a new one; each with whether it was idle."""
         while front.idle:
             stream = front.idle.pop()
             if stream.is_read_idle() and not stream.buffer:
@@ -236,7 +258,7 @@
 
     def _exchange(self, stream: Stream, rpc: ClientRpc, deadline: float) -> str:
         """Send an RPC on a connection; return the kind of its answer, or AGAIN, LATE or GONE."""
-        # A first attempt may have taken some of the patience.
+        # A first attempt may have used part of the timeout.
         left = max(MINIMUM_PATIENCE_S, deadline - self._scheduler.monotonic())
         stream.write(_command(rpc, left))
         leaves = rpc.leave_at is not None
@@ -260,8 +282,8 @@
         return _take_answer(stream, rpc, reply)
 
     def _leave(self, stream: Stream, rpc: ClientRpc) -> None:
-        """Close a connection before its answer."""
-        # Recorded first: the close takes some time, within which it may be seen.
+        """Disconnect before the answer arrives."""
+        # Recorded first, because the gateway may see the disconnect before this method returns.
         self._records.on_client_disconnected(rpc.name)
         if self.half_closing and self._random.random() < self.half_closing:
             stream.write_eof()
@@ -269,7 +291,7 @@
         stream.close()
 
     def _finish(self, front: Front, stream: Stream, rpc: ClientRpc, verdict: str) -> None:
-        """Record the end of an RPC; keep its connection where it may be used again."""
+        """Record the end of an RPC; keep its connection if it can be reused."""
         method = rpc.method.name
         is_host_error = verdict.startswith("ERR")
         if verdict in (invariants.OK, invariants.REJECTED) or is_host_error:
@@ -278,14 +300,14 @@
             self._records.on_answered(rpc.name, answer, method)
             self.waits.append((self._scheduler.monotonic() - rpc.intended, verdict))
             return
-        # No answer, or none that a host made: it is lost, unless its gateway was killed.
+        # No valid answer arrived: the RPC counts as lost unless its gateway was killed.
         stream.close()
         counts = self._records.counts
         counts[method, verdict] = counts.get((method, verdict), 0) + 1
 
 
 def _command(rpc: ClientRpc, patience_s: float) -> bytes:
-    """Return the bytes that ask for an RPC."""
+    """Return the encoded request of an RPC."""
     customer = rpc.customer
     fields = (
         f"c={rpc.method.name},t={customer.plan},d={int(patience_s * 1e3)},"
@@ -298,7 +320,7 @@
 
 
 def _take_answer(stream: Stream, rpc: ClientRpc, reply: resp.Reply) -> str:
-    """Remove an answer from the buffer; return its kind."""
+    """Remove an answer from the stream's buffer; return its kind."""
     text = b""
     if isinstance(reply.content, tuple):
         start, end = reply.content
--- a/petrellane/testbed/clock_skew.py
+++ b/petrellane/testbed/clock_skew.py
@@ -1,8 +1,9 @@
-"""Runs the program with a system clock that is off by LAB_SKEW seconds.
+"""Entry point that runs petrellane with a system clock skewed by LAB_SKEW seconds.
 
     LAB_SKEW=2.5 python -m petrellane.testbed.clock_skew serve
 
-The program starts as by `python -m petrellane`, by its name: nothing of it is imported here.
+The program is run by module name, as by `python -m petrellane`: this module imports none of its
+code.
 """
 
 import os
@@ -13,7 +14,7 @@
 
 
 def main() -> None:
-    """Set the clock off, and run the program."""
+    """Replace `time.time` with a skewed clock, and run the program."""
     true_time = time.time
     skew_s = float(os.environ.get(SKEW_VARIABLE, "0"))
 
--- a/petrellane/testbed/command_pipe.py
+++ b/petrellane/testbed/command_pipe.py
@@ -1,4 +1,4 @@
-"""Commands that the testbed gives a process of a scale run, one a line on a pipe."""
+"""Commands that the testbed sends to a process of a scale run: one per line, over a pipe."""
 
 import os
 import select
@@ -10,17 +10,17 @@
 
 
 class CommandPipe:
-    """The reading end of a pipe, for as long as the process lives."""
+    """Reads commands from a pipe and calls their handlers, for the lifetime of the process."""
 
     def __init__(
         self, scheduler: Scheduler, descriptor: int, handlers: Mapping[str, Callable[[], object]]
     ) -> None:
-        """Watch a pipe.
+        """Register the pipe with the scheduler.
 
         Args:
-            scheduler: Of this process.
-            descriptor: The reading end, open.
-            handlers: Called by command; other commands are ignored.
+            scheduler: The scheduler of this process.
+            descriptor: The open descriptor of the pipe's read end.
+            handlers: The handlers by command; commands without a handler are ignored.
         """
         self._descriptor = descriptor
         self._handlers = handlers
@@ -30,7 +30,7 @@
 
     def _on_readable(self, _: int) -> None:
         data = os.read(self._descriptor, READ_SIZE)
-        if not data:  # the testbed has ended, and this process with it
+        if not data:  # the testbed has exited, so this process exits too
             os._exit(1)
         *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
--- a/petrellane/testbed/endpoint_rows.py
+++ b/petrellane/testbed/endpoint_rows.py
@@ -1,22 +1,22 @@
-"""Rows of the endpoint list, as discovery and configurations write them."""
+"""Rows of the endpoint list, in the format of discovery responses and configuration files."""
 
 from typing import Any
 
-IN_SERVICE = "in_service"  # the status of an endpoint that takes RPCs
+IN_SERVICE = "in_service"  # the status of an endpoint that accepts RPCs
 
-EndpointRow = dict[str, Any]  # as JSON has it
+EndpointRow = dict[str, Any]  # a decoded JSON object
 
 
 def build_endpoint_row(
     name: str, address: str, status: str = IN_SERVICE, started_at: float = 0.0
 ) -> EndpointRow:
-    """Return the row of an endpoint; all of them are of one zone and one pod.
+    """Return the row of an endpoint; all rows share one zone and one group.
 
     Args:
         name: The endpoint's name.
-        address: Its address as host:port.
-        status: Its status, in the words of the wire.
-        started_at: The Unix time of its start; 0 for long ago.
+        address: The endpoint's address, as host:port.
+        status: The endpoint's status, as spelled on the wire.
+        started_at: The Unix time of the endpoint's start, in seconds; 0 if it is long past.
     """
     return {
         "name": name,
--- a/petrellane/testbed/fake_counter.py
+++ b/petrellane/testbed/fake_counter.py
@@ -1,4 +1,4 @@
-"""A test double of the counter: totals by name that expire."""
+"""A fake of the counter service: named totals that expire."""
 
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Address, Stream
@@ -6,16 +6,16 @@
 from petrellane.testbed.fake_server import FakeServer
 
 MAXIMUM_LIFETIME_S = 60.0
-EXPIRY_THRESHOLD = 100_000  # totals held before those that are over are dropped
+EXPIRY_THRESHOLD = 100_000  # totals stored before the counter drops expired ones
 
 
 class FakeCounter(FakeServer):
-    """The counter of a run.
+    """The fake counter of a run, owned by its fleet.
 
     Attributes:
-        quiet: Whether nobody is answered; what is asked is added all the same.
-        refuses: Whether all are answered with -BUSY.
-        adds: How many additions were asked for.
+        quiet: Whether the counter sends no replies; it still applies additions.
+        refuses: Whether the counter answers every addition with -BUSY, without applying it.
+        adds: The number of additions requested so far.
     """
 
     def __init__(self, scheduler: Scheduler, address: Address = ANY_PORT) -> None:
@@ -24,7 +24,9 @@
         self.quiet = False
         self.refuses = False
         self.adds = 0
-        self._totals: dict[bytes, tuple[float, float]] = {}  # by name: expiry time, total
+        self._totals: dict[
+            bytes, tuple[float, float]
+        ] = {}  # expiry (Unix seconds) and total, by name
 
     def serve(self, stream: Stream) -> None:
         """Answer CNT.ADD and PING."""
@@ -35,7 +37,7 @@
                 stream.write(b"+PONG\r\n" if parts[0] == b"PING" else b"-ERR no such call\r\n")
 
     def forget(self) -> None:
-        """Lose all totals at once."""
+        """Drop all totals."""
         self._totals.clear()
 
     def _add(self, stream: Stream, parts: list[bytes]) -> None:
--- a/petrellane/testbed/fake_discovery.py
+++ b/petrellane/testbed/fake_discovery.py
@@ -1,8 +1,8 @@
-"""A test double of discovery: the endpoint list, and watches that are answered when it changes.
+"""A fake of discovery: the endpoint list, and watches that are answered when it changes.
 
-Each gateway has a listener of its own, so that faults can be injected for one of them. Which
-changes a gateway was notified of is known when it polls on from there: an answer may be lost on
-its way.
+Each gateway has a separate listener, so that a fault can be injected for one gateway alone. A
+change counts as received only when the gateway polls from the change's index or a later one,
+because the response that carried it may be lost.
 """
 
 import enum
@@ -21,36 +21,36 @@
 from petrellane.testbed.fake_server import BACKLOG, FakeServer, ignore_exhaustion
 from petrellane.testbed.records import Records
 
-MAXIMUM_CHANGES = 1000  # changes remembered for gateways that have not polled on
-MAXIMUM_HOLD_S = 60.0  # for which a watch is held
-WATCH_CHECK_S = 0.02  # between two looks at a watch
-CROWD = 2  # connections that fill a queue of length 0
+MAXIMUM_CHANGES = 1000  # changes kept for gateways that have not acknowledged them by a poll
+MAXIMUM_HOLD_S = 60.0  # the longest time for which a watch is held
+WATCH_CHECK_S = 0.02  # the interval at which a held watch is checked
+CROWD = 2  # connections that fill an accept queue of length 0
 END_OF_HEAD = b"\r\n\r\n"
 BUSY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 HALF_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{"index":'
 
 
 class DiscoveryFault(enum.Enum):
-    """What is wrong with discovery for one gateway."""
+    """Faults of discovery as one gateway sees it."""
 
     NONE = ""
-    REFUSED = "refused"  # nobody listens
-    REJECTED = "turned away"  # status 503
-    SILENT = "silent"  # requests are taken and never answered
-    UNACCEPTED = "unaccepted"  # connections come up, and nobody takes them
-    FULL = "full"  # no connection comes up
-    CUT = "cut"  # half an answer, then the end
+    REFUSED = "refused"  # connections are refused: nothing listens
+    REJECTED = "turned away"  # requests are answered with status 503
+    SILENT = "silent"  # requests are read but never answered
+    UNACCEPTED = "unaccepted"  # connections are established but never accepted
+    FULL = "full"  # the accept queue is full: no connection is established
+    CUT = "cut"  # the connection closes after half a response
 
 
 class Watch(NamedTuple):
-    """A gateway waits for changes that are newer than an index of the list."""
+    """A gateway's pending request for changes that are newer than an index of the list."""
 
     list_index: int
     gateway: str
 
 
 class Change(NamedTuple):
-    """A host's status changed; `since` is the Unix time of its start, 0 for long ago."""
+    """A change of a host's status; `since` is the Unix time of its start, 0 if long past."""
 
     list_index: int
     host: str
@@ -59,7 +59,7 @@
 
 
 def read_request(stream: Stream) -> dict[str, str]:
-    """Wait for a request; return the fields of its query."""
+    """Read an HTTP request; return the parameters of its query string."""
     while (end := stream.buffer.find(END_OF_HEAD)) < 0:
         stream.fill()
     target = bytes(stream.buffer[:end]).split(b" ")[1].decode()
@@ -69,7 +69,7 @@
 
 
 class DiscoveryListener(FakeServer):
-    """Where one gateway reaches discovery, which owns it."""
+    """The listener at which one gateway reaches discovery; owned by `FakeDiscovery`."""
 
     def __init__(self, discovery: "FakeDiscovery", gateway: str, address: Address) -> None:
         """Listen at an address."""
@@ -80,11 +80,11 @@
         self._crowd: list[socket.socket] = []
 
     def serve(self, stream: Stream) -> None:
-        """Answer polls and watches from discovery's list."""
+        """Answer polls and watches from the endpoint list."""
         self._discovery.serve(stream, self)
 
     def inject(self, fault: DiscoveryFault) -> None:
-        """Have a fault from now on; watches that are held are never answered."""
+        """Apply a fault until `heal`; watches held at this point are never answered."""
         self.fault = fault
         watches = self._discovery.watches
         for stream in [stream for stream in self.streams if stream in watches]:
@@ -99,11 +99,11 @@
             self._fill_queue()
 
     def heal(self) -> None:
-        """End the fault; what was asked meanwhile stays without an answer."""
+        """End the fault; requests made during the fault stay unanswered."""
         for sock in self._crowd:
             sock.close()
         if self._is_unwatched() and self.listener is not None:
-            # Kept open and silent, as those who dialed found them.
+            # Connections made during the fault stay open and unanswered, as before.
             self._crowd += accept_waiting(self.listener, BACKLOG, ignore_exhaustion)
             if self.fault is DiscoveryFault.FULL:
                 self.listener.listen(BACKLOG)
@@ -112,7 +112,7 @@
         self.listen_again()
 
     def close(self) -> None:
-        """End for good."""
+        """Close the listener and all connections permanently."""
         for sock in self._crowd:
             sock.close()
         if self._is_unwatched() and self.listener is not None:
@@ -121,15 +121,15 @@
         super().close()
 
     def on_disconnected(self, stream: Stream) -> None:
-        """Drop the watch of a connection that has ended."""
+        """Drop the watch of a closed connection."""
         self._discovery.forget_connection(stream)
 
     def _is_unwatched(self) -> bool:
-        """Return whether the fault has taken the listener off the scheduler."""
+        """Return whether the fault has unregistered the listener from the scheduler."""
         return self.fault in (DiscoveryFault.UNACCEPTED, DiscoveryFault.FULL)
 
     def _fill_queue(self) -> None:
-        """Listen with a queue that is full, so that nobody's connection comes up."""
+        """Listen with a full accept queue, so that no further connection is established."""
         self.listener = open_listener(self.address, 0)
         for _ in range(CROWD):
             sock = socket.socket()
@@ -139,23 +139,23 @@
 
 
 def _same_row(_: str, row: EndpointRow) -> EndpointRow:
-    """Show a host to all gateways alike."""
+    """Return the row unchanged, so that all gateways see the same host."""
     return row
 
 
 class FakeDiscovery:
-    """Discovery of a run.
+    """The fake discovery service of a run, owned by its fleet.
 
     Attributes:
-        index: The version of the list.
-        rows: The list, by host name.
-        watches: The watches that are held.
-        listeners: Where each gateway reaches it.
-        notice_delay_s: Seconds between a change and its notification.
-        away: Whether nobody is answered.
-        rate: Requests that are served in any one second; further ones are rejected.
-        calls: Requests so far.
-        refused: Requests that were rejected so far.
+        index: The version of the endpoint list.
+        rows: The endpoint list, by host name.
+        watches: The held watches, by connection.
+        listeners: The listeners, by gateway.
+        notice_delay_s: The delay from a change to its notification, in seconds.
+        away: Whether discovery leaves polls and watches unanswered.
+        rate: The requests served in any one second; further requests are rejected.
+        calls: The number of requests received so far.
+        refused: The number of requests rejected so far.
     """
 
     def __init__(
@@ -164,12 +164,12 @@
         records: Records | None,
         row_seen_by: Callable[[str, EndpointRow], EndpointRow] = _same_row,
     ) -> None:
-        """Make an empty list.
+        """Initialize discovery with an empty endpoint list.
 
         Args:
             scheduler: The scheduler of the run.
-            records: Where notifications go; None where nobody reads them.
-            row_seen_by: Gives a row as a gateway is to see it.
+            records: The records that notifications are added to; None to record none.
+            row_seen_by: Returns a row as the given gateway should see it.
         """
         self.scheduler = scheduler
         self.index = 1
@@ -183,25 +183,25 @@
         self.refused = 0
         self._records = records
         self._row_seen_by = row_seen_by
-        self._changed_at: dict[str, int] = {}  # by host: the index of its last change
+        self._changed_at: dict[str, int] = {}  # index of the last change, by host
         self._changes: deque[Change] = deque(maxlen=MAXIMUM_CHANGES)
-        self._notified: dict[str, int] = {}  # by gateway: the index that it knows
-        self._served_at: deque[float] = deque()  # requests of the last second
+        self._notified: dict[str, int] = {}  # highest acknowledged index, by gateway
+        self._served_at: deque[float] = deque()  # times of the requests of the last second
 
     def listener_for(self, gateway: str, address: Address = ANY_PORT) -> DiscoveryListener:
-        """Return where a gateway reaches discovery; made at the address when it is new."""
+        """Return the listener of a gateway; create it at the address if it does not exist."""
         if gateway not in self.listeners:
             self.listeners[gateway] = DiscoveryListener(self, gateway, address)
         return self.listeners[gateway]
 
     def put(self, name: str, address: str, state: str = IN_SERVICE, since: float = 0.0) -> None:
-        """Add a host to the list, or change it.
+        """Add a host to the list, or replace its row.
 
         Args:
             name: The host's name.
-            address: Its address as host:port.
-            state: Its status, in the words of the wire.
-            since: The Unix time of its start; 0 for long ago.
+            address: The host's address, as host:port.
+            state: The host's status, as spelled on the wire.
+            since: The Unix time of the host's start, in seconds; 0 if it is long past.
         """
         self.index += 1
         self.rows[name] = build_endpoint_row(name, address, state, since)
@@ -230,7 +230,7 @@
             self._hold_watch(stream, Watch(int(query["from"]), listener.gateway), hold_s)
 
     def is_overloaded(self) -> bool:
-        """Return whether the last second has as many requests as may be; else count this one."""
+        """Return whether the last second has reached the rate limit; if not, count a request."""
         now = self.scheduler.monotonic()
         while self._served_at and self._served_at[0] <= now - 1.0:
             self._served_at.popleft()
@@ -241,7 +241,7 @@
         return False
 
     def notify(self) -> None:
-        """Answer all watches for which there is news."""
+        """Answer every held watch for which the list has newer changes."""
         if self.away:
             return
         for stream, (index, gateway) in list(self.watches.items()):
@@ -251,15 +251,15 @@
                 self._answer(stream, gateway, False, rows)
 
     def forget(self, gateway: str) -> None:
-        """Forget what a gateway was notified of: its next process knows nothing."""
+        """Drop a gateway's acknowledged index: its next process starts without a list."""
         self._notified.pop(gateway, None)
 
     def forget_connection(self, stream: Stream) -> None:
-        """Drop the watch of a connection that has ended."""
+        """Drop the watch of a closed connection."""
         self.watches.pop(stream, None)
 
     def rows_seen_by(self, gateway: str) -> list[EndpointRow]:
-        """Return the list as a gateway sees it."""
+        """Return the endpoint list as a gateway sees it."""
         return [self._row_seen_by(gateway, row) for row in self.rows.values()]
 
     def close(self) -> None:
@@ -268,7 +268,7 @@
             listener.close()
 
     def _hold_watch(self, stream: Stream, watch: Watch, hold_s: float) -> None:
-        """Hold a watch until there is news, or answer it with none after some seconds."""
+        """Hold a watch until the list changes, or answer it without changes after `hold_s`."""
         self._on_polled_from(watch.gateway, watch.list_index)
         self.watches[stream] = watch
         until = self.scheduler.monotonic() + hold_s
@@ -279,7 +279,7 @@
             self._answer(stream, watch.gateway, False, ())
 
     def _on_polled_from(self, gateway: str, index: int) -> None:
-        """Record the changes up to an index: a gateway that polls on from there knows them."""
+        """Record the changes up to the index that a gateway polls from, which acknowledges them."""
         before = self._notified.get(gateway, 0)
         self._notified[gateway] = max(index, before)
         if self._records is None:
--- a/petrellane/testbed/fake_host.py
+++ b/petrellane/testbed/fake_host.py
@@ -1,7 +1,7 @@
-"""A test double of a host: it runs RPCs in a few slots, queues some, and fails on demand.
+"""A fake of a host: it runs RPCs in a limited number of slots with a queue, and fails on demand.
 
-What reaches it and what it runs goes to the records of the run, which the invariants are judged
-from.
+The host reports the attempts that arrive and the RPCs that it runs to the records of the run, from
+which the invariant checker works.
 """
 
 import random
@@ -18,23 +18,23 @@
 from petrellane.testbed.records import ArrivedAttempt, HostAttempt, Records
 
 TWO_NULLS = b"$-1\r\n$-1\r\n"
-MAXIMUM_REMEMBERED = 20_000  # idempotency keys and peers
-DEFAULT_WORK_S = 0.02  # of a method without a figure of its own
-MINIMUM_PARTS = 4  # of a command that carries an RPC
+MAXIMUM_REMEMBERED = 20_000  # idempotency keys, and peer addresses
+DEFAULT_WORK_S = 0.02  # mean work of a method that the host's spec does not list
+MINIMUM_PARTS = 4  # in a command that carries an RPC
 
 
 @dataclass(frozen=True)
 class HostSpec:
-    """What a host is like.
+    """The properties of a fake host.
 
     Attributes:
-        name: Its name in the endpoint list.
-        mean_work_s: Mean seconds of work by method.
-        slots: RPCs that run at a time.
-        queue: RPCs that wait at most; further ones are rejected.
-        slow_start_s: Seconds that it takes to warm up after a start; 0 for none.
-        slow_start_minimum: The part of its speed that it has at the start.
-        seed: Of the draws of work and failures.
+        name: The host's name in the endpoint list.
+        mean_work_s: The mean work of an RPC in seconds, by method.
+        slots: The number of RPCs that run concurrently.
+        queue: The length of the queue; the host rejects RPCs when it is full.
+        slow_start_s: The seconds that the host takes to warm up after a start; 0 for no warm-up.
+        slow_start_minimum: The fraction of its full speed that the host has right after a start.
+        seed: The seed of the random work and failures.
     """
 
     name: str
@@ -54,19 +54,21 @@
 
 
 class FakeHost(FakeServer):
-    """One host of a run; the work of an RPC is drawn from an exponential distribution.
+    """A fake host of a run, owned by its fleet.
+
+    The work of each RPC is drawn from an exponential distribution.
 
     Attributes:
-        name: Its name in the endpoint list.
-        error_rate: The share of what it runs that fails.
+        name: The host's name in the endpoint list.
+        error_rate: The share of the RPCs run by the host that fail.
         slowdown: The factor by which all work takes longer.
-        silent: Whether it takes RPCs and neither runs nor answers them.
-        draining: Whether it rejects all RPCs.
-        started_at: Unix time of its last start; 0 when it never crashed.
-        busy: Slots in use.
-        ran: RPCs that it has run.
-        relayed_at: By peer when a relay last read bytes from there, in the scheduler's seconds.
-        on_restart: Called when it crashes and when it starts again.
+        silent: Whether the host accepts RPCs without starting or answering any.
+        draining: Whether the host rejects all RPCs.
+        started_at: The Unix time of the last restart, in seconds; 0 if the host never restarted.
+        busy: The number of slots in use.
+        ran: The number of RPCs that the host has run without failing.
+        relayed_at: The scheduler time at which a relay last read forwarded bytes, by peer address.
+        on_restart: The function called when the host crashes and when it starts again.
     """
 
     def __init__(
@@ -81,11 +83,11 @@
 
         Args:
             scheduler: The scheduler of the run.
-            records: Where it reports what it sees.
-            spec: What it is like.
-            executed_keys: Idempotency keys that have run, which the hosts of a group share: a
-                repeat has no effect.
-            address: Where to listen.
+            records: The records that the host reports to.
+            spec: The properties of the host.
+            executed_keys: The idempotency keys that have run, shared by the hosts of a group: a
+                repeated key has no effect.
+            address: The address to listen at.
         """
         super().__init__(scheduler, address)
         self.name = spec.name
@@ -104,7 +106,7 @@
         self._random = random.Random(f"{spec.seed} {spec.name}")
         self._waiting: deque[_WaitingAttempt] = deque()
         self._in_flight: dict[Stream, list[HostAttempt]] = {}
-        self._closed_peers: set[Address] = set()  # whose gateway has closed the connection
+        self._closed_peers: set[Address] = set()  # peers whose gateway has closed the connection
 
     def serve(self, stream: Stream) -> None:
         """Answer PING and RPCs."""
@@ -117,7 +119,7 @@
                 stream.write(b"-SYNTAX\r\n")
 
     def run_waiting(self) -> None:
-        """Start as many waiting RPCs as there are free slots."""
+        """Start queued RPCs while slots are free."""
         while self._waiting and self.busy < self._spec.slots and not self.silent:
             waiting = self._waiting.popleft()
             self.busy += 1
@@ -127,15 +129,15 @@
             )
 
     def on_disconnected(self, stream: Stream) -> None:
-        """End the attempts of a connection: the gateway has given them up."""
+        """Record the end of a connection's attempts, which the gateway has abandoned."""
         for attempt in self._in_flight.pop(stream, ()):
             self._records.on_attempt_ended(attempt, "late")
 
     def on_peer_closed(self, peer: Address) -> None:
-        """Take note from a relay that a gateway has closed its connection.
+        """Handle a relay's report that a gateway has closed its connection.
 
-        The end may arrive here later or never. What is in flight on it is over; what comes from
-        there yet is work, with its effect, but no attempt.
+        The close itself may reach the host later or never. The attempts in flight on the connection
+        end now. RPCs that still arrive on it are run, but do not count as attempts.
         """
         self._closed_peers.add(peer)
         if len(self._closed_peers) > MAXIMUM_REMEMBERED:
@@ -146,12 +148,12 @@
                     self._records.on_attempt_ended(attempt, "late")
 
     def crash(self) -> None:
-        """Stop listening, and reset all connections, as when its process dies."""
+        """Stop listening and reset all connections, as the kernel does when a process crashes."""
         super().crash()
         self.on_restart()
 
     def start(self) -> None:
-        """Start again, cold."""
+        """Start again after a crash, with an empty queue and not warmed up."""
         self.started_at = self.scheduler.now()
         self.busy = 0
         self.silent = False
@@ -163,7 +165,7 @@
         )
 
     def _speed(self) -> float:
-        """Return the part of its speed that it has by now, as it warms up."""
+        """Return the current fraction of the host's full speed; below 1 while it warms up."""
         spec = self._spec
         if not (self.started_at and spec.slow_start_s):
             return 1.0
@@ -196,9 +198,9 @@
             self.run_waiting()
 
     def _complete(self, stream: Stream, attempt: HostAttempt) -> None:
-        """Free the slot of an attempt whose work is done, and answer it.
+        """Free the slot of an attempt whose work is done, run its effect and answer it.
 
-        A host that has crashed meanwhile does neither run nor answer it.
+        If the host has crashed in the meantime, the attempt has no effect and gets no answer.
         """
         self.busy -= 1
         if self.listener is not None:
@@ -212,7 +214,7 @@
         self.run_waiting()
 
     def _execute(self, attempt: HostAttempt) -> None:
-        """Take note that an RPC ran, unless its idempotency key has run before."""
+        """Count an RPC as run, and record its effect unless its idempotency key has run before."""
         self.ran += 1
         if attempt.key is None or attempt.key not in self._executed_keys:
             self._executed_keys[attempt.key] = None
--- a/petrellane/testbed/fake_server.py
+++ b/petrellane/testbed/fake_server.py
@@ -1,7 +1,7 @@
-"""What all test doubles share: a listening socket, with a greenlet for each connection.
+"""Base class of the fakes: a listening socket, with a greenlet for each connection.
 
-A test double speaks the operators' protocol as far as a gateway uses it. It can crash, as its
-clients see it, and listen again at the same address.
+A fake implements the part of the peer's protocol that a gateway uses. It can simulate a process
+crash by resetting its connections, and can then listen at the same address again.
 """
 
 import select
@@ -17,12 +17,12 @@
 LIMITS = Limits(1 << 16, 1.0, 1.0, 64, 1.0)
 BACKLOG = 256
 ACCEPTED_PER_EVENT = 64
-# SO_LINGER on, for zero seconds: a close resets the connection.
+# struct linger for SO_LINGER, on with a timeout of 0 s: a close resets the connection.
 RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"
 
 
 def peer_of(sock: socket.socket) -> Address | None:
-    """Return where a connection comes from; None where it has been reset by now."""
+    """Return the peer address of a connection; None if the connection has been reset."""
     try:
         host, port = sock.getpeername()
     except OSError:
@@ -31,20 +31,19 @@
 
 
 def ignore_exhaustion(_: OSError) -> None:
-    """Go on where no descriptor is left for a connection: it waits."""
+    """Ignore descriptor exhaustion: the connection stays in the accept queue."""
 
 
 class FakeServer:
     """A listening socket with a greenlet for each connection.
 
-    Owned by the fleet of a run, which closes it. A subclass says in `serve` what happens on a
-    connection.
+    The fleet of a run owns and closes it. Subclasses override `serve` to handle a connection.
 
     Attributes:
         scheduler: The scheduler of the run.
         listener: The listening socket; None after a crash.
-        address: Where it listens.
-        streams: The open connections, each with where it comes from.
+        address: The address that the server listens at.
+        streams: The open connections, each with its peer address.
     """
 
     def __init__(self, scheduler: Scheduler, address: Address = ANY_PORT) -> None:
@@ -65,11 +64,11 @@
         return format_address(self.address)
 
     def serve(self, stream: Stream) -> None:
-        """Answer what comes on a connection until it ends; runs in a greenlet of its own."""
+        """Answer the requests of a connection until it ends, in the connection's greenlet."""
         raise NotImplementedError
 
     def handle_connection(self, stream: Stream) -> None:
-        """Serve a connection to its end, and forget it."""
+        """Serve a connection until it ends, then close and remove it."""
         try:
             self.serve(stream)
         except (Closed, resp.Malformed, TimeoutError):
@@ -80,10 +79,10 @@
             self.on_disconnected(stream)
 
     def on_disconnected(self, stream: Stream) -> None:
-        """Take note that a connection has ended."""
+        """Handle the end of a connection; subclasses may override it."""
 
     def commands(self, stream: Stream) -> Iterator[list[bytes]]:
-        """Yield the commands that come on a connection, each as its parts."""
+        """Yield each command received on a connection, as a list of its arguments."""
         while True:
             while (command := resp.parse_command(stream.buffer, 0, LIMITS)) is not None:
                 parts = [bytes(stream.buffer[start:end]) for start, end in command.spans]
@@ -92,28 +91,28 @@
             stream.fill()
 
     def crash(self) -> None:
-        """Stop listening, and reset all connections, as when a process dies."""
+        """Stop listening and reset all connections, as the kernel does when a process crashes."""
         if self.listener is not None:
             self.scheduler.unregister(self.listener.fileno())
             self.listener.close()
             self.listener = None
         for stream in list(self.streams):
             stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-            stream.release()  # a close would shut the sending down in order first
+            stream.release()  # `close` would first shut down the write side in an orderly way
 
     def listen_again(self) -> None:
-        """Listen at the same address after a crash; no effect while it listens."""
+        """Listen at the same address after a crash; no effect while the server listens."""
         if self.listener is None:
             self.listener = open_listener(self.address, BACKLOG)
             self._watch_listener(self.listener)
 
     def widen_queue(self, backlog: int) -> None:
-        """Let so many connections wait to be accepted."""
+        """Set the length of the accept queue to `backlog` connections."""
         if self.listener is not None:
             self.listener.listen(backlog)
 
     def close(self) -> None:
-        """End for good."""
+        """Stop listening and reset all connections permanently."""
         self.crash()
 
     def _watch_listener(self, listener: socket.socket) -> None:
--- a/petrellane/testbed/processes.py
+++ b/petrellane/testbed/processes.py
@@ -1,8 +1,7 @@
-"""Processes of a run: started, signalled by their own id, and surely ended.
+"""Child processes of a run: starts them, signals them by their process ids and ends them.
 
-A process dies with its parent however that ends: the kernel is asked to kill it then (prctl,
-Linux). Its standard output is read line by line, its standard error kept for when it ends in an
-unexpected way.
+The kernel kills a child when its parent exits for any reason (PR_SET_PDEATHSIG, Linux). The parent
+reads the child's standard output line by line, and keeps its standard error for crash reports.
 """
 
 import ctypes
@@ -21,30 +20,30 @@
 from petrellane.net.scheduler import Scheduler
 from petrellane.testbed.clock_skew import SKEW_VARIABLE
 
-PR_SET_PDEATHSIG = 1  # of linux/prctl.h
+PR_SET_PDEATHSIG = 1  # from linux/prctl.h
 LIBC = ctypes.CDLL(None, use_errno=True)
 PROGRAM = "petrellane"
 CLOCK_SKEW_PROGRAM = "petrellane.testbed.clock_skew"
 READ_SIZE = 1 << 16
-MAXIMUM_STDERR = 2000  # bytes of standard error that are reported
-MAXIMUM_QUOTED = 200  # bytes of an output line that is no JSON
+MAXIMUM_STDERR = 2000  # bytes of standard error in a crash report
+MAXIMUM_QUOTED = 200  # bytes quoted of an output line that is not JSON
 
-LogEvent = dict[str, Any]  # one line of a process's log
+LogEvent = dict[str, Any]  # a decoded line of a process's log
 
 
 def die_with_parent() -> None:
-    """Ask the kernel to kill this process when its parent ends."""
+    """Ask the kernel to kill this process when its parent exits."""
     LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 @dataclass(frozen=True)
 class Build:
-    """Which build of the program is run.
+    """The build of the program that a process runs.
 
     Attributes:
-        module: The module that is run.
+        module: The module to run.
         python: The interpreter.
-        cwd: The folder that it is run in; None for this process's.
+        cwd: The working directory; None for that of this process.
     """
 
     module: str = PROGRAM
@@ -54,16 +53,16 @@
 
 @dataclass(frozen=True)
 class ProcessSpec:
-    """What is run.
+    """The description of a process to start.
 
     Attributes:
-        name: For messages.
-        arguments: Of the command line.
-        folder: Where its standard error is kept.
-        environ: Variables beside those of this process.
-        build: The build of the program.
-        skew_s: Seconds by which its system clock is off.
-        descriptors: Open descriptors that it inherits.
+        name: The name of the process in messages.
+        arguments: The command-line arguments.
+        folder: The directory of the temporary file that stores standard error.
+        environ: The environment variables to add to those of this process.
+        build: The build of the program to run.
+        skew_s: The skew of the process's system clock, in seconds.
+        descriptors: The open descriptors that the process inherits.
     """
 
     name: str
@@ -76,9 +75,12 @@
 
 
 class Crash(NamedTuple):
-    """A process ended in an unexpected way, or logged a fault.
+    """An unexpected exit of a process, or a fault that it logged.
 
-    `code` is its exit code, or "fault"; `text` is what it wrote.
+    Attributes:
+        name: The name of the process.
+        code: The exit code, or "fault" for a logged fault.
+        text: The text that the process wrote about it.
     """
 
     name: str
@@ -87,13 +89,13 @@
 
 
 class Process:
-    """One process of the program, from its start until `close`.
+    """A process of the program, from its start until `close`; owned by its fleet or scale run.
 
     Attributes:
-        name: For messages.
-        popen: The process.
-        expected: Whether its end is no crash.
-        paused: Whether it was sent SIGSTOP.
+        name: The name of the process in messages.
+        popen: The process handle.
+        expected: Whether the exit of the process is expected, so that it is not a crash.
+        paused: Whether the process was paused by SIGSTOP.
     """
 
     def __init__(
@@ -106,10 +108,10 @@
         """Start a process.
 
         Args:
-            scheduler: Watches its standard output.
-            spec: What is run.
-            on_event: Called with each JSON line that it logs.
-            on_ended: Called once, when it has ended.
+            scheduler: The scheduler that watches the standard output of the process.
+            spec: The process to start.
+            on_event: The function called with each JSON line that the process logs.
+            on_ended: The function called once, when the process has exited.
         """
         self.name = spec.name
         self.expected = False
@@ -121,10 +123,10 @@
         self._stderr = tempfile.TemporaryFile(dir=spec.folder)  # noqa: SIM115 - until `close`
         self.popen = self._start(spec)
         if self.popen.stdout is None:
-            raise RuntimeError(f"{spec.name}: expected a pipe for its standard output, found none")
+            raise RuntimeError(f"{spec.name}: expected a pipe for its standard output, found None")
         self._stdout = self.popen.stdout
         os.set_blocking(self._stdout.fileno(), False)
-        # Urgent: its end is seen before what its connections bring in the same turn.
+        # Urgent: the exit is handled before events of the process's connections in the same turn.
         scheduler.register(self._stdout.fileno(), select.POLLIN, self._on_output, urgent=True)
 
     def _start(self, spec: ProcessSpec) -> subprocess.Popen[bytes]:
@@ -145,31 +147,31 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process has not exited."""
         return self.popen.poll() is None
 
     def signal(self, number: int) -> None:
-        """Send a signal; no effect once it has ended."""
+        """Send a signal; no effect after the process has exited."""
         if self.is_running:
             self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """Kill it; its end is expected."""
+        """Kill the process, and mark its exit as expected."""
         self.expected = True
         self.signal(signal.SIGKILL)
 
     def pause(self) -> None:
-        """Stop it until `resume`, as a machine that stands still."""
+        """Suspend the process until `resume`, as if its machine had stalled."""
         self.paused = True
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on."""
+        """Resume the process after `pause`."""
         self.paused = False
         self.signal(signal.SIGCONT)
 
     def close(self) -> None:
-        """End it for good, and give back what it held."""
+        """Kill the process if it still runs, wait for its exit and release its resources."""
         self.expected = True
         if self.is_running:
             self.popen.kill()
@@ -181,15 +183,16 @@
         self._stderr.close()
 
     def stderr_tail(self) -> str:
-        """Return the end of what it wrote to standard error."""
+        """Return the last bytes of the process's standard error as text."""
         self._stderr.seek(0)
         return self._stderr.read()[-MAXIMUM_STDERR:].decode("utf-8", "replace").strip()
 
     def read_output(self) -> None:
-        """Report all that it has logged by now, and its end where it has ended.
+        """Report all log lines available on standard output, and the exit of the process.
 
-        Lines and the end may be there at once; then the end is reported in the same call, as it is
-        to be known before what other descriptors tell of it.
+        If lines and end of file are both available, the same call reports the exit as well, because
+        the testbed must know of it before it handles events of other descriptors that result
+        from the exit.
         """
         while not self._stdout.closed:
             try:
@@ -217,7 +220,7 @@
 
 
 def _parse_event(line: bytes) -> LogEvent:
-    """Return the event of an output line; one named `unreadable` where it holds none."""
+    """Return the event of an output line; an `unreadable` event if the line is not JSON."""
     try:
         event: LogEvent = orjson.loads(line)
     except orjson.JSONDecodeError:
--- a/petrellane/testbed/records.py
+++ b/petrellane/testbed/records.py
@@ -1,15 +1,16 @@
-"""What every party of a run observed, in the order of one clock, for the invariant checker.
-
-Gateways write no records: what one sent is what hosts got, and what it answered is what clients
-read. An attempt that never reached a host is not observed. Under which settings a gateway admits
-is known by what it admits: a method that one generation alone has proves that generation.
-
-What is observed within SETTLE_S, and within SETTLE_TURNS of the testbed however long these take,
-is put in the order in which it must have happened: a gateway closes the connection of one attempt
-before it sends the next of the same RPC, but two sockets may report it the other way round. What
-was in a socket when a turn began is read by the end of the next. After the testbed stood still, a
-client's answer may be read before what hosts got earlier: that is put before the answer too, then
-and only then.
+"""Records of what the parties of a run observe, ordered by one clock, for the invariant checker.
+
+Gateways write no records. Hosts report the attempts that they receive and clients report the
+answers that they read, so an attempt that never reaches a host is not observed. The generation that
+a gateway applies is inferred from an admitted RPC whose method exists in one generation only.
+
+A record can be reordered until it is older than SETTLE_S and the testbed has run SETTLE_TURNS
+scheduler turns since. Within that time, records are put in the order in which the events must have
+happened: a gateway closes the connection of one attempt before it sends the next attempt of the
+same RPC, but two sockets may report these events in reverse order. Data that is in a socket when a
+turn begins is read by the end of the next turn. After a stall of the testbed, a client's answer may
+be read before attempts that hosts received earlier. Only then are those attempts put before
+the answer.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
 
 SETTLE_S = 0.05
 SETTLE_TURNS = 2
-CROSSING_S = 0.1  # after a client has left, in which an attempt for it may still begin
-MAX_OPEN_RPCS = 50_000  # RPCs remembered, also after their end
-DEFAULT_HISTORY = 20_000  # records kept
-BEFORE_DEADLINE_S = 1e-6  # by which a client that leaves at its deadline is recorded earlier
+CROSSING_S = 0.1  # the time after a client disconnects in which an attempt may still begin
+MAX_OPEN_RPCS = 50_000  # RPCs kept, including finished ones
+DEFAULT_HISTORY = 20_000  # number of records kept
+BEFORE_DEADLINE_S = 1e-6  # how long before the deadline the latest disconnect is recorded
 
 
 class ReceivedRpc(NamedTuple):
-    """An RPC that a client sends to a gateway, and gives up after `timeout` seconds."""
+    """An RPC that a client sends to a gateway and abandons after `timeout` seconds."""
 
     rpc: str
     gateway: str
@@ -43,15 +44,15 @@
 
 
 class ArrivedAttempt(NamedTuple):
-    """An attempt that has reached a host.
+    """An attempt that a host has received.
 
     Attributes:
         rpc: The RPC's id.
         host: The host's name.
-        work: Core seconds that it takes.
-        key: Its idempotency key; None without.
-        is_late: Whether its gateway had given it up by then, so that only its effect counts.
-        read_at: When a relay read it, by the clock; None without a relay.
+        work: The work of the attempt, in core seconds.
+        key: The idempotency key; None if there is none.
+        is_late: Whether the gateway closed the connection earlier, so that only the effect counts.
+        read_at: The clock time at which a relay read the attempt; None if no relay did.
     """
 
     rpc: str
@@ -64,7 +65,16 @@
 
 @dataclass(eq=False, slots=True)
 class HostAttempt:
-    """One attempt as its host saw it come; `is_over` once its end is recorded, or need not be."""
+    """An attempt as its host observed it.
+
+    Attributes:
+        rpc: The RPC's id.
+        number: The number of the attempt within its RPC, from 0.
+        host: The host's name.
+        gateway: The gateway that sent the attempt; None if the attempt is not recorded.
+        key: The idempotency key; None if there is none.
+        is_over: Whether the end of the attempt is recorded or need not be.
+    """
 
     rpc: str
     number: int
@@ -76,7 +86,15 @@
 
 @dataclass(slots=True)
 class OpenRpc:
-    """An RPC that a gateway has received."""
+    """An RPC that a gateway has received.
+
+    Attributes:
+        gateway: The gateway's name.
+        method: The RPC's method.
+        received_at: The time of the receipt, in seconds since the run began.
+        deadline: The deadline of the RPC, in seconds since the run began.
+        attempts: The number of attempts that hosts have received.
+    """
 
     gateway: str
     method: str
@@ -86,19 +104,19 @@
 
 
 class Records:
-    """The records of one run, and its invariant checker; lives as long as the run.
+    """The records of one run and its invariant checker; owned by the fleet of the run.
 
     Attributes:
-        checker: The invariant checker, which gets each record once its order is settled.
+        checker: The invariant checker, which receives each record once its order is final.
         open_rpcs: The RPCs that gateways have received, by id.
-        history: The last records that the checker got.
-        counts: Answers by method and kind.
-        timeline: What was noted, each with its time.
-        generation_by_method: The number of the one generation that has a method.
-        disconnected_at: When the clients of RPCs left them.
-        late_attempts: Attempts that began after that: RPC, number, and seconds.
-        turns: Turns of the testbed so far.
-        last_stall: The turn after which the testbed last stood still for longer than SETTLE_S.
+        history: The latest records passed to the checker.
+        counts: The number of answers, by method and kind.
+        timeline: The notes, each with its time in seconds since the run began.
+        generation_by_method: The generation number, by method that exists in one generation only.
+        disconnected_at: The time of the client's disconnect in seconds since the run began, by RPC.
+        late_attempts: The RPC, number and delay in seconds of attempts begun after a disconnect.
+        turns: The number of scheduler turns that the testbed has run.
+        last_stall: The turn of the testbed's last stall of more than SETTLE_S.
     """
 
     def __init__(
@@ -108,13 +126,13 @@
         schedule: Callable[[float, Callable[[], None]], object] | None = None,
         max_history: int = DEFAULT_HISTORY,
     ) -> None:
-        """Begin a run now.
+        """Start the records of a run at the current time.
 
         Args:
-            terms: The figures of the rules.
-            clock: Returns the time in seconds.
-            schedule: Makes a call after some seconds; needed where clients leave.
-            max_history: How many records are kept.
+            terms: The parameters of the invariants.
+            clock: The function that returns the time, in seconds.
+            schedule: The function that makes a call after a delay; required if clients disconnect.
+            max_history: The number of records kept in `history`.
         """
         self.checker = invariants.InvariantChecker(terms)
         self.clock = clock
@@ -122,7 +140,9 @@
         self.schedule = schedule
         self.open_rpcs: dict[str, OpenRpc] = {}
         self.history: deque[invariants.Record] = deque(maxlen=max_history)
-        self._unsettled: deque[tuple[invariants.Record, int]] = deque()  # each with its turn
+        self._unsettled: deque[tuple[invariants.Record, int]] = (
+            deque()
+        )  # each with the turn it was added in
         self.turns = 0
         self.last_stall = -2 * SETTLE_TURNS
         self.counts: dict[tuple[str, str], int] = {}
@@ -132,7 +152,7 @@
         self.late_attempts: list[tuple[str, int, float]] = []
 
     def keep_all(self) -> None:
-        """Keep every record of the run, as it is to be written or counted completely."""
+        """Keep every record of the run, without the limit of `max_history`."""
         self.history = deque(self.history)
 
     def now(self) -> float:
@@ -143,10 +163,10 @@
         """Add a line to the timeline."""
         self.timeline.append((self.now(), text))
 
-    # Order.
+    # Ordering.
 
     def add(self, record: invariants.Record) -> None:
-        """Add a record, and pass on those whose order is settled."""
+        """Add a record, and pass those whose order is final on to the checker."""
         self._unsettled.append((record, self.turns))
         while self._unsettled and self._is_settled(*self._unsettled[0]):
             self.observe(self._unsettled.popleft()[0])
@@ -160,12 +180,12 @@
         self.history.append(record)
 
     def _insert(self, index: int, record: invariants.Record) -> None:
-        """Insert a record before an unsettled one, with that one's time."""
+        """Insert a record before an unsettled record, with the time of the latter."""
         other, turn = self._unsettled[index]
         self._unsettled.insert(index, (record._replace(at=other.at), turn))
 
     def _add_before_answer(self, record: invariants.AttemptSent | invariants.AttemptEnded) -> None:
-        """Add a record, before its RPC's answer where the testbed has just stood still."""
+        """Add a record; after a recent stall of the testbed, put it before its RPC's answer."""
         if self.turns - self.last_stall < 2 * SETTLE_TURNS:
             for index, (other, _) in enumerate(self._unsettled):
                 if isinstance(other, invariants.RpcAnswered) and other.rpc == record.rpc:
@@ -173,7 +193,7 @@
                     return
         self.add(record)
 
-    # What parties report.
+    # Observations of the parties.
 
     def on_received(self, received: ReceivedRpc) -> None:
         """Record that a gateway has received an RPC."""
@@ -187,10 +207,10 @@
         self.add(invariants.RpcReceived(now, gateway, rpc, customer, plan, method, units, deadline))
 
     def on_attempt_arrived(self, arrived: ArrivedAttempt) -> HostAttempt:
-        """Record that an attempt has reached a host.
+        """Record that a host has received an attempt.
 
-        What began in time, by when a relay read it, and arrives after its client has left is no
-        fault and is not recorded.
+        An attempt begins when a relay reads it. One that begins within CROSSING_S of its client's
+        disconnect but arrives later violates no invariant and is not recorded.
         """
         rpc, host, work, key, is_late, read_at = arrived
         received = self.open_rpcs.get(rpc)
@@ -211,7 +231,7 @@
         return HostAttempt(rpc, number, host, gateway, key)
 
     def _has_crossed_client(self, rpc: str, number: int, read_at: float | None) -> bool:
-        """Return whether an attempt began in time and arrives after its client has left."""
+        """Return whether an attempt began within CROSSING_S of the disconnect but arrives later."""
         if rpc not in self.disconnected_at:
             return False
         began = self.now() if read_at is None else read_at - self.began
@@ -221,7 +241,7 @@
         return delay <= CROSSING_S < self.now() - self.disconnected_at[rpc]
 
     def on_attempt_ended(self, attempt: HostAttempt, outcome: str) -> None:
-        """Record that an attempt is over at its host: answered, rejected, or given up."""
+        """Record the end of an attempt at its host: answered, rejected or abandoned."""
         if attempt.is_over:
             return
         attempt.is_over = True
@@ -239,11 +259,11 @@
         self._add_before_answer(record)
 
     def on_executed(self, attempt: HostAttempt) -> None:
-        """Record that a host has done an RPC's work."""
+        """Record that a host has executed an RPC."""
         self.add(invariants.RpcExecuted(self.now(), attempt.rpc, attempt.host))
 
     def on_answered(self, rpc: str, answer: str, method: str) -> None:
-        """Record that a client has an answer."""
+        """Record that a client has received an answer."""
         received = self.open_rpcs.get(rpc)
         self.counts[method, answer] = self.counts.get((method, answer), 0) + 1
         if received is not None:
@@ -252,15 +272,17 @@
     def on_client_disconnected(self, rpc: str) -> None:
         """Record that the client of an RPC closes its connection.
 
-        For the invariant checker that holds from when the gateway has surely seen it: what crossed
-        the close on its way is no fault. By its deadline the client waits for no answer, also
-        where that comes before this record.
+        The checker receives the disconnect CROSSING_S later, when the gateway has detected it:
+        an attempt in flight during the close violates no invariant. The time of the record is never
+        after the deadline, because a client waits for no answer past it.
         """
         received = self.open_rpcs.get(rpc)
         if received is None:
             return
         if self.schedule is None:
-            raise ValueError("expected a scheduler, as clients leave in this run")
+            raise ValueError(
+                f"RPC {rpc}: expected a scheduler to record its client's disconnect, found None"
+            )
         self.disconnected_at[rpc] = self.now()
         self.schedule(CROSSING_S, partial(self._add_disconnect, rpc, received))
 
@@ -269,7 +291,7 @@
         self.add(invariants.ClientDisconnected(at, received.gateway, rpc))
 
     def on_gateway_killed(self, gateway: str) -> None:
-        """Record that a gateway was killed: it owes no answer any more."""
+        """Record that a gateway was killed, and drop its open RPCs: they expect no answer."""
         self.add(invariants.GatewayLifecycle(self.now(), gateway, "killed"))
         self.open_rpcs = {
             rpc: received for rpc, received in self.open_rpcs.items() if received.gateway != gateway
@@ -278,7 +300,7 @@
     # Results.
 
     def describe(self, rpc: Hashable) -> list[str]:
-        """Return what was observed of an RPC, a line each."""
+        """Return the kept records of an RPC, formatted as one line each."""
         lines = []
         for record in self.history:
             if getattr(record, "rpc", None) != rpc:
@@ -292,7 +314,7 @@
         return lines
 
     def close(self) -> invariants.Verdict:
-        """Return the verdict on all that was recorded up to now."""
+        """Check the remaining records; return the verdict on the run."""
         while self._unsettled:
             self.observe(self._unsettled.popleft()[0])
         return self.checker.close(self.now())
--- a/petrellane/testbed/relay.py
+++ b/petrellane/testbed/relay.py
@@ -1,18 +1,20 @@
-"""A relay between two parties: a listening socket whose connections lead to a target, with faults.
-
-A fault holds for what comes from then on and for connections that are open; `heal` ends all. Each
-fault acts as the network or a machine would; their names are those of run files:
-
-- `cut`: nothing passes either way, and nobody is notified: connections stay open and silent, new
-  ones come up and say nothing; what was under way is held back, and passes when healed, as
-  segments that are sent again do.
-- `mute`: answers are lost, requests arrive. `deaf`: the other way round. What is lost stays lost:
-  the connection is broken from then on, and ends when healed.
-- `late`: each byte takes so many seconds more, each way.
-- `lossy`: a share of new connections is accepted and leads nowhere.
-- `half`: so many bytes of what comes next from the target pass on each connection, and no more.
-- `hang`: new connections never come up. `refuse`: new ones are refused, as where nobody listens.
-- `reset`: open connections are reset, once.
+"""A TCP relay that forwards connections to a target and injects network faults.
+
+A fault applies to open and new connections until `heal`, which ends all faults. Each one simulates
+a failure of the network or of a machine. The names are those used in run files, and `size` is the
+number that a run file gives with the name:
+
+- `cut`: a partition. No bytes pass in either direction and no connection is closed. New connections
+  are accepted but stay silent. The relay holds bytes in flight and forwards them when the fault
+  ends, as TCP retransmits segments after a partition.
+- `mute`: answers are lost, and requests arrive. `deaf`: requests are lost, and answers arrive. Lost
+  bytes are not retransmitted, so a connection that lost any is reset when the fault ends.
+- `late`: each byte is delayed by `size` seconds in each direction.
+- `lossy`: the share `size` of new connections is accepted but not forwarded.
+- `half`: on each connection, only the next `size` bytes from the target pass.
+- `hang`: new connections are never established. `refuse`: new connections are refused, as if the
+  port had no listener.
+- `reset`: open connections are reset once.
 """
 
 import random
@@ -26,28 +28,28 @@
 from petrellane.testbed.relay_connection import RelayConnection
 
 BACKLOG = 256
-HANG_CONNECTIONS = 3  # that fill a queue of length 0
-TARGET_CHECK_S = 0.01  # between two looks whether the target listens
+HANG_CONNECTIONS = 3  # connections that fill an accept queue of length 0
+TARGET_CHECK_S = 0.01  # the interval between attempts to connect to the target
 NOT_LISTENING = frozenset({"refuse", "hang"})
 
 
 class Relay:
-    """One listening socket, and where it leads.
+    """Forwards connections from one listening socket to a target.
 
-    Owned by the fleet of a run, which closes it.
+    The fleet of a run owns and closes it.
 
     Attributes:
         scheduler: The scheduler of the run.
-        target: Where connections lead.
-        address: Where it listens.
-        listener: The listening socket; None while nothing listens.
-        faults: The faults in force, by name, with their sizes.
-        connections: The open connections, in the order in which they came.
-        connection_count: Connections accepted so far.
-        on_client_closed: Called when a client closes a connection, with the address that the
-            target knows it by.
-        on_forwarded: Called when bytes of a client have reached the target, with that address and
-            the time at which the last of them were read here, in the scheduler's seconds.
+        target: The address that connections are forwarded to.
+        address: The address that the relay listens at.
+        listener: The listening socket; None while the relay does not listen.
+        faults: The sizes of the active faults, by name.
+        connections: The open connections, in the order of their acceptance.
+        connection_count: The number of connections accepted so far.
+        on_client_closed: The function called when a client closes a connection, with the relay's
+            address on the connection to the target.
+        on_forwarded: The function called when a client's bytes are forwarded to the target, with
+            the same address and the scheduler time at which the relay read the last of them.
     """
 
     def __init__(
@@ -62,10 +64,10 @@
 
         Args:
             scheduler: The scheduler of the run.
-            target: Where connections lead.
-            seed: Of the draws of lossy connections, with the label.
-            label: Names this relay among those of a run.
-            address: Where to listen.
+            target: The address to forward connections to.
+            seed: The seed of the choice of lossy connections, together with the label.
+            label: The name of the relay, unique within a run.
+            address: The address to listen at.
 
         Raises:
             OSError: The address is not free.
@@ -90,7 +92,7 @@
         return format_address(self.address)
 
     def fault(self, name: str, size: float = 1.0) -> None:
-        """Let a fault hold from now on; the module says what its size is."""
+        """Inject a fault; the module docstring defines the meaning of `size`."""
         if name == "reset":
             for connection in list(self.connections):
                 connection.end(reset=True)
@@ -115,13 +117,13 @@
             connection.on_faults_changed()
 
     def follow_target(self) -> None:
-        """Refuse connections until somebody listens at the target, which has died or starts."""
+        """Refuse connections until the target, which has crashed or is starting, listens."""
         self._stop_listening()
         if self._target_check is None:
             self._check_target()
 
     def close(self) -> None:
-        """End for good, with all connections."""
+        """Stop listening and close all connections permanently."""
         self._stop_listening()
         if self._target_check is not None:
             self._target_check.close()
@@ -151,7 +153,7 @@
             self.listener = None
 
     def _fill_queue(self) -> None:
-        """Fill a listening queue: whoever connects waits, as the machine answers nothing."""
+        """Fill an accept queue, so that dials get no response, as from a hung machine."""
         listener = self._bind()
         listener.listen(0)
         self._queue_fill = [listener]
@@ -173,7 +175,7 @@
             self.connections[RelayConnection(self, sock, lost)] = None
 
     def _check_target(self) -> None:
-        """Listen again once the target does."""
+        """Poll the target by dialing it; listen again once it accepts a connection."""
         sock = self._target_check
         if sock is None or not _is_connected(sock):
             if sock is not None:
@@ -190,7 +192,7 @@
 
 
 def _is_connected(sock: socket.socket) -> bool:
-    """Return whether a socket that dials has come through."""
+    """Return whether a non-blocking connect has succeeded."""
     if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
         return False
     try:
@@ -201,8 +203,8 @@
 
 
 def _ignore_close(_: Address) -> None:
-    """Do nothing when a client closes a connection."""
+    """Ignore that a client closed a connection."""
 
 
 def _ignore_bytes(_: Address, _read_at: float) -> None:
-    """Do nothing when bytes have reached the target."""
+    """Ignore that bytes were forwarded to the target."""
--- a/petrellane/testbed/relay_connection.py
+++ b/petrellane/testbed/relay_connection.py
@@ -1,6 +1,6 @@
-"""One connection through a relay: two sockets, and the bytes under way between them.
+"""A connection through a relay: two sockets, and the bytes in transit between them.
 
-The relay's faults say what happens to the bytes: they are read here, never changed.
+The active faults of the relay determine how the bytes are forwarded. This module only reads them.
 """
 
 import select
@@ -14,13 +14,19 @@
     from petrellane.testbed.relay import Relay
 
 CHUNK = 1 << 16
-MAXIMUM_HELD = 4 * CHUNK  # bytes of a direction after which its source is not read
+MAXIMUM_HELD = 4 * CHUNK  # bytes buffered per direction before the relay stops reading the source
 READABLE_OR_WRITABLE = select.POLLIN | select.POLLOUT
-LOSSES = frozenset({"mute", "deaf"})  # faults that lose bytes
+LOSSES = frozenset({"mute", "deaf"})  # faults that drop bytes
 
 
 class Segment(NamedTuple):
-    """Bytes that may pass at `due`, and were read at `read_at`; b"" is the end of the sending."""
+    """Bytes that are read from a source and wait to be forwarded.
+
+    Attributes:
+        due: The earliest scheduler time at which the bytes may be forwarded.
+        data: The bytes; b"" for the end of the stream.
+        read_at: The scheduler time at which the relay read the bytes.
+    """
 
     due: float
     data: bytes
@@ -28,20 +34,20 @@
 
 
 class Direction:
-    """What was read from one socket and is to be written to the other.
+    """One direction of a connection, from a source socket to a sink; owned by the connection.
 
     Attributes:
-        source: The socket that is read.
-        sink: The socket that is written.
-        waiting: What has not passed yet.
-        lost: Whether bytes were lost, so that nothing more may pass.
-        ended: Whether the source sends no more.
-        allowance: Bytes that `half` still lets pass; None before it holds.
-        blocked: Whether the sink takes nothing now.
+        source: The socket to read from.
+        sink: The socket to write to.
+        waiting: The segments that are not forwarded yet.
+        lost: Whether bytes were lost, after which all further bytes are dropped.
+        ended: Whether the source has sent the end of its stream.
+        allowance: The bytes that `half` still lets pass; None before `half` applies.
+        blocked: Whether the sink's send buffer is full.
     """
 
     def __init__(self, source: socket.socket, sink: socket.socket) -> None:
-        """Make a direction on which nothing is under way."""
+        """Initialize a direction without buffered bytes."""
         self.source = source
         self.sink = sink
         self.waiting: deque[Segment] = deque()
@@ -51,18 +57,18 @@
         self.blocked = False
 
     def held_bytes(self) -> int:
-        """Return the bytes that have not passed yet."""
+        """Return the number of buffered bytes."""
         return sum(len(segment.data) for segment in self.waiting)
 
 
 class RelayConnection:
-    """One connection, owned by its relay from the accept until `end`.
+    """Forwards one connection; owned by its relay from the accept until `end`.
 
-    One that is lost from the start is accepted and leads nowhere: it has no target.
+    A connection that the `lossy` fault selects is accepted but has no target.
     """
 
     def __init__(self, relay: "Relay", client: socket.socket, lost: bool) -> None:
-        """Take over a client's socket, and dial the target unless the connection is lost."""
+        """Take ownership of a client's socket; dial the target unless the connection is lost."""
         self._relay = relay
         self._client = client
         self._lost = lost
@@ -81,18 +87,18 @@
         scheduler.register(self._target.fileno(), select.POLLOUT, self._on_target_events)
 
     def on_faults_changed(self) -> None:
-        """Pass what may pass now; end the connection where bytes of it are missing for good."""
+        """Apply changed faults: forward due bytes, or reset a connection that lost bytes."""
         if self._lost:
             return
         has_losses = self._requests.lost or self._answers.lost
         if has_losses and not self._relay.faults.keys() & LOSSES:
-            # What came after the missing bytes can't be distinguished from them.
+            # The receiver could not detect the gap in the stream that the lost bytes leave.
             self.end(reset=True)
         else:
             self._flush()
 
     def end(self, reset: bool = False) -> None:
-        """Close both sockets; `reset` drops what is under way."""
+        """Close both sockets; with `reset`, reset the connection and drop bytes in transit."""
         self._relay.connections.pop(self, None)
         if self._connected and self._target.fileno() >= 0 and not self._requests.ended:
             self._relay.on_client_closed(self._target.getsockname())
@@ -125,7 +131,7 @@
         self._on_events(self._answers, events)
 
     def _on_events(self, direction: Direction, events: int) -> None:
-        """Take the events of a direction's source."""
+        """Handle poll events of a direction's source."""
         if events & ~READABLE_OR_WRITABLE and not events & select.POLLIN:
             self.end(reset=True)
             return
@@ -159,7 +165,7 @@
         self._watch()
 
     def _flush(self) -> None:
-        """Write what may pass."""
+        """Forward due bytes in both directions; close the connection once both have ended."""
         if not self._connected or self._target.fileno() < 0:
             return
         now = self._relay.scheduler.monotonic()
@@ -176,10 +182,10 @@
         self._watch()
 
     def _flush_direction(self, direction: Direction, now: float) -> None:
-        """Write what may pass in a direction.
+        """Forward the due bytes of a direction.
 
         Raises:
-            OSError: The connection broke.
+            OSError: The connection failed.
         """
         direction.blocked = False
         while direction.waiting and "cut" not in self._relay.faults:
@@ -203,7 +209,7 @@
                 self._relay.on_forwarded(self._target.getsockname(), read_at)
 
     def _watch(self) -> None:
-        """Watch each socket for what can be done there."""
+        """Register each socket for the poll events that its directions need."""
         self._watch_socket(self._client, self._requests, self._answers, connecting=False)
         connecting = not self._connected
         self._watch_socket(self._target, self._answers, self._requests, connecting=connecting)
@@ -223,7 +229,7 @@
 
 
 def _cut_to_allowance(direction: Direction, data: bytes, allowance: int) -> bytes:
-    """Return the bytes that `half` still lets pass, and count them."""
+    """Return the bytes that `half` still lets pass, and subtract them from the allowance."""
     left = allowance if direction.allowance is None else direction.allowance
     direction.allowance = max(0, left - len(data))
     return data[:left]
--- a/petrellane/testbed/services.py
+++ b/petrellane/testbed/services.py
@@ -1,7 +1,7 @@
-"""The test doubles of a scale run, each in a process of its own.
+"""The fakes of a scale run, each in a separate process.
 
-So the testbed's one scheduler is no bottleneck: the counter as in other fleets, and discovery
-before thousands of gateways.
+Separate processes keep the testbed's single scheduler from becoming a bottleneck. The counter is
+the same as in other fleets; discovery serves thousands of gateways.
 """
 
 from collections.abc import Callable
@@ -20,22 +20,22 @@
 if TYPE_CHECKING:
     from petrellane.testbed.metered import Meter
 
-BACKLOG = 4096  # many gateways dial at once
-MAXIMUM_LOG_LINES = 100_000  # that wait for the testbed
+BACKLOG = 4096  # many gateways connect at the same time
+MAXIMUM_LOG_LINES = 100_000  # buffered while the testbed does not read them
 STANDARD_OUTPUT = 1
 
 
 @dataclass(frozen=True)
 class ServiceParameters:
-    """What the testbed writes for a test double.
+    """The parameters that the testbed passes to a fake in a file.
 
     Attributes:
-        address: Where it listens.
-        command_descriptor: The pipe on which the testbed gives commands.
-        rows: Discovery's list.
-        rate: Requests that discovery serves a second; 0 for no limit.
-        changes: Changes of hosts a second.
-        seed: Of the draws.
+        address: The address to listen at.
+        command_descriptor: The descriptor of the pipe on which the testbed sends commands.
+        rows: The endpoint list of discovery.
+        rate: The requests that discovery serves per second; 0 for no limit.
+        changes: The rate of host changes, per second.
+        seed: The seed of the random changes.
     """
 
     address: Address
@@ -47,7 +47,7 @@
 
     @classmethod
     def read(cls, path: str) -> Self:
-        """Read the testbed's file."""
+        """Read the parameters from the testbed's JSON file."""
         with open(path, "rb") as file:
             stored = orjson.loads(file.read())
         return cls(
@@ -61,12 +61,12 @@
 
 
 def run(program: str, path: str, meter: "Meter") -> int:
-    """Be one of the test doubles until the testbed ends this process.
+    """Run one of the fakes until the testbed ends this process.
 
     Args:
         program: "counter" or "discovery".
-        path: The testbed's file for it.
-        meter: Reports what it spends.
+        path: The path of the parameter file.
+        meter: The meter that reports the resource usage of this process.
 
     Returns:
         The exit code.
@@ -88,7 +88,7 @@
 def _start_counter(
     scheduler: Scheduler, parameters: ServiceParameters, meter: "Meter"
 ) -> dict[str, Callable[[], object]]:
-    """Start the counter; return the handlers of commands, of which it knows none."""
+    """Start the counter; return its command handlers, of which there are none."""
     counter = FakeCounter(scheduler, parameters.address)
     counter.widen_queue(BACKLOG)
     meter.more = lambda: {"adds": counter.adds, "connections": len(counter.streams)}
@@ -98,7 +98,7 @@
 def _start_discovery(
     scheduler: Scheduler, log: Logger, parameters: ServiceParameters, meter: "Meter"
 ) -> dict[str, Callable[[], object]]:
-    """Start discovery; return the handlers of commands."""
+    """Start discovery; return its command handlers."""
     discovery = ScaleDiscovery(scheduler, parameters.rows, parameters.rate)
     discovery.listener_for("all", parameters.address).widen_queue(BACKLOG)
     changes = EndpointChanges(scheduler, log, discovery, parameters.changes, parameters.seed)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,6 +1,7 @@
-"""What tests of gateway processes need on loopback; free of program code.
+"""Loopback helpers for tests of gateway processes.
 
-The tests of compatibility start processes of other checkouts with it as well.
+The module imports no petrellane code, because the compatibility tests also use it to start
+processes of other checkouts.
 """
 
 import contextlib
@@ -22,7 +23,7 @@
 
 
 def free_address() -> Address:
-    """Return an address that nobody listens on now."""
+    """Return a loopback address whose port is currently free."""
     with socket.create_server((HOST, 0)) as probe:
         address: Address = probe.getsockname()
     return address
@@ -31,11 +32,11 @@
 def serve_connections(
     resources: contextlib.ExitStack, handler: Callable[[socket.socket], None]
 ) -> str:
-    """Serve connections, a thread each.
+    """Serve connections at a new address, each in a separate thread.
 
     Args:
-        resources: The listening socket ends with them.
-        handler: Serves one connection until it returns; an error of the socket ends it too.
+        resources: The exit stack that closes the listening socket.
+        handler: The function that serves one connection; socket errors also end the connection.
 
     Returns:
         The address as HOST:PORT.
@@ -63,9 +64,9 @@
     """Return the environment of a gateway process that inherits its listening socket.
 
     Args:
-        config: The file of its configuration, in the folder where gateways find each other.
-        management: The address of its management API.
-        listener: The listening socket.
+        config: The configuration file, in the directory that gateways share to find each other.
+        management: The address of the management API.
+        listener: The listening socket to inherit.
     """
     return {
         **os.environ,
