--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -135,7 +135,7 @@
         out: The number of RPCs in flight.
         leaving: The share of RPCs whose client disconnects before the deadline.
         half_closing: The share of those clients that half-close their connection first.
-        turned_back: The number of RPCs for which no gateway was reachable.
+        unrouted_count: The number of RPCs for which no gateway was reachable.
         rpc_count: The number of RPCs that the load has drawn so far.
         load: The load to generate; `rate` replaces its rate after the start.
         seed: The seed of the load, which is also the prefix of RPC ids.
@@ -156,7 +156,7 @@
         self.out = 0
         self.leaving = 0.0
         self.half_closing = 0.0
-        self.turned_back = 0
+        self.unrouted_count = 0
         self.waits: list[tuple[float, str]] = []
         self._scheduler = scheduler
         self._records = records
@@ -206,7 +206,7 @@
                 self._finish(front, stream, rpc, verdict)
                 return
             front.avoided_until = self._scheduler.monotonic() + SUSPECT_S
-        self.turned_back += 1
+        self.unrouted_count += 1
 
     def _arrive(self) -> None:
         """Send all RPCs that are due, and reschedule itself for the next intended time."""
--- a/petrellane/testbed/command.py
+++ b/petrellane/testbed/command.py
@@ -100,8 +100,8 @@
 def print_result(lab: LoopbackFleet, verdict: Verdict) -> None:
     """Print the answers, the violations, and what went wrong with the run itself."""
     no_gateway = ""
-    if lab.clients.turned_back:
-        no_gateway = f", {lab.clients.turned_back} found no gateway"
+    if lab.clients.unrouted_count:
+        no_gateway = f", {lab.clients.unrouted_count} found no gateway"
     print(format_answers(lab) + no_gateway)
     if lab.clients.waits:
         print(_latency_text(lab))
