--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -114,7 +114,7 @@
         address: The address at which clients reach the gateway.
         idle: The open connections that no RPC uses.
         avoided_until: The scheduler time until which clients try other gateways first.
-        taken_in: Whether clients send RPCs to the gateway.
+        in_rotation: Whether clients send RPCs to the gateway.
     """
 
     def __init__(self, name: str, address: Address) -> None:
@@ -123,7 +123,7 @@
         self.address = address
         self.idle: list[Stream] = []
         self.avoided_until = 0.0
-        self.taken_in = True
+        self.in_rotation = True
 
 
 class Clients:
@@ -187,10 +187,10 @@
         self._random.shuffle(numbers)
         now = self._scheduler.monotonic()
         fronts = [self._fronts[number] for number in numbers]
-        fronts.sort(key=lambda front: not front.taken_in or front.avoided_until > now)
+        fronts.sort(key=lambda front: not front.in_rotation or front.avoided_until > now)
         deadline = None
         for front in fronts:
-            if not front.taken_in:
+            if not front.in_rotation:
                 continue
             for stream, was_idle in self._connections(front):
                 if deadline is None:
--- a/tests/integration/testbed/test_fleet_changes.py
+++ b/tests/integration/testbed/test_fleet_changes.py
@@ -149,11 +149,11 @@
 
 def test_a_drained_gateway_takes_part(fleet: LoopbackFleet) -> None:
     gateway, front = fleet.gateways[1], fleet.fronts[1]
-    front.taken_in = False
+    front.in_rotation = False
     call_gateway(gateway, "drain")
     assert fleet.change_settings(second_settings(fleet))["reached"] == 3
     call_gateway(gateway, "resume")
-    front.taken_in = True
+    front.in_rotation = True
     assert admitted_methods(fleet) == {AFTER}
     check_run(fleet)
 
