--- a/petrellane/testbed/fake_discovery.py
+++ b/petrellane/testbed/fake_discovery.py
@@ -151,7 +151,7 @@
         rows: The endpoint list, by host name.
         watches: The held watches, by connection.
         listeners: The listeners, by gateway.
-        notice_delay_s: The delay from a change to its notification, in seconds.
+        notification_delay_s: The delay from a change to its notification, in seconds.
         away: Whether discovery leaves polls and watches unanswered.
         rate: The requests served in any one second; further requests are rejected.
         calls: The number of requests received so far.
@@ -176,7 +176,7 @@
         self.rows: dict[str, EndpointRow] = {}
         self.watches: dict[Stream, Watch] = {}
         self.listeners: dict[str, DiscoveryListener] = {}
-        self.notice_delay_s = 0.0
+        self.notification_delay_s = 0.0
         self.away = False
         self.rate = float("inf")
         self.calls = 0
@@ -207,7 +207,7 @@
         self.rows[name] = build_endpoint_row(name, address, state, since)
         self._changed_at[name] = self.index
         self._changes.append(Change(self.index, name, state, since))
-        self.scheduler.call_later(self.notice_delay_s, self.notify)
+        self.scheduler.call_later(self.notification_delay_s, self.notify)
 
     def serve(self, stream: Stream, listener: DiscoveryListener) -> None:
         """Answer the requests of one connection until it ends."""
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -134,7 +134,7 @@
         if step.do == "kill":
             host.crash()
             self._fleet.scheduler.call_later(
-                discovery.notice_delay_s,
+                discovery.notification_delay_s,
                 partial(discovery.put, host.name, host.host_port, "terminated"),
             )
             return partial(_start_host, host, discovery)
