--- a/benchmarks/attempts_after_disconnect_load.py
+++ b/benchmarks/attempts_after_disconnect_load.py
@@ -131,8 +131,8 @@
         self.stay_s = 0.02 + 0.4 * generator.random()
         first = fleet.fronts.index(self.front)
         self.customer = Customer(BURST_CUSTOMER, "free", first_gateway=first, gateway_count=1)
-        self.leave_at = self.scheduler.monotonic() + self.stay_s
-        self.until = self.leave_at + 1.0
+        self.disconnect_at = self.scheduler.monotonic() + self.stay_s
+        self.until = self.disconnect_at + 1.0
 
     def start(self, is_quiet: bool) -> None:
         """Let the clients come, and without `is_quiet` the pipelining ones too."""
@@ -151,7 +151,7 @@
                 self.random.choice(clients.load.methods),
                 self.customer,
                 self.scheduler.monotonic(),
-                self.leave_at,
+                self.disconnect_at,
             )
             clients.send(rpc)
         finally:
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -81,14 +81,14 @@
         method: The method that the client calls.
         customer: The customer that the client belongs to.
         intended: The scheduler time at which the RPC was due to be sent, in seconds.
-        leave_at: The scheduler time at which the client disconnects; None to draw it at random.
+        disconnect_at: The scheduler time of the client's disconnect; None to draw it at random.
     """
 
     name: str
     method: Method
     customer: Customer
     intended: float
-    leave_at: float | None = None
+    disconnect_at: float | None = None
 
 
 @dataclass(frozen=True)
@@ -261,14 +261,14 @@
         # A first attempt may have used part of the timeout.
         left = max(MINIMUM_PATIENCE_S, deadline - self._scheduler.monotonic())
         stream.write(_command(rpc, left))
-        leaves = rpc.leave_at is not None
+        leaves = rpc.disconnect_at is not None
         if not leaves and self.leaving:
             leaves = self._random.random() < self.leaving
         wait = self._random.random() * left if leaves else left + GRACE_S
-        if rpc.leave_at is None:
+        if rpc.disconnect_at is None:
             until = self._scheduler.monotonic() + wait
         else:
-            until = min(deadline, rpc.leave_at)
+            until = min(deadline, rpc.disconnect_at)
         try:
             while (reply := resp.parse_reply(stream.buffer, 0, LIMITS)) is None:
                 stream.fill(max(0.0, until - self._scheduler.monotonic()))
