--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -275,13 +275,13 @@
         except TimeoutError:
             if not leaves:
                 return LATE
-            self._leave(stream, rpc)
+            self._disconnect(stream, rpc)
             return GONE
         except (Closed, resp.Malformed):
             return AGAIN
         return _take_answer(stream, rpc, reply)
 
-    def _leave(self, stream: Stream, rpc: ClientRpc) -> None:
+    def _disconnect(self, stream: Stream, rpc: ClientRpc) -> None:
         """Disconnect before the answer arrives."""
         # Recorded first, because the gateway may see the disconnect before this method returns.
         self._records.on_client_disconnected(rpc.name)
