--- a/benchmarks/attempts_after_disconnect.py
+++ b/benchmarks/attempts_after_disconnect.py
@@ -123,7 +123,7 @@
             gateway.build = Build(cwd=folder) if arguments.build else Build()
         fleet.start()
         fleet.clients.leaving = arguments.leaving
-        fleet.clients.half_closing = HALF_CLOSING_SHARE
+        fleet.clients.half_close_share = HALF_CLOSING_SHARE
         generator = random.Random(f"{seed} left")
         schedule_disturbances(fleet, generator, arguments.seconds, arguments.quiet)
         StepRunner(fleet, run).begin()
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -134,7 +134,7 @@
         on: Whether the load sends RPCs.
         out: The number of RPCs in flight.
         leaving: The share of RPCs whose client disconnects before the deadline.
-        half_closing: The share of those clients that half-close their connection first.
+        half_close_share: The share of those clients that half-close their connection first.
         unrouted_count: The number of RPCs for which no gateway was reachable.
         rpc_count: The number of RPCs that the load has drawn so far.
         load: The load to generate; `rate` replaces its rate after the start.
@@ -155,7 +155,7 @@
         self.on = False
         self.out = 0
         self.leaving = 0.0
-        self.half_closing = 0.0
+        self.half_close_share = 0.0
         self.unrouted_count = 0
         self.waits: list[tuple[float, str]] = []
         self._scheduler = scheduler
@@ -285,7 +285,7 @@
         """Disconnect before the answer arrives."""
         # Recorded first, because the gateway may see the disconnect before this method returns.
         self._records.on_client_disconnected(rpc.name)
-        if self.half_closing and self._random.random() < self.half_closing:
+        if self.half_close_share and self._random.random() < self.half_close_share:
             stream.write_eof()
             self._scheduler.wait(GRACE_S)
         stream.close()
