--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -175,7 +175,7 @@
         # Whoever drives the fleet did something else meanwhile: to start a process takes time.
         away = time.monotonic() - self._turned_at
         if away > SETTLE_S:
-            self.records.last_stall = self.records.turns
+            self.records.last_stall_turn = self.records.turns
         timeout_ms = self.scheduler.poll_timeout_ms()
         self.scheduler.run_once(TURN_MS if timeout_ms is None else min(TURN_MS, timeout_ms))
         self.records.turns += 1
@@ -185,7 +185,7 @@
         if stall > SETTLE_S and (self.clients.on or self.clients.out):
             self.records.note(f"the testbed stood still for {stall:.3f} s")
             self.longest_stall_s = max(self.longest_stall_s, stall)
-            self.records.last_stall = self.records.turns
+            self.records.last_stall_turn = self.records.turns
 
     def run_for(self, seconds: float) -> None:
         """Let so much time go by."""
--- a/petrellane/testbed/records.py
+++ b/petrellane/testbed/records.py
@@ -116,7 +116,7 @@
         disconnected_at: The time of the client's disconnect in seconds since the run began, by RPC.
         late_attempts: The RPC, number and delay in seconds of attempts begun after a disconnect.
         turns: The number of scheduler turns that the testbed has run.
-        last_stall: The turn of the testbed's last stall of more than SETTLE_S.
+        last_stall_turn: The turn of the testbed's last stall of more than SETTLE_S.
     """
 
     def __init__(
@@ -144,7 +144,7 @@
             deque()
         )  # each with the turn it was added in
         self.turns = 0
-        self.last_stall = -2 * SETTLE_TURNS
+        self.last_stall_turn = -2 * SETTLE_TURNS
         self.counts: dict[tuple[str, str], int] = {}
         self.timeline: list[tuple[float, str]] = []
         self.generation_by_method: dict[str, int] = {}
@@ -186,7 +186,7 @@
 
     def _add_before_answer(self, record: invariants.AttemptSent | invariants.AttemptEnded) -> None:
         """Add a record; after a recent stall of the testbed, put it before its RPC's answer."""
-        if self.turns - self.last_stall < 2 * SETTLE_TURNS:
+        if self.turns - self.last_stall_turn < 2 * SETTLE_TURNS:
             for index, (other, _) in enumerate(self._unsettled):
                 if isinstance(other, invariants.RpcAnswered) and other.rpc == record.rpc:
                     self._insert(index, record)
--- a/tests/integration/testbed/test_fleet_records.py
+++ b/tests/integration/testbed/test_fleet_records.py
@@ -88,7 +88,7 @@
     records.turns = 10
     receive(records, "look")
     if has_stalled:
-        records.last_stall = records.turns
+        records.last_stall_turn = records.turns
     records.on_answered(RPC, invariants.REJECTED, "look")
     records.on_attempt_ended(arrive(records), "late")
     assert records.close().counts == violations
