--- a/benchmarks/attempts_after_disconnect.py
+++ b/benchmarks/attempts_after_disconnect.py
@@ -42,7 +42,7 @@
 from petrellane.testbed.fleet import LoopbackFleet
 from petrellane.testbed.fleet_spec import FleetSpec
 from petrellane.testbed.processes import Build
-from petrellane.testbed.records import CROSSING_S
+from petrellane.testbed.records import DISCONNECT_DETECTION_S
 from petrellane.testbed.runner import StepRunner
 
 HALF_CLOSING_SHARE = 0.3  # of clients that leave
@@ -86,7 +86,7 @@
     records = fleet.records
     verdict = fleet.verdict()
     after = records.late_attempts
-    late = [(rpc, number) for rpc, number, delay in after if delay > CROSSING_S]
+    late = [(rpc, number) for rpc, number, delay in after if delay > DISCONNECT_DETECTION_S]
     broken_rpcs = {rpc for violation in verdict.violations for rpc in violation.rpcs}
     shown: list[Any] = sorted({rpc for rpc, _ in late} | broken_rpcs, key=str)
     for rpc in shown:
--- a/petrellane/testbed/records.py
+++ b/petrellane/testbed/records.py
@@ -25,7 +25,9 @@
 
 SETTLE_S = 0.05
 SETTLE_TURNS = 2
-CROSSING_S = 0.1  # the time after a client disconnects in which an attempt may still begin
+DISCONNECT_DETECTION_S = (
+    0.1  # the time after a client disconnects in which an attempt may still begin
+)
 MAX_OPEN_RPCS = 50_000  # RPCs kept, including finished ones
 DEFAULT_HISTORY = 20_000  # number of records kept
 BEFORE_DEADLINE_S = 1e-6  # how long before the deadline the latest disconnect is recorded
@@ -209,8 +211,8 @@
     def on_attempt_arrived(self, arrived: ArrivedAttempt) -> HostAttempt:
         """Record that a host has received an attempt.
 
-        An attempt begins when a relay reads it. One that begins within CROSSING_S of its client's
-        disconnect but arrives later violates no invariant and is not recorded.
+        An attempt begins when a relay reads it. One that begins within DISCONNECT_DETECTION_S of
+        its client's disconnect but arrives later violates no invariant and is not recorded.
         """
         rpc, host, work, key, is_late, read_at = arrived
         received = self.open_rpcs.get(rpc)
@@ -231,14 +233,14 @@
         return HostAttempt(rpc, number, host, gateway, key)
 
     def _has_crossed_client(self, rpc: str, number: int, read_at: float | None) -> bool:
-        """Return whether an attempt began within CROSSING_S of the disconnect but arrives later."""
+        """Return whether an attempt began within the detection time, but arrives after it."""
         if rpc not in self.disconnected_at:
             return False
         began = self.now() if read_at is None else read_at - self.began
         delay = began - self.disconnected_at[rpc]
         if delay > 0:
             self.late_attempts.append((rpc, number, delay))
-        return delay <= CROSSING_S < self.now() - self.disconnected_at[rpc]
+        return delay <= DISCONNECT_DETECTION_S < self.now() - self.disconnected_at[rpc]
 
     def on_attempt_ended(self, attempt: HostAttempt, outcome: str) -> None:
         """Record the end of an attempt at its host: answered, rejected or abandoned."""
@@ -272,9 +274,9 @@
     def on_client_disconnected(self, rpc: str) -> None:
         """Record that the client of an RPC closes its connection.
 
-        The checker receives the disconnect CROSSING_S later, when the gateway has detected it:
-        an attempt in flight during the close violates no invariant. The time of the record is never
-        after the deadline, because a client waits for no answer past it.
+        The checker receives the disconnect DISCONNECT_DETECTION_S later, when the gateway has
+        detected it: an attempt in flight during the close violates no invariant. The time of the
+        record is never after the deadline, because a client waits for no answer past it.
         """
         received = self.open_rpcs.get(rpc)
         if received is None:
@@ -284,7 +286,7 @@
                 f"RPC {rpc}: expected a scheduler to record its client's disconnect, found None"
             )
         self.disconnected_at[rpc] = self.now()
-        self.schedule(CROSSING_S, partial(self._add_disconnect, rpc, received))
+        self.schedule(DISCONNECT_DETECTION_S, partial(self._add_disconnect, rpc, received))
 
     def _add_disconnect(self, rpc: str, received: OpenRpc) -> None:
         at = min(self.now(), received.deadline - BEFORE_DEADLINE_S)
