--- a/petrellane/testbed/records.py
+++ b/petrellane/testbed/records.py
@@ -220,7 +220,7 @@
             return HostAttempt(rpc, 0, host, None, key, is_over=True)
         number = received.attempts
         received.attempts += 1
-        if self._has_crossed_client(rpc, number, read_at):
+        if self._crossed_disconnect(rpc, number, read_at):
             return HostAttempt(rpc, number, host, None, key, is_over=True)
         gateway = received.gateway
         self._add_before_answer(invariants.AttemptSent(self.now(), gateway, rpc, number, host))
@@ -232,7 +232,7 @@
             )
         return HostAttempt(rpc, number, host, gateway, key)
 
-    def _has_crossed_client(self, rpc: str, number: int, read_at: float | None) -> bool:
+    def _crossed_disconnect(self, rpc: str, number: int, read_at: float | None) -> bool:
         """Return whether an attempt began within the detection time, but arrives after it."""
         if rpc not in self.disconnected_at:
             return False
