--- a/petrellane/testbed/processes.py
+++ b/petrellane/testbed/processes.py
@@ -31,7 +31,7 @@
 LogEvent = dict[str, Any]  # a decoded line of a process's log
 
 
-def die_with_parent() -> None:
+def kill_on_parent_exit() -> None:
     """Ask the kernel to kill this process when its parent exits."""
     LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
@@ -141,7 +141,7 @@
             stdin=subprocess.DEVNULL,
             cwd=spec.build.cwd,
             env=environ,
-            preexec_fn=die_with_parent,
+            preexec_fn=kill_on_parent_exit,
             pass_fds=spec.descriptors,
         )
 
