--- a/petrellane/testbed/fake_server.py
+++ b/petrellane/testbed/fake_server.py
@@ -106,7 +106,7 @@
             self.listener = open_listener(self.address, BACKLOG)
             self._watch_listener(self.listener)
 
-    def widen_queue(self, backlog: int) -> None:
+    def set_backlog(self, backlog: int) -> None:
         """Set the length of the accept queue to `backlog` connections."""
         if self.listener is not None:
             self.listener.listen(backlog)
--- a/petrellane/testbed/services.py
+++ b/petrellane/testbed/services.py
@@ -90,7 +90,7 @@
 ) -> dict[str, Callable[[], object]]:
     """Start the counter; return its command handlers, of which there are none."""
     counter = FakeCounter(scheduler, parameters.address)
-    counter.widen_queue(BACKLOG)
+    counter.set_backlog(BACKLOG)
     meter.more = lambda: {"adds": counter.adds, "connections": len(counter.streams)}
     return {}
 
@@ -100,7 +100,7 @@
 ) -> dict[str, Callable[[], object]]:
     """Start discovery; return its command handlers."""
     discovery = ScaleDiscovery(scheduler, parameters.rows, parameters.rate)
-    discovery.listener_for("all", parameters.address).widen_queue(BACKLOG)
+    discovery.listener_for("all", parameters.address).set_backlog(BACKLOG)
     changes = EndpointChanges(scheduler, log, discovery, parameters.changes, parameters.seed)
     meter.more = lambda: {
         "calls": discovery.calls,
