--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -343,7 +343,7 @@
     def _follow_host(self, name: str) -> None:
         """Let the relays to a host refuse connections until it listens again."""
         for relay in self.between(RouteKind.HOST, to=[name]):
-            relay.follow_target()
+            relay.wait_for_target()
 
     def _is_gateway(self, name: str) -> bool:
         return any(gateway.name == name for gateway in self.gateways)
--- a/petrellane/testbed/fleet_gateway.py
+++ b/petrellane/testbed/fleet_gateway.py
@@ -194,7 +194,7 @@
 
     def _follow_target(self) -> None:
         for relay in self._relays():
-            relay.follow_target()
+            relay.wait_for_target()
 
     def _run(self, environ: dict[str, str]) -> Process:
         variables = {"PROXY_CONFIG": self.file, "TMPDIR": self.folder, **self.environ, **environ}
--- a/petrellane/testbed/relay.py
+++ b/petrellane/testbed/relay.py
@@ -116,7 +116,7 @@
         for connection in list(self.connections):
             connection.on_faults_changed()
 
-    def follow_target(self) -> None:
+    def wait_for_target(self) -> None:
         """Refuse connections until the target, which has crashed or is starting, listens."""
         self._stop_listening()
         if self._target_check is None:
