--- a/petrellane/testbed/fake_discovery.py
+++ b/petrellane/testbed/fake_discovery.py
@@ -77,7 +77,7 @@
         self.gateway = gateway
         self.fault = DiscoveryFault.NONE
         self._discovery = discovery
-        self._crowd: list[socket.socket] = []
+        self._held_sockets: list[socket.socket] = []
 
     def serve(self, stream: Stream) -> None:
         """Answer polls and watches from the endpoint list."""
@@ -100,11 +100,11 @@
 
     def heal(self) -> None:
         """End the fault; requests made during the fault stay unanswered."""
-        for sock in self._crowd:
+        for sock in self._held_sockets:
             sock.close()
         if self._is_unwatched() and self.listener is not None:
             # Connections made during the fault stay open and unanswered, as before.
-            self._crowd += accept_waiting(self.listener, BACKLOG, ignore_exhaustion)
+            self._held_sockets += accept_waiting(self.listener, BACKLOG, ignore_exhaustion)
             if self.fault is DiscoveryFault.FULL:
                 self.listener.listen(BACKLOG)
             self._watch_listener(self.listener)
@@ -113,7 +113,7 @@
 
     def close(self) -> None:
         """Close the listener and all connections permanently."""
-        for sock in self._crowd:
+        for sock in self._held_sockets:
             sock.close()
         if self._is_unwatched() and self.listener is not None:
             self.listener.close()
@@ -133,7 +133,7 @@
         self.listener = open_listener(self.address, 0)
         for _ in range(CROWD):
             sock = socket.socket()
-            self._crowd.append(sock)
+            self._held_sockets.append(sock)
             sock.setblocking(False)
             sock.connect_ex(self.address)
 
