--- a/petrellane/testbed/fake_discovery.py
+++ b/petrellane/testbed/fake_discovery.py
@@ -24,7 +24,7 @@
 MAXIMUM_CHANGES = 1000  # changes kept for gateways that have not acknowledged them by a poll
 MAXIMUM_HOLD_S = 60.0  # the longest time for which a watch is held
 WATCH_CHECK_S = 0.02  # the interval at which a held watch is checked
-CROWD = 2  # connections that fill an accept queue of length 0
+QUEUE_FILL_CONNECTIONS = 2  # connections that fill an accept queue of length 0
 END_OF_HEAD = b"\r\n\r\n"
 BUSY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 HALF_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{"index":'
@@ -131,7 +131,7 @@
     def _fill_queue(self) -> None:
         """Listen with a full accept queue, so that no further connection is established."""
         self.listener = open_listener(self.address, 0)
-        for _ in range(CROWD):
+        for _ in range(QUEUE_FILL_CONNECTIONS):
             sock = socket.socket()
             self._held_sockets.append(sock)
             sock.setblocking(False)
