--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -23,7 +23,7 @@
 BULK_STRING = 0x24
 
 # Outcomes of an exchange besides the answers in `invariants` and host errors.
-AGAIN = "again"  # the connection ended before an answer arrived
+NO_ANSWER = "again"  # the connection ended before an answer arrived
 LATE = "late"  # timed out
 GONE = "gone"  # the client closed the connection
 SPOILT = "spoilt"  # the answer belongs to another RPC
@@ -201,7 +201,7 @@
                     # The gateway was killed, which ended the RPC: no client may retry it.
                     stream.close()
                     return
-                if verdict == AGAIN and was_idle:
+                if verdict == NO_ANSWER and was_idle:
                     continue  # the gateway closed the reused connection before it answered
                 self._finish(front, stream, rpc, verdict)
                 return
@@ -257,7 +257,7 @@
             return
 
     def _exchange(self, stream: Stream, rpc: ClientRpc, deadline: float) -> str:
-        """Send an RPC on a connection; return the kind of its answer, or AGAIN, LATE or GONE."""
+        """Send an RPC; return the kind of its answer, or NO_ANSWER, LATE or GONE."""
         # A first attempt may have used part of the timeout.
         left = max(MINIMUM_PATIENCE_S, deadline - self._scheduler.monotonic())
         stream.write(_command(rpc, left))
@@ -278,7 +278,7 @@
             self._disconnect(stream, rpc)
             return GONE
         except (Closed, resp.Malformed):
-            return AGAIN
+            return NO_ANSWER
         return _take_answer(stream, rpc, reply)
 
     def _disconnect(self, stream: Stream, rpc: ClientRpc) -> None:
