--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -24,7 +24,7 @@
 
 # Outcomes of an exchange besides the answers in `invariants` and host errors.
 NO_ANSWER = "again"  # the connection ended before an answer arrived
-LATE = "late"  # timed out
+TIMED_OUT = "late"  # timed out
 GONE = "gone"  # the client closed the connection
 SPOILT = "spoilt"  # the answer belongs to another RPC
 
@@ -257,7 +257,7 @@
             return
 
     def _exchange(self, stream: Stream, rpc: ClientRpc, deadline: float) -> str:
-        """Send an RPC; return the kind of its answer, or NO_ANSWER, LATE or GONE."""
+        """Send an RPC; return the kind of its answer, or NO_ANSWER, TIMED_OUT or GONE."""
         # A first attempt may have used part of the timeout.
         left = max(MINIMUM_PATIENCE_S, deadline - self._scheduler.monotonic())
         stream.write(_command(rpc, left))
@@ -274,7 +274,7 @@
                 stream.fill(max(0.0, until - self._scheduler.monotonic()))
         except TimeoutError:
             if not leaves:
-                return LATE
+                return TIMED_OUT
             self._disconnect(stream, rpc)
             return GONE
         except (Closed, resp.Malformed):
