--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -25,7 +25,7 @@
 # Outcomes of an exchange besides the answers in `invariants` and host errors.
 NO_ANSWER = "again"  # the connection ended before an answer arrived
 TIMED_OUT = "late"  # timed out
-GONE = "gone"  # the client closed the connection
+DISCONNECTED = "gone"  # the client closed the connection
 SPOILT = "spoilt"  # the answer belongs to another RPC
 
 
@@ -257,7 +257,7 @@
             return
 
     def _exchange(self, stream: Stream, rpc: ClientRpc, deadline: float) -> str:
-        """Send an RPC; return the kind of its answer, or NO_ANSWER, TIMED_OUT or GONE."""
+        """Send an RPC; return the kind of its answer, or NO_ANSWER, TIMED_OUT or DISCONNECTED."""
         # A first attempt may have used part of the timeout.
         left = max(MINIMUM_PATIENCE_S, deadline - self._scheduler.monotonic())
         stream.write(_command(rpc, left))
@@ -276,7 +276,7 @@
             if not leaves:
                 return TIMED_OUT
             self._disconnect(stream, rpc)
-            return GONE
+            return DISCONNECTED
         except (Closed, resp.Malformed):
             return NO_ANSWER
         return _take_answer(stream, rpc, reply)
