--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -26,7 +26,7 @@
 NO_ANSWER = "again"  # the connection ended before an answer arrived
 TIMED_OUT = "late"  # timed out
 DISCONNECTED = "gone"  # the client closed the connection
-SPOILT = "spoilt"  # the answer belongs to another RPC
+MISMATCHED = "spoilt"  # the answer belongs to another RPC
 
 
 @dataclass(frozen=True)
@@ -327,5 +327,5 @@
         text = bytes(stream.buffer[start:end])
     del stream.buffer[: reply.end]
     if reply.kind == BULK_STRING:
-        return invariants.OK if text == rpc.name.encode() else SPOILT
+        return invariants.OK if text == rpc.name.encode() else MISMATCHED
     return invariants.REJECTED if text.startswith(b"BUSY") else text.decode("latin-1")
