--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -18,7 +18,9 @@
 
 DIAL_TIMEOUT_S = 0.5
 GRACE_S = 0.3  # how long a client waits past its deadline, and from half-close to close
-SUSPECT_S = 0.25  # the time for which clients try other gateways first after a failed dial
+AVOID_AFTER_FAILED_DIAL_S = (
+    0.25  # the time for which clients try other gateways first after a failed dial
+)
 MINIMUM_PATIENCE_S = 0.001  # the shortest timeout of an attempt
 BULK_STRING = 0x24
 
@@ -205,7 +207,7 @@
                     continue  # the gateway closed the reused connection before it answered
                 self._finish(front, stream, rpc, verdict)
                 return
-            front.avoided_until = self._scheduler.monotonic() + SUSPECT_S
+            front.avoided_until = self._scheduler.monotonic() + AVOID_AFTER_FAILED_DIAL_S
         self.unrouted_count += 1
 
     def _arrive(self) -> None:
