--- a/benchmarks/start_up_rounds.py
+++ b/benchmarks/start_up_rounds.py
@@ -75,7 +75,7 @@
 def set_states(fleet: LoopbackFleet, discovery: str, is_counter_silent: bool) -> None:
     """Bring discovery and the counter into a state."""
     fleet.counter.quiet = is_counter_silent
-    fleet.discovery.away = discovery == "silent"
+    fleet.discovery.unresponsive = discovery == "silent"
     vars(fleet.discovery).pop("serve", None)
     if discovery == "503":
         fleet.discovery.serve = reject_all  # type: ignore[method-assign]  # for this state alone
--- a/petrellane/testbed/fake_discovery.py
+++ b/petrellane/testbed/fake_discovery.py
@@ -177,7 +177,7 @@
         self.watches: dict[Stream, Watch] = {}
         self.listeners: dict[str, DiscoveryListener] = {}
         self.notification_delay_s = 0.0
-        self.away = False
+        self.unresponsive = False
         self.rate = float("inf")
         self.calls = 0
         self.refused = 0
@@ -242,7 +242,7 @@
 
     def notify(self) -> None:
         """Answer every held watch for which the list has newer changes."""
-        if self.away:
+        if self.unresponsive:
             return
         for stream, (index, gateway) in list(self.watches.items()):
             rows = [row for name, row in self.rows.items() if self._changed_at[name] > index]
@@ -297,7 +297,7 @@
     def _answer(
         self, stream: Stream, gateway: str, is_snapshot: bool, rows: Iterable[EndpointRow]
     ) -> None:
-        if self.away:
+        if self.unresponsive:
             return
         seen = [self._row_seen_by(gateway, row) for row in rows]
         body = orjson.dumps({"index": self.index, "snapshot": is_snapshot, "endpoints": seen})
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -101,7 +101,7 @@
         if name == "counter refuses":
             counter.refuses = True
             return partial(setattr, counter, "refuses", False)
-        discovery.away = True
+        discovery.unresponsive = True
         return partial(_bring_back, discovery)
 
     def _execute_at_party(self, step: Step, party: Party) -> Undo | None:
@@ -161,7 +161,7 @@
 
 def _bring_back(discovery: FakeDiscovery) -> None:
     """Let discovery answer again, watches that are held included."""
-    discovery.away = False
+    discovery.unresponsive = False
     discovery.notify()
 
 
--- a/tests/integration/testbed/test_fleet_starts.py
+++ b/tests/integration/testbed/test_fleet_starts.py
@@ -55,7 +55,7 @@
         if discovery == "refuses":
             refuse_discovery(fleet)
         else:
-            fleet.discovery.away = True
+            fleet.discovery.unresponsive = True
         limit = time.monotonic() + 10.0
         fleet.start(ready=False)
         fleet.run_until(lambda: is_ready(fleet), "all are ready", limit - time.monotonic())
