--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -18,9 +18,7 @@
 
 DIAL_TIMEOUT_S = 0.5
 GRACE_S = 0.3  # how long a client waits past its deadline, and from half-close to close
-AVOID_AFTER_FAILED_DIAL_S = (
-    0.25  # the time for which clients try other gateways first after a failed dial
-)
+AVOID_AFTER_FAILED_DIAL_S = 0.25  # how long clients try other gateways first
 MINIMUM_PATIENCE_S = 0.001  # the shortest timeout of an attempt
 BULK_STRING = 0x24
 
--- a/petrellane/testbed/fake_discovery.py
+++ b/petrellane/testbed/fake_discovery.py
@@ -152,7 +152,7 @@
         watches: The held watches, by connection.
         listeners: The listeners, by gateway.
         notification_delay_s: The delay from a change to its notification, in seconds.
-        away: Whether discovery leaves polls and watches unanswered.
+        unresponsive: Whether discovery leaves polls and watches unanswered.
         rate: The requests served in any one second; further requests are rejected.
         calls: The number of requests received so far.
         refused: The number of requests rejected so far.
