--- a/benchmarks/start_up_rounds.py
+++ b/benchmarks/start_up_rounds.py
@@ -74,7 +74,7 @@
 
 def set_states(fleet: LoopbackFleet, discovery: str, is_counter_silent: bool) -> None:
     """Bring discovery and the counter into a state."""
-    fleet.counter.quiet = is_counter_silent
+    fleet.counter.unresponsive = is_counter_silent
     fleet.discovery.unresponsive = discovery == "silent"
     vars(fleet.discovery).pop("serve", None)
     if discovery == "503":
--- a/petrellane/testbed/fake_counter.py
+++ b/petrellane/testbed/fake_counter.py
@@ -13,7 +13,7 @@
     """The fake counter of a run, owned by its fleet.
 
     Attributes:
-        quiet: Whether the counter sends no replies; it still applies additions.
+        unresponsive: Whether the counter sends no replies; it still applies additions.
         refuses: Whether the counter answers every addition with -BUSY, without applying it.
         adds: The number of additions requested so far.
     """
@@ -21,7 +21,7 @@
     def __init__(self, scheduler: Scheduler, address: Address = ANY_PORT) -> None:
         """Listen at an address."""
         super().__init__(scheduler, address)
-        self.quiet = False
+        self.unresponsive = False
         self.refuses = False
         self.adds = 0
         self._totals: dict[
@@ -53,7 +53,7 @@
             total = 0.0
         total += float(amount)
         self._totals[name] = (expires_at, total)
-        if not self.quiet:
+        if not self.unresponsive:
             text = b"%.7g" % total
             stream.write(b"$%d\r\n%b\r\n" % (len(text), text))
         if len(self._totals) > EXPIRY_THRESHOLD:
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -96,7 +96,7 @@
             counter.forget()
             return None
         if name == "counter quiet":
-            counter.quiet = True
+            counter.unresponsive = True
             return partial(setattr, counter, "quiet", False)
         if name == "counter refuses":
             counter.refuses = True
--- a/tests/integration/testbed/test_fleet_hard_limits.py
+++ b/tests/integration/testbed/test_fleet_hard_limits.py
@@ -47,7 +47,7 @@
         fleet.start()
         fleet.clients.start()
         fleet.run_for(1.5)
-        fleet.counter.quiet = True
+        fleet.counter.unresponsive = True
         fleet.run_for(0.5)
         assert fleet.change_settings(settings_with(NEW_LIMIT))["outcome"] == "committed"
         fleet.run_for(1.0)
--- a/tests/integration/testbed/test_fleet_starts.py
+++ b/tests/integration/testbed/test_fleet_starts.py
@@ -34,7 +34,7 @@
             customers=[Customer(1, "sold", gateway_count=2)],
         )
     )
-    fleet.counter.quiet = True
+    fleet.counter.unresponsive = True
     return fleet
 
 
