--- a/benchmarks/attempts_after_disconnect.py
+++ b/benchmarks/attempts_after_disconnect.py
@@ -122,7 +122,7 @@
             folder = os.path.abspath(arguments.build)  # noqa: PTH100 - as the build takes it
             gateway.build = Build(cwd=folder) if arguments.build else Build()
         fleet.start()
-        fleet.clients.leaving = arguments.leaving
+        fleet.clients.disconnect_share = arguments.leaving
         fleet.clients.half_close_share = HALF_CLOSING_SHARE
         generator = random.Random(f"{seed} left")
         schedule_disturbances(fleet, generator, arguments.seconds, arguments.quiet)
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -133,7 +133,7 @@
         rate: The current rate, in RPCs per second.
         on: Whether the load sends RPCs.
         out: The number of RPCs in flight.
-        leaving: The share of RPCs whose client disconnects before the deadline.
+        disconnect_share: The share of RPCs whose client disconnects before the deadline.
         half_close_share: The share of those clients that half-close their connection first.
         unrouted_count: The number of RPCs for which no gateway was reachable.
         rpc_count: The number of RPCs that the load has drawn so far.
@@ -154,7 +154,7 @@
         self.rate = load.rate
         self.on = False
         self.out = 0
-        self.leaving = 0.0
+        self.disconnect_share = 0.0
         self.half_close_share = 0.0
         self.unrouted_count = 0
         self.waits: list[tuple[float, str]] = []
@@ -262,8 +262,8 @@
         left = max(MINIMUM_PATIENCE_S, deadline - self._scheduler.monotonic())
         stream.write(_command(rpc, left))
         leaves = rpc.disconnect_at is not None
-        if not leaves and self.leaving:
-            leaves = self._random.random() < self.leaving
+        if not leaves and self.disconnect_share:
+            leaves = self._random.random() < self.disconnect_share
         wait = self._random.random() * left if leaves else left + GRACE_S
         if rpc.disconnect_at is None:
             until = self._scheduler.monotonic() + wait
