--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -106,7 +106,7 @@
     customers: Sequence[Customer]
 
 
-class Front:
+class GatewayConnections:
     """The clients' connection pool for one gateway.
 
     Attributes:
@@ -146,7 +146,7 @@
         self,
         scheduler: Scheduler,
         records: Records,
-        fronts: Sequence[Front],
+        fronts: Sequence[GatewayConnections],
         load: Load,
         seed: int = 0,
     ) -> None:
@@ -230,7 +230,7 @@
         finally:
             self.out -= 1
 
-    def _record_received(self, rpc: ClientRpc, front: Front) -> None:
+    def _record_received(self, rpc: ClientRpc, front: GatewayConnections) -> None:
         self._records.on_received(
             ReceivedRpc(
                 rpc.name,
@@ -243,7 +243,7 @@
             )
         )
 
-    def _connections(self, front: Front) -> Iterator[tuple[Stream, bool]]:
+    def _connections(self, front: GatewayConnections) -> Iterator[tuple[Stream, bool]]:
         """Yield an open idle connection, if any, then a new one; each with whether it was idle."""
         while front.idle:
             stream = front.idle.pop()
@@ -290,7 +290,9 @@
             self._scheduler.wait(GRACE_S)
         stream.close()
 
-    def _finish(self, front: Front, stream: Stream, rpc: ClientRpc, verdict: str) -> None:
+    def _finish(
+        self, front: GatewayConnections, stream: Stream, rpc: ClientRpc, verdict: str
+    ) -> None:
         """Record the end of an RPC; keep its connection if it can be reused."""
         method = rpc.method.name
         is_host_error = verdict.startswith("ERR")
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -21,7 +21,7 @@
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Address
 from petrellane.testbed.addresses import AddressPool, format_address
-from petrellane.testbed.clients import Clients, Front, Load
+from petrellane.testbed.clients import Clients, GatewayConnections, Load
 from petrellane.testbed.endpoint_rows import EndpointRow
 from petrellane.testbed.fake_counter import FakeCounter
 from petrellane.testbed.fake_discovery import FakeDiscovery
@@ -126,11 +126,11 @@
         self._list_hosts()
         for number in range(spec.gateways):
             self.gateways.append(FleetGateway(self, number))
-        self.fronts: list[Front] = []
+        self.fronts: list[GatewayConnections] = []
         for gateway in self.gateways:
             gateway.write_config()
             route = Route(RouteKind.CLIENT, gateway.name, gateway.name)
-            self.fronts.append(Front(gateway.name, self._address(route)))
+            self.fronts.append(GatewayConnections(gateway.name, self._address(route)))
         load = Load(spec.rate, spec.methods, spec.customers_or_default())
         self.clients = Clients(self.scheduler, self.records, self.fronts, load, spec.seed)
 
