--- a/benchmarks/attempts_after_disconnect_load.py
+++ b/benchmarks/attempts_after_disconnect_load.py
@@ -144,7 +144,7 @@
 
     def _ask(self, name: str) -> None:
         clients = self.clients
-        clients.out += 1
+        clients.in_flight += 1
         try:
             rpc = ClientRpc(
                 f"{clients.seed}-{name}",
@@ -155,7 +155,7 @@
             )
             clients.send(rpc)
         finally:
-            clients.out -= 1
+            clients.in_flight -= 1
 
     def _pipeline(self) -> None:
         try:
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -132,7 +132,7 @@
     Attributes:
         rate: The current rate, in RPCs per second.
         on: Whether the load sends RPCs.
-        out: The number of RPCs in flight.
+        in_flight: The number of RPCs in flight.
         disconnect_share: The share of RPCs whose client disconnects before the deadline.
         half_close_share: The share of those clients that half-close their connection first.
         unrouted_count: The number of RPCs for which no gateway was reachable.
@@ -153,7 +153,7 @@
         """Initialize stopped clients; `seed` determines all random draws."""
         self.rate = load.rate
         self.on = False
-        self.out = 0
+        self.in_flight = 0
         self.disconnect_share = 0.0
         self.half_close_share = 0.0
         self.unrouted_count = 0
@@ -224,11 +224,11 @@
         customers = self.load.customers
         customer = self._random.choices(customers, [customer.share for customer in customers])[0]
         self.rpc_count += 1
-        self.out += 1
+        self.in_flight += 1
         try:
             self.send(ClientRpc(f"{self.seed}-{self.rpc_count:08x}", method, customer, intended))
         finally:
-            self.out -= 1
+            self.in_flight -= 1
 
     def _record_received(self, rpc: ClientRpc, front: GatewayConnections) -> None:
         self._records.on_received(
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -182,7 +182,7 @@
         stall = away + self.scheduler.longest_turn
         self.scheduler.longest_turn = 0.0
         self._turned_at = time.monotonic()
-        if stall > SETTLE_S and (self.clients.on or self.clients.out):
+        if stall > SETTLE_S and (self.clients.on or self.clients.in_flight):
             self.records.note(f"the testbed stood still for {stall:.3f} s")
             self.longest_stall_s = max(self.longest_stall_s, stall)
             self.records.last_stall_turn = self.records.turns
@@ -220,7 +220,7 @@
             AssertionError: It does not end in time.
         """
         self.clients.stop()
-        self.run_until(lambda: not self.clients.out, "all answers", patience)
+        self.run_until(lambda: not self.clients.in_flight, "all answers", patience)
 
     def change_settings(
         self, settings: Settings, patience: float = 15.0, **arguments: object
