--- a/benchmarks/attempts_after_disconnect_load.py
+++ b/benchmarks/attempts_after_disconnect_load.py
@@ -127,9 +127,9 @@
         self.clients = fleet.clients
         self.scheduler = fleet.scheduler
         self.random = generator
-        self.front = generator.choice(fleet.fronts)
+        self.front = generator.choice(fleet.gateway_connections)
         self.stay_s = 0.02 + 0.4 * generator.random()
-        first = fleet.fronts.index(self.front)
+        first = fleet.gateway_connections.index(self.front)
         self.customer = Customer(BURST_CUSTOMER, "free", first_gateway=first, gateway_count=1)
         self.disconnect_at = self.scheduler.monotonic() + self.stay_s
         self.until = self.disconnect_at + 1.0
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -146,7 +146,7 @@
         self,
         scheduler: Scheduler,
         records: Records,
-        fronts: Sequence[GatewayConnections],
+        gateway_connections: Sequence[GatewayConnections],
         load: Load,
         seed: int = 0,
     ) -> None:
@@ -160,7 +160,7 @@
         self.waits: list[tuple[float, str]] = []
         self._scheduler = scheduler
         self._records = records
-        self._fronts = fronts
+        self._fronts = gateway_connections
         self.load = load
         self.seed = seed
         self._random = random.Random(f"{seed} clients")
@@ -186,10 +186,12 @@
         ]
         self._random.shuffle(numbers)
         now = self._scheduler.monotonic()
-        fronts = [self._fronts[number] for number in numbers]
-        fronts.sort(key=lambda front: not front.in_rotation or front.avoided_until > now)
+        gateway_connections = [self._fronts[number] for number in numbers]
+        gateway_connections.sort(
+            key=lambda front: not front.in_rotation or front.avoided_until > now
+        )
         deadline = None
-        for front in fronts:
+        for front in gateway_connections:
             if not front.in_rotation:
                 continue
             for stream, was_idle in self._connections(front):
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -87,7 +87,7 @@
         gateways: The gateways.
         controls: The control processes by name.
         relays: The relays between them.
-        fronts: What clients know of each gateway.
+        gateway_connections: What clients know of each gateway.
         clients: The load.
         crashes: Processes that ended in an unexpected way.
         faults: Exceptions in this process.
@@ -126,13 +126,15 @@
         self._list_hosts()
         for number in range(spec.gateways):
             self.gateways.append(FleetGateway(self, number))
-        self.fronts: list[GatewayConnections] = []
+        self.gateway_connections: list[GatewayConnections] = []
         for gateway in self.gateways:
             gateway.write_config()
             route = Route(RouteKind.CLIENT, gateway.name, gateway.name)
-            self.fronts.append(GatewayConnections(gateway.name, self._address(route)))
+            self.gateway_connections.append(GatewayConnections(gateway.name, self._address(route)))
         load = Load(spec.rate, spec.methods, spec.customers_or_default())
-        self.clients = Clients(self.scheduler, self.records, self.fronts, load, spec.seed)
+        self.clients = Clients(
+            self.scheduler, self.records, self.gateway_connections, load, spec.seed
+        )
 
     def __enter__(self) -> Self:
         return self
--- a/tests/integration/testbed/test_fleet_changes.py
+++ b/tests/integration/testbed/test_fleet_changes.py
@@ -148,7 +148,7 @@
 
 
 def test_a_drained_gateway_takes_part(fleet: LoopbackFleet) -> None:
-    gateway, front = fleet.gateways[1], fleet.fronts[1]
+    gateway, front = fleet.gateways[1], fleet.gateway_connections[1]
     front.in_rotation = False
     call_gateway(gateway, "drain")
     assert fleet.change_settings(second_settings(fleet))["reached"] == 3
