--- a/benchmarks/attempts_after_disconnect_load.py
+++ b/benchmarks/attempts_after_disconnect_load.py
@@ -127,9 +127,9 @@
         self.clients = fleet.clients
         self.scheduler = fleet.scheduler
         self.random = generator
-        self.front = generator.choice(fleet.gateway_connections)
+        self.connections = generator.choice(fleet.gateway_connections)
         self.stay_s = 0.02 + 0.4 * generator.random()
-        first = fleet.gateway_connections.index(self.front)
+        first = fleet.gateway_connections.index(self.connections)
         self.customer = Customer(BURST_CUSTOMER, "free", first_gateway=first, gateway_count=1)
         self.disconnect_at = self.scheduler.monotonic() + self.stay_s
         self.until = self.disconnect_at + 1.0
@@ -159,7 +159,7 @@
 
     def _pipeline(self) -> None:
         try:
-            stream = Stream.dial(self.scheduler, LIMITS, self.front.address, 1.0)
+            stream = Stream.dial(self.scheduler, LIMITS, self.connections.address, 1.0)
             stream.write(PIPELINED * PIPELINED_COMMANDS)
             while self.scheduler.monotonic() < self.until:
                 stream.fill(self.until - self.scheduler.monotonic())
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -188,16 +188,16 @@
         now = self._scheduler.monotonic()
         gateway_connections = [self._fronts[number] for number in numbers]
         gateway_connections.sort(
-            key=lambda front: not front.in_rotation or front.avoided_until > now
+            key=lambda connections: not connections.in_rotation or connections.avoided_until > now
         )
         deadline = None
-        for front in gateway_connections:
-            if not front.in_rotation:
+        for connections in gateway_connections:
+            if not connections.in_rotation:
                 continue
-            for stream, was_idle in self._connections(front):
+            for stream, was_idle in self._connections(connections):
                 if deadline is None:
                     deadline = self._scheduler.monotonic() + rpc.method.patience
-                    self._record_received(rpc, front)
+                    self._record_received(rpc, connections)
                 verdict = self._exchange(stream, rpc, deadline)
                 if rpc.name not in self._records.open_rpcs:
                     # The gateway was killed, which ended the RPC: no client may retry it.
@@ -205,9 +205,9 @@
                     return
                 if verdict == NO_ANSWER and was_idle:
                     continue  # the gateway closed the reused connection before it answered
-                self._finish(front, stream, rpc, verdict)
+                self._finish(connections, stream, rpc, verdict)
                 return
-            front.avoided_until = self._scheduler.monotonic() + AVOID_AFTER_FAILED_DIAL_S
+            connections.avoided_until = self._scheduler.monotonic() + AVOID_AFTER_FAILED_DIAL_S
         self.unrouted_count += 1
 
     def _arrive(self) -> None:
@@ -232,11 +232,11 @@
         finally:
             self.in_flight -= 1
 
-    def _record_received(self, rpc: ClientRpc, front: GatewayConnections) -> None:
+    def _record_received(self, rpc: ClientRpc, connections: GatewayConnections) -> None:
         self._records.on_received(
             ReceivedRpc(
                 rpc.name,
-                front.name,
+                connections.name,
                 rpc.customer.key,
                 rpc.customer.plan,
                 rpc.method.name,
@@ -245,16 +245,16 @@
             )
         )
 
-    def _connections(self, front: GatewayConnections) -> Iterator[tuple[Stream, bool]]:
+    def _connections(self, connections: GatewayConnections) -> Iterator[tuple[Stream, bool]]:
         """Yield an open idle connection, if any, then a new one; each with whether it was idle."""
-        while front.idle:
-            stream = front.idle.pop()
+        while connections.idle:
+            stream = connections.idle.pop()
             if stream.is_read_idle() and not stream.buffer:
                 yield stream, True
                 break
             stream.close()
         try:
-            yield Stream.dial(self._scheduler, LIMITS, front.address, DIAL_TIMEOUT_S), False
+            yield Stream.dial(self._scheduler, LIMITS, connections.address, DIAL_TIMEOUT_S), False
         except OSError:
             return
 
@@ -293,13 +293,13 @@
         stream.close()
 
     def _finish(
-        self, front: GatewayConnections, stream: Stream, rpc: ClientRpc, verdict: str
+        self, connections: GatewayConnections, stream: Stream, rpc: ClientRpc, verdict: str
     ) -> None:
         """Record the end of an RPC; keep its connection if it can be reused."""
         method = rpc.method.name
         is_host_error = verdict.startswith("ERR")
         if verdict in (invariants.OK, invariants.REJECTED) or is_host_error:
-            front.idle.append(stream)
+            connections.idle.append(stream)
             answer = invariants.ABORTED if is_host_error else verdict
             self._records.on_answered(rpc.name, answer, method)
             self.waits.append((self._scheduler.monotonic() - rpc.intended, verdict))
--- a/tests/integration/testbed/test_fleet_changes.py
+++ b/tests/integration/testbed/test_fleet_changes.py
@@ -148,12 +148,12 @@
 
 
 def test_a_drained_gateway_takes_part(fleet: LoopbackFleet) -> None:
-    gateway, front = fleet.gateways[1], fleet.gateway_connections[1]
-    front.in_rotation = False
+    gateway, connections = fleet.gateways[1], fleet.gateway_connections[1]
+    connections.in_rotation = False
     call_gateway(gateway, "drain")
     assert fleet.change_settings(second_settings(fleet))["reached"] == 3
     call_gateway(gateway, "resume")
-    front.in_rotation = True
+    connections.in_rotation = True
     assert admitted_methods(fleet) == {AFTER}
     check_run(fleet)
 
