--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -23,8 +23,8 @@
 BULK_STRING = 0x24
 
 # Outcomes of an exchange besides the answers in `invariants` and host errors.
-NO_ANSWER = "again"  # the connection ended before an answer arrived
-TIMED_OUT = "late"  # timed out
+NO_ANSWER = "again"  # the connection ended before a well-formed answer arrived
+TIMED_OUT = "late"  # no answer arrived by the deadline
 DISCONNECTED = "gone"  # the client closed the connection
 MISMATCHED = "spoilt"  # the answer belongs to another RPC
 
@@ -200,7 +200,7 @@
                     self._record_received(rpc, connections)
                 verdict = self._exchange(stream, rpc, deadline)
                 if rpc.name not in self._records.open_rpcs:
-                    # The gateway was killed, which ended the RPC: no client may retry it.
+                    # The gateway was killed, which ended the RPC: the client must not retry it.
                     stream.close()
                     return
                 if verdict == NO_ANSWER and was_idle:
--- a/petrellane/testbed/processes.py
+++ b/petrellane/testbed/processes.py
@@ -191,8 +191,8 @@
         """Report all log lines available on standard output, and the exit of the process.
 
         If lines and end of file are both available, the same call reports the exit as well, because
-        the testbed must know of it before it handles events of other descriptors that result
-        from the exit.
+        the testbed must know of it before it handles events of other descriptors that result from
+        the exit.
         """
         while not self._stdout.closed:
             try:
--- a/petrellane/testbed/records.py
+++ b/petrellane/testbed/records.py
@@ -9,8 +9,8 @@
 happened: a gateway closes the connection of one attempt before it sends the next attempt of the
 same RPC, but two sockets may report these events in reverse order. Data that is in a socket when a
 turn begins is read by the end of the next turn. After a stall of the testbed, a client's answer may
-be read before attempts that hosts received earlier. Only then are those attempts put before
-the answer.
+be read before attempts that hosts received earlier. Only then are those attempts put before the
+answer.
 """
 
 from __future__ import annotations
@@ -23,11 +23,9 @@
 
 from petrellane import invariants
 
-SETTLE_S = 0.05
-SETTLE_TURNS = 2
-DISCONNECT_DETECTION_S = (
-    0.1  # the time after a client disconnects in which an attempt may still begin
-)
+SETTLE_S = 0.05  # the shortest time for which a record can be reordered
+SETTLE_TURNS = 2  # the fewest scheduler turns for which a record can be reordered
+DISCONNECT_DETECTION_S = 0.1  # after a client's disconnect; attempts may still begin in this time
 MAX_OPEN_RPCS = 50_000  # RPCs kept, including finished ones
 DEFAULT_HISTORY = 20_000  # number of records kept
 BEFORE_DEADLINE_S = 1e-6  # how long before the deadline the latest disconnect is recorded
--- a/petrellane/testbed/relay.py
+++ b/petrellane/testbed/relay.py
@@ -117,7 +117,7 @@
             connection.on_faults_changed()
 
     def wait_for_target(self) -> None:
-        """Refuse connections until the target, which has crashed or is starting, listens."""
+        """Refuse connections until the target listens, after its crash or during its start."""
         self._stop_listening()
         if self._target_check is None:
             self._check_target()
@@ -153,7 +153,7 @@
             self.listener = None
 
     def _fill_queue(self) -> None:
-        """Fill an accept queue, so that dials get no response, as from a hung machine."""
+        """Fill an accept queue, so that new connections get no response, as from a hung machine."""
         listener = self._bind()
         listener.listen(0)
         self._queue_fill = [listener]
