--- a/benchmarks/attempts_after_disconnect_load.py
+++ b/benchmarks/attempts_after_disconnect_load.py
@@ -127,12 +127,12 @@
         self.clients = fleet.clients
         self.scheduler = fleet.scheduler
         self.random = generator
-        self.front = generator.choice(fleet.fronts)
+        self.connections = generator.choice(fleet.gateway_connections)
         self.stay_s = 0.02 + 0.4 * generator.random()
-        first = fleet.fronts.index(self.front)
+        first = fleet.gateway_connections.index(self.connections)
         self.customer = Customer(BURST_CUSTOMER, "free", first_gateway=first, gateway_count=1)
-        self.leave_at = self.scheduler.monotonic() + self.stay_s
-        self.until = self.leave_at + 1.0
+        self.disconnect_at = self.scheduler.monotonic() + self.stay_s
+        self.until = self.disconnect_at + 1.0
 
     def start(self, is_quiet: bool) -> None:
         """Let the clients come, and without `is_quiet` the pipelining ones too."""
@@ -144,22 +144,22 @@
 
     def _ask(self, name: str) -> None:
         clients = self.clients
-        clients.out += 1
+        clients.in_flight += 1
         try:
             rpc = ClientRpc(
                 f"{clients.seed}-{name}",
                 self.random.choice(clients.load.methods),
                 self.customer,
                 self.scheduler.monotonic(),
-                self.leave_at,
+                self.disconnect_at,
             )
             clients.send(rpc)
         finally:
-            clients.out -= 1
+            clients.in_flight -= 1
 
     def _pipeline(self) -> None:
         try:
-            stream = Stream.dial(self.scheduler, LIMITS, self.front.address, 1.0)
+            stream = Stream.dial(self.scheduler, LIMITS, self.connections.address, 1.0)
             stream.write(PIPELINED * PIPELINED_COMMANDS)
             while self.scheduler.monotonic() < self.until:
                 stream.fill(self.until - self.scheduler.monotonic())
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -1,8 +1,8 @@
-"""Clients in an open loop: RPCs come at intended times, whatever became of those before.
+"""Open-loop clients: RPCs are sent at intended times, whether or not earlier ones have finished.
 
-A front deals a customer's RPCs out among the gateways of its set. Clients keep to the protocol:
-one RPC at a time on a connection, a new connection where all are busy, and a second attempt on a
-new one where a kept connection was closed under a command.
+The clients spread a customer's RPCs at random among the gateways of the customer's set. They follow
+the protocol: one RPC at a time per connection, a new connection when all are busy, and a second
+attempt on a new connection when the gateway closed a reused connection before it answered.
 """
 
 import random
@@ -17,21 +17,28 @@
 from petrellane.testbed.records import ReceivedRpc, Records
 
 DIAL_TIMEOUT_S = 0.5
-GRACE_S = 0.3  # past its patience, after which a client stops listening
-SUSPECT_S = 0.25  # before a gateway that could not be reached is tried again
-MINIMUM_PATIENCE_S = 0.001  # of a second attempt
+GRACE_S = 0.3  # how long a client waits past its deadline, and from half-close to close
+AVOID_AFTER_FAILED_DIAL_S = 0.25  # how long clients try other gateways first
+MINIMUM_PATIENCE_S = 0.001  # the shortest timeout of an attempt
 BULK_STRING = 0x24
 
-# What an exchange may end with beside the answers that the invariants know and errors of a host.
-AGAIN = "again"  # the connection ended without an answer
-LATE = "late"  # no answer came in time
-GONE = "gone"  # the client closed its connection
-SPOILT = "spoilt"  # an answer to another RPC
+# Outcomes of an exchange besides the answers in `invariants` and host errors.
+NO_ANSWER = "again"  # the connection ended before a well-formed answer arrived
+TIMED_OUT = "late"  # no answer arrived by the deadline
+DISCONNECTED = "gone"  # the client closed the connection
+MISMATCHED = "spoilt"  # the answer belongs to another RPC
 
 
 @dataclass(frozen=True)
 class Method:
-    """What clients ask: `share` of the RPCs, with `patience` in seconds."""
+    """A method that clients call.
+
+    Attributes:
+        name: The method's name.
+        share: The method's relative weight when the load draws an RPC.
+        effect: The method's effect class, one of those in `invariants`.
+        patience: The timeout of an RPC, in seconds.
+    """
 
     name: str
     share: float = 1.0
@@ -41,7 +48,16 @@
 
 @dataclass(frozen=True)
 class Customer:
-    """Who asks: `share` of the RPCs, through `gateway_count` gateways from `first_gateway` on."""
+    """A customer whose clients send RPCs.
+
+    Attributes:
+        number: The customer's number, from which its id is formatted.
+        plan: The customer's plan.
+        share: The customer's relative weight when the load draws an RPC.
+        first_gateway: The index of the first gateway in the customer's set.
+        gateway_count: The number of consecutive gateways in the customer's set.
+        units: The units that each RPC of the customer costs.
+    """
 
     number: int
     plan: str
@@ -58,87 +74,93 @@
 
 @dataclass(frozen=True)
 class ClientRpc:
-    """One RPC of a client.
+    """An RPC that a client sends.
 
     Attributes:
-        name: Its id.
-        method: What is asked.
-        customer: Who asks.
-        intended: The scheduler's time at which it was due to be sent.
-        leave_at: The scheduler's time at which its client leaves; None where that is drawn.
+        name: The RPC's id.
+        method: The method that the client calls.
+        customer: The customer that the client belongs to.
+        intended: The scheduler time at which the RPC was due to be sent, in seconds.
+        disconnect_at: The scheduler time of the client's disconnect; None to draw it at random.
     """
 
     name: str
     method: Method
     customer: Customer
     intended: float
-    leave_at: float | None = None
+    disconnect_at: float | None = None
 
 
 @dataclass(frozen=True)
 class Load:
-    """What clients send: `rate` RPCs a second of these methods and customers."""
+    """The load that clients generate.
+
+    Attributes:
+        rate: The initial rate, in RPCs per second.
+        methods: The methods that RPCs are drawn from.
+        customers: The customers that RPCs are drawn from.
+    """
 
     rate: float
     methods: Sequence[Method]
     customers: Sequence[Customer]
 
 
-class Front:
-    """What clients know of one gateway.
+class GatewayConnections:
+    """The clients' connection pool for one gateway.
 
     Attributes:
         name: The gateway's name.
-        address: Where it is reached.
-        idle: Connections that stand and are not in use.
-        avoided_until: The scheduler's time until which others are tried first.
-        taken_in: Whether RPCs go there at all.
+        address: The address at which clients reach the gateway.
+        idle: The open connections that no RPC uses.
+        avoided_until: The scheduler time until which clients try other gateways first.
+        in_rotation: Whether clients send RPCs to the gateway.
     """
 
     def __init__(self, name: str, address: Address) -> None:
-        """Make a front without connections."""
+        """Initialize a pool without connections."""
         self.name = name
         self.address = address
         self.idle: list[Stream] = []
         self.avoided_until = 0.0
-        self.taken_in = True
+        self.in_rotation = True
 
 
 class Clients:
-    """The load of a run, owned by its fleet.
+    """Generates the load of a run; owned by its fleet.
 
     Attributes:
-        rate: RPCs a second.
-        on: Whether RPCs are sent.
-        out: RPCs in flight.
-        leaving: The share of RPCs whose client closes its connection within its patience.
-        half_closing: The share of these that end their sending first and close later.
-        turned_back: RPCs that found no gateway.
-        rpc_count: RPCs sent by the load so far.
-        load: What is sent; its rate is that of the start.
-        seed: The begin of the RPCs' ids.
-        waits: For each answer the seconds since the intended time, and its kind.
+        rate: The current rate, in RPCs per second.
+        on: Whether the load sends RPCs.
+        in_flight: The number of RPCs in flight.
+        disconnect_share: The share of RPCs whose client disconnects before the deadline.
+        half_close_share: The share of those clients that half-close their connection first.
+        unrouted_count: The number of RPCs for which no gateway was reachable.
+        rpc_count: The number of RPCs that the load has drawn so far.
+        load: The load to generate; `rate` replaces its rate after the start.
+        seed: The seed of the load, which is also the prefix of RPC ids.
+        waits: The seconds from the intended time to the answer, and its kind, for each answer.
     """
 
     def __init__(
         self,
         scheduler: Scheduler,
         records: Records,
-        fronts: Sequence[Front],
+        gateway_connections: Sequence[GatewayConnections],
         load: Load,
         seed: int = 0,
     ) -> None:
-        """Make clients that send nothing yet; `seed` is of all their draws."""
+        """Initialize stopped clients; `seed` determines all random draws."""
         self.rate = load.rate
         self.on = False
-        self.out = 0
-        self.leaving = 0.0
-        self.half_closing = 0.0
-        self.turned_back = 0
+        self.in_flight = 0
+        self.disconnect_share = 0.0
+        self.half_close_share = 0.0
+        self.unrouted_count = 0
         self.waits: list[tuple[float, str]] = []
         self._scheduler = scheduler
         self._records = records
-        self._fronts = fronts
+        self._fronts = gateway_connections
         self.load = load
         self.seed = seed
         self._random = random.Random(f"{seed} clients")
@@ -146,17 +168,17 @@
         self._next_at = 0.0
 
     def start(self) -> None:
-        """Send from now on."""
+        """Start to send RPCs."""
         self.on = True
         self._next_at = self._scheduler.monotonic()
         self._arrive()
 
     def stop(self) -> None:
-        """Send no more; what is in flight goes on."""
+        """Stop sending RPCs; RPCs in flight continue."""
         self.on = False
 
     def send(self, rpc: ClientRpc) -> None:
-        """Send one RPC, and wait for its end; in a greenlet."""
+        """Send one RPC and wait until it ends; must run in a greenlet."""
         customer = rpc.customer
         numbers = [
             (customer.first_gateway + step) % len(self._fronts)
@@ -164,30 +186,32 @@
         ]
         self._random.shuffle(numbers)
         now = self._scheduler.monotonic()
-        fronts = [self._fronts[number] for number in numbers]
-        fronts.sort(key=lambda front: not front.taken_in or front.avoided_until > now)
+        gateway_connections = [self._fronts[number] for number in numbers]
+        gateway_connections.sort(
+            key=lambda connections: not connections.in_rotation or connections.avoided_until > now
+        )
         deadline = None
-        for front in fronts:
-            if not front.taken_in:
+        for connections in gateway_connections:
+            if not connections.in_rotation:
                 continue
-            for stream, was_idle in self._connections(front):
+            for stream, was_idle in self._connections(connections):
                 if deadline is None:
                     deadline = self._scheduler.monotonic() + rpc.method.patience
-                    self._record_received(rpc, front)
+                    self._record_received(rpc, connections)
                 verdict = self._exchange(stream, rpc, deadline)
                 if rpc.name not in self._records.open_rpcs:
-                    # It died with its gateway: nobody may send it again.
+                    # The gateway was killed, which ended the RPC: the client must not retry it.
                     stream.close()
                     return
-                if verdict == AGAIN and was_idle:
-                    continue  # the connection was closed under our command
-                self._finish(front, stream, rpc, verdict)
+                if verdict == NO_ANSWER and was_idle:
+                    continue  # the gateway closed the reused connection before it answered
+                self._finish(connections, stream, rpc, verdict)
                 return
-            front.avoided_until = self._scheduler.monotonic() + SUSPECT_S
-        self.turned_back += 1
+            connections.avoided_until = self._scheduler.monotonic() + AVOID_AFTER_FAILED_DIAL_S
+        self.unrouted_count += 1
 
     def _arrive(self) -> None:
-        """Send what is due, and come back at the next intended time."""
+        """Send all RPCs that are due, and reschedule itself for the next intended time."""
         while self.on and self._next_at <= self._scheduler.monotonic():
             self._scheduler.spawn(self._send_drawn, self._next_at)
             self._next_at += self._random.expovariate(self.rate)
@@ -196,23 +220,23 @@
             self._scheduler.call_later(delay, self._arrive)
 
     def _send_drawn(self, intended: float) -> None:
-        """Draw one RPC, and send it."""
+        """Draw a method and a customer at random, and send an RPC."""
         methods = self.load.methods
         method = self._random.choices(methods, [method.share for method in methods])[0]
         customers = self.load.customers
         customer = self._random.choices(customers, [customer.share for customer in customers])[0]
         self.rpc_count += 1
-        self.out += 1
+        self.in_flight += 1
         try:
             self.send(ClientRpc(f"{self.seed}-{self.rpc_count:08x}", method, customer, intended))
         finally:
-            self.out -= 1
+            self.in_flight -= 1
 
-    def _record_received(self, rpc: ClientRpc, front: Front) -> None:
+    def _record_received(self, rpc: ClientRpc, connections: GatewayConnections) -> None:
         self._records.on_received(
             ReceivedRpc(
                 rpc.name,
-                front.name,
+                connections.name,
                 rpc.customer.key,
                 rpc.customer.plan,
                 rpc.method.name,
@@ -221,71 +245,73 @@
             )
         )
 
-    def _connections(self, front: Front) -> Iterator[tuple[Stream, bool]]:
-        """Yield an idle connection where one stands, then a new one; with whether it was idle."""
-        while front.idle:
-            stream = front.idle.pop()
+    def _connections(self, connections: GatewayConnections) -> Iterator[tuple[Stream, bool]]:
+        """Yield an open idle connection, if any, then a new one; each with whether it was idle."""
+        while connections.idle:
+            stream = connections.idle.pop()
             if stream.is_read_idle() and not stream.buffer:
                 yield stream, True
                 break
             stream.close()
         try:
-            yield Stream.dial(self._scheduler, LIMITS, front.address, DIAL_TIMEOUT_S), False
+            yield Stream.dial(self._scheduler, LIMITS, connections.address, DIAL_TIMEOUT_S), False
         except OSError:
             return
 
     def _exchange(self, stream: Stream, rpc: ClientRpc, deadline: float) -> str:
-        """Send an RPC on a connection; return the kind of its answer, or AGAIN, LATE or GONE."""
-        # A first attempt may have taken some of the patience.
+        """Send an RPC; return the kind of its answer, or NO_ANSWER, TIMED_OUT or DISCONNECTED."""
+        # A first attempt may have used part of the timeout.
         left = max(MINIMUM_PATIENCE_S, deadline - self._scheduler.monotonic())
         stream.write(_command(rpc, left))
-        leaves = rpc.leave_at is not None
-        if not leaves and self.leaving:
-            leaves = self._random.random() < self.leaving
+        leaves = rpc.disconnect_at is not None
+        if not leaves and self.disconnect_share:
+            leaves = self._random.random() < self.disconnect_share
         wait = self._random.random() * left if leaves else left + GRACE_S
-        if rpc.leave_at is None:
+        if rpc.disconnect_at is None:
             until = self._scheduler.monotonic() + wait
         else:
-            until = min(deadline, rpc.leave_at)
+            until = min(deadline, rpc.disconnect_at)
         try:
             while (reply := resp.parse_reply(stream.buffer, 0, LIMITS)) is None:
                 stream.fill(max(0.0, until - self._scheduler.monotonic()))
         except TimeoutError:
             if not leaves:
-                return LATE
-            self._leave(stream, rpc)
-            return GONE
+                return TIMED_OUT
+            self._disconnect(stream, rpc)
+            return DISCONNECTED
         except (Closed, resp.Malformed):
-            return AGAIN
+            return NO_ANSWER
         return _take_answer(stream, rpc, reply)
 
-    def _leave(self, stream: Stream, rpc: ClientRpc) -> None:
-        """Close a connection before its answer."""
-        # Recorded first: the close takes some time, within which it may be seen.
+    def _disconnect(self, stream: Stream, rpc: ClientRpc) -> None:
+        """Disconnect before the answer arrives."""
+        # Recorded first, because the gateway may see the disconnect before this method returns.
         self._records.on_client_disconnected(rpc.name)
-        if self.half_closing and self._random.random() < self.half_closing:
+        if self.half_close_share and self._random.random() < self.half_close_share:
             stream.write_eof()
             self._scheduler.wait(GRACE_S)
         stream.close()
 
-    def _finish(self, front: Front, stream: Stream, rpc: ClientRpc, verdict: str) -> None:
-        """Record the end of an RPC; keep its connection where it may be used again."""
+    def _finish(
+        self, connections: GatewayConnections, stream: Stream, rpc: ClientRpc, verdict: str
+    ) -> None:
+        """Record the end of an RPC; keep its connection if it can be reused."""
         method = rpc.method.name
         is_host_error = verdict.startswith("ERR")
         if verdict in (invariants.OK, invariants.REJECTED) or is_host_error:
-            front.idle.append(stream)
+            connections.idle.append(stream)
             answer = invariants.ABORTED if is_host_error else verdict
             self._records.on_answered(rpc.name, answer, method)
             self.waits.append((self._scheduler.monotonic() - rpc.intended, verdict))
             return
-        # No answer, or none that a host made: it is lost, unless its gateway was killed.
+        # No valid answer arrived: the RPC counts as lost unless its gateway was killed.
         stream.close()
         counts = self._records.counts
         counts[method, verdict] = counts.get((method, verdict), 0) + 1
 
 
 def _command(rpc: ClientRpc, patience_s: float) -> bytes:
-    """Return the bytes that ask for an RPC."""
+    """Return the encoded request of an RPC."""
     customer = rpc.customer
     fields = (
         f"c={rpc.method.name},t={customer.plan},d={int(patience_s * 1e3)},"
@@ -298,12 +324,12 @@
 
 
 def _take_answer(stream: Stream, rpc: ClientRpc, reply: resp.Reply) -> str:
-    """Remove an answer from the buffer; return its kind."""
+    """Remove an answer from the stream's buffer; return its kind."""
     text = b""
     if isinstance(reply.content, tuple):
         start, end = reply.content
         text = bytes(stream.buffer[start:end])
     del stream.buffer[: reply.end]
     if reply.kind == BULK_STRING:
-        return invariants.OK if text == rpc.name.encode() else SPOILT
+        return invariants.OK if text == rpc.name.encode() else MISMATCHED
     return invariants.REJECTED if text.startswith(b"BUSY") else text.decode("latin-1")
--- a/petrellane/testbed/fleet.py
+++ b/petrellane/testbed/fleet.py
@@ -21,7 +21,7 @@
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Address
 from petrellane.testbed.addresses import AddressPool, format_address
-from petrellane.testbed.clients import Clients, Front, Load
+from petrellane.testbed.clients import Clients, GatewayConnections, Load
 from petrellane.testbed.endpoint_rows import EndpointRow
 from petrellane.testbed.fake_counter import FakeCounter
 from petrellane.testbed.fake_discovery import FakeDiscovery
@@ -88,7 +88,7 @@
         gateways: The gateways, in order of their numbers.
         controls: The control processes by name.
         relays: The relays between the parties.
-        fronts: The clients' view of each gateway.
+        gateway_connections: The clients' view of each gateway.
         clients: The clients, which generate the load.
         crashes: The processes that ended unexpectedly or logged a fault.
         faults: The tracebacks of exceptions in this process.
@@ -127,13 +127,15 @@
         self._register_hosts()
         for number in range(spec.gateways):
             self.gateways.append(FleetGateway(self, number))
-        self.fronts: list[Front] = []
+        self.gateway_connections: list[GatewayConnections] = []
         for gateway in self.gateways:
             gateway.write_config()
             route = Route(RouteKind.CLIENT, gateway.name, gateway.name)
-            self.fronts.append(Front(gateway.name, self._address(route)))
+            self.gateway_connections.append(GatewayConnections(gateway.name, self._address(route)))
         load = Load(spec.rate, spec.methods, spec.customers_or_default())
-        self.clients = Clients(self.scheduler, self.records, self.fronts, load, spec.seed)
+        self.clients = Clients(
+            self.scheduler, self.records, self.gateway_connections, load, spec.seed
+        )
 
     def __enter__(self) -> Self:
         return self
@@ -176,17 +178,17 @@
         # The caller may have done other work since the last turn, such as starting a process.
         idle_s = time.monotonic() - self._last_turn_at
         if idle_s > SETTLE_S:
-            self.records.last_stall = self.records.turns
+            self.records.last_stall_turn = self.records.turns
         timeout_ms = self.scheduler.poll_timeout_ms()
         self.scheduler.run_once(MAX_POLL_MS if timeout_ms is None else min(MAX_POLL_MS, timeout_ms))
         self.records.turns += 1
         stall = idle_s + self.scheduler.longest_turn
         self.scheduler.longest_turn = 0.0
         self._last_turn_at = time.monotonic()
-        if stall > SETTLE_S and (self.clients.on or self.clients.out):
+        if stall > SETTLE_S and (self.clients.on or self.clients.in_flight):
             self.records.note(f"the testbed stalled for {stall:.3f} s")
             self.longest_stall_s = max(self.longest_stall_s, stall)
-            self.records.last_stall = self.records.turns
+            self.records.last_stall_turn = self.records.turns
 
     def run_for(self, seconds: float) -> None:
         """Run the scheduler for a number of seconds."""
@@ -224,7 +226,7 @@
             AssertionError: RPCs are still in flight after the timeout.
         """
         self.clients.stop()
-        self.run_until(lambda: not self.clients.out, "answers to all RPCs", patience)
+        self.run_until(lambda: not self.clients.in_flight, "answers to all RPCs", patience)
 
     def change_settings(
         self, settings: Settings, patience: float = 15.0, **arguments: object
@@ -360,7 +362,7 @@
     def _follow_host(self, name: str) -> None:
         """Make the relays to a host refuse connections while the host does not listen."""
         for relay in self.between(RouteKind.HOST, to=[name]):
-            relay.follow_target()
+            relay.wait_for_target()
 
     def _is_gateway(self, name: str) -> bool:
         return any(gateway.name == name for gateway in self.gateways)
--- a/petrellane/testbed/runner.py
+++ b/petrellane/testbed/runner.py
@@ -100,12 +100,12 @@
             counter.forget()
             return None
         if name == "counter quiet":
-            counter.quiet = True
+            counter.unresponsive = True
             return partial(setattr, counter, "quiet", False)
         if name == "counter refuses":
             counter.refuses = True
             return partial(setattr, counter, "refuses", False)
-        discovery.away = True
+        discovery.unresponsive = True
         return partial(_restore_discovery, discovery)
 
     def _execute_at_party(self, step: Step, party: Party) -> Undo | None:
@@ -138,7 +138,7 @@
         if step.do == "kill":
             host.crash()
             self._fleet.scheduler.call_later(
-                discovery.notice_delay_s,
+                discovery.notification_delay_s,
                 partial(discovery.put, host.name, host.host_port, "terminated"),
             )
             return partial(_start_host, host, discovery)
@@ -165,7 +165,7 @@
 
 def _restore_discovery(discovery: FakeDiscovery) -> None:
     """Make discovery answer again, including the watches that it holds."""
-    discovery.away = False
+    discovery.unresponsive = False
     discovery.notify()
 
 
--- a/tests/integration/testbed/test_fleet_starts.py
+++ b/tests/integration/testbed/test_fleet_starts.py
@@ -34,7 +34,7 @@
             customers=[Customer(1, "sold", gateway_count=2)],
         )
     )
-    fleet.counter.quiet = True
+    fleet.counter.unresponsive = True
     return fleet
 
 
@@ -55,7 +55,7 @@
         if discovery == "refuses":
             refuse_discovery(fleet)
         else:
-            fleet.discovery.away = True
+            fleet.discovery.unresponsive = True
         limit = time.monotonic() + 10.0
         fleet.start(ready=False)
         fleet.run_until(lambda: is_ready(fleet), "all are ready", limit - time.monotonic())
