--- a/petrellane/load_distribution/__init__.py
+++ b/petrellane/load_distribution/__init__.py
@@ -1,8 +1,8 @@
 """How evenly a fleet's load is distributed over endpoints.
 
-- `trace`: what the figures are computed from, and its windows and slots. Free of I/O.
+- `trace`: the input of the figures, and its division into windows and slots. Performs no I/O.
 - `numeric`: mean, variance and autocorrelation.
-- `figures`: the figures, each defined there and nowhere else. Free of I/O.
-- `sources`: reads traces from files of records and from gateways' logs, and writes records.
-- `commands`: what `petrellane load-distribution` prints.
+- `figures`: the definition and computation of each figure. Performs no I/O.
+- `sources`: reads traces from record files and gateway logs, and writes record files.
+- `commands`: the output of `petrellane load-distribution`.
 """
--- a/petrellane/load_distribution/commands.py
+++ b/petrellane/load_distribution/commands.py
@@ -1,7 +1,6 @@
-"""What `petrellane load-distribution` prints: a table, one JSON object, or a plot.
+"""The output of `petrellane load-distribution`: a table or a JSON object, and optionally a plot.
 
-The keys of the JSON object are those that its readers know; the names of the figures are translated
-here.
+The keys of the JSON object are a stable output format; `format_json` maps the figures to them.
 """
 
 import sys
@@ -18,16 +17,16 @@
     from matplotlib.axes import Axes
     from matplotlib.image import AxesImage
 
-MAXIMUM_IDLE_ROWS = 10  # idle periods of the table; the rest is counted
-MAXIMUM_LABELS = 60  # endpoints that a plot still has room to name
+MAXIMUM_IDLE_ROWS = 10  # idle periods listed in the table; the total is printed above them
+MAXIMUM_LABELS = 60  # a plot with more endpoints has no room for their names
 
 
 @dataclass(frozen=True)
 class SpreadOptions:
     """The options of `petrellane load-distribution`.
 
-    Times are in seconds from the start of the run; `until` is None for its end, `svg` is "" for
-    no plot.
+    Times are in seconds from the start of the run. `until` is None to read to its end; `svg` is
+    the path of the plot, or "" for no plot.
     """
 
     path: str
@@ -39,10 +38,10 @@
 
 
 def print_figures(options: SpreadOptions) -> None:
-    """Read a source, and print its figures.
+    """Read a source and print its figures.
 
     Raises:
-        sources.LoadSourceError: Nothing can be computed from the path, or no plot be written.
+        sources.LoadSourceError: The path yields no figures, or the plot cannot be written.
     """
     reading = sources.read(options.path, options.since, options.until)
     trace = reading.trace
@@ -65,7 +64,7 @@
 
 
 def format_table(figures: Figures) -> str:
-    """Return the figures as lines for a person."""
+    """Return the figures as a human-readable table."""
     lines = [
         f"{figures.attempts} attempts of {figures.gateways} gateways at {figures.hosts} endpoints",
         f"{'over':>6} {'peak':>6} {'by chance':>9} {'excess':>6} {'worst':>6} {'trough':>6} "
@@ -107,7 +106,7 @@
 
 
 def format_json(figures: Figures, reading: sources.Reading) -> bytes:
-    """Return the figures as one JSON object, with what could not be read."""
+    """Return one JSON object with the figures, the line counts and the notes of the reader."""
     row: dict[str, Any] = {
         "call_outs": figures.attempts,
         "gateways": figures.gateways,
@@ -141,11 +140,12 @@
 def write_plot(trace: LoadTrace, path: str, seconds: float = 1.0) -> None:
     """Write a heat map of endpoints over time as an SVG file.
 
-    A cell is what an endpoint got in a window of so many seconds, over what was due to it.
+    The value of a cell is the attempts sent to an endpoint in a window of `seconds`, divided by
+    the attempts due to it.
 
     Raises:
         ImportError: matplotlib is not installed.
-        OSError: The file can't be written.
+        OSError: The file cannot be written.
     """
     import matplotlib
 
@@ -170,7 +170,7 @@
 
 
 def _draw_cells(axes: "Axes", trace: LoadTrace, hosts: list[Id], seconds: float) -> "AxesImage":
-    """Draw the heat map's cells, and return their image."""
+    """Draw the cells of the heat map and return their image."""
     rows = list(windows(trace, seconds))
     cells = [
         [load[host].sent / load[host].due if host in load else float("nan") for _, load in rows]
--- a/petrellane/load_distribution/figures.py
+++ b/petrellane/load_distribution/figures.py
@@ -1,26 +1,27 @@
-"""Figures of evenness, each defined here and nowhere else. Free of I/O; chance comes from a seed.
-
-The *part* of a host in a time is its capacity over that of all hosts that were ready in it; its
-*due* is its part of all attempts of that time. With n(h, w) the attempts sent to host h in window
-w, and due(h, w) what was due to it:
-
-- *peak* of a span: in each complete window of so many seconds, the maximum of n / due over the
-  hosts ready in all of it; the mean over windows, and the worst. *Trough*: the minimum, likewise.
-  1 is even.
-- *by chance*: the same for independent draws weighted by capacity, as many in each window as there
-  were attempts. *Excess*: peak over peak by chance. Below 1 is more even than chance can be.
-- *idle*: periods of at least five seconds in which a ready host got nothing, though one attempt a
-  second or more was due to it.
-- *herd*: x(g, h, s) is the number of attempts of gateway g to host h in slot s, less the attempts
-  of g in that slot times the share of h in all that g sent. Herd is the variance over s of the sum
-  of x over g, over the sum over g of the variances of x, at the mean of all hosts, less 1. 0:
-  gateways move independently; above: together; below: they compensate for each other. *Herd by
-  chance* is the maximum of nineteen times the same with the slots of each gateway shuffled: without
-  a herd, one run in twenty is above it.
-- *swing*: of a host's n / due by slots, the autocorrelation at each lag up to a third of the run,
-  at the mean over hosts. Its highest value after it first falls below zero is at the period; the
-  amplitude is the square root of 2 * that value * the variance that chance does not explain. There
-  is no period where the value is below what chance leaves, 2 / sqrt(slots * hosts).
+"""Figures of how evenly load is distributed. Performs no I/O; random draws come from a seed.
+
+The *part* of a host in an interval is its capacity divided by the capacity of all hosts that were
+ready throughout the interval; its *due* is its part of all attempts in the interval. n(h, w) is the
+number of attempts sent to host h in window w, and due(h, w) the number due to it:
+
+- *peak* of a span: the maximum of n / due over the hosts that were ready throughout a complete
+  window of the span's length, as the mean over windows and as the worst window. *Trough*: the same
+  with the minimum. Both are 1 for an even distribution.
+- *by chance*: the mean peak and trough of independent draws weighted by capacity, with as many
+  draws in each window as attempts. *Excess*: the peak divided by the peak by chance. A value
+  below 1 is more even than independent draws.
+- *idle*: periods of at least five seconds in which a ready host received no attempts although at
+  least one attempt per second was due to it.
+- *herd*: x(g, h, s) is the number of attempts of gateway g to host h in slot s, minus the
+  attempts of g in that slot times the share of h in all attempts of g. Herd is the variance over s
+  of the sum of x over g, divided by the sum over g of the variances of x, averaged over all hosts,
+  minus 1. At 0 the gateways act independently, above 0 they act together, and below 0 they
+  compensate for each other. *Herd by chance* is the maximum of nineteen values computed with the
+  slots of each gateway shuffled: without a herd, one run in twenty exceeds it.
+- *swing*: the autocorrelation of a host's n / due by slots at each lag up to a third of the run,
+  averaged over hosts. The period is the lag of its highest value after it first falls below zero;
+  the amplitude is the square root of 2 * that value * the variance that chance does not explain.
+  There is no period if the value is below the noise level, 2 / sqrt(slots * hosts).
 """
 
 import math
@@ -45,21 +46,21 @@
     windows,
 )
 
-SPANS_S = (1.0, 5.0, 30.0)  # the spans of peak and trough
-IDLE_S = 5.0  # seconds without an attempt that make a host idle
-IDLE_DUE_PER_S = 1.0  # attempts a second that are due to an idle host at least
-SLOT_S = 1.0  # seconds of a slot, for herd and swing
-MAXIMUM_DRAWS = 300_000  # attempts drawn at random for one span
-MAXIMUM_REPEATS = 40  # times that one window is drawn
-SHUFFLES = 19  # so that one run in twenty without a herd is above all of them
+SPANS_S = (1.0, 5.0, 30.0)  # window lengths for peak and trough
+IDLE_S = 5.0  # minimum length of an idle period
+IDLE_DUE_PER_S = 1.0  # minimum rate of attempts due to an idle host
+SLOT_S = 1.0  # slot length for herd and swing
+MAXIMUM_DRAWS = 300_000  # random draws for one span
+MAXIMUM_REPEATS = 40  # repetitions of the draws for one window
+SHUFFLES = 19  # one run in twenty without a herd exceeds all of them
 MINIMUM_HERD_SLOTS = 3
 MINIMUM_SWING_WINDOWS = 6
 
-Moves = dict[Id, dict[Id, list[float]]]
+Deviations = dict[Id, dict[Id, list[float]]]
 
 
 class Span(NamedTuple):
-    """Peak and trough of a span of so many seconds: means over windows, worst, and by chance."""
+    """Peak and trough in windows of `seconds`: the means, the worst values and those by chance."""
 
     seconds: float
     windows: int
@@ -72,12 +73,12 @@
 
     @property
     def excess(self) -> float:
-        """The peak over the peak by chance; 1 where nothing was sent."""
+        """The peak divided by the peak by chance; 1 if the peak by chance is 0."""
         return self.peak / self.chance_peak if self.chance_peak else 1.0
 
 
 class IdlePeriod(NamedTuple):
-    """A host got nothing for so many seconds from `since`, though `due` attempts were due to it."""
+    """A period of `seconds` from `since` without attempts to a host, although `due` were due."""
 
     host: Id
     since: float
@@ -88,8 +89,8 @@
 class Figures(NamedTuple):
     """All figures of one run.
 
-    `herd_by_chance` bounds what a run without a herd shows; `period` is in seconds, None where
-    nothing swings; `amplitude` is a share of what is due.
+    `herd_by_chance` is the threshold above which `herd` indicates a herd. `period` is in seconds,
+    or None without a swing; `amplitude` is a share of the attempts due.
     """
 
     attempts: int
@@ -104,14 +105,14 @@
 
 
 class Extremes(NamedTuple):
-    """The maximum and the minimum of sent over due in one window."""
+    """The maximum and minimum over hosts of sent divided by due in one window."""
 
     peak: float
     trough: float
 
 
 def compute_figures(trace: LoadTrace, seed: Hashable = 0) -> Figures:
-    """Compute all figures of a trace; `seed` feeds the draws of what chance gives."""
+    """Compute all figures of a trace; `seed` seeds the random draws and shuffles."""
     spans = tuple(
         span for seconds in SPANS_S if (span := measure_span(trace, seconds, seed)) is not None
     )
@@ -131,7 +132,7 @@
 
 
 def measure_span(trace: LoadTrace, seconds: float, seed: Hashable = 0) -> Span | None:
-    """Measure peak and trough; None where no complete window has attempts."""
+    """Return peak and trough in windows of `seconds`; None if no complete window has attempts."""
     loads = [load for _, load in windows(trace, seconds)]
     if not loads:
         return None
@@ -158,7 +159,7 @@
 
 
 def _draw(load: WindowLoad, generator: random.Random) -> WindowLoad:
-    """Draw as many attempts as the window had, each host with the probability of its due."""
+    """Draw as many attempts as the window had, with each host weighted by its due."""
     hosts = list(load)
     dues = [due for _, due in load.values()]
     attempts = round(sum(sent for sent, _ in load.values()))
@@ -169,12 +170,12 @@
 def find_idle_periods(
     trace: LoadTrace, seconds: float = IDLE_S, due_per_s: float = IDLE_DUE_PER_S
 ) -> list[IdlePeriod]:
-    """Find the periods in which a ready host got nothing, in the order of their start.
+    """Return the periods in which a ready host received no attempts, ordered by their start.
 
     Args:
-        trace: What was sent, and which hosts were ready.
-        seconds: The length of a period at least.
-        due_per_s: Attempts a second that were due to the host at least.
+        trace: The attempts and the ready periods of the hosts.
+        seconds: The minimum length of a period, in seconds.
+        due_per_s: The minimum rate of attempts due to the host, per second.
     """
     times_by_host: dict[Id, list[float]] = defaultdict(list)
     times = [0.0]
@@ -202,48 +203,50 @@
 def _gaps(
     trace: LoadTrace, ready: ReadyPeriod, times: Sequence[float]
 ) -> Iterator[tuple[float, float]]:
-    """Yield the begin and end of each time between two attempts while a host was ready."""
+    """Yield the start and end of each interval without attempts in a ready period of a host."""
     ready_since, ready_until, _ = ready
     since = max(ready_since, trace.since)
     until = min(ready_until, trace.until)
-    borders = sorted(at for at in (since, *times, until) if since <= at <= until)
-    yield from pairwise(borders)
+    boundaries = sorted(at for at in (since, *times, until) if since <= at <= until)
+    yield from pairwise(boundaries)
 
 
 def measure_herd(
     trace: LoadTrace, seconds: float = SLOT_S, seed: Hashable = 0
 ) -> tuple[float, float]:
-    """Measure how much gateways move together.
+    """Measure how strongly the gateways change their choice of hosts together.
 
     Args:
-        trace: What was sent, and which hosts were ready.
-        seconds: The length of a slot.
-        seed: Of the shuffles.
+        trace: The attempts and the ready periods of the hosts.
+        seconds: The length of a slot, in seconds.
+        seed: The seed of the shuffles.
 
     Returns:
-        The herd, and the herd by chance; zeros for a run that is too short.
+        The herd and the herd by chance; zeros if the run is too short.
     """
     counts, slot_count = count_by_slot(trace, seconds)
     always_ready = ready_capacities(trace, trace.since, trace.since + slot_count * seconds)
-    moves = _moves(counts, always_ready)
-    if slot_count < MINIMUM_HERD_SLOTS or not moves:
+    deviations = _deviations(counts, always_ready)
+    if slot_count < MINIMUM_HERD_SLOTS or not deviations:
         return 0.0, 0.0
     generator = random.Random(f"{seed} herd")
-    measured = _herd_of(moves, slot_count, {})
+    measured = _herd(deviations, slot_count, {})
     shuffled = []
     for _ in range(SHUFFLES):
-        orders = {gateway: generator.sample(range(slot_count), slot_count) for gateway in moves}
-        shuffled.append(_herd_of(moves, slot_count, orders))
+        orders = {
+            gateway: generator.sample(range(slot_count), slot_count) for gateway in deviations
+        }
+        shuffled.append(_herd(deviations, slot_count, orders))
     return measured, max(shuffled)
 
 
-def _moves(counts: SlotCounts, hosts: Mapping[Id, float]) -> Moves:
-    """Return by gateway and host what was sent beyond the host's usual share of each slot."""
-    moves: Moves = {}
+def _deviations(counts: SlotCounts, hosts: Mapping[Id, float]) -> Deviations:
+    """Return each slot's deviation from the host's usual share, by gateway and host."""
+    deviations: Deviations = {}
     for gateway, rows in counts.items():
         slot_totals = [sum(column) for column in zip(*rows.values(), strict=True)]
         total = sum(slot_totals)
-        moves[gateway] = {
+        deviations[gateway] = {
             host: [
                 count - slot_total * sum(row) / total
                 for count, slot_total in zip(row, slot_totals, strict=True)
@@ -251,17 +254,17 @@
             for host, row in rows.items()
             if host in hosts
         }
-    return moves
+    return deviations
 
 
-def _herd_of(moves: Moves, slot_count: int, orders: Mapping[Id, Sequence[int]]) -> float:
-    """Return the variance of sums over the sum of variances, less 1, at the mean over hosts.
+def _herd(deviations: Deviations, slot_count: int, orders: Mapping[Id, Sequence[int]]) -> float:
+    """Return the variance of sums divided by the sum of variances, minus 1, averaged over hosts.
 
-    `orders` gives the order of each gateway's slots; a gateway that it lacks keeps its own.
+    `orders` holds the order of each gateway's slots; a gateway without an entry keeps its order.
     """
     sums: dict[Id, list[float]] = defaultdict(lambda: [0.0] * slot_count)
     separate: dict[Id, float] = defaultdict(float)
-    for gateway, rows in moves.items():
+    for gateway, rows in deviations.items():
         order = orders.get(gateway)
         for host, row in rows.items():
             total = sums[host]
@@ -275,11 +278,11 @@
 
 
 def measure_swing(trace: LoadTrace, seconds: float = SLOT_S) -> tuple[float | None, float]:
-    """Measure the swing by slots of so many seconds.
+    """Measure the swing in slots of `seconds`.
 
     Returns:
-        The period in seconds, None where nothing swings, and the amplitude as a share of what is
-        due.
+        The period in seconds, or None without a swing, and the amplitude as a share of the
+        attempts due.
     """
     loads = [load for _, load in windows(trace, seconds)]
     hosts = [host for host in trace.ready if all(host in load for load in loads)]
--- a/petrellane/load_distribution/gateway_logs.py
+++ b/petrellane/load_distribution/gateway_logs.py
@@ -1,8 +1,8 @@
-"""Logs of a fleet: a folder with one file a gateway (*.log).
+"""Reads the logs of a fleet: a folder with one file (*.log) per gateway.
 
-`figures` events in them have `to`, the attempts by host since the event before, where the
-gateways' files ask for it by `"figures": {"hosts": true}`. A log names a host only where attempts
-were sent to it: a host counts as ready from the first attempt of the fleet to the last.
+With `"figures": {"hosts": true}` in a gateway's settings file, its `figures` events have the field
+`to`: the attempts by host since the previous event. A log names a host only if the gateway sent
+attempts to it, so a host counts as ready from the fleet's first attempt to it until the last.
 """
 
 from collections.abc import Mapping
@@ -19,12 +19,12 @@
 )
 from petrellane.load_distribution.trace import LoadTrace, ReadyPeriod, SentAttempts
 
-CLOCK_STEP_S = 0.5  # a clock that goes back by more is noted
+CLOCK_STEP_S = 0.5  # the reader reports larger backward steps of a clock
 HALF_REPORT_S = 0.5  # half of the second that a `figures` event covers
 
 
 class LogEvent(NamedTuple):
-    """One event of a gateway's log; `at` is by the gateway's own clock."""
+    """One event of a gateway's log; `at` is in seconds of the gateway's clock."""
 
     at: float
     gateway: str
@@ -33,18 +33,18 @@
 
 @dataclass
 class ClockRange:
-    """The first and the last time in a gateway's log, by its own clock."""
+    """The first and last time in a gateway's log, in seconds of the gateway's clock."""
 
     first: float
     last: float
 
 
 def read_logs(folder: Path, since: float, until: float | None) -> Reading:
-    """Read the logs of a fleet; times are from the first event of all.
+    """Read the logs of a fleet; times count from the earliest event of the fleet.
 
     Raises:
-        LoadSourceError: No events, or none with attempts by host.
-        OSError: A file can't be read.
+        LoadSourceError: The logs hold no events, or none with attempts by host.
+        OSError: A file cannot be read.
     """
     reading = Reading(LoadTrace(since, since))
     sent: list[SentAttempts] = []
@@ -66,7 +66,7 @@
 
 
 def _read_log(reading: Reading, path: Path, clocks: dict[str, ClockRange]) -> list[SentAttempts]:
-    """Return the attempts of one file, by its gateway's clock, and extend the clocks."""
+    """Return the attempts of one file, in times of its gateway's clock, and update `clocks`."""
     sent: list[SentAttempts] = []
     latest = None
     for number, row in read_objects(reading, path):
@@ -96,7 +96,7 @@
 
 
 def _decode(row: Mapping[str, Any]) -> LogEvent | None:
-    """Return the event of a line; None where it holds none."""
+    """Return the event of a line; None if the line holds no event."""
     at = get_number(row, "at")
     gateway = row.get("gateway")
     event = row.get("event")
@@ -108,7 +108,7 @@
 def _note_partial_logs(
     reading: Reading, clocks: Mapping[str, ClockRange], begin: float, last: float
 ) -> None:
-    """Note each log that lacks more than half of the run at its begin or its end."""
+    """Add a note for each log that lacks more than half of the run at its start or its end."""
     for name, clock in clocks.items():
         if clock.first - begin > last / 2 or begin + last - clock.last > last / 2:
             reading.notes.append(
@@ -118,9 +118,9 @@
 
 
 def _fill_trace(trace: LoadTrace, sent: list[SentAttempts], begin: float, end: float) -> None:
-    """Put the attempts of a time into the trace, and the hosts that got any in the run."""
+    """Add the attempts from `trace.since` to `end`, and the ready period of each host in `sent`."""
     for at, gateway, host, count in sorted(sent):
-        middle = at - begin - HALF_REPORT_S  # of the second that the event covers
+        middle = at - begin - HALF_REPORT_S  # the middle of the second that the event covers
         first = trace.ready[host][0].since if host in trace.ready else middle
         trace.ready[host] = [ReadyPeriod(min(first, middle), middle, 1.0)]
         if trace.since <= middle < end:
--- a/petrellane/load_distribution/json_lines.py
+++ b/petrellane/load_distribution/json_lines.py
@@ -1,7 +1,7 @@
-"""Files with one JSON object a line, as far as they can be read.
+"""Reads files with one JSON object per line, and tolerates malformed lines.
 
-A line that holds no object is left out and counted; the first few are reported with file and
-line. Text before the first brace is passed over, as log collectors put some there.
+The reader skips and counts lines without an object, and reports the first few with file and line.
+It ignores text before the first brace, because some log collectors prepend text.
 """
 
 from collections.abc import Iterator, Mapping
@@ -13,19 +13,19 @@
 
 from petrellane.load_distribution.trace import LoadTrace
 
-MAXIMUM_NOTED_LINES = 5  # lines left out that are reported one by one; the rest is counted
-MAXIMUM_QUOTED = 40  # characters of a line that a note quotes
+MAXIMUM_NOTED_LINES = 5  # skipped lines that are reported individually; all are counted
+MAXIMUM_QUOTED = 40  # characters of a line in a note
 
 
 class LoadSourceError(Exception):
-    """Nothing can be computed from this path; the text is one line."""
+    """The path yields no trace or its plot cannot be written; the message is a single line."""
 
 
 @dataclass
 class Reading:
-    """A trace, how many lines were read and left out, and notes for the user, a line each.
+    """A trace, the numbers of lines read and skipped, and one-line notes for the user.
 
-    Owned by the reader until it returns it.
+    The reader that creates the object owns it until it returns the object.
     """
 
     trace: LoadTrace
@@ -34,14 +34,14 @@
     notes: list[str] = field(default_factory=list)
 
     def leave_out(self, place: str, text: str) -> None:
-        """Count a line that is left out, and note the first few."""
+        """Count a skipped line, and add a note if it is one of the first few."""
         self.left_out += 1
         if self.left_out <= MAXIMUM_NOTED_LINES:
             self.notes.append(f"{place}: {text}")
 
 
 def read_objects(reading: Reading, path: Path) -> Iterator[tuple[int, dict[str, Any]]]:
-    """Yield the number of each line with a JSON object, from 1, and the object."""
+    """Yield the line number, from 1, and the object of each line with a JSON object."""
     with path.open("rb") as file:
         for number, line in enumerate(file, 1):
             if not line.strip():
@@ -61,7 +61,7 @@
 
 
 def quote(row: Mapping[str, Any]) -> str:
-    """Return the begin of an object's JSON text, for a note."""
+    """Return the start of an object's JSON text, for a note."""
     return _abbreviate(orjson.dumps(row).decode())
 
 
@@ -70,7 +70,7 @@
 
 
 def get_number(row: Mapping[str, Any], key: str) -> float | None:
-    """Return the number at a key; None where there is none, or a negative one."""
+    """Return the number at a key; None if it is missing, negative or not a number."""
     value = row.get(key)
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return None
--- a/petrellane/load_distribution/numeric.py
+++ b/petrellane/load_distribution/numeric.py
@@ -16,9 +16,9 @@
 
 
 def autocorrelation(values: Sequence[float], lag: int) -> float:
-    """Return the mean product of deviations `lag` values apart, over the variance.
+    """Return the mean product of deviations `lag` values apart, divided by the variance.
 
-    It is 0 for a series that never changes.
+    The result is 0 for a constant series.
     """
     center = mean(values)
     total_variance = variance(values)
--- a/petrellane/load_distribution/record_files.py
+++ b/petrellane/load_distribution/record_files.py
@@ -1,12 +1,12 @@
-"""Records of the testbed and the simulation as a file, and the trace that they give.
+"""Reads and writes record files of the testbed and the simulation, and builds traces from records.
 
-A file of records is one JSON object a line. The first names the version, the last says that the
-file is complete; times are seconds of the run, in any order:
+A record file has one JSON object per line. The first line holds the version, and the last marks the
+file as complete. Times are seconds from the start of the run, in any order:
 
     {"records": 1}
-    {"host": "h0", "capacity": 2.0}                              # where hosts differ; 1 for others
+    {"host": "h0", "capacity": 2.0}                              # the default capacity is 1
     {"at": 0.1, "by": "g0", "sent": "h0"}
-    {"at": 0.2, "by": "g0", "told": "h0", "state": "ready"}      # the endpoint list's notification
+    {"at": 0.2, "by": "g0", "told": "h0", "state": "ready"}      # from the endpoint list
     {"at": 0.3, "killed": "g0"}
     {"end": 12.0}
 """
@@ -40,16 +40,16 @@
     end: float,
     capacities: Mapping[str, float] | None = None,
 ) -> None:
-    """Write the records of a run; those that the figures don't need are passed over.
+    """Write the records of a run, without the kinds that the figures do not use.
 
     Args:
-        path: The file, which is overwritten.
-        records: In the order of time.
-        end: Seconds at which the run ended.
-        capacities: Of hosts whose capacity is not 1.
+        path: The path of the file, which is overwritten.
+        records: The records, ordered by time.
+        end: The end of the run, in seconds.
+        capacities: The capacities of hosts for which it is not 1.
 
     Raises:
-        OSError: The file can't be written.
+        OSError: The file cannot be written.
     """
     rows: list[dict[str, Any]] = [{"records": VERSION}]
     rows += [{"host": host, "capacity": capacity} for host, capacity in (capacities or {}).items()]
@@ -59,7 +59,7 @@
 
 
 def _encode(record: invariants.Record) -> dict[str, Any] | None:
-    """Return the stored row of a record; None for one that is not stored."""
+    """Return the stored row of a record; None if records of its kind are not stored."""
     at = round(record.at, 6)
     if isinstance(record, invariants.AttemptSent):
         return {"at": at, "by": record.gateway, "sent": record.host}
@@ -71,7 +71,7 @@
 
 
 def _decode(row: Mapping[str, Any]) -> StoredRecord | None:
-    """Return the record of a stored row; None where it holds none."""
+    """Return the record of a stored row; None if the row holds no record."""
     at = get_number(row, "at")
     if at is None:
         return None
@@ -92,15 +92,15 @@
     until: float,
     capacities: Mapping[Id, float] | None = None,
 ) -> LoadTrace:
-    """Return the trace of records in the order of time.
+    """Return the trace of records that are ordered by time.
 
-    A host is ready while every gateway that was notified of it has it as ready.
+    A host is ready while all gateways that were notified of it regard it as ready.
 
     Args:
-        records: In the order of time; kinds that the figures don't need are passed over.
-        since: Seconds at which the trace begins.
-        until: Seconds at which it ends.
-        capacities: Of hosts whose capacity is not 1.
+        records: The records, ordered by time; kinds that the figures do not use are ignored.
+        since: The start of the trace, in seconds.
+        until: The end of the trace, in seconds.
+        capacities: The capacities of hosts for which it is not 1.
     """
     trace = LoadTrace(since, until)
     readiness = _Readiness(trace, capacities or {})
@@ -117,7 +117,7 @@
 
 
 class _Readiness:
-    """Finds the times in which each host was ready, and adds them to a trace.
+    """Computes the periods in which each host was ready, and adds them to a trace.
 
     Owned by one call of `trace_from_records`.
     """
@@ -125,11 +125,11 @@
     def __init__(self, trace: LoadTrace, capacities: Mapping[Id, float]) -> None:
         self._trace = trace
         self._capacities = capacities
-        self._views: dict[Id, dict[Id, bool]] = {}  # by host and gateway: whether ready there
+        self._views: dict[Id, dict[Id, bool]] = {}  # by host and gateway: whether the host is ready
         self._ready_since: dict[Id, float] = {}
 
     def on_notification(self, record: invariants.EndpointNotified) -> None:
-        """Take what a gateway was notified of."""
+        """Update the state of a host in the view of the notified gateway."""
         host = record.host
         view = self._views.setdefault(host, {})
         view[record.gateway] = record.state == invariants.READY
@@ -154,11 +154,11 @@
 
 
 def read_records(path: pathlib.Path, since: float, until: float | None) -> Reading:
-    """Read a file of records.
+    """Read a record file.
 
     Raises:
-        LoadSourceError: The file is of another version, or holds no records.
-        OSError: The file can't be read.
+        LoadSourceError: The file has another version or holds no records.
+        OSError: The file cannot be read.
     """
     reading = Reading(LoadTrace(since, since))
     records: list[StoredRecord] = []
@@ -199,7 +199,7 @@
     end: float | None,
     latest: float,
 ) -> None:
-    """Note a file that lacks its end, and records that are not in the order of time."""
+    """Add notes for a missing end line and for records that are not ordered by time."""
     if end is None:
         reading.notes.append(
             f'{path}: expected {{"end": SECONDS}} last, found none: cut short, and known up to '
--- a/petrellane/load_distribution/sources.py
+++ b/petrellane/load_distribution/sources.py
@@ -1,10 +1,10 @@
-"""Reads what the figures are computed from: a file of records, or a folder of gateways' logs.
+"""Reads the input of the figures: a record file, or a folder of gateway logs.
 
-Each reader yields a `LoadTrace` with what has to be said of it. What can't be read is left out
-and reported, with file and line; a source that holds nothing raises `LoadSourceError`.
+Each reader returns a `LoadTrace` with notes for the user. It skips unreadable lines and reports
+them with file and line; a source without attempts or records raises `LoadSourceError`.
 
-- `record_files` has the format of records and writes it; `trace_from_records` reads records that
-  are still in memory.
+- `record_files` defines, reads and writes the format of record files; `trace_from_records` builds
+  a trace from records in memory.
 - `gateway_logs` reads logs.
 """
 
@@ -18,15 +18,16 @@
 
 
 def read(path: str, since: float = 0.0, until: float | None = None) -> Reading:
-    """Read a file of records or a folder of logs.
+    """Read a record file or a folder of gateway logs.
 
     Args:
-        path: The file or folder.
-        since: Seconds from the begin of the run that are left out.
-        until: Seconds up to which to read; None or 0 for the end of the run.
+        path: The path of the file or folder.
+        since: The start of the trace, in seconds from the start of the run.
+        until: The end of the trace, in seconds from the start of the run; None or 0 for the end
+            of the run.
 
     Raises:
-        LoadSourceError: The path can't be read or holds nothing; the text is one line.
+        LoadSourceError: The path cannot be read or yields no trace; the message is a single line.
     """
     place = pathlib.Path(path)
     try:
--- a/petrellane/load_distribution/trace.py
+++ b/petrellane/load_distribution/trace.py
@@ -1,8 +1,8 @@
-"""The trace that the figures are computed from, and its windows and slots. Free of I/O.
+"""The input of the figures: a trace, and its division into windows and slots. Performs no I/O.
 
-A trace holds when each gateway sent how many attempts to each host, and when each host was ready
-with which capacity, in any unit that all hosts share. Times are seconds of one clock. A window is
-judged for the hosts that were ready in all of it; what went to other hosts is left out.
+A trace holds the times and numbers of attempts from each gateway to each host, and the periods in
+which each host was ready, with its capacity in a unit common to all hosts. Times are seconds of one
+clock. A window covers the hosts that were ready throughout it and ignores attempts to other hosts.
 """
 
 from bisect import bisect_right
@@ -11,15 +11,16 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-Id = Hashable  # of a gateway or a host
+Id = Hashable  # identifies a gateway or a host
 
-# Slack for float steps: one that ends at a window's border belongs to it.
+# Tolerances for float rounding: a window that ends at the end of the trace is complete, and an
+# attempt at the border of two windows belongs to the later one.
 WINDOW_TOLERANCE_S = 1e-9
 BORDER_TOLERANCE_S = 1e-12
 
 
 class SentAttempts(NamedTuple):
-    """At `at` seconds, a gateway has sent `number` attempts to a host."""
+    """A number of attempts that a gateway sent to a host at `at`, in seconds."""
 
     at: float
     gateway: Id
@@ -28,7 +29,7 @@
 
 
 class ReadyPeriod(NamedTuple):
-    """A host was ready from `since` to `until`, in seconds, with this capacity."""
+    """A period from `since` to `until`, in seconds, in which a host was ready with `capacity`."""
 
     since: float
     until: float
@@ -36,7 +37,7 @@
 
 
 class HostLoad(NamedTuple):
-    """The attempts that a host got in a window, and those that were due by its capacity."""
+    """The attempts sent to a host in a window, and the number due to it by its capacity."""
 
     sent: float
     due: float
@@ -50,7 +51,7 @@
 class LoadTrace:
     """The attempts and ready hosts of a run, from `since` to `until`, in seconds of one clock.
 
-    Owned by whoever reads a source; the figures do not change it.
+    Owned by the reader of a source; the figures do not change it.
     """
 
     since: float
@@ -60,7 +61,7 @@
 
 
 def ready_capacities(trace: LoadTrace, since: float, until: float) -> dict[Id, float]:
-    """Return the capacity of each host that was ready in all of the time from since to until."""
+    """Return the capacity of each host that was ready throughout `since` to `until`."""
     return {
         host: capacity
         for host, periods in trace.ready.items()
@@ -70,7 +71,7 @@
 
 
 def sort_by_time(trace: LoadTrace) -> list[SentAttempts]:
-    """Return the sent attempts in the order of time; ties keep their order."""
+    """Return the sent attempts ordered by time; the sort is stable."""
     return sorted(trace.sent, key=lambda sent: sent[0])
 
 
@@ -79,12 +80,12 @@
 ) -> Iterator[tuple[float, WindowLoad]]:
     """Yield the start and the load by host of each complete window with attempts.
 
-    Windows in which fewer than two hosts were ready are left out.
+    Windows with fewer than two hosts that were ready throughout are skipped.
 
     Args:
-        trace: What was sent, and which hosts were ready.
-        seconds: The length of a window.
-        step: Seconds from one start to the next; None for windows end to end.
+        trace: The attempts and the ready periods of the hosts.
+        seconds: The length of a window, in seconds.
+        step: The seconds between the starts of two windows; None for adjacent windows.
     """
     stride = step or seconds
     sent = sort_by_time(trace)
@@ -112,10 +113,10 @@
 
 
 def count_by_slot(trace: LoadTrace, seconds: float) -> tuple[SlotCounts, int]:
-    """Count the attempts by gateway, host and complete slot of so many seconds.
+    """Count the attempts by gateway, host and complete slot of `seconds`.
 
     Returns:
-        For each gateway and host the attempts of each slot, and the number of slots.
+        The attempts in each slot by gateway and host, and the number of slots.
     """
     slot_count = int((trace.until - trace.since) / seconds + WINDOW_TOLERANCE_S)
     counts: SlotCounts = defaultdict(dict)
