--- a/tests/unit/load_distribution/__init__.py
+++ b/tests/unit/load_distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Figures of load distribution: herds, swings and idle hosts are found, and chance is not."""
+"""Tests of the load distribution figures and of the readers of their input."""
--- a/tests/unit/load_distribution/drawn_traces.py
+++ b/tests/unit/load_distribution/drawn_traces.py
@@ -1,4 +1,4 @@
-"""Traces of made-up runs, drawn from a seed, in which each gateway picks hosts by a given rule."""
+"""Synthetic traces, drawn from a seed, in which each gateway picks hosts by a given rule."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -9,12 +9,12 @@
 HOSTS = [f"h{number}" for number in range(10)]
 LENGTH_S = 30.0
 
-# Picks a host for an attempt: random numbers, the gateway, and the time in seconds.
+# Picks a host for an attempt from the generator, the gateway, and the time in seconds.
 PickHost = Callable[[random.Random, str, float], str]
 
 
 def pick_evenly(generator: random.Random, _gateway: str, _now: float) -> str:
-    """Pick any host, each as likely as the others."""
+    """Pick a host with equal probability."""
     return generator.choice(HOSTS)
 
 
@@ -25,13 +25,13 @@
     pick: PickHost = pick_evenly,
     capacities: Mapping[str, float] | None = None,
 ) -> LoadTrace:
-    """Return the trace of a run in which all hosts are ready all along.
+    """Return the trace of a run in which all hosts are ready throughout.
 
     Args:
-        seed: Of all random numbers.
-        rate: Attempts a second of all gateways together.
-        pick: How a gateway picks the host of an attempt.
-        capacities: By host; 1 where it is missing.
+        seed: The seed of the random generator.
+        rate: The total rate of all gateways, in attempts per second.
+        pick: The function that picks the host of an attempt.
+        capacities: The capacity by host; 1 for hosts without an entry.
     """
     generator = random.Random(seed)
     trace = LoadTrace(0.0, LENGTH_S)
--- a/tests/unit/load_distribution/files.py
+++ b/tests/unit/load_distribution/files.py
@@ -1,4 +1,4 @@
-"""Files of records and logs, as the readers of load distribution find them."""
+"""Helpers that write the record files and logs that the readers of load distribution read."""
 
 import json
 import pathlib
@@ -6,7 +6,7 @@
 
 Row = dict[str, Any]
 
-HEADER: Row = {"records": 1}  # the first line of a file of records; 1 is the format's version
+HEADER: Row = {"records": 1}  # the first line of a record file; 1 is the version of the format
 
 
 def attempt_row(at: float, host: str = "h0") -> Row:
@@ -15,7 +15,7 @@
 
 
 def write_lines(path: pathlib.Path, *lines: str | Row) -> pathlib.Path:
-    """Write a line for each row, and texts as they are; return the path."""
+    """Write each row as a line of JSON and each string unchanged; return the path."""
     texts = [line if isinstance(line, str) else json.dumps(line) + "\n" for line in lines]
     path.write_text("".join(texts))
     return path
--- a/tests/unit/load_distribution/test_commands.py
+++ b/tests/unit/load_distribution/test_commands.py
@@ -1,4 +1,4 @@
-"""`petrellane spread`: the figures of a source as a table, as one JSON object, and as a plot."""
+"""`petrellane load-distribution`: the figures of a source as a table, JSON object and plot."""
 
 import json
 import pathlib
--- a/tests/unit/load_distribution/test_figures.py
+++ b/tests/unit/load_distribution/test_figures.py
@@ -1,4 +1,4 @@
-"""The figures on made-up runs: independent draws show chance alone, planted faults are found."""
+"""Figures of synthetic runs: independent draws show no herd or swing, injected faults do."""
 
 import itertools
 import random
@@ -17,7 +17,7 @@
 from petrellane.load_distribution.trace import LoadTrace, ReadyPeriod, SentAttempts, windows
 from tests.unit.load_distribution.drawn_traces import HOSTS, drawn_trace
 
-# Independent draws show nothing but chance.
+# Independent draws show no more than chance.
 
 
 def test_even_draws_show_no_herd_no_swing_no_excess() -> None:
@@ -43,7 +43,7 @@
 
 
 def test_even_draws_are_uneven_where_capacities_differ() -> None:
-    # A capacity of 0.5 gets as much as one of 1.
+    # A host with a capacity of 0.5 receives as many attempts as one with a capacity of 1.
     trace = drawn_trace(capacities={"h0": 10.0, "h1": 0.5})
     assert measure_span(trace, 30.0).peak > 3.0
 
@@ -55,7 +55,7 @@
     assert span.trough > 0.95
 
 
-# Gateways that move together.
+# Gateways that change their choice of hosts together.
 
 
 def test_gateways_that_all_leave_and_all_come_are_a_herd() -> None:
@@ -70,7 +70,7 @@
 
 def test_gateways_that_each_move_by_themselves_are_no_herd() -> None:
     def pick(generator: random.Random, gateway: str, now: float) -> str:
-        """As much movement as in a herd, at each gateway's own time."""
+        """Pick as unevenly as in a herd, but at a different time for each gateway."""
         if generator.random() < 0.3:
             return f"h{(int(now) + int(gateway[1:]) * 7) % 10}"
         return f"h{generator.randrange(10)}"
@@ -107,7 +107,7 @@
 
 
 def pick_all_but_the_last(generator: random.Random, _gateway: str, _now: float) -> str:
-    """Pick any host but h9."""
+    """Pick any host except h9."""
     return f"h{generator.randrange(9)}"
 
 
--- a/tests/unit/load_distribution/test_overload_of_few_samples.py
+++ b/tests/unit/load_distribution/test_overload_of_few_samples.py
@@ -1,4 +1,4 @@
-"""The overload that a gateway concludes from the few samples that it has."""
+"""The overload that a gateway estimates from few samples."""
 
 from collections.abc import Sequence
 
@@ -7,7 +7,7 @@
 from petrellane.decisions.controller import AdmissionController
 
 START = 100.0
-METHOD = api.Method("m", 1.0, 4.0)  # its latency objective is a second
+METHOD = api.Method("m", 1.0, 4.0)  # a latency objective of one second
 CUSTOMER = api.Customer("c", api.Plan("p"))
 
 
@@ -35,16 +35,16 @@
 
 
 def overload_after(durations: Sequence[float], interval: float = 0.15) -> float:
-    """Return the overload after RPCs that took so many seconds each, one at a time.
+    """Return the overload after consecutive RPCs with the given durations in seconds.
 
     Args:
-        durations: Of the RPCs, in their order.
-        interval: Seconds from one RPC to the next at least.
+        durations: The durations of the RPCs, in ascending order.
+        interval: The minimum number of seconds between the starts of two RPCs.
     """
     controller = start_controller()
     now = START
     for duration in durations:
-        now += max(interval, duration)  # the one before is over
+        now += max(interval, duration)  # the previous RPC has ended
         rpc = api.Rpc(METHOD, CUSTOMER, 1.0, now + 4.0, now)
         attempt = next(
             action
--- a/tests/unit/load_distribution/test_real_gateways.py
+++ b/tests/unit/load_distribution/test_real_gateways.py
@@ -1,4 +1,4 @@
-"""Figures of real gateways on loopback sockets: their logs, their hosts and the records agree."""
+"""Figures of real gateways on loopback sockets: logs, hosts and records agree."""
 
 from petrellane import invariants
 from petrellane.load_distribution import sources
@@ -8,7 +8,7 @@
 
 SPEC = FleetSpec(gateways=12, hosts=8, rate=240.0, work=0.01, relays=())
 LOAD_S = 6.0
-LAST_LINE_S = 1.5  # a gateway logs a line a second, so that the last second may still be missing
+LAST_LINE_S = 1.5  # a gateway logs once per second, so the last second may be missing
 
 
 def all_endpoints_known(fleet: LoopbackFleet) -> bool:
@@ -42,7 +42,7 @@
         trace = sources.trace_from_records(records, began, began + LOAD_S)
     assert (verdict.counts, fleet.crashes) == ({}, [])
     assert logged == recorded
-    # What a host rejected was not executed there.
+    # A host does not execute the attempts that it rejects.
     assert abs(logged - sum(host.ran for host in fleet.hosts)) <= 60
     figures = compute_figures(trace)
     assert (figures.gateways, figures.hosts, figures.idle) == (12, 8, ())
--- a/tests/unit/load_distribution/test_sources.py
+++ b/tests/unit/load_distribution/test_sources.py
@@ -1,4 +1,4 @@
-"""What is read from files of records and folders of logs, and how unreadable lines are reported."""
+"""Reading of record files and folders of logs, and the reports of unreadable lines."""
 
 import pathlib
 
@@ -11,7 +11,7 @@
 from petrellane.simulation.sparse_traffic import sparse_scenario
 from tests.unit.load_distribution.files import HEADER, Row, attempt_row, write_lines
 
-# Records in memory, and in a file that `write` has written.
+# Records in memory, and in a file written by `write`.
 
 
 def test_a_written_file_is_read_as_the_records_in_memory(tmp_path: pathlib.Path) -> None:
@@ -47,7 +47,7 @@
     assert trace.ready["h0"] == [(0.0, 4.0, 1.0), (8.0, 9.0, 1.0)]
 
 
-# A file of records with unreadable lines.
+# A record file with unreadable lines.
 
 
 @pytest.fixture
@@ -69,7 +69,7 @@
 
 def test_readable_lines_are_used(damaged_file: str) -> None:
     reading = sources.read(damaged_file)
-    # The attempt at the very end of the run is not within it.
+    # The run does not include an attempt exactly at its end.
     assert (len(reading.trace.sent), reading.left_out) == (2, 4)
 
 
@@ -98,11 +98,11 @@
     assert any(message in note for note in notes), notes
 
 
-# Sources that hold nothing.
+# Sources without records or attempts.
 
 
 def assert_rejected(path: pathlib.Path, message: str) -> None:
-    """Assert that a source is rejected in one line that has the message."""
+    """Assert that the reader rejects a source with one line that contains the message."""
     with pytest.raises(sources.LoadSourceError) as raised:
         sources.read(str(path))
     assert message in str(raised.value)
--- a/tests/unit/load_distribution/test_sparse_traffic.py
+++ b/tests/unit/load_distribution/test_sparse_traffic.py
@@ -1,4 +1,4 @@
-"""Many gateways that each see little traffic: the real controller, and baselines in its place."""
+"""Many gateways with little traffic each: the real controller compared with baselines."""
 
 import itertools
 from typing import NamedTuple
@@ -15,11 +15,11 @@
 from petrellane.simulation.subsetting_baselines import ring_position
 
 ENDPOINT_COUNT = 20
-RATE = 300.0  # RPCs a second of all gateways together
+RATE = 300.0  # total rate of all gateways, in RPCs per second
 
 
 class BaselineRun(NamedTuple):
-    """What came of a run from its second second on."""
+    """A run with its service measure and trace, which exclude the first two seconds."""
 
     service: ServiceMeasure
     trace: LoadTrace
@@ -27,7 +27,7 @@
 
 
 def play_baseline(name: str, gateways: int = 40, load: float = 0.8) -> BaselineRun:
-    """Play eight seconds with a baseline in place of the real controller."""
+    """Simulate eight seconds with a baseline in place of the real controller."""
     scenario = sparse_scenario(gateways, ENDPOINT_COUNT, load, rate=RATE, length=8.0)
     run = FleetSimulation(scenario, BASELINES[name], keep_records=True).play()
     trace = sources.trace_from_records(run.records, 2.0, 8.0)
@@ -63,7 +63,7 @@
 
 
 def play_fault(fault: Fault, length: float) -> Run:
-    """Play 40 gateways with a fault, at half of the endpoints' capacity."""
+    """Simulate 40 gateways with a fault, at half of the endpoints' capacity."""
     scenario = sparse_scenario(40, ENDPOINT_COUNT, 0.5, rate=RATE, length=length, faults=(fault,))
     return FleetSimulation(scenario, keep_records=True).play()
 
@@ -94,7 +94,7 @@
     assert run.broken == []
     trace = sources.trace_from_records(run.records, 5.0, 12.0)
     times = [sent.at for sent in trace.sent if sent.host == "h0"]
-    share = RATE / ENDPOINT_COUNT  # attempts a second
+    share = RATE / ENDPOINT_COUNT  # attempts per second
     for since in (5.0, 7.0, 9.0):
         assert sum(since <= time < since + 2 for time in times) < 1.5 * 2 * share
     assert len(times) > 0.3 * 7 * share
