--- a/petrellane/cli.py
+++ b/petrellane/cli.py
@@ -164,7 +164,9 @@
     from petrellane.load_distribution.sources import LoadSourceError
 
     try:
-        commands.print_figures(commands.SpreadOptions(path, since, until or None, json, svg, seed))
+        commands.print_figures(
+            commands.LoadDistributionOptions(path, since, until or None, json, svg, seed)
+        )
     except LoadSourceError as error:
         _exit_with_error(error)
 
--- a/petrellane/load_distribution/commands.py
+++ b/petrellane/load_distribution/commands.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class SpreadOptions:
+class LoadDistributionOptions:
     """The options of `petrellane load-distribution`.
 
     Times are in seconds from the start of the run. `until` is None to read to its end; `svg` is
@@ -37,7 +37,7 @@
     seed: int = 0
 
 
-def print_figures(options: SpreadOptions) -> None:
+def print_figures(options: LoadDistributionOptions) -> None:
     """Read a source and print its figures.
 
     Raises:
--- a/tests/unit/load_distribution/test_commands.py
+++ b/tests/unit/load_distribution/test_commands.py
@@ -6,7 +6,7 @@
 import pytest
 
 from petrellane.load_distribution import sources
-from petrellane.load_distribution.commands import SpreadOptions, print_figures
+from petrellane.load_distribution.commands import LoadDistributionOptions, print_figures
 from tests.unit.load_distribution.files import HEADER, attempt_row, write_lines
 
 
@@ -26,13 +26,13 @@
 def test_a_table_begins_with_what_was_counted(
     records: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    print_figures(SpreadOptions(records))
+    print_figures(LoadDistributionOptions(records))
     table = capsys.readouterr().out
     assert table.startswith("400 attempts of 1 gateways at 3 endpoints"), table
 
 
 def test_json_is_one_object_in_one_line(records: str, capsys: pytest.CaptureFixture[str]) -> None:
-    print_figures(SpreadOptions(records, as_json=True))
+    print_figures(LoadDistributionOptions(records, as_json=True))
     (line,) = capsys.readouterr().out.splitlines()
     figures = json.loads(line)
     assert (figures["call_outs"], figures["idle"]) == (400, [])
@@ -41,10 +41,10 @@
 
 def test_a_plot_is_an_svg_file(records: str, tmp_path: pathlib.Path) -> None:
     plot = tmp_path / "run.svg"
-    print_figures(SpreadOptions(records, svg=str(plot)))
+    print_figures(LoadDistributionOptions(records, svg=str(plot)))
     assert "<svg" in plot.read_text()[:2000]
 
 
 def test_a_time_without_attempts_is_rejected(records: str) -> None:
     with pytest.raises(sources.LoadSourceError, match="expected attempts between 30 s"):
-        print_figures(SpreadOptions(records, 30.0))
+        print_figures(LoadDistributionOptions(records, 30.0))
