--- a/petrellane/config_consensus/errors.py
+++ b/petrellane/config_consensus/errors.py
@@ -7,7 +7,7 @@
 
 
 class RejectionCause(StrEnum):
-    """The cause for which a participant rejects a message; values of an answer's key `refused`.
+    """The cause of a participant's rejection; the answer's key `refused` contains the value.
 
     A later build may define further causes, so a coordinator keeps a received cause as a string.
     """
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -183,7 +183,7 @@
         self._poller.start()
 
     def notify_if_ready(self) -> None:
-        """Call `on_ready` if the gateway knows what is in force and has not called it yet."""
+        """Call `on_ready`, at most once, when the gateway knows which settings are in force."""
         if not self.status.knows_in_force or not self._on_ready:
             return
         on_ready = self._on_ready
--- a/petrellane/config_consensus/staff_messages.py
+++ b/petrellane/config_consensus/staff_messages.py
@@ -28,7 +28,7 @@
 
 
 class StaffRejection(StrEnum):
-    """The cause for which a call of staff is rejected: values of an answer's key `refused`."""
+    """The reason for rejecting a call of staff; the answer's key `refused` contains the value."""
 
     MALFORMED = "form"
     UNKNOWN = "unknown"
--- a/petrellane/decisions/endpoint_health.py
+++ b/petrellane/decisions/endpoint_health.py
@@ -80,7 +80,7 @@
         self.cached_capacity = 0.0
 
     def recent_samples(self, method_identity: object, now: float) -> list[EndpointSample]:
-        """Return the unexpired samples of a method, or of all methods if it has none."""
+        """Return the unexpired samples of a method; those of all methods if the method has none."""
         recent = [sample for sample in self.samples if now - sample[0] <= SAMPLE_LIFETIME]
         return [sample for sample in recent if sample[1] is method_identity] or recent
 
--- a/petrellane/decisions/hard_limits.py
+++ b/petrellane/decisions/hard_limits.py
@@ -97,9 +97,10 @@
 
 
 def _lend_more(lease: Lease, add: CounterAdd, level: float, total: float) -> list[Action]:
-    """Return an addition that lends half of the escrow's free space after a first portion.
+    """Return an addition that lends more units after the first portion, if enough are spare.
 
-    Units that waiting RPCs need stay in the share, and less than a portion is not worth a request.
+    It lends at most half of the escrow's free space, and keeps the units that waiting RPCs need.
+    Less than a portion is not worth a request.
     """
     units = min(level - lease.waiting_units(), (lease.hard_limit_escrow - total) / 2)
     if units < lease.hard_limit_escrow * lease.fair_share or not units:
--- a/petrellane/decisions/lease_manager.py
+++ b/petrellane/decisions/lease_manager.py
@@ -30,7 +30,7 @@
 RESERVE_SHARE = 0.3  # last share of a window's limit, which only waiting RPCs get
 COUNT_TTL_WINDOWS = 4  # windows for which the counter keeps a window's count
 COUNT_TTL_MAXIMUM = 60.0  # maximum seconds for which the counter keeps it
-LOST_COUNT_TOLERANCE = 0.5  # units by which rounding may put a total below the own additions
+LOST_COUNT_TOLERANCE = 0.5  # units by which rounding may lower a total below the lease's additions
 INITIAL_CLEAN_UP_SIZE = 100  # number of leases at which idle ones are dropped first
 
 
@@ -300,7 +300,7 @@
         actions = _restore_lost_count(lease, add, total)
         if actions:
             total = lease.reported
-        requested = add.amount - top_up.unreported  # a fair share granted the others
+        requested = add.amount - top_up.unreported  # a fair share granted the rest
         kept = _grant_to_keep(now, lease, requested, total)
         _make_available(lease, kept, was_settled=was_settled)
         lease.ledger_total = total - requested + kept
@@ -311,7 +311,7 @@
     def _return_excess(
         self, now: float, lease: Lease, add: CounterAdd, excess: float
     ) -> list[Action]:
-        """Return the units added beyond the limit, but spare a degraded counter the request."""
+        """Give back units added beyond the limit, without a request to a degraded counter."""
         lease.reported -= excess
         is_degraded = self.counter.is_degraded(now)
         lease.mark_exhausted(now)
@@ -383,7 +383,7 @@
 
 
 def _make_available(lease: Lease, kept: float, *, was_settled: bool) -> None:
-    """Make the kept units available, but only report those that a fair share already granted."""
+    """Make kept units available; those that a fair share already granted only become reported."""
     replaced = min(lease.unreported, kept) if was_settled else 0.0
     new = kept - replaced
     lease.available = lease.available + new
--- a/petrellane/decisions/load_balancing.py
+++ b/petrellane/decisions/load_balancing.py
@@ -184,7 +184,7 @@
         return is_failing(health.recent_samples(identity, now))
 
     def effective_capacity(self, now: float) -> float:
-        """Return the total capacity of which each warming endpoint gets its share."""
+        """Return the total capacity by which the shares of warming endpoints are computed."""
         span = OVERLOAD_SPANS[0][1]
         latencies = [latency for at, latency, _ in self.latency_samples if now - at <= span]
         capacity = self.endpoints.capacity(now)
@@ -250,7 +250,7 @@
     def _capacities(self, now: float, method: Method, candidates: list[Candidate]) -> list[float]:
         """Return the capacity of each candidate for a method.
 
-        If all candidates are outliers, their capacities are computed as if none was.
+        If all candidates are outliers, the capacities are computed without the check for outliers.
         """
         identity = method.identity
         capacities = [
@@ -320,7 +320,7 @@
     def _outlier_capacity(
         self, endpoint: Endpoint, health: EndpointHealth, method: Method, now: float
     ) -> float:
-        """Return the capacity for a method even though the endpoint is an outlier."""
+        """Return the capacity for a method, computed without the check for outliers."""
         recent = health.recent_samples(None, now)
         latency = relative_latency(recent[-LATENCY_SAMPLES:], health.in_flight, now)
         return self._capacity(endpoint, health.recent_samples(method.identity, now), latency)
--- a/petrellane/decisions/retries.py
+++ b/petrellane/decisions/retries.py
@@ -51,7 +51,7 @@
 
 
 def retry_targets(now: float, rpc: Rpc) -> RetryTargets | None:
-    """Return where an RPC may be sent again, or None if it is not safe to run it again."""
+    """Return the scope and the time limit of a retry, or None if a retry is not safe."""
     may_have_run = attempts_that_may_have_run(rpc)
     method = rpc.method
     if not may_have_run or method.effect == IDEMPOTENT:
--- a/petrellane/decisions/warm_up.py
+++ b/petrellane/decisions/warm_up.py
@@ -14,7 +14,7 @@
 def effective_capacity(
     capacity: float, recent_maximum: float, latencies: Sequence[float], in_flight: int
 ) -> float:
-    """Return the total capacity of which each warming endpoint gets its share.
+    """Return the total capacity by which the shares of warming endpoints are computed.
 
     The unit is the capacity of a warm standard endpoint.
 
--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -65,7 +65,7 @@
     from petrellane.net.limits import Limits
     from petrellane.operation.hot_restart_transport import HotRestartTransport
 
-MINIMUM_DURATION_S = 1e-6  # of an attempt: the clock may not have advanced since it was sent
+MINIMUM_DURATION_S = 1e-6  # of an attempt, which may end before the clock advances
 
 
 class AdmissionGate(Protocol):
--- a/petrellane/gateway/client_request.py
+++ b/petrellane/gateway/client_request.py
@@ -177,7 +177,7 @@
 
     @property
     def is_client_retry(self) -> bool:
-        """Whether the client marks the RPC as a retry of its own."""
+        """Whether the client marks the RPC as its own retry."""
         return self.fields.get(CLIENT_RETRY_FIELD) == FLAG_SET
 
     def require_idempotency_key(self) -> None:
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -41,7 +41,7 @@
         """Handle the first of consecutive failures."""
 
     def is_applying_endpoint_list(self) -> bool:
-        """Return whether a list is being applied; no other list may be passed on meanwhile."""
+        """Return whether a list is being applied; the watch delivers the next one afterwards."""
 
 
 class EndpointWatch:
--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -203,7 +203,7 @@
         self.executor.on_watch_failed()
 
     def is_applying_endpoint_list(self) -> bool:
-        """Return whether an endpoint list is being applied; no other may be passed on meanwhile."""
+        """Return whether an endpoint list is being applied, which delays the next one."""
         return self.executor.applying_endpoint_list
 
     def restart_watch(self) -> None:
--- a/petrellane/invariants/effects.py
+++ b/petrellane/invariants/effects.py
@@ -18,7 +18,7 @@
 from petrellane.invariants.records import AttemptSent, Id, RpcAnswered, RpcExecuted
 from petrellane.invariants.verdict import DUPLICATED, ViolationLog
 
-MIN_WINDOW_S = 1e-9  # minimum divisor, for a window of zero
+MIN_WINDOW_S = 1e-9  # minimum divisor; the window may be 0
 
 
 class Effects:
--- a/petrellane/invariants/final_answers.py
+++ b/petrellane/invariants/final_answers.py
@@ -9,7 +9,7 @@
 from petrellane.invariants.records import AttemptSent, Id, RpcAnswered, RpcReceived
 from petrellane.invariants.verdict import LOST, ViolationLog
 
-MIN_WAIT_S = 1e-9  # minimum divisor, for a wait of zero
+MIN_WAIT_S = 1e-9  # minimum divisor; the wait may be 0
 
 
 class FinalAnswers:
--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -140,7 +140,7 @@
         self.eof_requested = False
         self._always_watched = PEER_CLOSED if break_on_half_close else 0
         self._dialing = False
-        self._reads_in_row = 0  # since the socket last had no data
+        self._reads_in_row = 0  # consecutive reads since the socket was last empty
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/petrellane/operation/backoff.py
+++ b/petrellane/operation/backoff.py
@@ -86,7 +86,7 @@
         self._next_pause = times.initial_pause
         # The next poll does not wait for changes: an answer proves that discovery is reachable.
         self._probes_next = False
-        # The gateway has drawn a random time since the last event that all gateways saw together.
+        # Whether a random time was drawn since the last event that reached all gateways together.
         self._is_desynchronized = False
         self._started_at = 0.0
         self._hold = 0.0
@@ -149,7 +149,10 @@
         return self._draw(remaining)
 
     def _pause_length(self, failure: PollFailure) -> float:
-        """Return the pause before jitter, in seconds; a timeout already served as a pause."""
+        """Return the pause before jitter, in seconds.
+
+        A timeout needs only the initial pause, because the poll itself took long enough.
+        """
         if failure is PollFailure.TIMED_OUT:
             return self.times.initial_pause
         if failure is PollFailure.REJECTED:
--- a/petrellane/simulation/service_faults.py
+++ b/petrellane/simulation/service_faults.py
@@ -141,7 +141,7 @@
 
 
 def _end_nothing() -> None:
-    """Do nothing; the periodic call of the fault stops without a handler."""
+    """Do nothing; the periodic calls of `_repeat` stop when the fault's length has passed."""
 
 
 def split_counter(context: FaultContext) -> EndFault:
--- a/petrellane/simulation/subsetting_baselines.py
+++ b/petrellane/simulation/subsetting_baselines.py
@@ -96,7 +96,7 @@
         end = begin + width
         self.shares = {}
         for index, endpoint in enumerate(self.ready):
-            # The arc may extend past the end of the ring, into the next turn.
+            # The arc may wrap around the end of the ring; turn 1 is the part after the end.
             covered = sum(
                 max(
                     0.0,
