--- a/petrellane/config_consensus/rpc_client.py
+++ b/petrellane/config_consensus/rpc_client.py
@@ -1,6 +1,6 @@
 """Client for calls to gateways and control processes.
 
-A call sends one signed request over HTTP/1.1, on a connection of its own, and has a timeout. The
+A call sends one signed request over HTTP/1.1, on a new connection, and has a timeout. The
 client does not retry calls and does not interpret the answers.
 """
 
--- a/petrellane/decisions/lease_manager.py
+++ b/petrellane/decisions/lease_manager.py
@@ -43,7 +43,7 @@
 
 
 class CreditDecision(NamedTuple):
-    """A result, with the actions that follow from it."""
+    """The result of a request for credit, and the actions that follow from it."""
 
     credit: Credit
     actions: list[Action]
--- a/petrellane/decisions/leases.py
+++ b/petrellane/decisions/leases.py
@@ -211,7 +211,7 @@
         self.unreported = self.unreported + extra
 
     def limit(self, now: float, carryover: float) -> float:
-        """Return the maximum that the window's total may have reached by now.
+        """Return the maximum of the window's total at this time.
 
         A customer may exceed the allowance as far as its burst permits: by the units left over from
         the previous window and by the units refilled since this window began.
--- a/petrellane/decisions/load_balancing.py
+++ b/petrellane/decisions/load_balancing.py
@@ -80,7 +80,7 @@
         self.subset: list[Candidate] = []
         self.rotated_at = 0.0
         self.in_flight: dict[SendAttempt, int] = {}
-        self.recent_capacity = SlidingMaximum(SAMPLE_LIFETIME)  # before each change of the list
+        self.recent_capacity = SlidingMaximum(SAMPLE_LIFETIME)  # capacity before each list change
         self.latency_samples: deque[LatencySample] = deque(maxlen=MAX_LATENCY_SAMPLES)
         self.answer_times: dict[object, deque[float]] = {}
         self.typical_times: dict[object, float] = {}
--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -1,7 +1,7 @@
 """Watches the endpoint list at discovery, and retries after failures.
 
 `petrellane/operation/backoff.py` decides when the next request starts. A list is validated
-completely before any of it is passed on, so a malformed list changes nothing. Once the list is in
+completely before the consumer receives it, so a malformed list changes nothing. Once the list is in
 force, the next request asks for changes since its version. To keep turns short, the watch validates
 a chunk of rows per turn. Applying the list may take several turns too.
 """
@@ -110,7 +110,7 @@
         """Watch on one connection until it fails or closes.
 
         The connection is closed before the retry delay, because no greenlet reads from it during
-        the delay. If the peer closed it meanwhile, every poll would return immediately.
+        the delay. If the peer closed it then, every poll would return immediately.
 
         Returns:
             The failure; None if the connection is not kept alive, or the watch has ended.
@@ -184,7 +184,7 @@
         Raises:
             ConfigError: A row is malformed.
             ValueError: The body is not JSON.
-            Closed: The watch has ended meanwhile.
+            Closed: The watch has ended while this method waited.
         """
         section = Section(orjson.loads(body), "list")
         endpoint_list = EndpointListUpdate(section.integer("index"), section.flag("snapshot"), [])
@@ -198,14 +198,14 @@
         """Yield to other work for one turn.
 
         Raises:
-            Closed: The watch has ended meanwhile.
+            Closed: The watch has ended while this method waited.
         """
         self.scheduler.wait(0)
         if self.is_ended:
             raise Closed("the endpoint watch has ended")
 
     def _apply(self, endpoint_list: EndpointListUpdate, is_keep_alive: bool) -> bool:
-        """Pass on a response; return whether the connection is kept alive."""
+        """Handle a parsed list; return whether the connection is kept alive."""
         index = endpoint_list.index
         if self.index is not None and index < self.index and not endpoint_list.full:
             self.log.event("discovery_restarted", before=self.index, index=index)
--- a/petrellane/invariants/endpoint_views.py
+++ b/petrellane/invariants/endpoint_views.py
@@ -1,4 +1,4 @@
-"""The state of each endpoint of which each gateway was last notified."""
+"""The last state of each endpoint that discovery reported to each gateway."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class EndpointView(NamedTuple):
-    """The state of one endpoint of which one gateway was last notified.
+    """The last state of one endpoint that discovery reported to one gateway.
 
     Attributes:
         state: The endpoint's state.
--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -159,7 +159,7 @@
 
 
 def withhold_hard_limits(controller: AdmissionController, now: float) -> None:
-    """Keep the successor's hard limits empty until the predecessor has certainly exited.
+    """Keep the successor's hard limits empty until the predecessor must have exited.
 
     A predecessor that did not answer may still use its shares of the hard limits.
     """
--- a/petrellane/operation/hot_restart_transport.py
+++ b/petrellane/operation/hot_restart_transport.py
@@ -227,8 +227,8 @@
     def listen(self) -> None:
         """Listen for a successor and replace the socket file of an earlier process.
 
-        If the process cannot listen, it serves clients all the same, but a successor cannot take
-        over its leases and connections.
+        If the process cannot listen, it still serves clients, but a successor cannot take over its
+        leases and connections.
         """
         self.close()
         try:
--- a/petrellane/simulation/quotas.py
+++ b/petrellane/simulation/quotas.py
@@ -24,7 +24,7 @@
     from petrellane.simulation.gateways import SimulatedGateway
 
 ALL_PLANS = "all"  # key of the sums over all plans
-LONG_AGO = -1e9  # seconds of the run: before any event
+LONG_AGO = -1e9  # seconds; a time before any event of the run
 
 
 class QuotaPlan(Protocol):
