--- a/petrellane/decisions/endpoint_health.py
+++ b/petrellane/decisions/endpoint_health.py
@@ -39,7 +39,7 @@
 
 
 class _HasLatency(Protocol):
-    """A sample of either kind."""
+    """A `LatencySample` or an `EndpointSample`."""
 
     @property
     def relative_latency(self) -> float:
--- a/petrellane/decisions/load_balancing.py
+++ b/petrellane/decisions/load_balancing.py
@@ -116,7 +116,7 @@
         for endpoint, health, change in self.endpoints.apply_events(now, is_full, events):
             health.cached_until = -math.inf
             if change is EndpointChange.RESTARTED:
-                health.samples = []  # they belong to the previous process
+                health.samples = []  # of the endpoint's previous process
             elif change is EndpointChange.NEW:
                 self._offer_to_subset(endpoint, health)
         self.subset = [
--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -288,8 +288,8 @@
     def end(self) -> None:
         """Close the connection and report the attempts in flight.
 
-        An attempt that was sent completely ends `RESET`, or with the outcome it was abandoned with.
-        Any other ends `UNREACHABLE`, or `NEVER_SENT` if it was abandoned as never sent.
+        The outcome of a completely sent attempt is `abandoned_as` if that is set, else `RESET`. For
+        any other attempt it is `NEVER_SENT` if `abandoned_as` is `NEVER_SENT`, else `UNREACHABLE`.
         """
         if self.is_ended:
             return
--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -193,7 +193,7 @@
                 and pending.end_offset > connection.stream.bytes_sent
                 and not pending.abandoned_as
             ):
-                connection.stream.unsent.clear()  # nothing is written behind it: see can_pipeline
+                connection.stream.unsent.clear()  # holds no later attempt: see can_pipeline
                 connection.give_up(pending, NEVER_SENT)
             elif may_cancel:
                 self.scheduler.call_soon(self._cancel_without_reply, pending)
--- a/petrellane/simulation/discovery.py
+++ b/petrellane/simulation/discovery.py
@@ -204,7 +204,7 @@
         gateway: SimulatedGateway,
         version: int | None = None,
     ) -> None:
-        """Initialize a client whose gateway has the list of a version; None for no list."""
+        """Initialize a client; `version` is that of the gateway's list, None without a list."""
         self._discovery = discovery
         self._gateway = gateway
         self._incarnation = gateway.incarnation
