--- a/petrellane/decisions/load_balancing.py
+++ b/petrellane/decisions/load_balancing.py
@@ -80,7 +80,7 @@
         self.subset: list[Candidate] = []
         self.rotated_at = 0.0
         self.in_flight: dict[SendAttempt, int] = {}
-        self.recent_capacity = SlidingMaximum(SAMPLE_LIFETIME)  # before each change of the list
+        self.recent_capacity = SlidingMaximum(SAMPLE_LIFETIME)  # capacity before each list change
         self.latency_samples: deque[LatencySample] = deque(maxlen=MAX_LATENCY_SAMPLES)
         self.answer_times: dict[object, deque[float]] = {}
         self.typical_times: dict[object, float] = {}
@@ -116,7 +116,7 @@
         for endpoint, health, change in self.endpoints.apply_events(now, is_full, events):
             health.cached_until = -math.inf
             if change is EndpointChange.RESTARTED:
-                health.samples = []  # they belong to the previous process
+                health.samples = []  # of the endpoint's previous process
             elif change is EndpointChange.NEW:
                 self._offer_to_subset(endpoint, health)
         self.subset = [
@@ -184,7 +184,7 @@
         return is_failing(health.recent_samples(identity, now))
 
     def effective_capacity(self, now: float) -> float:
-        """Return the total capacity of which each warming endpoint gets its share."""
+        """Return the total capacity by which the shares of warming endpoints are computed."""
         span = OVERLOAD_SPANS[0][1]
         latencies = [latency for at, latency, _ in self.latency_samples if now - at <= span]
         capacity = self.endpoints.capacity(now)
@@ -250,7 +250,7 @@
     def _capacities(self, now: float, method: Method, candidates: list[Candidate]) -> list[float]:
         """Return the capacity of each candidate for a method.
 
-        If all candidates are outliers, their capacities are computed as if none was.
+        If all candidates are outliers, the capacities are computed without the check for outliers.
         """
         identity = method.identity
         capacities = [
@@ -320,7 +320,7 @@
     def _outlier_capacity(
         self, endpoint: Endpoint, health: EndpointHealth, method: Method, now: float
     ) -> float:
-        """Return the capacity for a method even though the endpoint is an outlier."""
+        """Return the capacity for a method, computed without the check for outliers."""
         recent = health.recent_samples(None, now)
         latency = relative_latency(recent[-LATENCY_SAMPLES:], health.in_flight, now)
         return self._capacity(endpoint, health.recent_samples(method.identity, now), latency)
