--- a/petrellane/gateway/action_executor.py
+++ b/petrellane/gateway/action_executor.py
@@ -65,7 +65,7 @@
     from petrellane.net.limits import Limits
     from petrellane.operation.hot_restart_transport import HotRestartTransport
 
-MINIMUM_DURATION_S = 1e-6  # of an attempt, which may end before the clock advances
+MINIMUM_DURATION_S = 1e-6  # an attempt may end before the clock advances
 
 
 class AdmissionGate(Protocol):
@@ -103,7 +103,7 @@
         self.applying_endpoint_list = False
         self.requests: dict[Rpc, ClientRequest] = {}
         self.requests_by_id: dict[bytes, ClientRequest] = {}
-        # Counts since the last log line with figures; those by endpoint only if configured.
+        # Counts since the last `figures` log line. Counts by endpoint exist only if configured.
         self.counts: Counter[str] = Counter()
         self.attempts_by_address: Counter[str] | None = (
             Counter() if config.metrics_by_endpoint else None
@@ -275,7 +275,7 @@
         for rpc in list(self.requests):
             rpc.deadline = min(rpc.deadline, self.now())
             self.endpoint_pools.expire(rpc.attempts)
-            if rpc in self.requests:  # it had no attempt in flight
+            if rpc in self.requests:  # the RPC had no attempt in flight
                 self._notify_controller(rpc, self.controller.on_timer, self.now(), rpc)
 
     def on_response_started(
