--- a/petrellane/gateway/client_connection.py
+++ b/petrellane/gateway/client_connection.py
@@ -313,14 +313,14 @@
         self._close_when_sent(deadline - self.listener.scheduler.now())
 
     def _close_when_sent(self, timeout: float = 0.0) -> None:
-        """Close the connection within a long response that cannot be completed.
+        """Close the connection in the middle of a long response that cannot be completed.
 
-        The client detects this by the missing bytes. The gateway first sends the replies before
-        that response, which are complete.
+        The client detects the failure by the missing bytes. The gateway first sends the complete
+        replies that precede the response.
 
         Args:
-            timeout: The maximum number of seconds for sending them. With 0 or less the connection
-                closes immediately, unless an earlier call is still waiting.
+            timeout: The maximum time for sending these replies, in seconds. If it is 0 or less, the
+                connection closes immediately, unless an earlier call is still waiting.
         """
         stream = self.stream
         is_waiting = stream.on_flushed == self._close_when_sent
@@ -362,7 +362,7 @@
         return not self.pending_replies and not self.stream.unsent
 
     def _belongs_to_successor(self) -> bool:
-        """Return whether the connection is offered to the successor, or is going to be."""
+        """Return whether the connection is offered to the successor or will be offered."""
         has_successor = self.listener.successor is not None
         return self.handoff.is_offered or (has_successor and not self.is_closing)
 
