--- a/petrellane/gateway/client_handoff.py
+++ b/petrellane/gateway/client_handoff.py
@@ -95,7 +95,7 @@
         self.waiting_greenlet = None
 
     def wake(self) -> None:
-        """Resume the connection's greenlet, which then checks again what it has to do."""
+        """Resume the connection's greenlet, which then rechecks the state of the connection."""
         if self.waiting_greenlet:
             self.waiting_greenlet.switch()
         elif self.connection.stream.reader:
