--- a/petrellane/gateway/client_listener.py
+++ b/petrellane/gateway/client_listener.py
@@ -151,7 +151,7 @@
             self.listener, self.limits.accepts_per_turn, self.free_descriptors
         ):
             if is_full or not self._make_room_for_client():
-                is_full = True  # for the rest of this turn
+                is_full = True  # reject all other clients in this turn
                 self._reject(sock)
                 continue
             client = ClientConnection(self, self._open_stream(sock))
