--- a/petrellane/gateway/counter_client.py
+++ b/petrellane/gateway/counter_client.py
@@ -254,7 +254,7 @@
             self.scheduler.call_soon(self.on_reply, pending.add, outcome, total)
 
     def _close_idle(self) -> None:
-        """Close connections that are idle, or left at an old address, before the counter does."""
+        """Close idle connections and unused ones to an old address before the counter does."""
         self.scheduler.call_later(self.limits.check_interval, self._close_idle)
         before = self.scheduler.now() - self.limits.counter_idle_timeout
         for connection in list(self.connections):
