--- a/petrellane/gateway/customers.py
+++ b/petrellane/gateway/customers.py
@@ -2,8 +2,9 @@
 
 What an RPC states about its customer applies to that RPC only. Two RPCs that state different plans
 or sets of gateways for one customer use separate leases, so that neither changes the limits of the
-other. Such a difference means that the plan has just changed, or that a client is mistaken or lies.
-The shared counter counts by customer name, so that the use of both leases adds up in a window.
+other. Such a difference means that the plan has just changed, or that a client sends wrong
+values, by mistake or on purpose. The shared counter counts by customer name, so that the use of
+both leases adds up in a window.
 """
 
 from __future__ import annotations
