--- a/petrellane/gateway/endpoint_connection.py
+++ b/petrellane/gateway/endpoint_connection.py
@@ -154,8 +154,8 @@
         """Return whether another attempt may be written behind those in flight.
 
         An attempt must not queue behind bytes that the endpoint has not taken yet: it would wait in
-        the buffer of the stream, from which the pool cannot move it to another connection. Nor may
-        it go to an address that the endpoint has left.
+        the buffer of the stream, from which the pool cannot move it to another connection. An
+        attempt must also not go to a previous address of the endpoint.
         """
         return not (
             self.is_draining
@@ -166,7 +166,7 @@
         )
 
     def is_reusable(self) -> bool:
-        """Return whether the connection is open and holds no bytes that belong to no attempt.
+        """Return whether the connection is open and has received no unexpected bytes.
 
         The gateway would take such bytes for the reply to the next attempt.
         """
@@ -312,9 +312,9 @@
     def give_up(self, pending: PendingAttempt, outcome: Outcome) -> None:
         """Abandon an attempt that the endpoint has not replied to.
 
-        If no connection to the endpoint has carried a reply since the attempt was sent, connections
-        that have been idle since before may be dead too. They are closed so that the next attempt
-        does not go to one of them.
+        If no connection to the endpoint has carried a reply since the attempt was sent, the
+        connections that became idle before that time may be dead too. The pool closes them so that
+        the next attempt does not use one of them.
         """
         if self.pool.last_reply_at < pending.attempt.sent_at:
             self.pool.close_idle(pending.attempt.sent_at)
