--- a/petrellane/gateway/endpoint_pool.py
+++ b/petrellane/gateway/endpoint_pool.py
@@ -81,7 +81,8 @@
     def _write_ignoring_reuse_delay(self) -> bool:
         """Write the oldest attempt without regard to the reuse delay.
 
-        It goes to any idle connection, or behind the fewest attempts in flight.
+        The pool uses any idle connection. If there is none, it pipelines the attempt on the
+        connection with the fewest attempts in flight.
 
         Returns:
             Whether a connection took the attempt.
@@ -190,7 +191,7 @@
         return not (self.queue or self.dials or self.busy or self.idle or self.reuse_timer)
 
     def close_idle(self, before: float) -> None:
-        """Close connections that have been idle since before a time.
+        """Close the idle connections that became idle before a given time.
 
         Args:
             before: The time, in Unix seconds.
