--- a/petrellane/gateway/endpoint_pools.py
+++ b/petrellane/gateway/endpoint_pools.py
@@ -144,10 +144,10 @@
     def is_stale(self, pending: PendingAttempt) -> bool:
         """Return whether an attempt must not be sent any more.
 
-        That is so if its RPC has finished, its endpoint is not ready, or its deadline or `send_by`
-        time has passed. If the process has stalled or this turn takes long, the client may have
-        disconnected without a poll event, so the gateway also checks the socket of the client. That
-        check costs little beside the stall.
+        An attempt is stale if its RPC has finished, its endpoint is not ready, or its deadline or
+        `send_by` time has passed. If the process has stalled or this turn takes long, the client
+        may have disconnected without a poll event, so the gateway also checks the socket of the
+        client. The cost of this check is small compared with the stall.
         """
         now = self.scheduler.now()
         attempt = pending.attempt
