--- a/petrellane/gateway/endpoint_watch.py
+++ b/petrellane/gateway/endpoint_watch.py
@@ -170,7 +170,7 @@
         while not (found := http.parse_response_head(stream.buffer, limits)):
             http.read_more(stream, deadline)
         status, fields, end = found
-        if status != STATUS_OK:  # the body is not read, as it may have no end
+        if status != STATUS_OK:  # the body is not read, because it may never end
             raise DiscoveryRejectedError(
                 f"HTTP status {status} from discovery, expected {STATUS_OK}"
             )
