--- a/petrellane/gateway/load_report.py
+++ b/petrellane/gateway/load_report.py
@@ -28,8 +28,9 @@
     """Remove the usage metric from a load report and return it.
 
     Returns:
-        1 + the usage, or `NOT_REPORTED`, so that a reported usage of 0 is not taken for a missing
-        one. Every caller of the controller reports usage in this form.
+        The usage plus 1, or `NOT_REPORTED` if the report contains no usage. The addition of 1
+        distinguishes a reported usage of 0 from a missing one. Every caller of the controller
+        reports usage in this form.
     """
     usage = metrics.pop(USAGE_METRIC, None)
     return NOT_REPORTED if usage is None else 1 + int(usage)
