--- a/petrellane/gateway/process.py
+++ b/petrellane/gateway/process.py
@@ -312,8 +312,9 @@
     def take_over(self) -> None:
         """Request the state of the predecessor, once, if hot restart is configured.
 
-        The request follows the first endpoint list, so the gateway knows the endpoints when it
-        takes over, or `first_list_timeout` if no list arrives.
+        The gateway sends the request after the first endpoint list arrives, so that it knows the
+        endpoints when it takes over. If no list arrives, it sends the request after
+        `first_list_timeout`.
         """
         if self.hot_restart_transport and not self.is_taking_over:
             self.is_taking_over = True
@@ -355,7 +356,7 @@
         time_left = max(0.0, final_deadline - self.scheduler.now())
         self.scheduler.call_later(time_left, self.executor.expire_open_requests)
         self.executor.final_deadline = final_deadline
-        if self.client_listener.successor:  # clients go to the successor: no changeover time
+        if self.client_listener.successor:  # the successor takes clients, so no delay is needed
             self._close_clients()
             return
         drain_delay = self.lifecycle.draining_since + self.limits.drain_delay - self.scheduler.now()
@@ -398,6 +399,6 @@
             signal.SIGHUP: partial(process.reload, partial(load, environ)),
         }
     )
-    gc.enable()  # the entry point disables it during imports
+    gc.enable()  # the entry point disables garbage collection during imports
     process.run()
     return EXIT_OK
