--- a/petrellane/gateway/response_relay.py
+++ b/petrellane/gateway/response_relay.py
@@ -133,7 +133,7 @@
             self.adjust_reading()
 
     def end(self) -> None:
-        """Mark the response as complete, including well-formed data after the value."""
+        """Mark the response as complete: the data after its value is complete and well-formed."""
         self._close(RelayState.COMPLETE)
 
     def fail(self) -> None:
