--- a/petrellane/operation/backoff.py
+++ b/petrellane/operation/backoff.py
@@ -84,7 +84,8 @@
         self._random = random
         self._interval = times.first_interval
         self._next_pause = times.initial_pause
-        # The next poll does not wait for changes: an answer proves that discovery is reachable.
+        # Whether the next poll does not wait for changes, so that an answer soon proves that
+        # discovery is reachable.
         self._probes_next = False
         # Whether a random time was drawn since the last event that reached all gateways together.
         self._is_desynchronized = False
