--- a/petrellane/operation/hot_restart.py
+++ b/petrellane/operation/hot_restart.py
@@ -2,10 +2,10 @@
 
 The module contains no I/O. Peers see the two processes, predecessor and successor, as one gateway:
 at most one of them holds each lease, each share of a hard limit and each client connection. The
-predecessor gives up leases and shares before it sends them, so neither process holds what is lost
-in transit. The handoff of a connection has three steps: offered, received, released. The successor
-reads from the connection only after the third step, and the predecessor may withdraw the offer
-until it learns of the second one.
+predecessor gives up leases and shares before it sends them, so neither process holds leases and
+shares that are lost in transit. The handoff of a connection has three steps: offered, received,
+released. The successor reads from the connection only after the third step, and the predecessor
+may withdraw the offer until it learns of the second step.
 
 `hot_restart_transport` owns the sockets and timeouts, `hot_restart_messages` the encoding of the
 messages, and the package `decisions` the state of a lease.
