--- a/petrellane/operation/management_api.py
+++ b/petrellane/operation/management_api.py
@@ -1,9 +1,9 @@
 """The management server: HTTP/1.1 with one request per connection, even when the gateway is busy.
 
 The server owns the sockets. `management_requests` parses the requests, and `lifecycle` contains
-their effects. The server limits the number of connections (it closes the oldest, with an answered
-request before an incomplete one) and their duration. Other modules register handlers for paths
-whose requests have a body.
+their effects. The server limits the number and the duration of connections. At the limit of the
+number, it closes the oldest connection with an answered request or, if there is none, the oldest
+connection. Other modules register handlers for paths whose requests have a body.
 """
 
 import select
