--- a/petrellane/gateway/signals.py
+++ b/petrellane/gateway/signals.py
@@ -18,11 +18,11 @@
 
 
 class SignalDispatcher:
-    """Calls a handler for each signal, by the number of the signal.
+    """Calls the handler of each signal in a turn of the scheduler.
 
     `GatewayProcess` creates one per process and keeps it until the process ends. It owns the two
-    sockets that carry signals to the poll. It unblocks its signals; those that have been pending
-    since the start of the process are then delivered.
+    sockets that carry signals to the poll. It unblocks the signals that have a handler; those that
+    have been pending since the start of the process are then delivered.
     """
 
     def __init__(self, scheduler: Scheduler, handlers: Mapping[int, Callable[[], object]]) -> None:
