--- a/petrellane/decisions/__init__.py
+++ b/petrellane/decisions/__init__.py
@@ -8,7 +8,7 @@
 - overload: `load_shedding`;
 - endpoint selection: `load_balancing`, `endpoint_list` and `endpoint_index`, with `endpoint_health`
   and `warm_up`;
-- retries: `retries`, based on what `outcomes` prove.
+- retries: `retries`, which uses `outcomes` to tell whether an attempt may have run.
 
 No module reads a clock or does I/O, and all random numbers come from the controller's seeded
 generator. Each tuned value is a named constant with its unit; `docs/design.md` gives the reasons
