--- a/petrellane/decisions/action_dispatcher.py
+++ b/petrellane/decisions/action_dispatcher.py
@@ -24,7 +24,8 @@
 class ActionDispatcher(ABC):
     """Base class for executors of actions, with one abstract method for each action type.
 
-    A gateway executes the actions on sockets, the simulation in simulated time.
+    The gateway's executor performs the actions on sockets; the simulation's executor performs them
+    in simulated time.
     """
 
     def __init__(self) -> None:
