--- a/petrellane/decisions/actions.py
+++ b/petrellane/decisions/actions.py
@@ -72,9 +72,9 @@
     Attributes:
         lease: The lease that is topped up.
         window: The lease's window at the time of the request.
-        unreported: The units of the amount that a fair share has already granted.
+        unreported: The part of the added units that a fair share has already granted.
         is_reread: Whether it only reads the total again, because a reply had no readable total.
-        is_settled: Whether it was answered or has timed out, so that no RPC waits for it.
+        is_settled: Whether the top-up was answered or has timed out, so that no RPC waits for it.
     """
 
     __slots__ = ("is_reread", "is_settled", "lease", "unreported", "window")
