--- a/petrellane/decisions/controller.py
+++ b/petrellane/decisions/controller.py
@@ -105,7 +105,7 @@
     ) -> None:
         """Apply the settings, initially and on reload.
 
-        Methods and plans are not among them, because each RPC refers to its own.
+        The settings do not include methods and plans, because each RPC refers to its own.
 
         Args:
             zone: The zone of this gateway.
@@ -188,7 +188,7 @@
     def _start_attempt(
         self, now: float, rpc: Rpc, scope: Scope, send_by: float = inf
     ) -> list[Action]:
-        """Send an RPC to a picked endpoint; without an eligible one, return no actions."""
+        """Send an RPC to a picked endpoint; return no actions if no endpoint is eligible."""
         if rpc.deadline <= now:
             return []
         endpoint = self.load_balancer.pick_endpoint(now, rpc, scope)
