--- a/petrellane/decisions/counter_health.py
+++ b/petrellane/decisions/counter_health.py
@@ -1,8 +1,9 @@
 """The health of the shared counter: reachable, degraded or unreachable.
 
-After a few failed top-ups in a row the counter counts as unreachable; occasional top-ups then probe
-it, and no other RPC waits for it. While a share of the recent top-ups failed, the counter counts as
-degraded, and a lease grants the customer's fair share of the quota before it asks the counter.
+After a few failed top-ups in a row the counter counts as unreachable. Occasional top-ups then probe
+it, and a new RPC waits for the counter only if its own top-up is such a probe. While more than a
+small share of the recent top-ups have failed, the counter counts as degraded, and a lease grants
+this gateway's fair share of the quota before the gateway asks the counter.
 """
 
 import math
