--- a/petrellane/decisions/endpoint_health.py
+++ b/petrellane/decisions/endpoint_health.py
@@ -14,8 +14,8 @@
 
 SAMPLE_LIFETIME = 10.0  # seconds after which a sample expires
 MAX_SAMPLES = 16  # samples retained for each endpoint
-LATENCY_SAMPLES = 8  # the most recent of these, from which its latency is estimated
-PRIOR_LATENCIES = [0.1, 0.1]  # relative latencies added as a prior to few samples
+LATENCY_SAMPLES = 8  # most recent samples from which an endpoint's latency is estimated
+PRIOR_LATENCIES = [0.1, 0.1]  # relative latencies added as a prior to the samples, which may be few
 # Attempts in flight added to both terms of the growth ratio, to stabilize it for small numbers.
 PRIOR_IN_FLIGHT = 3
 
@@ -35,7 +35,7 @@
     method_identity: object
     outcome: Outcome
     relative_latency: float  # share of the latency objective
-    in_flight: int  # this gateway's attempts in flight there when it was sent
+    in_flight: int  # this gateway's attempts in flight at the endpoint when it was sent
 
 
 class _HasLatency(Protocol):
@@ -80,7 +80,7 @@
         self.cached_capacity = 0.0
 
     def recent_samples(self, method_identity: object, now: float) -> list[EndpointSample]:
-        """Return the unexpired samples of a method; those of all methods if the method has none."""
+        """Return the unexpired samples of a method, or of all methods if that method has none."""
         recent = [sample for sample in self.samples if now - sample[0] <= SAMPLE_LIFETIME]
         return [sample for sample in recent if sample[1] is method_identity] or recent
 
@@ -92,8 +92,8 @@
 def is_failing(samples: Sequence[EndpointSample]) -> bool:
     """Return whether the endpoint of these samples is failing.
 
-    It is, if failed samples outnumber the others by more than one, or if the last attempt could not
-    reach the endpoint.
+    The endpoint is failing if failed samples outnumber the others by more than one, or if the last
+    attempt could not reach it.
     """
     failed = sum(sample[2] not in (OK, FULL) for sample in samples)
     return bool(samples) and (failed * 2 > len(samples) + 1 or samples[-1][2] == UNREACHABLE)
@@ -104,9 +104,10 @@
 ) -> float:
     """Return the expected relative latency of one more attempt.
 
-    It is the mean over the samples and over the ages of the attempts in flight that exceed the
-    samples' mean, multiplied by the ratio of the current to the usual number in flight. A ratio
-    below 1 counts only by its square root, because other gateways also send to the endpoints.
+    The result is the mean over the samples and over the ages of those attempts in flight whose age
+    exceeds the samples' mean, multiplied by the ratio of the current to the usual number in flight.
+    If the ratio is below 1, its square root is used instead, because other gateways also send to
+    the endpoints.
     """
     latencies = [sample.relative_latency for sample in samples] + PRIOR_LATENCIES
     mean_latency = mean(latencies)
