--- a/petrellane/decisions/endpoint_index.py
+++ b/petrellane/decisions/endpoint_index.py
@@ -106,7 +106,7 @@
         return None
 
     def drop_until(self, time: float) -> int:
-        """Drop the members that started by the given time, if they are more than half of all.
+        """Drop the members that started by the given time, if they are more than half of the rows.
 
         Returns:
             The number of dropped members; the amortized cost is constant for each member.
@@ -139,12 +139,13 @@
         )
 
     def _update_sums(self) -> None:
-        """Extend the prefix sums to the rows from the first changed one on."""
+        """Recompute the prefix sums from the first changed row to the last row."""
         summed = self._summed
         if summed >= len(self.rows):
             return
         if not summed:
-            # Close to the start times, because sums of absolute times would lose precision.
+            # The origin is close to the start times, because sums of absolute times would lose
+            # precision.
             self._origin = self.rows[0].start
         origin = self._origin
         rows = self.rows[summed:]
