--- a/petrellane/decisions/endpoint_list.py
+++ b/petrellane/decisions/endpoint_list.py
@@ -82,8 +82,8 @@
         # The key READY has all ready endpoints. Warm ones are also under the key of each scope that
         # includes them: None for any endpoint, their zone and their pod.
         self.groups: IndexedGroups[Endpoint] = IndexedGroups()
-        self.ready_weight = 0.0  # sum over all ready endpoints, warm or not
-        # Of the warming endpoints, and of warm ones that are not dropped yet.
+        self.ready_weight = 0.0  # sum of the weights of all ready endpoints, warm or not
+        # The warming endpoints, and the warm endpoints whose rows are not dropped yet.
         self.start_times: StartTimes[Endpoint] = StartTimes()
         self.warm_row_count = 0  # number of leading rows of `start_times` that are warm
 
