--- a/petrellane/decisions/hard_limits.py
+++ b/petrellane/decisions/hard_limits.py
@@ -2,9 +2,9 @@
 
 Each gateway holds a share of the hard limit, which refills on its own. A gateway whose share is
 full puts a portion into escrow, a count at the counter for the current window. A gateway that lacks
-units takes those that the count's total proves to have been in escrow. Units that are lost on the
-way are safe, because no gateway holds them. A count that is granted twice grants at most the slack
-that the shares leave.
+units takes those that the count's total proves to have been in escrow. The loss of units in transit
+is safe, because no gateway can spend them. If the units of a count are granted twice, they amount
+to at most the slack that the shares leave free.
 """
 
 from typing import NamedTuple
@@ -17,9 +17,9 @@
 from petrellane.decisions.types import OK, Outcome
 
 ESCROW_TTL_WINDOWS = 2  # windows for which the counter keeps an escrow's count
-ESCROW_TTL_MAXIMUM = 60.0  # maximum seconds for which the counter keeps it
-# In seconds. An escrow that granted nothing is asked again after MIN_TOP_UP_SHARE of this time, or
-# of the window if that is shorter.
+ESCROW_TTL_MAXIMUM = 60.0  # maximum seconds for which the counter keeps an escrow's count
+# In seconds. If the escrow granted nothing, the gateway asks it again after MIN_TOP_UP_SHARE of
+# this time, or of the window if the window is shorter.
 ESCROW_RETRY_BASE = 1.0
 
 
@@ -127,7 +127,7 @@
 def _lend(
     lease: Lease, count: EscrowCount, units: float, *, is_follow_up: bool = False
 ) -> CounterAdd:
-    """Return an addition that moves units, which the share no longer holds, into escrow."""
+    """Return an addition that moves units into escrow; the caller deducts them from the share."""
     lease.escrow_lending = units
     move = PendingEscrowMove(lease, lease.window, is_follow_up)
     return CounterAdd(count.name, units, count.ttl, move)
