--- a/petrellane/decisions/lease_manager.py
+++ b/petrellane/decisions/lease_manager.py
@@ -29,9 +29,9 @@
 
 RESERVE_SHARE = 0.3  # last share of a window's limit, which only waiting RPCs get
 COUNT_TTL_WINDOWS = 4  # windows for which the counter keeps a window's count
-COUNT_TTL_MAXIMUM = 60.0  # maximum seconds for which the counter keeps it
+COUNT_TTL_MAXIMUM = 60.0  # maximum seconds for which the counter keeps a window's count
 LOST_COUNT_TOLERANCE = 0.5  # units by which rounding may lower a total below the lease's additions
-INITIAL_CLEAN_UP_SIZE = 100  # number of leases at which idle ones are dropped first
+INITIAL_CLEAN_UP_SIZE = 100  # number of leases at which idle leases are first dropped
 
 
 class Credit(Enum):
@@ -53,7 +53,7 @@
     """The leases by customer; owned by the controller for the life of the process.
 
     Attributes:
-        leases: The leases; idle ones are dropped whenever their number has doubled.
+        leases: The leases; idle leases are dropped whenever the number of leases has doubled.
         counter: The health of the counter.
         escrow: The escrow of hard limits.
         started_at: The time from which hard limits fill; infinite until the process has started.
@@ -107,8 +107,8 @@
         Args:
             now: The time.
             rpc: The RPC that needs credit.
-            is_new: Whether the RPC counts as demand; False if it has waited for escrow, because it
-                is already counted then.
+            is_new: Whether the RPC counts as demand; False for an RPC that has waited for escrow,
+                because it is already counted.
         """
         lease = self.lease_of(rpc.customer, now)
         if is_new:
@@ -144,7 +144,7 @@
     def _wait_for_escrow(
         self, now: float, lease: Lease, rpc: Rpc, actions: list[Action]
     ) -> CreditDecision:
-        """Let an RPC wait for pending units from escrow if it lacks hard limit, or refuse it."""
+        """Let an RPC beyond the hard limit wait for pending units from escrow, or refuse it."""
         is_borrowing = lease.escrow_borrowing > 0
         if not is_borrowing or lease.refill_hard_limit(now) >= rpc.units:
             return CreditDecision(Credit.REFUSED, actions)
@@ -255,7 +255,7 @@
         if is_carryover_unknown and not self.counter.is_degraded(now):
             needed = lease.ledger_total + lease.missing_units()
             if needed <= lease.limit(now, lease.allowance):
-                # Units left over from the previous window may cover it: read that window's count.
+                # The carryover may cover the missing units: read the previous window's count.
                 return self._add_to_count(lease, lease.previous_window(), 0.0)
             lease.mark_exhausted(now)
         actions: list[Action] = []
@@ -311,7 +311,7 @@
     def _return_excess(
         self, now: float, lease: Lease, add: CounterAdd, excess: float
     ) -> list[Action]:
-        """Give back units added beyond the limit, without a request to a degraded counter."""
+        """Give back units added beyond the limit; send no request to a degraded counter."""
         lease.reported -= excess
         is_degraded = self.counter.is_degraded(now)
         lease.mark_exhausted(now)
@@ -325,7 +325,7 @@
         outcome: Outcome,
         total: float,
     ) -> list[Action]:
-        """Handle a reply of the escrow, and decide the RPCs that wait for it."""
+        """Handle the counter's reply to an escrow request, and decide the RPCs that wait for it."""
         actions = self.escrow.on_reply(now, add, move, outcome, total)
         lease = move.lease
         waiting = lease.hard_limit_waiting
@@ -383,7 +383,10 @@
 
 
 def _make_available(lease: Lease, kept: float, *, was_settled: bool) -> None:
-    """Make kept units available; those that a fair share already granted only become reported."""
+    """Make kept units available, except those that a fair share has already granted.
+
+    These are deducted from the lease's unreported units instead.
+    """
     replaced = min(lease.unreported, kept) if was_settled else 0.0
     new = kept - replaced
     lease.available = lease.available + new
