--- a/petrellane/decisions/leases.py
+++ b/petrellane/decisions/leases.py
@@ -17,11 +17,12 @@
 
 WINDOW_FILLS = 1.0  # window length, as a multiple of the time in which a burst refills
 HEADROOM = 1.25  # lease size, as a multiple of the expected demand
-LEASE_AHEAD = 0.25  # share of a window that a lease covers: unused units are lost to other gateways
+# Share of a window that a lease covers. Other gateways cannot spend its unused units.
+LEASE_AHEAD = 0.25
 MIN_TOP_UP_SHARE = 0.1  # smallest share of the allowance worth a top-up when credit is short
 ESCROW_SHARE = 0.5  # maximum share of a hard limit's slack that is in escrow
 MAX_DEMAND_ENTRIES = 256  # last RPCs from which demand is estimated
-EXPORTED_DEMAND_ENTRIES = 32  # the most recent of these, which a successor gets
+EXPORTED_DEMAND_ENTRIES = 32  # most recent of these RPCs, which the successor receives
 DEMAND_WINDOWS = 2  # windows over which demand is estimated
 
 # The attribute for each key of a lease's stored form, in the order of the keys. The keys belong to
@@ -69,7 +70,7 @@
     Attributes:
         customer: The customer.
         plan: The plan that was last applied.
-        fair_share: This gateway's part of what the customer's gateways share, from 0 to 1.
+        fair_share: This gateway's fraction of the customer's allowance and limits, from 0 to 1.
         available: The units that may be spent.
         granted: The units that the counter or a fair share has granted in this window.
         reported: The units that this gateway has added to the window's count.
@@ -82,7 +83,7 @@
         next_single_at: The time from which a fair share below one RPC may be raised to one RPC.
         in_flight: The number of attempts in flight.
         waiting: The RPCs that wait for the reply to a top-up, oldest first.
-        pending_add: The top-up that they wait for.
+        pending_add: The pending top-up; None if no top-up is pending.
         demand: The last RPCs, as (time, units).
         demand_since: The time from which demand is recorded.
         hard_limit: The units of the hard limit that may be spent.
@@ -189,9 +190,9 @@
         """Grant the missing part of this gateway's share of the allowance while the counter fails.
 
         If the counter is unreachable, the share is at least this gateway's part of the previous
-        window's total, because a customer may reach only few of its gateways. No RPC could use a
-        share smaller than its units. Such a share is raised to one RPC, but only once in the time
-        in which the shares add up to that RPC.
+        window's total, because a customer may reach only few of its gateways. A grant smaller than
+        the needed units would be unusable. The lease raises it to cover them, but at most once in
+        the time in which the fair share accrues that many units.
 
         Args:
             now: The time.
