--- a/petrellane/decisions/load_balancing.py
+++ b/petrellane/decisions/load_balancing.py
@@ -1,9 +1,10 @@
 """Load balancing: the endpoint subset, the capacity of endpoints, and the weighted random choice.
 
-A gateway uses a subset of the endpoints, as large as its own attempts can keep supplied with recent
-samples. It picks an endpoint with a probability proportional to the endpoint's capacity, which it
-estimates from samples and from attempts in flight. Outliers get no attempts while other endpoints
-are available. The caller passes the time and the random number generator.
+A gateway uses a subset of the endpoints. The subset is as large as the gateway's own attempts can
+supply with recent samples. The gateway picks an endpoint with a probability proportional to the
+endpoint's capacity, which it estimates from samples and from attempts in flight. Outliers get no
+attempts while other endpoints are available. The caller passes the time and the random number
+generator.
 """
 
 import math
@@ -42,10 +43,10 @@
 )
 
 SUBSET_MINIMUM = 12  # minimum number of endpoints that a gateway uses
-SAMPLES_PER_ENDPOINT = 4  # target for each endpoint of the subset within SAMPLE_LIFETIME
+SAMPLES_PER_ENDPOINT = 4  # target number of samples per subset endpoint within SAMPLE_LIFETIME
 SUBSET_ROTATION = 5.0  # seconds after which one endpoint of a subset is replaced
 OVERDUE_MULTIPLE = 8.0  # an attempt is overdue after this multiple of its method's typical time
-OVERDUE_SHARE = 0.75  # or after this share of its method's latency objective, if that is shorter
+OVERDUE_SHARE = 0.75  # an attempt is overdue after this share of its latency objective, if earlier
 # The typical time assumed for a method without responses: its latency objective divided by this.
 UNKNOWN_METHOD_DIVISOR = 8
 SAME_ZONE_FACTOR = 3.0  # preference for this gateway's zone, if cross-zone attempts have a price
@@ -116,7 +117,7 @@
         for endpoint, health, change in self.endpoints.apply_events(now, is_full, events):
             health.cached_until = -math.inf
             if change is EndpointChange.RESTARTED:
-                health.samples = []  # of the endpoint's previous process
+                health.samples = []  # the samples describe the previous process
             elif change is EndpointChange.NEW:
                 self._offer_to_subset(endpoint, health)
         self.subset = [
@@ -148,8 +149,8 @@
             self.rotated_at = now
         count = 1
         while (missing := size - len(subset)) > 0:
-            # Most endpoints of a small sample are not in use yet. The sample doubles until it has
-            # enough of them, at the latest when it has all endpoints.
+            # Most endpoints of a small sample are not in use yet. The sample doubles until it
+            # contains enough unused endpoints, at the latest when it contains all endpoints.
             count *= 2
             drawn = self.endpoints.sample(self.sample, count)
             subset += [candidate for candidate in drawn if candidate not in subset][:missing]
@@ -196,7 +197,7 @@
 
         Returns:
             An endpoint of the scope, if possible one that the RPC has not tried; None if no
-            endpoint is eligible, because further work would only be late.
+            endpoint is eligible. An overloaded endpoint is not eligible: it would respond late.
         """
         method = rpc.method
         tried = {attempt.endpoint for attempt in rpc.attempts}
@@ -358,7 +359,8 @@
             times.append(duration)
             self.typical_times[identity] = mean(times)
         if outcome in (OK, FULL) or (was_cut_short and not _answered_since(health, attempt)):
-            # Otherwise the endpoint answers other attempts: it has a fault, but is not slow.
+            # An attempt that was cut short is no latency sample if the endpoint has answered other
+            # attempts since: the endpoint then has a fault, but is not slow.
             self.latency_samples.append(LatencySample(now, latency, total_in_flight))
         if outcome in (OK, ERROR, FULL):
             health.answered_at[identity] = now
