--- a/petrellane/decisions/load_shedding.py
+++ b/petrellane/decisions/load_shedding.py
@@ -14,10 +14,10 @@
 
 OVERLOAD_ONSET = 0.2  # relative latency above which endpoints count as overloaded
 OVERLOAD_FULL = 0.6  # relative latency at which an endpoint gets no further attempts
-MAXIMUM_OVERLOAD = 0.9  # maximum share of RPCs shed; the others show when overload ends
+MAXIMUM_OVERLOAD = 0.9  # maximum share of RPCs shed; admitted RPCs show when overload ends
 RANKED_RPCS = 64  # recent RPCs among which an RPC is ranked by its value
 
-# Samples of each overload estimate: the minimum number of samples, and the seconds of which all
+# For each overload estimate: the minimum number of samples, and the age in seconds up to which all
 # samples are used. The higher estimate counts, so overload rises faster than it falls.
 OVERLOAD_SPANS = (
     (64, 2.5),
@@ -32,8 +32,8 @@
 
     Args:
         samples: The samples of the last attempts that ended.
-        in_flight: The attempts in flight without the overdue ones, because an unresponsive endpoint
-            is not a slow one.
+        in_flight: The attempts in flight without the overdue ones, because they
+            indicate an unresponsive endpoint, not a slow one.
         now: The time.
     """
     recent = [sample for sample in samples if now - sample.ended_at <= SAMPLE_LIFETIME]
