--- a/petrellane/decisions/retries.py
+++ b/petrellane/decisions/retries.py
@@ -15,7 +15,7 @@
 
 RETRY_BUDGET = 0.2  # maximum share of retries among the last attempts
 BUDGET_ATTEMPTS = 100  # number of last attempts that the budget counts
-KEY_WINDOW_MARGIN = 0.1  # seconds before a key expires after which a retry is too late
+KEY_WINDOW_MARGIN = 0.1  # minimum seconds between sending a retry and the key's expiry
 
 
 class RetryTargets(NamedTuple):
@@ -51,7 +51,7 @@
 
 
 def retry_targets(now: float, rpc: Rpc) -> RetryTargets | None:
-    """Return the scope and the time limit of a retry, or None if a retry is not safe."""
+    """Return the scope and the send deadline of a retry, or None if a retry is not safe."""
     may_have_run = attempts_that_may_have_run(rpc)
     method = rpc.method
     if not may_have_run or method.effect == IDEMPOTENT:
