--- a/petrellane/decisions/warm_up.py
+++ b/petrellane/decisions/warm_up.py
@@ -1,8 +1,8 @@
 """Slow start: the share of the load that a warming endpoint may get.
 
 The probability that a warming endpoint is picked is its share of the total capacity. Two safeguards
-make this share smaller than the endpoint list alone would: one against a burst of attempts, which
-latency shows too late, and one against the load of endpoints that have just gone.
+reduce this share. One protects against a burst of attempts, which latency shows too late. The other
+protects against the load that endpoints leave behind when they disappear from the list.
 """
 
 from collections.abc import Sequence
