--- a/petrellane/decisions/types.py
+++ b/petrellane/decisions/types.py
@@ -179,8 +179,9 @@
         plan: The customer's plan, which the owner replaces when the settings change.
         first_gateway: The number of the first gateway that serves the customer.
         gateway_count: The number of gateways that serve it, counted from the first one.
-        known_since: The time since which the customer is known under this plan, if it had another
-            plan before; its share of the hard limit fills from then on.
+        known_since: The time at which the gateway first saw the customer with this plan and these
+            gateways, if it knew the customer with others before. The gateway's share of the hard
+            limit fills from that time.
     """
 
     name: str
