--- a/petrellane/decisions/leases.py
+++ b/petrellane/decisions/leases.py
@@ -284,8 +284,8 @@
     def hard_limit_maximum(self) -> float:
         """Return the maximum units of the hard limit that this gateway holds.
 
-        The shares leave out twice the maximum escrow, so a count that is granted twice stays within
-        the hard limit.
+        The shares leave out twice the maximum escrow, so that the hard limit still holds if the
+        units of an escrow's count are granted twice.
         """
         return (self.customer.plan.hard_limit_burst - 2 * self.hard_limit_escrow) * self.fair_share
 
