--- a/petrellane/decisions/load_balancing.py
+++ b/petrellane/decisions/load_balancing.py
@@ -234,9 +234,9 @@
         return endpoint
 
     def _candidates(self, now: float, tried: Collection[Endpoint], scope: Scope) -> list[Candidate]:
-        """Return the warm endpoints of the subset in a scope, or other ones if the subset has none.
+        """Return warm endpoints of a scope: those of the subset, or a random draw if it has none.
 
-        Endpoints that the RPC has tried are left out if there are others.
+        Each of the two sets leaves out endpoints that the RPC has tried, unless it has no others.
         """
         warm_before = self.endpoints.advance_warm_up(now)
         count = max(SUBSET_MINIMUM, len(self.subset))
