--- a/petrellane/config/consensus.py
+++ b/petrellane/config/consensus.py
@@ -156,7 +156,7 @@
 
 
 def _read_toml(path: str) -> Section:
-    import tomllib  # importing it takes 4 ms, which the start of a gateway avoids
+    import tomllib  # not imported at a gateway's start: the import takes 4 ms
 
     try:
         with open(path, "rb") as file:
