--- a/petrellane/config/reload.py
+++ b/petrellane/config/reload.py
@@ -48,7 +48,7 @@
     method under that identity.
 
     Raises:
-        ConfigError: A value differs that is fixed for the lifetime of a process.
+        ConfigError: A value that is fixed for the lifetime of a process differs.
     """
     _check_unchanged("familyInfo.mayCount", current.uses_counter, new.uses_counter)
     _check_unchanged("discovery", current.must_watch, new.must_watch)
