--- a/petrellane/config_consensus/__init__.py
+++ b/petrellane/config_consensus/__init__.py
@@ -3,7 +3,7 @@
 A coordinator, which runs in a control process, proposes settings; each gateway is a participant
 that votes on them.
 
-Rules, free of I/O:
+Rules, without I/O:
     ballots: Epochs, ballots, generations and majorities.
     messages: The protocol and its JSON form; `state_keys` has the keys of a participant's state.
     participant: The rules of one gateway.
