--- a/petrellane/config_consensus/changes.py
+++ b/petrellane/config_consensus/changes.py
@@ -31,7 +31,7 @@
 from petrellane.config_consensus.messages import PeerState, Prepare, Request
 from petrellane.config_consensus.participant import INITIAL_BALLOT, STALL_LIMIT_S
 
-CHANGE_TIMEOUT_S = 3.0  # a change aborts if a participant has not voted by then
+CHANGE_TIMEOUT_S = 3.0  # a change aborts if a participant has not voted within this time
 
 INTERRUPTED_REASON = "the control process ended before it was decided"
 ALREADY_IN_FORCE_REASON = "in force already"
@@ -173,7 +173,7 @@
     # Votes.
 
     def needs_prepare(self, name: str) -> bool:
-        """Return whether a participant has to be sent a prepare request, first or repeated."""
+        """Return whether a participant needs a first or a repeated prepare request."""
         return (
             name in self.participants
             and self.votes.get(name) is not Vote.PREPARED
@@ -250,11 +250,11 @@
             if members and len(prepared & set(members)) < majority(members):
                 return self._no_majority_decision(prepared, members)
         if self.excluded and now - self.started_at < 2 * STALL_LIMIT_S:
-            return None  # an excluded gateway that only stalled has to detect its stall first
+            return None  # an excluded gateway may have only stalled: it has to detect that first
         return Decision(ChangeOutcome.COMMITTED, self.purpose)
 
     def _pending_participants(self) -> Iterator[str]:
-        """Return an iterator over the participants neither prepared nor confirmed absent."""
+        """Return an iterator over participants that are neither prepared nor confirmed absent."""
         votes = self.votes  # local variables: each answer iterates over the participants
         confirmed_absent = self.confirmed_absent
         prepared = Vote.PREPARED
