--- a/petrellane/config_consensus/coordinator.py
+++ b/petrellane/config_consensus/coordinator.py
@@ -1,4 +1,4 @@
-"""The rules of a coordinator, free of I/O: one control process brings all participants to agree.
+"""The I/O-free rules of a coordinator, which makes all participants agree on one generation.
 
 A coordinator is in one of three states:
 
@@ -61,7 +61,8 @@
 
 __all__ = ["ChangeOutcome", "Coordinator", "CoordinatorState"]
 
-MAX_EPOCH_CLAIMS = 5  # while seeking: ends the duel of two coordinators that start together
+# While seeking; without a limit, two coordinators could supersede each other's epochs forever.
+MAX_EPOCH_CLAIMS = 5
 
 SUPERSEDING_AUTHOR = "the control process"
 
@@ -151,7 +152,7 @@
 
     def claim_epoch(self, number: int, now: float) -> None:
         """Claim a new epoch, which all participants are asked to promise."""
-        self.leadership.claim_count += 1  # counts even if the journal write fails
+        self.leadership.claim_count += 1  # a claim counts even if the journal write fails
         self.leadership.start_epoch(self.ledger.claim_epoch(number, self.name, now))
 
     # Requests.
@@ -210,9 +211,9 @@
             self.handle_no_answer(name, message, now, reason)
 
     def _handle_content(self, name: str, answer: Answer, now: float) -> None:
-        """Handle the content in force; generation 0, from a gateway's own file, counts as well."""
+        """Handle the content in force, which may be generation 0 from a gateway's own file."""
         leadership = self.leadership
-        if not isinstance(answer, Generation):  # e.g. the participant has a later one in force
+        if not isinstance(answer, Generation):  # e.g. it has a later generation in force
             leadership.missing_content = None
             leadership.promised_by.discard(name)
             return
