--- a/petrellane/config_consensus/errors.py
+++ b/petrellane/config_consensus/errors.py
@@ -19,7 +19,7 @@
     CANNOT_COMMIT = "past"  # a later ballot is in force, or this ballot was aborted
     TOO_MANY_PREPARED = "crowded"
     INVALID_SETTINGS = "settings"
-    NOT_ACTIVE = "elsewhere"  # another process of the gateway is the participant, or none is yet
+    NOT_ACTIVE = "elsewhere"  # another process of the gateway, or no process yet, is active
     NOT_DURABLE = "unwritten"  # the new state could not be written
 
 
