--- a/petrellane/config_consensus/journal.py
+++ b/petrellane/config_consensus/journal.py
@@ -14,7 +14,7 @@
 VERSION: Final = 1  # version of the schema, stored in PRAGMA user_version
 LOCK_TIMEOUT_S: Final = 0.5  # allows a control process that is shutting down to release the file
 INTEGRITY_OK: Final = "ok"  # result of PRAGMA integrity_check for an undamaged file
-HEADING_PREFIX: Final = "***"  # of the lines in that result that name the database
+HEADING_PREFIX: Final = "***"  # starts the lines of the result that name the database
 
 Record = dict[str, Any]  # a JSON object
 
