--- a/petrellane/config_consensus/leadership.py
+++ b/petrellane/config_consensus/leadership.py
@@ -108,7 +108,7 @@
 
         Args:
             ballot: A ballot that a participant has prepared.
-            roster: The roster in force, of which a majority has to prepare the ballot.
+            roster: The roster in force; a majority of it has to prepare the ballot.
             reports: The reports of the participants.
 
         Returns:
@@ -128,7 +128,7 @@
 def quorum_rosters(
     configured: Roster, in_force: Generation | None, reports: Reports
 ) -> list[Roster]:
-    """Return the rosters of which a majority each has to promise an epoch.
+    """Return the rosters; a majority of each of them has to promise an epoch.
 
     The function compares rosters by identity, because `Notifications.on_report` keeps equal rosters
     as one object. It leaves out empty rosters.
