--- a/petrellane/config_consensus/ledger.py
+++ b/petrellane/config_consensus/ledger.py
@@ -48,7 +48,11 @@
     """
 
     def __init__(self, journal: RecordLog, records: Iterable[Mapping[str, Any]]) -> None:
-        """Replay the journal's records. Raises ValueError or KeyError for a malformed record."""
+        """Replay the journal's records.
+
+        Raises:
+            ValueError, KeyError: A record is malformed.
+        """
         self.journal = journal
         self.in_force: Generation | None = None
         self.change: Change | None = None
