--- a/petrellane/config_consensus/notifications.py
+++ b/petrellane/config_consensus/notifications.py
@@ -29,8 +29,8 @@
     RequestBody,
 )
 
-POLL_INTERVAL_S = 1.0  # approximate; between polls of a participant without a due notification
-RETRY_INTERVAL_S = 0.1  # between attempts while seeking or while a change is in progress
+POLL_INTERVAL_S = 1.0  # approximate time between polls of a participant without due messages
+RETRY_INTERVAL_S = 0.1  # time between attempts while seeking or during a change
 MIN_PAUSE_S = 0.01  # shortest pause before the next check for a due message
 
 CONNECTION_REFUSED_REASON = "nobody listens there"
@@ -139,7 +139,7 @@
         return max(MIN_PAUSE_S, POLL_INTERVAL_S - elapsed)
 
     def is_poll_due(self, name: str, now: float) -> bool:
-        """Return whether a participant was sent no request for a poll interval."""
+        """Return whether the coordinator has sent a participant no request for a poll interval."""
         return now - self.last_sent_at.get(name, -POLL_INTERVAL_S) >= POLL_INTERVAL_S
 
     def next_body(
