--- a/petrellane/config_consensus/participant.py
+++ b/petrellane/config_consensus/participant.py
@@ -1,4 +1,4 @@
-"""The rules of a participant, free of I/O: what one gateway stores and how it answers messages.
+"""The I/O-free rules of a participant: what one gateway stores and how it answers messages.
 
 The state (`ParticipantState`) is durable before the participant sends an answer that depends on it:
 
@@ -339,7 +339,9 @@
 class ParticipantStatus:
     """Decides whether a gateway may admit RPCs.
 
-    It may while it is on the roster and knows which generation is in force, unless it has stalled.
+    A gateway may admit RPCs while it is on the roster and knows which generation is in force. After
+    a stall, it no longer knows this.
+
     The participant service owns this object, and replaces it when it starts or resumes. Times are
     in seconds of one monotonic clock.
 
