--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -101,7 +101,7 @@
         self._store = StateStore(config.state, self.name)
         self._writer = StateWriter(scheduler, self._store)
         self._poller = PeerPoller(self)
-        self._is_state_complete = True  # whether it has every promise that this gateway made
+        self._is_state_complete = True  # whether the state has all promises of this gateway
         self._is_folder_writable = True
         self._is_updating = False
         self._on_ready: Callable[[], None] | None = None
@@ -119,7 +119,7 @@
         """Load the state from the disk, if there is one.
 
         While the folder cannot be written, the state in memory is later than the one on the disk,
-        and is kept.
+        and is retained.
         """
         found, fault = self._store.load()
         self._is_state_complete = found is not None and fault is None
@@ -197,7 +197,7 @@
     # State.
 
     def roster(self) -> tuple[str, ...]:
-        """Return the roster in force: that of the committed generation, else of the file."""
+        """Return the roster in force: that of the committed generation, else that of the file."""
         if self.state.in_force.number:
             return self.state.in_force.roster
         return tuple(self.config.members)
@@ -221,7 +221,7 @@
         """Make a state durable and then current; the caller holds the exclusive update.
 
         Returns:
-            Whether the state was written. If not, the current state stays.
+            Whether the state was written. If not, the current state is retained.
         """
         error = self._writer.save(state)
         if error and self._is_folder_writable:
@@ -294,7 +294,7 @@
             return CallResult(HTTPStatus.OK, answer.to_dict())
 
     def _log_rejection(self, message: JsonObject, rejection: MessageRejected) -> None:
-        """Log a rejection of settings that this gateway cannot apply; senders handle the others."""
+        """Log a rejection of settings that this gateway cannot apply; senders handle others."""
         if rejection.cause is RejectionCause.INVALID_SETTINGS:
             self.log.event(
                 "agreement_refused",
