--- a/petrellane/config_consensus/peer_polling.py
+++ b/petrellane/config_consensus/peer_polling.py
@@ -119,7 +119,7 @@
         """Return the peers to poll, in random order.
 
         Args:
-            includes_responders: Whether to poll peers that have answered already as well. They are
+            includes_responders: Whether to include the peers that have already answered. They are
                 always polled while the gateway knows which generation is in force.
         """
         service = self._service
