--- a/petrellane/config_consensus/rpc_client.py
+++ b/petrellane/config_consensus/rpc_client.py
@@ -21,7 +21,7 @@
 from petrellane.net.scheduler import Scheduler
 from petrellane.net.stream import Address, Closed, Stream
 
-MAX_SHOWN_BYTES = 100  # of an unsigned answer, in an error text
+MAX_SHOWN_BYTES = 100  # maximum bytes of an unsigned answer that an error text quotes
 IDLE_TIMEOUT_S = 1.0  # required by `Limits`; no connection stays open after its call
 ATTEMPTS_PER_CONNECTION = 1
 
