--- a/petrellane/config_consensus/safe_settings.py
+++ b/petrellane/config_consensus/safe_settings.py
@@ -1,10 +1,10 @@
 """The meet of two versions of settings: the settings that both versions allow.
 
 The meet is safe to admit under while either version may be in force. It contains the methods that
-both versions have, with the fewer attempts and the shorter times, and with retries only if both
-versions allow them; and the plans that both have, with the lower quota and the lower hard limit.
-The meet is a greatest lower bound: commutative, associative, and idempotent for settings with their
-defaults.
+both versions have, with the smaller number of attempts and the shorter times, and with retries only
+if both versions allow them; and the plans that both have, with the lower quota and the lower hard
+limit. The meet is a greatest lower bound: commutative, associative, and idempotent for settings
+with their defaults.
 
 An idempotent method uses another command than the other methods. The meet therefore leaves out a
 method that is idempotent in one version only: neither command is right for all gateways while both
