--- a/petrellane/config_consensus/settings_diff.py
+++ b/petrellane/config_consensus/settings_diff.py
@@ -53,7 +53,7 @@
 
 
 def describe_changes(before: Settings, after: Settings) -> list[str]:
-    """Return one line per difference: of methods, of plans, then of the other settings."""
+    """Return one line per difference, first of methods, then of plans, then of the rest."""
     before = with_defaults(before)
     after = with_defaults(after)
     lines = []
