--- a/petrellane/config_consensus/staff_messages.py
+++ b/petrellane/config_consensus/staff_messages.py
@@ -92,7 +92,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether the change was aborted or superseded, or is in force at all that are not down."""
+        """Whether the change was aborted or superseded, or is in force at all live participants."""
         if self.outcome in (ChangeOutcome.ABORTED, ChangeOutcome.SUPERSEDED):
             return True
         return self.outcome == ChangeOutcome.COMMITTED and not self.pending
