--- a/petrellane/config_consensus/state_store.py
+++ b/petrellane/config_consensus/state_store.py
@@ -44,8 +44,8 @@
 
     Attributes:
         state: The latest state that can be read, or None if there is none.
-        fault: The reason in one line why a later state may have been lost, or None if each of the
-            files is valid or does not exist.
+        fault: The reason, in one line, why a later state may have been lost; None if each file is
+            valid or does not exist.
     """
 
     state: ParticipantState | None
@@ -155,7 +155,7 @@
         )
 
     def _flush_folder(self) -> None:
-        """Flush the directory to the disk, without which a crash may lose a new file."""
+        """Flush the directory to the disk; otherwise, a crash may lose a new file."""
         folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(folder)
