--- a/petrellane/invariants/cold_starts.py
+++ b/petrellane/invariants/cold_starts.py
@@ -19,7 +19,7 @@
 
 
 class Arrival(NamedTuple):
-    """Work that reached a host; `is_informed` if its gateway had been notified of the start."""
+    """Work that reached a host; `is_informed`: whether its gateway was notified of the start."""
 
     at: float
     work: float
