--- a/petrellane/invariants/endpoint_views.py
+++ b/petrellane/invariants/endpoint_views.py
@@ -28,7 +28,7 @@
         self._views: dict[tuple[Id, Id], EndpointView] = {}
 
     def view(self, gateway: Id, host: Id, at: float) -> EndpointView:
-        """Return a gateway's view of a host; without a notification, ready since `at`."""
+        """Return a gateway's view of a host; before any notification, it is ready since `at`."""
         view = self._views.get((gateway, host))
         return EndpointView(READY, at, 0.0) if view is None else view
 
