--- a/petrellane/invariants/records.py
+++ b/petrellane/invariants/records.py
@@ -47,7 +47,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """The gateway's end of an attempt's connection has observed an outcome.
+    """A gateway has observed the outcome of an attempt at its end of the connection.
 
     `outcome` is the name of the outcome in `decisions`.
     """
