--- a/petrellane/net/limits.py
+++ b/petrellane/net/limits.py
@@ -59,10 +59,10 @@
 
     # Values from the configuration.
     sockets: int  # maximum number of open descriptors
-    dial_timeout: float  # for establishing a connection to an endpoint
-    endpoint_idle_timeout: float  # half the endpoint's, so that the gateway closes first
+    dial_timeout: float  # time limit for connecting to an endpoint
+    endpoint_idle_timeout: float  # half that of the endpoint: the gateway closes first
     attempts_per_connection: int  # concurrent attempts on one connection to an endpoint
-    counter_timeout: float  # for the reply to a request to the counter
+    counter_timeout: float  # time limit for the counter's reply to a request
 
     # RESP values and frames.
     max_value_size: int = 64 * 1024  # a value that is parsed as a whole
@@ -89,19 +89,19 @@
     accepts_per_turn: int = 16  # connections accepted before the listener yields
     commands_per_turn: int = 16  # commands of one client before its greenlet yields
     client_idle_timeout: float = 10.0  # an idle client without pending replies is disconnected
-    new_client_idle_timeout: float = 2.0  # for a client that has sent at most one command
-    new_client_grace: float = 0.25  # a new client that has sent nothing is not evicted earlier
+    new_client_idle_timeout: float = 2.0  # the same, for a client with at most one command
+    new_client_grace: float = 0.25  # minimum age at which a client that sent nothing is evicted
     # A client that has sent an RPC may be evicted after this idle time.
     eviction_idle_time: float = 1.0
     command_timeout: float = 2.5  # from the first byte of a command to its last one
-    command_timeout_on_shortage: float = 1.0  # the same when descriptors run out
-    linger_timeout: float = 0.5  # for reading and discarding input after a malformed frame
-    client_poll_interval: float = 0.05  # between checks for clients without pending replies
+    command_timeout_on_shortage: float = 1.0  # the same, when descriptors run out
+    linger_timeout: float = 0.5  # time to read and discard input after a malformed frame
+    client_poll_interval: float = 0.05  # time between checks for clients without pending replies
 
     # Descriptors.
-    reserved_descriptors: int = 40  # for neither clients nor endpoints; see docs/design.md
+    reserved_descriptors: int = 40  # for all other uses; see docs/design.md
     min_endpoint_descriptors: int = 128  # reserved for endpoints; at most 3/5 of the rest
-    accept_retry_delay: float = 0.01  # before accepting again after descriptors ran out
+    accept_retry_delay: float = 0.01  # pause in accepting after descriptors ran out
 
     # Connections to endpoints and to the counter.
     connections_per_endpoint: int = 48  # maximum connections to one endpoint
@@ -109,7 +109,7 @@
     reuse_delay: float = 0.01
     counter_connections: int = 8  # maximum connections to the counter
     counter_idle_timeout: float = 4.0  # the counter closes idle connections after at most 10 s
-    check_interval: float = 1.0  # between checks for idle or stalled connections
+    check_interval: float = 1.0  # time between checks for idle or stalled connections
 
     # Discovery. The gateway has to learn of a change within 6 s of the time at which discovery has
     # the change and is reachable, and within 4 s after discovery moves to another address. A
@@ -119,9 +119,9 @@
     first_watch_interval: float = 3.0  # the same, before the first list from an address
     max_watch_hold: float = 3.8  # maximum time for which discovery may hold a watch request
     watch_grace: float = 1.0  # additional time for the response after the hold
-    watch_timeout: float = 2.0  # for a request without a hold, including the dial
-    unchanged_watch_delay: float = 0.02  # before the next watch request if nothing changed
-    initial_backoff: float = 0.1  # after the first failed request, before jitter
+    watch_timeout: float = 2.0  # time limit of a request without a hold, with the dial
+    unchanged_watch_delay: float = 0.02  # pause before the next request if nothing changed
+    initial_backoff: float = 0.1  # pause after the first failed request, before jitter
     max_list_size: int = 8 * 1024 * 1024  # size of an endpoint list
     list_rows_per_turn: int = 128  # rows parsed or applied before the greenlet yields
     max_load_metric: float = 1e9  # a greater value in a load report is ignored
@@ -130,28 +130,28 @@
     drain_delay: float = 0.5  # normal service continues after SIGTERM or a drain request
     drain_command_timeout: float = 1.8  # open connections accept commands after a drain started
     drain_idle: float = 0.25  # idle timeout in a drain, for connections that have sent no RPC
-    shutdown_timeout: float = 15.0  # for clients that do not disconnect
+    shutdown_timeout: float = 15.0  # time limit for clients to disconnect
     # The platform kills a process 0.7 s plus the longest deadline (at most 3 s) after SIGTERM. The
     # gateway sends its final replies 0.2 s earlier, so that they reach the clients.
     final_reply_delay: float = 0.5  # time beyond the longest deadline until the final replies
     max_deadline: float = 3.0  # upper bound of the deadline in that calculation
-    transfer_timeout: float = 3.0  # for the predecessor's transfer of its state
+    transfer_timeout: float = 3.0  # time limit for the predecessor to transfer its state
     # The predecessor keeps a connection that the successor has not accepted within this time.
     handoff_timeout: float = 0.5
     # Buffered bytes of a partial command that may move to the successor with a connection.
     max_handoff_data: int = 32 * 1024
     max_packet_size: int = 256 * 1024  # a message between predecessor and successor
-    first_list_timeout: float = 1.0  # the successor then takes over without an endpoint list
+    first_list_timeout: float = 1.0  # after it, the successor takes over without a list
 
     # The management API.
     max_requests: int = 8  # maximum concurrent requests
-    request_timeout: float = 5.0  # for one request
+    request_timeout: float = 5.0  # time limit of one request
     max_head_size: int = 8 * 1024  # head of a request
     max_body_size: int = 1024 * 1024  # body of a request
 
     # The log.
     heartbeat_interval: float = 0.1  # period of the timer that reveals a stall within a poll
-    metrics_interval: float = 1.0  # between log lines with metrics
+    metrics_interval: float = 1.0  # time between log lines with metrics
     max_log_lines: int = 1000  # queued lines; further lines are dropped
 
     @classmethod
