--- a/petrellane/net/scheduler.py
+++ b/petrellane/net/scheduler.py
@@ -35,7 +35,7 @@
         self.call: Callable[[], object] | None = call
 
     def cancel(self) -> None:
-        """Cancel the call; no effect after the call was made."""
+        """Cancel the call; this has no effect after the call was made."""
         self.call = None
 
 
@@ -102,7 +102,7 @@
         return self._earliest_arrival < math.inf
 
     def may_have_missed_events(self) -> bool:
-        """Return whether a peer may have disconnected without a report by a poll.
+        """Return whether a peer may have disconnected although no poll has reported it.
 
         This is the case after a stall and when the current turn exceeds the stall threshold.
         """
@@ -116,7 +116,7 @@
         Args:
             descriptor: An open descriptor that is not registered.
             events: A mask of poll events.
-            handler: The function that receives the mask of ready events, in each turn with any.
+            handler: The function to call with the mask of ready events, in each turn that has any.
             urgent: Whether its events are handled before those of other descriptors in a turn.
         """
         self.event_handlers[descriptor] = handler
