--- a/petrellane/net/stream.py
+++ b/petrellane/net/stream.py
@@ -23,7 +23,9 @@
 
 READ = select.POLLIN
 WRITE = select.POLLOUT
-PEER_CLOSED = select.POLLRDHUP  # the peer ended its sending; also reported while data is unread
+PEER_CLOSED = (
+    select.POLLRDHUP
+)  # the peer shut down its sending side; also reported while data is unread
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
@@ -81,7 +83,7 @@
 
 
 class EndOfStream(Closed):
-    """The peer ended its sending without a reset, and all received bytes have been read."""
+    """The peer shut down its sending side without a reset, and all bytes have been read."""
 
 
 class Stream:
@@ -103,7 +105,8 @@
         on_connection_lost: The function to call when the stream breaks without a waiting reader;
             None where there is none.
         is_reading_paused: Whether reading is suspended.
-        eof_requested: Whether the stream ends its sending when all queued bytes are written.
+        eof_requested: Whether the stream shuts down its sending side when all queued bytes
+            are written.
     """
 
     def __init__(
@@ -121,8 +124,8 @@
             limits: The limits for reads and writes.
             sock: An open socket; the stream sets it to non-blocking mode.
             urgent: Whether its events are handled before those of other descriptors in a turn.
-            break_on_half_close: Whether the stream breaks as soon as the peer ends its sending,
-                even with unread data or without a waiting reader.
+            break_on_half_close: Whether the stream breaks as soon as the peer shuts down its
+                sending side, even with unread data or without a waiting reader.
         """
         self.scheduler = scheduler
         self.limits = limits
@@ -228,8 +231,8 @@
             timeout: The maximum time to wait, in seconds; None means no limit.
 
         Raises:
-            Closed: No more bytes will arrive; `EndOfStream` if the peer ended its sending without
-                a reset.
+            Closed: No more bytes will arrive; `EndOfStream` if the peer shut down its sending
+                side without a reset.
             TimeoutError: No bytes arrived in time.
         """
         while True:
@@ -356,7 +359,7 @@
             self.on_connection_lost()
 
     def is_closed_by_peer(self) -> bool:
-        """Return whether the peer has ended its sending, even if no poll has reported it yet."""
+        """Return whether the peer has shut down its sending side, even if no poll reported it."""
         poll = select.poll()
         poll.register(self.sock.fileno(), PEER_CLOSED)
         return bool(poll.poll(0))
@@ -372,21 +375,22 @@
         return False
 
     def write_eof(self) -> None:
-        """End the sending direction when all queued bytes are written; reading remains possible."""
+        """Shut down the sending side when all queued bytes are written; reading stays possible."""
         self.eof_requested = True
         if not self.unsent:
             self.shutdown_write()
 
     def shutdown_write(self) -> None:
-        """End the sending direction immediately."""
+        """Shut down the sending side immediately."""
         with contextlib.suppress(OSError):  # the connection is over or was never established
             self.sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
         """Close the connection immediately; a waiting reader receives `Closed`.
 
-        The stream first ends its sending and discards unread bytes. If a socket is closed with
-        unread bytes, the kernel resets the connection and drops the bytes it has not sent yet.
+        The stream first shuts down its sending side and discards unread bytes. If a socket is
+        closed with unread bytes, the kernel resets the connection and drops the bytes it has not
+        sent yet.
         """
         if self.sock.fileno() < 0:
             return
@@ -398,7 +402,7 @@
         self.release()
 
     def release(self) -> None:
-        """Close the descriptor without ending the sending direction first.
+        """Close the descriptor without shutting down the sending side first.
 
         The caller uses this for a connection that is over or that another process now owns.
         """
