--- a/petrellane/config_consensus/errors.py
+++ b/petrellane/config_consensus/errors.py
@@ -24,7 +24,7 @@
 
 
 class ConsensusError(Exception):
-    """Base class of all errors of the rules; the text is one line."""
+    """Base class of the errors of the configuration consensus; each error's message is one line."""
 
 
 class MessageRejected(ConsensusError):  # noqa: N818 - an answer of the protocol, not a fault
--- a/petrellane/config_consensus/notifications.py
+++ b/petrellane/config_consensus/notifications.py
@@ -123,7 +123,10 @@
         self.unreachable[name] = reason
 
     def on_content_missing(self, name: str) -> None:
-        """Schedule the content in force for a participant that lacks it, without a pause."""
+        """Schedule a commit message for a participant that lacks the content in force.
+
+        The message contains the content; the coordinator sends it without a retry pause.
+        """
         self.needs_content.add(name)
         self.retry_at.pop(name)
 
--- a/petrellane/config_consensus/participant_service.py
+++ b/petrellane/config_consensus/participant_service.py
@@ -232,7 +232,10 @@
         return error is None
 
     def set_unsaved_state(self, state: ParticipantState) -> None:
-        """Make a state current that cannot be written; it is lost when this process ends."""
+        """Set the current state to one that could not be written.
+
+        The state is lost if this process ends before a later state is written.
+        """
         self.state = state
         self._is_state_complete = False
 
--- a/petrellane/decisions/lease_manager.py
+++ b/petrellane/decisions/lease_manager.py
@@ -362,7 +362,11 @@
 
 
 def _restore_lost_count(lease: Lease, add: CounterAdd, total: float) -> list[Action]:
-    """Return the addition of lost units if the total is below this gateway's own additions."""
+    """Return the request that adds lost units to the counter again, or an empty list.
+
+    The counter has lost units if its total is below the units that this gateway has added, by
+    more than the rounding tolerance.
+    """
     if total < lease.reported - LOST_COUNT_TOLERANCE:
         return [CounterAdd(add.name, lease.reported - total, lease.window_length)]
     return []
--- a/petrellane/load_distribution/figures.py
+++ b/petrellane/load_distribution/figures.py
@@ -52,7 +52,7 @@
 SLOT_S = 1.0  # slot length for herd and swing
 MAXIMUM_DRAWS = 300_000  # random draws for one span
 MAXIMUM_REPEATS = 40  # repetitions of the draws for one window
-SHUFFLES = 19  # one run in twenty without a herd exceeds all of them
+SHUFFLES = 19  # without a herd, one run in twenty has a higher herd value than all its shuffles
 MINIMUM_HERD_SLOTS = 3
 MINIMUM_SWING_WINDOWS = 6
 
--- a/petrellane/testbed/clients.py
+++ b/petrellane/testbed/clients.py
@@ -246,7 +246,11 @@
         )
 
     def _connections(self, connections: GatewayConnections) -> Iterator[tuple[Stream, bool]]:
-        """Yield an open idle connection, if any, then a new one; each with whether it was idle."""
+        """Yield an open idle connection, if there is one, and then a new connection.
+
+        Each connection is paired with whether it was idle. There is no new connection if the
+        gateway cannot be reached.
+        """
         while connections.idle:
             stream = connections.idle.pop()
             if stream.is_read_idle() and not stream.buffer:
